--- a/cmd/ochrebay/checkconfiguration.go
+++ b/cmd/ochrebay/checkconfiguration.go
@@ -47,6 +47,6 @@
 		keys += len(tenant.Keys)
 	}
 	_, err := fmt.Fprintf(output, "valid: generation %d, %d routes, %d back ends, keys needed: %t, %d tenants with %d keys\n",
-		table.Generation, len(table.Routes), len(table.Backends), table.Keyed, len(table.Tenants), keys)
+		table.Generation, len(table.Routes), len(table.Backends), table.RequiresKey, len(table.Tenants), keys)
 	return err
 }
--- a/cmd/ochrebay/load.go
+++ b/cmd/ochrebay/load.go
@@ -141,7 +141,7 @@
 	for _, violation := range driver.Violations() {
 		fmt.Println("violation:", violation)
 	}
-	if len(driver.Violations()) > 0 || !view.Ended || view.Turn != uint64(program.Calls()) {
+	if len(driver.Violations()) > 0 || !view.Ended || view.LastTurn != uint64(program.Calls()) {
 		return errors.New("ochrebay: the program did not go as it should")
 	}
 	return nil
--- a/cmd/ochrebay/path_test.go
+++ b/cmd/ochrebay/path_test.go
@@ -54,7 +54,7 @@
 		history := []program.Message{user("vibration #out=20"), assistant(first.Content), user("and the gearbox? #out=20")}
 		So(second.Content, ShouldStartWith, emulator.SawOf(history))
 		So(json.Unmarshal([]byte(f.must("program", "show", first.Program, "--output", "json")), &view), ShouldBeNil)
-		So(view.Turn, ShouldEqual, 2)
+		So(view.LastTurn, ShouldEqual, 2)
 		So(view.Turns[0].Engine, ShouldNotEqual, view.Turns[1].Engine)
 		f.script("start", view.Turns[0].Engine)
 		f.ready(view.Turns[0].Engine)
--- a/cmd/ochrebay/platform.go
+++ b/cmd/ochrebay/platform.go
@@ -19,11 +19,11 @@
 const interfacePlatform = "platform"
 
 // gatewayHeaders returns the headers by which a gateway speaks.
-func gatewayHeaders(process config.Process) gateway.Headers {
+func gatewayHeaders(process config.Process) gateway.HeaderNames {
 	if process.Interface == interfacePlatform {
 		return platform.Headers()
 	}
-	return gateway.DefaultHeaders()
+	return gateway.DefaultHeaderNames()
 }
 
 // gatewayFrontends returns what a gateway serves besides its callers.
--- a/cmd/ochrebay/program.go
+++ b/cmd/ochrebay/program.go
@@ -37,7 +37,7 @@
 func printPrograms(table *tabwriter.Writer, view control.ProgramsView) {
 	row(table, "PROGRAM", "SERVICE", "TENANT", "STATE", "TURNS", "SPENT", "LEFT", "SCHEDULER", "ENGINE")
 	for _, p := range view.Programs {
-		row(table, p.ID, p.Service, p.Tenant, p.State, p.Turn, p.Spent, p.Remaining, p.Scheduler, p.Engine)
+		row(table, p.ID, p.Service, p.Tenant, p.State, p.LastTurn, p.SpentTokens, p.RemainingTokens, p.Scheduler, p.Engine)
 	}
 }
 
@@ -46,9 +46,9 @@
 	row(table, "service", view.Service)
 	row(table, "tenant", view.Tenant)
 	row(table, "state", view.State+" "+view.EndReason)
-	row(table, "turns", view.Turn)
-	row(table, "tokens spent", view.Spent)
-	row(table, "budget left", view.Remaining)
+	row(table, "turns", view.LastTurn)
+	row(table, "tokens spent", view.SpentTokens)
+	row(table, "budget left", view.RemainingTokens)
 	row(table, "scheduler", view.Scheduler)
 	row(table, "ledger group", view.Group)
 	if len(view.Turns) == 0 {
--- a/cmd/ochrebay/status.go
+++ b/cmd/ochrebay/status.go
@@ -26,7 +26,7 @@
 
 func printStatus(table *tabwriter.Writer, view control.StatusView) {
 	row(table, "settings revision", view.Revision)
-	row(table, "directory", view.Directory)
+	row(table, "directory", view.DirectoryVersion)
 	row(table)
 	row(table, "NAME", "ROLE", "ZONE", "ADDRESS", "ALIVE", "REVISION", "SIDECARS", "DETAIL")
 	for _, daemon := range view.Daemons {
@@ -76,11 +76,11 @@
 		if engine.Slowness > 0 {
 			slowness = fmt.Sprintf("%.2f", engine.Slowness)
 		}
-		if engine.Born > 0 {
-			born = time.UnixMilli(engine.Born).UTC().Format(time.RFC3339)
+		if engine.StartedMs > 0 {
+			born = time.UnixMilli(engine.StartedMs).UTC().Format(time.RFC3339)
 		}
-		if engine.Avoided != "" {
-			avoided = engine.Avoided
+		if engine.AvoidReason != "" {
+			avoided = engine.AvoidReason
 		}
 		row(table, engine.ID, engine.Backend, engine.Zone, engine.Address, engine.Slots, fmt.Sprintf("%.1f", engine.InFlight),
 			fmt.Sprintf("%.0f", engine.HeldTokens), slowness, born, avoided)
--- a/cmd/ochrebay/tenants.go
+++ b/cmd/ochrebay/tenants.go
@@ -21,7 +21,7 @@
 // tenantsAnswer is what the processes of a fleet say of tenants.
 type tenantsAnswer struct {
 	// Limits are by the owners of limits, Shares by the leader of control.
-	Limits []quota.TenantView      `json:"limits"`
+	Limits []quota.TenantUsage     `json:"limits"`
 	Shares []control.BackendShares `json:"shares"`
 	// Silent are the processes that did not answer.
 	Silent []string `json:"silent,omitempty"`
@@ -66,8 +66,8 @@
 		}
 		answer.Shares = append(answer.Shares, view.Backends...)
 	}
-	slices.SortFunc(answer.Limits, func(a, b quota.TenantView) int {
-		return cmp.Or(cmp.Compare(b.AtLimitMs, a.AtLimitMs), cmp.Compare(b.DeniedNew+b.DeniedUnderWay, a.DeniedNew+a.DeniedUnderWay), cmp.Compare(a.Tenant, b.Tenant))
+	slices.SortFunc(answer.Limits, func(a, b quota.TenantUsage) int {
+		return cmp.Or(cmp.Compare(b.AtLimitMs, a.AtLimitMs), cmp.Compare(b.DeniedNew+b.DeniedInProgress, a.DeniedNew+a.DeniedInProgress), cmp.Compare(a.Tenant, b.Tenant))
 	})
 	return answer
 }
@@ -90,19 +90,19 @@
 		if tenant.AtLimitMs > 0 {
 			since = (time.Duration(tenant.AtLimitMs) * time.Millisecond).Round(100 * time.Millisecond).String()
 		}
-		row(table, tenant.Tenant, since, tenant.Used, tenant.Allowed, tenant.Most, tenant.Waiting, tenant.Programs, tenant.DeniedNew, tenant.DeniedUnderWay)
+		row(table, tenant.Tenant, since, tenant.Used, tenant.Allowed, tenant.AllowedInProgress, tenant.Waiting, tenant.Programs, tenant.DeniedNew, tenant.DeniedInProgress)
 	}
 	for _, backend := range answer.Shares {
 		row(table)
 		row(table, "BACK END", "ENGINES", "ROOM", "DEMAND", "SHORT")
-		row(table, backend.Backend, backend.Engines, fmt.Sprintf("%.0f", backend.Room), fmt.Sprintf("%.1f", backend.Demand), backend.Short)
+		row(table, backend.Backend, backend.Engines, fmt.Sprintf("%.0f", backend.Capacity), fmt.Sprintf("%.1f", backend.Demand), backend.Oversubscribed)
 		row(table, "TENANT", "WEIGHT", "IN FLIGHT", "DEMAND", "SHARE", "ABOVE")
 		for _, tenant := range backend.Tenants {
 			share := "-"
-			if backend.Short {
+			if backend.Oversubscribed {
 				share = fmt.Sprintf("%.1f", tenant.Share)
 			}
-			row(table, tenant.Tenant, fmt.Sprintf("%.3g", tenant.Weight), fmt.Sprintf("%.1f", tenant.InFlight), fmt.Sprintf("%.1f", tenant.Demand), share, tenant.Above)
+			row(table, tenant.Tenant, fmt.Sprintf("%.3g", tenant.Weight), fmt.Sprintf("%.1f", tenant.InFlight), fmt.Sprintf("%.1f", tenant.Demand), share, tenant.AboveFairShare)
 		}
 	}
 	for _, silent := range answer.Silent {
--- a/internal/admission/kinds.go
+++ b/internal/admission/kinds.go
@@ -28,30 +28,30 @@
 	endedAfterMs   = 1500
 )
 
-// Kinds are the kinds of programs, by the route of their first turn. What is learnt of a kind
+// ProgramKinds are the kinds of programs, by the route of their first turn. What is learnt of a kind
 // is shared by all tenants.
-type Kinds struct{ byName map[string]*Kind }
+type ProgramKinds struct{ byName map[string]*ProgramKind }
 
-// NewKinds returns an empty set.
-func NewKinds() *Kinds { return &Kinds{byName: map[string]*Kind{}} }
+// NewProgramKinds returns an empty set.
+func NewProgramKinds() *ProgramKinds { return &ProgramKinds{byName: map[string]*ProgramKind{}} }
 
-// Of returns a kind, which is created where it is new.
-func (k *Kinds) Of(name string) *Kind {
+// GetOrCreate returns a kind, which is created where it is new.
+func (k *ProgramKinds) GetOrCreate(name string) *ProgramKind {
 	known := k.byName[name]
 	if known == nil {
-		known = &Kind{}
+		known = &ProgramKind{}
 		k.byName[name] = known
 	}
 	return known
 }
 
-// Kind is what was learnt of one kind of programs: their requests and the times between
+// ProgramKind is what was learnt of one kind of programs: their requests and the times between
 // them, tool calls and sub-agents included.
 //
 // Whether a program goes on after a request is counted for requests that were followed by
 // another one and for those that were not, as in a survival estimate by Kaplan and Meier, so
 // that programs which are still under way don't make programs look short.
-type Kind struct {
+type ProgramKind struct {
 	continued [madeBuckets]float64
 	ended     [madeBuckets]float64
 	gapSum    float64
@@ -78,9 +78,9 @@
 	return bucket
 }
 
-// Continued notes that a program which had made some requests has asked for another one, a
+// ObserveContinuation notes that a program which had made some requests has asked for another one, a
 // time after its last was granted.
-func (k *Kind) Continued(made int, gapMs int64) {
+func (k *ProgramKind) ObserveContinuation(made int, gapMs int64) {
 	k.continued[madeBucket(made)]++
 	gap := math.Max(float64(gapMs), 0)
 	k.gaps[gapBucket(gap)]++
@@ -91,24 +91,24 @@
 	}
 }
 
-// Undone takes back that a program which had made some requests asked for another one: nothing
+// UndoContinuation takes back that a program which had made some requests asked for another one: nothing
 // of it ran, as when the program's budget is spent.
-func (k *Kind) Undone(made int) {
+func (k *ProgramKind) UndoContinuation(made int) {
 	bucket := madeBucket(made)
 	k.continued[bucket] = math.Max(k.continued[bucket]-1, 0)
 }
 
-// Ended notes that a program has ended with the last of some requests, Resumed that it has
+// ObserveEnd notes that a program has ended with the last of some requests, Resumed that it has
 // not, although that was said.
-func (k *Kind) Ended(made int) { k.ended[madeBucket(made)]++ }
+func (k *ProgramKind) ObserveEnd(made int) { k.ended[madeBucket(made)]++ }
 
-// Resumed takes Ended back.
-func (k *Kind) Resumed(made int) {
+// UndoEnd takes Ended back.
+func (k *ProgramKind) UndoEnd(made int) {
 	bucket := madeBucket(made)
 	k.ended[bucket] = math.Max(k.ended[bucket]-1, 0)
 }
 
-func (k *Kind) halve() {
+func (k *ProgramKind) halve() {
 	for bucket := range k.continued {
 		k.continued[bucket] /= 2
 		k.ended[bucket] /= 2
@@ -120,14 +120,14 @@
 	k.gapWeight /= 2
 }
 
-// GapMs is the mean time between two requests of a program, milliseconds.
-func (k *Kind) GapMs() float64 {
+// MeanGapMs is the mean time between two requests of a program, milliseconds.
+func (k *ProgramKind) MeanGapMs() float64 {
 	return math.Max((k.gapSum+priorWeight*priorGapMs)/(k.gapWeight+priorWeight), 1)
 }
 
 // endsAt is the chance that a program ends with a request, by the bucket of the request. What
 // is known of all requests stands in where there are few in the bucket.
-func (k *Kind) endsAt(bucket int) float64 {
+func (k *ProgramKind) endsAt(bucket int) float64 {
 	ended, all := float64(priorWeight), float64(priorWeight*priorRequests)
 	for position := range k.ended {
 		ended += k.ended[position]
@@ -138,12 +138,14 @@
 	return (k.ended[bucket] + priorWeight*overall) / (own + priorWeight)
 }
 
-// EndedAfterMs is after which silence a program counts as ended.
-func (k *Kind) EndedAfterMs() float64 { return math.Max(endedAfterGaps*k.GapMs(), endedAfterMs) }
+// InactivityTimeoutMs is after which silence a program counts as ended.
+func (k *ProgramKind) InactivityTimeoutMs() float64 {
+	return math.Max(endedAfterGaps*k.MeanGapMs(), endedAfterMs)
+}
 
 // underWay is the chance that a program which has been silent for a time goes on.
-func (k *Kind) underWay(endsNow, silentMs float64) float64 {
-	if silentMs >= k.EndedAfterMs() {
+func (k *ProgramKind) underWay(endsNow, silentMs float64) float64 {
+	if silentMs >= k.InactivityTimeoutMs() {
 		return 0
 	}
 	longer := 0.0
@@ -170,7 +172,7 @@
 }
 
 // outlookAt returns the outlook, made anew where it is old.
-func (k *Kind) outlookAt(nowMs, windowMs int64) *outlook {
+func (k *ProgramKind) outlookAt(nowMs, windowMs int64) *outlook {
 	if k.outlook.atMs > 0 && nowMs-k.outlook.atMs < forecastMs {
 		return &k.outlook
 	}
@@ -192,8 +194,8 @@
 
 // look counts the requests that follow one of a bucket: one after each mean gap, each followed
 // by another one with the chance of its own bucket.
-func (k *Kind) look(bucket int, windowMs int64) {
-	goesOn, gap := 1.0, k.GapMs()
+func (k *ProgramKind) look(bucket int, windowMs int64) {
+	goesOn, gap := 1.0, k.MeanGapMs()
 	sum, horizon := 0.0, 0
 	for step := 1; horizon < horizons && step <= mostSteps; step++ {
 		if step > 1 {
--- a/internal/admission/meter.go
+++ b/internal/admission/meter.go
@@ -1,8 +1,8 @@
 package admission
 
-// Meter measures at a gateway how many requests of each tenant are under way at each back end, in
+// UsageMeter measures at a gateway how many requests of each tenant are under way at each back end, in
 // the mean since it was read last.
-type Meter struct {
+type UsageMeter struct {
 	byKey  map[meterKey]*metered
 	readMs int64
 }
@@ -18,15 +18,17 @@
 	lastMs int64
 }
 
-// NewMeter returns a meter that has seen nothing.
-func NewMeter(nowMs int64) *Meter { return &Meter{byKey: map[meterKey]*metered{}, readMs: nowMs} }
+// NewUsageMeter returns a meter that has seen nothing.
+func NewUsageMeter(nowMs int64) *UsageMeter {
+	return &UsageMeter{byKey: map[meterKey]*metered{}, readMs: nowMs}
+}
 
 func (m *metered) bringTo(nowMs int64) {
 	m.sum += float64(m.inFlight) * float64(max(nowMs-m.lastMs, 0))
 	m.lastMs = max(nowMs, m.lastMs)
 }
 
-func (m *Meter) of(backend, tenant string, weight float64, nowMs int64) *metered {
+func (m *UsageMeter) of(backend, tenant string, weight float64, nowMs int64) *metered {
 	key := meterKey{backend, tenant}
 	known := m.byKey[key]
 	if known == nil {
@@ -37,24 +39,24 @@
 	return known
 }
 
-// Change notes that requests of a tenant, "" for none, have begun or ended.
-func (m *Meter) Change(backend, tenant string, weight float64, change int, nowMs int64) {
+// AdjustInFlight notes that requests of a tenant, "" for none, have begun or ended.
+func (m *UsageMeter) AdjustInFlight(backend, tenant string, weight float64, change int, nowMs int64) {
 	known := m.of(backend, tenant, weight, nowMs)
 	known.bringTo(nowMs)
 	known.inFlight += change
 }
 
-// Begun notes that a program of a tenant has begun.
-func (m *Meter) Begun(backend, tenant string, weight float64, nowMs int64) {
+// RecordProgramStart notes that a program of a tenant has begun.
+func (m *UsageMeter) RecordProgramStart(backend, tenant string, weight float64, nowMs int64) {
 	m.of(backend, tenant, weight, nowMs).begun++
 }
 
-// Read returns the use since the last reading, naming the tenants of back ends that are nearly
+// CollectUsage returns the use since the last reading, naming the tenants of back ends that are nearly
 // short, and forgets tenants without any.
-func (m *Meter) Read(nowMs int64, short func(backend string) bool) []BackendUse {
+func (m *UsageMeter) CollectUsage(nowMs int64, short func(backend string) bool) []BackendUsage {
 	elapsed := float64(max(nowMs-m.readMs, 1))
 	m.readMs = nowMs
-	byBackend := map[string]*BackendUse{}
+	byBackend := map[string]*BackendUsage{}
 	for key, known := range m.byKey {
 		known.bringTo(nowMs)
 		read := *known
@@ -67,17 +69,17 @@
 		}
 		use := byBackend[key.backend]
 		if use == nil {
-			use = &BackendUse{Backend: key.backend}
+			use = &BackendUsage{Backend: key.backend}
 			byBackend[key.backend] = use
 		}
 		mean := float32(read.sum / elapsed)
-		use.Total += mean
-		use.Begun += float32(read.begun)
+		use.InFlight += mean
+		use.ProgramStarts += float32(read.begun)
 		if key.tenant != "" && short(key.backend) {
-			use.Tenants = append(use.Tenants, TenantUse{Tenant: key.tenant, Weight: float32(known.weight), InFlight: mean, Begun: float32(read.begun)})
+			use.Tenants = append(use.Tenants, TenantUsage{Tenant: key.tenant, Weight: float32(known.weight), InFlight: mean, ProgramStarts: float32(read.begun)})
 		}
 	}
-	var uses []BackendUse
+	var uses []BackendUsage
 	for _, use := range byBackend {
 		uses = append(uses, *use)
 	}
--- a/internal/admission/programs.go
+++ b/internal/admission/programs.go
@@ -12,10 +12,10 @@
 	programIdleMs = 30_000
 )
 
-// Programs are the programs of one tenant that have begun, and what they will ask for within
+// TenantPrograms are the programs of one tenant that have begun, and what they will ask for within
 // the coming window.
-type Programs struct {
-	kinds    *Kinds
+type TenantPrograms struct {
+	kinds    *ProgramKinds
 	windowMs int64
 	byName   map[string]*program
 	// demand is how many requests the programs will make up to each horizon in the mean, as of
@@ -29,7 +29,7 @@
 
 // program is one that has begun.
 type program struct {
-	kind *Kind
+	kind *ProgramKind
 	// made is how many of its requests were granted, lastMs when the last one was.
 	made   int
 	lastMs int64
@@ -37,26 +37,26 @@
 	ended bool
 }
 
-// NewPrograms returns the programs of a tenant whose limit counts over a window.
-func NewPrograms(kinds *Kinds, windowMs int64) *Programs {
-	return &Programs{kinds: kinds, windowMs: windowMs, byName: map[string]*program{}}
+// NewTenantPrograms returns the programs of a tenant whose limit counts over a window.
+func NewTenantPrograms(kinds *ProgramKinds, windowMs int64) *TenantPrograms {
+	return &TenantPrograms{kinds: kinds, windowMs: windowMs, byName: map[string]*program{}}
 }
 
-// UnderWay reports whether a program has begun.
-func (p *Programs) UnderWay(name string) bool {
+// IsInProgress reports whether a program has begun.
+func (p *TenantPrograms) IsInProgress(name string) bool {
 	_, known := p.byName[name]
 	return known
 }
 
 // Len returns how many programs are remembered.
-func (p *Programs) Len() int { return len(p.byName) }
+func (p *TenantPrograms) Len() int { return len(p.byName) }
 
-// Granted notes a request of a program that was asked for and granted at times; kind is that
+// RecordGrant notes a request of a program that was asked for and granted at times; kind is that
 // of the program where the request is a turn.
-func (p *Programs) Granted(name, kind string, askedMs, nowMs int64) {
+func (p *TenantPrograms) RecordGrant(name, kind string, askedMs, nowMs int64) {
 	known := p.byName[name]
 	if known == nil {
-		known = &program{kind: p.kinds.Of(kind), made: 1, lastMs: nowMs}
+		known = &program{kind: p.kinds.GetOrCreate(kind), made: 1, lastMs: nowMs}
 		p.byName[name] = known
 		p.begunMs = nowMs
 		p.add(known, nowMs)
@@ -64,16 +64,16 @@
 	}
 	if known.ended {
 		known.ended = false
-		known.kind.Resumed(known.made)
+		known.kind.UndoEnd(known.made)
 	}
-	known.kind.Continued(known.made, askedMs-known.lastMs)
+	known.kind.ObserveContinuation(known.made, askedMs-known.lastMs)
 	known.made++
 	known.lastMs = nowMs
 }
 
-// Undo takes back a request that no engine ran: a program of which nothing has run has not
+// UndoGrant takes back a request that no engine ran: a program of which nothing has run has not
 // begun.
-func (p *Programs) Undo(name string) {
+func (p *TenantPrograms) UndoGrant(name string) {
 	known := p.byName[name]
 	if known == nil {
 		return
@@ -84,11 +84,11 @@
 		p.forecasted = false
 		return
 	}
-	known.kind.Undone(known.made)
+	known.kind.UndoContinuation(known.made)
 }
 
 // add counts what one program will ask for.
-func (p *Programs) add(known *program, nowMs int64) {
+func (p *TenantPrograms) add(known *program, nowMs int64) {
 	ahead, bucket := known.kind.outlookAt(nowMs, p.windowMs), madeBucket(known.made)
 	goesOn := known.kind.underWay(ahead.endsNow[bucket], float64(nowMs-known.lastMs))
 	for position, coming := range ahead.within[bucket] {
@@ -97,7 +97,7 @@
 }
 
 // forecast brings the demand up to date.
-func (p *Programs) forecast(nowMs int64) {
+func (p *TenantPrograms) forecast(nowMs int64) {
 	if p.forecasted && nowMs-p.forecastedMs < forecastMs {
 		return
 	}
@@ -109,32 +109,32 @@
 		case silentMs > programIdleMs:
 			delete(p.byName, name)
 		case known.ended:
-		case float64(silentMs) >= known.kind.EndedAfterMs():
+		case float64(silentMs) >= known.kind.InactivityTimeoutMs():
 			known.ended = true
-			known.kind.Ended(known.made)
+			known.kind.ObserveEnd(known.made)
 		default:
 			p.add(known, nowMs)
 		}
 	}
 }
 
-// Sweep forgets idle programs.
-func (p *Programs) Sweep(nowMs int64) { p.forecast(nowMs) }
+// RemoveIdle forgets idle programs.
+func (p *TenantPrograms) RemoveIdle(nowMs int64) { p.forecast(nowMs) }
 
-// Fit is whether a program may begin, with what that was decided by.
-type Fit struct {
-	Fits bool
-	// Counted are the requests that count already, Expected those that programs under way
+// AdmissionDecision is whether a program may begin, with what that was decided by.
+type AdmissionDecision struct {
+	Admitted bool
+	// CountedRequests are the requests that count already, Expected those that programs under way
 	// will ask for and Own those of the program itself, up to the moment at which the room is
 	// least.
-	Counted  int64
-	Expected float64
-	Own      float64
-	// EveryMs is at which intervals programs of the kind find room in the long run.
-	EveryMs int64
+	CountedRequests  int64
+	ExpectedRequests float64
+	OwnRequests      float64
+	// AdmissionIntervalMs is at which intervals programs of the kind find room in the long run.
+	AdmissionIntervalMs int64
 }
 
-// Fits decides whether a program of a kind may begin: whether at no moment of the coming
+// DecideAdmission decides whether a program of a kind may begin: whether at no moment of the coming
 // window more would count in the mean than is allowed. The spread around the mean is for the
 // queue: to keep a standard deviation free besides refuses a fifth more programs, and what waits
 // then waits 0.1 s in place of 0.3 at the 99th percentile (docs/design/0011-limits-by-program.md). Counted returns what of the requests granted so
@@ -143,11 +143,11 @@
 //
 // A tenant without a program under way may always begin one, however small its limit: it
 // then uses what there is.
-func (p *Programs) Fits(kind string, nowMs int64, allowed int64, expecting float64, counted func(atMs int64) int64) Fit {
+func (p *TenantPrograms) DecideAdmission(kind string, nowMs int64, allowed int64, expecting float64, counted func(atMs int64) int64) AdmissionDecision {
 	p.forecast(nowMs)
-	own := p.kinds.Of(kind).outlookAt(nowMs, p.windowMs)
+	own := p.kinds.GetOrCreate(kind).outlookAt(nowMs, p.windowMs)
 	goesOn := 1 - own.endsNow[0]
-	result := Fit{EveryMs: int64(float64(p.windowMs) * own.requests / math.Max(float64(allowed), 1))}
+	result := AdmissionDecision{AdmissionIntervalMs: int64(float64(p.windowMs) * own.requests / math.Max(float64(allowed), 1))}
 	least := math.Inf(1)
 	for position, coming := range own.within[0] {
 		horizon := horizonMs(p.windowMs, position)
@@ -157,12 +157,12 @@
 		room := float64(allowed) - float64(past) - expected - ownDemand
 		if room < least {
 			least = room
-			result.Counted, result.Expected, result.Own = past, expected, ownDemand
+			result.CountedRequests, result.ExpectedRequests, result.OwnRequests = past, expected, ownDemand
 		}
 	}
-	result.Fits = least >= 0 || (p.demand[horizons-1] < 1 && expecting < 1)
+	result.Admitted = least >= 0 || (p.demand[horizons-1] < 1 && expecting < 1)
 	return result
 }
 
-// BegunMs is when a program began last, 0 for never.
-func (p *Programs) BegunMs() int64 { return p.begunMs }
+// LastStartMs is when a program began last, 0 for never.
+func (p *TenantPrograms) LastStartMs() int64 { return p.begunMs }
--- a/internal/admission/shares.go
+++ b/internal/admission/shares.go
@@ -23,38 +23,38 @@
 	returnWithinMs = 1000
 )
 
-// TenantUse is the use that a tenant makes of a back end, and its weight: its configured rate,
+// TenantUsage is the use that a tenant makes of a back end, and its weight: its configured rate,
 // which is what the operator has sized its part of the fleet by.
-type TenantUse struct {
+type TenantUsage struct {
 	Tenant string  `msgpack:"t"`
 	Weight float32 `msgpack:"w"`
 	// InFlight is how many requests are under way, in the mean since the last report.
 	InFlight float32 `msgpack:"f,omitempty"`
-	// Begun is how many of the tenant's programs have begun: of a gateway's report since its last
+	// ProgramStarts is how many of the tenant's programs have begun: of a gateway's report since its last
 	// one, of control's sums in a second. What was rejected does not count: it comes again, and
 	// would count again.
-	Begun float32 `msgpack:"g,omitempty"`
+	ProgramStarts float32 `msgpack:"g,omitempty"`
 }
 
-// BackendUse is the use of one back end: by tenants, and by all requests together.
-type BackendUse struct {
+// BackendUsage is the use of one back end: by tenants, and by all requests together.
+type BackendUsage struct {
 	Backend string `msgpack:"b"`
-	// Total is how many requests are under way, of tenants or not, and Begun how many programs
+	// InFlight is how many requests are under way, of tenants or not, and Begun how many programs
 	// have begun since the gateway's last report.
-	Total float32 `msgpack:"a,omitempty"`
-	Begun float32 `msgpack:"g,omitempty"`
-	// Busy is, in control's sums, how many seconds of requests a program brings, 0 where that
+	InFlight      float32 `msgpack:"a,omitempty"`
+	ProgramStarts float32 `msgpack:"g,omitempty"`
+	// ServiceSecondsPerProgram is, in control's sums, how many seconds of requests a program brings, 0 where that
 	// is not known yet; Demand is that of all tenants together, those that are not named too.
-	Busy    float32     `msgpack:"y,omitempty"`
-	Demand  float32     `msgpack:"d,omitempty"`
-	Tenants []TenantUse `msgpack:"t,omitempty"`
+	ServiceSecondsPerProgram float32       `msgpack:"y,omitempty"`
+	Demand                   float32       `msgpack:"d,omitempty"`
+	Tenants                  []TenantUsage `msgpack:"t,omitempty"`
 }
 
-// DemandOf is what a tenant will use: as Little's law has it, what it begins in a second times what
+// TenantDemand is what a tenant will use: as Little's law has it, what it begins in a second times what
 // each program brings. What is under way lags behind that by the life of programs. No tenant's
 // demand is less than what it has under way.
-func (u BackendUse) DemandOf(tenant TenantUse) float64 {
-	return math.Max(float64(tenant.InFlight), float64(tenant.Begun)*float64(u.Busy))
+func (u BackendUsage) TenantDemand(tenant TenantUsage) float64 {
+	return math.Max(float64(tenant.InFlight), float64(tenant.ProgramStarts)*float64(u.ServiceSecondsPerProgram))
 }
 
 func sound(values ...float32) bool {
@@ -69,14 +69,14 @@
 // leastWeight stands in for tenants without a rate.
 const leastWeight = 1e-3
 
-func (t TenantUse) weight() float64 { return max(float64(t.Weight), leastWeight) }
+func (t TenantUsage) weight() float64 { return max(float64(t.Weight), leastWeight) }
 
-// Level returns the use for each unit of weight that no tenant's share goes beyond, so that the
+// FairShareLevel returns the use for each unit of weight that no tenant's share goes beyond, so that the
 // shares of all, max-min fair by weight, fill a capacity: a tenant that asks for less gets what
 // it asks for, and what it leaves goes to the others. It is infinite while there is room for all.
 // The tenants that are named must be in descending order of their demand for their weight; that
 // of the others is taken as below the level.
-func (u BackendUse) Level(capacity float64) float64 {
+func (u BackendUsage) FairShareLevel(capacity float64) float64 {
 	total := float64(u.Demand)
 	if total <= capacity {
 		return math.Inf(1)
@@ -85,7 +85,7 @@
 	// for.
 	left, weight := capacity-total, 0.0
 	for position, tenant := range u.Tenants {
-		left += u.DemandOf(tenant)
+		left += u.TenantDemand(tenant)
 		weight += tenant.weight()
 		level := max(left, 0) / weight
 		if position+1 == len(u.Tenants) || level >= u.perWeight(u.Tenants[position+1]) {
@@ -95,77 +95,79 @@
 	return math.Inf(1)
 }
 
-func (u BackendUse) perWeight(tenant TenantUse) float64 { return u.DemandOf(tenant) / tenant.weight() }
+func (u BackendUsage) perWeight(tenant TenantUsage) float64 {
+	return u.TenantDemand(tenant) / tenant.weight()
+}
 
-// Position is where a tenant stands at a back end.
-type Position struct {
+// ShareStatus is where a tenant stands at a back end.
+type ShareStatus struct {
 	// Known says that the use of all gateways was heard lately; without it the rest is empty.
 	Known bool
-	// Short says that the back end is asked for more than it has room for, and Above that the
+	// Oversubscribed says that the back end is asked for more than it has room for, and Above that the
 	// tenant asks for more than its share of it.
-	Short, Above bool
-	// Use, Demand and Share are in requests under way, Excess what all tenants together use
+	Oversubscribed, AboveFairShare bool
+	// InFlight, Demand and Share are in requests under way, Excess what all tenants together use
 	// beyond their shares.
-	Use, Demand, Share, Excess float64
+	InFlight, Demand, Share, Excess float64
 }
 
 // slack is up to what demand a tenant counts as within its share.
-func (p Position) slack() float64 { return p.Share + slackDeviations*math.Sqrt(p.Share) }
+func (p ShareStatus) slack() float64 { return p.Share + slackDeviations*math.Sqrt(p.Share) }
 
-// Rejected is the part of the tenant's new programs that is rejected: none within its share, and
+// RejectedFraction is the part of the tenant's new programs that is rejected: none within its share, and
 // else so many that the others bring its share; all where it uses overShare more than that
 // already.
-func (p Position) Rejected() float64 {
-	if !p.Above {
+func (p ShareStatus) RejectedFraction() float64 {
+	if !p.AboveFairShare {
 		return 0
 	}
 	thinned := 1 - p.Share/p.Demand
-	return min(max(thinned, (p.Use-p.Share)/max(p.Share*overShare, 1)), 1)
+	return min(max(thinned, (p.InFlight-p.Share)/max(p.Share*overShare, 1)), 1)
 }
 
 // Admit reports whether a new program of the tenant may begin, and else when it is to come back,
 // milliseconds. Draw is within 0..1 and the same for each try of a program.
-func (p Position) Admit(draw float64) (retryAfterMs int64, admitted bool) {
-	above := p.Rejected() - draw
+func (p ShareStatus) Admit(draw float64) (retryAfterMs int64, admitted bool) {
+	above := p.RejectedFraction() - draw
 	if above <= 0 {
 		return 0, true
 	}
 	return int64(math.Ceil(above * returnWithinMs)), false
 }
 
-// Shares are a gateway's: what all gateways together use of back ends.
-type Shares struct {
-	uses    map[string]BackendUse
+// FairShares are a gateway's: what all gateways together use of back ends.
+type FairShares struct {
+	uses    map[string]BackendUsage
 	heardMs int64
 	heard   bool
 }
 
-// Take takes the sums that control has sent.
-func (s *Shares) Take(uses []BackendUse, nowMs int64) {
-	s.uses = map[string]BackendUse{}
+// ApplyUsage takes the sums that control has sent.
+func (s *FairShares) ApplyUsage(uses []BackendUsage, nowMs int64) {
+	s.uses = map[string]BackendUsage{}
 	for _, use := range uses {
 		s.uses[use.Backend] = use
 	}
 	s.heardMs, s.heard = nowMs, true
 }
 
-// Of returns where a tenant stands at a back end that has room for so many requests.
-func (s *Shares) Of(backend, tenant string, capacity float64, nowMs int64) Position {
+// Status returns where a tenant stands at a back end that has room for so many requests.
+func (s *FairShares) Status(backend, tenant string, capacity float64, nowMs int64) ShareStatus {
 	use, known := s.uses[backend]
 	if !s.heard || !known || nowMs-s.heardMs > useForgottenMs || capacity <= 0 {
-		return Position{}
+		return ShareStatus{}
 	}
-	level := use.Level(capacity)
-	position := Position{Known: true, Short: !math.IsInf(level, 1)}
-	if !position.Short {
+	level := use.FairShareLevel(capacity)
+	position := ShareStatus{Known: true, Oversubscribed: !math.IsInf(level, 1)}
+	if !position.Oversubscribed {
 		return position
 	}
 	for _, each := range use.Tenants {
 		share := level * each.weight()
 		position.Excess += max(float64(each.InFlight)-share, 0)
 		if each.Tenant == tenant {
-			position.Use, position.Demand, position.Share = float64(each.InFlight), use.DemandOf(each), share
-			position.Above = position.Demand > position.slack()
+			position.InFlight, position.Demand, position.Share = float64(each.InFlight), use.TenantDemand(each), share
+			position.AboveFairShare = position.Demand > position.slack()
 		}
 	}
 	return position
@@ -173,17 +175,17 @@
 
 // Demand returns what all tenants ask for of a back end, in requests under way, as far as that
 // was heard lately.
-func (s *Shares) Demand(backend string, nowMs int64) float64 {
+func (s *FairShares) Demand(backend string, nowMs int64) float64 {
 	if !s.heard || nowMs-s.heardMs > useForgottenMs {
 		return 0
 	}
 	return float64(s.uses[backend].Demand)
 }
 
-// Room returns for how many requests an engine has room while streams still begin at once: its
+// UsableConcurrency returns for how many requests an engine has room while streams still begin at once: its
 // slots but one, so that who comes finds one free; and no more than up to which streams began in
 // time, where that was learnt. It is 0 where neither is known.
-func Room(slots int, limit float64) float64 {
+func UsableConcurrency(slots int, limit float64) float64 {
 	room := float64(max(slots-1, 0))
 	if limit > 0 && (slots == 0 || limit < room) {
 		return limit
--- a/internal/admission/shares_test.go
+++ b/internal/admission/shares_test.go
@@ -11,7 +11,7 @@
 )
 
 // fairLevel finds the level by bisection over all tenants, as one who sees them all would.
-func fairLevel(tenants []TenantUse, others, capacity float64) float64 {
+func fairLevel(tenants []TenantUsage, others, capacity float64) float64 {
 	low, high := 0.0, 1e9
 	for range 200 {
 		middle := (low + high) / 2
@@ -33,36 +33,36 @@
 // while there is room for all.
 func TestSharesProperty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		board := NewUseBoard()
-		all := map[string]TenantUse{}
+		board := NewUsageAggregator()
+		all := map[string]TenantUsage{}
 		for gateway := range rapid.IntRange(1, 8).Draw(t, "gateways") {
-			var use BackendUse
+			var use BackendUsage
 			use.Backend = "b"
 			for _, number := range rapid.SliceOfNDistinct(rapid.IntRange(0, 40), 0, 20, rapid.ID[int]).Draw(t, "tenants") {
-				tenant := TenantUse{Tenant: fmt.Sprint("t", number), Weight: float32(number%5 + 1), InFlight: float32(rapid.IntRange(0, 30).Draw(t, "in flight"))}
+				tenant := TenantUsage{Tenant: fmt.Sprint("t", number), Weight: float32(number%5 + 1), InFlight: float32(rapid.IntRange(0, 30).Draw(t, "in flight"))}
 				use.Tenants = append(use.Tenants, tenant)
-				use.Total += tenant.InFlight
+				use.InFlight += tenant.InFlight
 				sum := all[tenant.Tenant]
 				sum.Tenant, sum.Weight, sum.InFlight = tenant.Tenant, tenant.Weight, sum.InFlight+tenant.InFlight
 				all[tenant.Tenant] = sum
 			}
-			board.Report(fmt.Sprint("g", gateway), []BackendUse{use}, 100)
+			board.ReportUsage(fmt.Sprint("g", gateway), []BackendUsage{use}, 100)
 		}
-		var tenants []TenantUse
+		var tenants []TenantUsage
 		total := 0.0
 		for _, tenant := range all {
 			tenants = append(tenants, tenant)
 			total += float64(tenant.InFlight)
 		}
 		capacity := float64(rapid.IntRange(1, 400).Draw(t, "capacity"))
-		shares := &Shares{}
-		shares.Take(board.Sums(200), 200)
+		shares := &FairShares{}
+		shares.ApplyUsage(board.Totals(200), 200)
 		filled := 0.0
 		for _, tenant := range tenants {
-			position := shares.Of("b", tenant.Tenant, capacity, 300)
+			position := shares.Status("b", tenant.Tenant, capacity, 300)
 			demand := float64(tenant.InFlight)
 			if total <= capacity {
-				if position.Short || position.Above || position.Rejected() > 0 {
+				if position.Oversubscribed || position.AboveFairShare || position.RejectedFraction() > 0 {
 					t.Fatalf("%s held to %+v while there is room", tenant.Tenant, position)
 				}
 				continue
@@ -70,14 +70,14 @@
 			fair := fairLevel(tenants, 0, capacity) * tenant.weight()
 			// Chance is let pass: twice the root of the share.
 			held := fair + 2*math.Sqrt(fair)
-			if position.Above != (demand > held) && math.Abs(demand-held) > 1e-1 {
+			if position.AboveFairShare != (demand > held) && math.Abs(demand-held) > 1e-1 {
 				t.Fatalf("%s asks for %.1f, its share is %.3f: %+v", tenant.Tenant, demand, fair, position)
 			}
-			if (!position.Above || demand <= fair) && position.Rejected() > 0 {
+			if (!position.AboveFairShare || demand <= fair) && position.RejectedFraction() > 0 {
 				t.Fatalf("%s is within its share and rejected: %+v", tenant.Tenant, position)
 			}
 			filled += math.Min(demand, fair)
-			if position.Above && math.Abs(position.Share-fair) > 1e-2*(1+fair) {
+			if position.AboveFairShare && math.Abs(position.Share-fair) > 1e-2*(1+fair) {
 				t.Fatalf("%s has a share of %.3f, fair is %.3f", tenant.Tenant, position.Share, fair)
 			}
 		}
@@ -88,70 +88,70 @@
 }
 
 func TestShares(t *testing.T) {
-	report := func(tenant string, inFlight float32) []BackendUse {
-		return []BackendUse{{Backend: "b", Total: inFlight, Tenants: []TenantUse{{Tenant: tenant, Weight: 1, InFlight: inFlight}}}}
+	report := func(tenant string, inFlight float32) []BackendUsage {
+		return []BackendUsage{{Backend: "b", InFlight: inFlight, Tenants: []TenantUsage{{Tenant: tenant, Weight: 1, InFlight: inFlight}}}}
 	}
 	Convey("a share expires when control is away, and what a gateway said when it is", t, func() {
-		board, shares := NewUseBoard(), &Shares{}
-		board.Report("g", report("t", 20), 0)
-		shares.Take(board.Sums(100), 100)
-		So(shares.Of("b", "t", 10, 100+useForgottenMs).Above, ShouldBeTrue)
-		So(shares.Of("b", "t", 10, 100+useForgottenMs+1).Known, ShouldBeFalse)
-		So(board.Sums(useForgottenMs+1), ShouldBeEmpty)
+		board, shares := NewUsageAggregator(), &FairShares{}
+		board.ReportUsage("g", report("t", 20), 0)
+		shares.ApplyUsage(board.Totals(100), 100)
+		So(shares.Status("b", "t", 10, 100+useForgottenMs).AboveFairShare, ShouldBeTrue)
+		So(shares.Status("b", "t", 10, 100+useForgottenMs+1).Known, ShouldBeFalse)
+		So(board.Totals(useForgottenMs+1), ShouldBeEmpty)
 	})
 	Convey("what a tenant has begun counts before it is under way, once it is known what a program brings", t, func() {
-		board, shares := NewUseBoard(), &Shares{}
+		board, shares := NewUsageAggregator(), &FairShares{}
 		for second := range int64(20) {
-			board.Report("g", []BackendUse{{Backend: "b", Total: 10, Begun: 5, Tenants: []TenantUse{{Tenant: "t", Weight: 1, InFlight: 10, Begun: 5}}}}, second*1000)
+			board.ReportUsage("g", []BackendUsage{{Backend: "b", InFlight: 10, ProgramStarts: 5, Tenants: []TenantUsage{{Tenant: "t", Weight: 1, InFlight: 10, ProgramStarts: 5}}}}, second*1000)
 		}
-		board.Report("g", []BackendUse{{Backend: "b", Total: 10, Begun: 5, Tenants: []TenantUse{
-			{Tenant: "t", Weight: 1, InFlight: 10, Begun: 50}, {Tenant: "u", Weight: 1, InFlight: 1},
+		board.ReportUsage("g", []BackendUsage{{Backend: "b", InFlight: 10, ProgramStarts: 5, Tenants: []TenantUsage{
+			{Tenant: "t", Weight: 1, InFlight: 10, ProgramStarts: 50}, {Tenant: "u", Weight: 1, InFlight: 1},
 		}}}, 20_000)
-		shares.Take(board.Sums(20_000), 20_000)
-		position := shares.Of("b", "t", 20, 20_000)
-		So(position.Above, ShouldBeTrue)
+		shares.ApplyUsage(board.Totals(20_000), 20_000)
+		position := shares.Status("b", "t", 20, 20_000)
+		So(position.AboveFairShare, ShouldBeTrue)
 		So(position.Demand, ShouldBeGreaterThan, 30)
-		So(position.Rejected(), ShouldBeGreaterThan, 0.3)
-		So(shares.Of("b", "u", 20, 20_000).Above, ShouldBeFalse)
+		So(position.RejectedFraction(), ShouldBeGreaterThan, 0.3)
+		So(shares.Status("b", "u", 20, 20_000).AboveFairShare, ShouldBeFalse)
 	})
 	Convey("what control sends does not grow with the tenants", t, func() {
-		board := NewUseBoard()
+		board := NewUsageAggregator()
 		for gateway := range 700 {
-			use := BackendUse{Backend: "back-end-name", Total: 17}
+			use := BackendUsage{Backend: "back-end-name", InFlight: 17}
 			for number := range 17 {
-				use.Tenants = append(use.Tenants, TenantUse{Tenant: fmt.Sprintf("tenant-%05d", (gateway*17+number*4801)%48_000), Weight: 10, InFlight: 1, Begun: 1})
+				use.Tenants = append(use.Tenants, TenantUsage{Tenant: fmt.Sprintf("tenant-%05d", (gateway*17+number*4801)%48_000), Weight: 10, InFlight: 1, ProgramStarts: 1})
 			}
-			board.Report(fmt.Sprint("g", gateway), []BackendUse{use}, 0)
+			board.ReportUsage(fmt.Sprint("g", gateway), []BackendUsage{use}, 0)
 		}
-		sums := board.Sums(100)
+		sums := board.Totals(100)
 		So(sums[0].Tenants, ShouldHaveLength, mostShares)
 		raw, err := msgpack.Marshal(sums)
 		So(err, ShouldBeNil)
 		So(len(raw), ShouldBeLessThan, 3000)
 	})
 	Convey("what can't be a count is left out", t, func() {
-		board := NewUseBoard()
+		board := NewUsageAggregator()
 		nan := float32(math.NaN())
-		board.Report("g", []BackendUse{{Backend: "b", Total: nan, Begun: -1, Tenants: []TenantUse{{Tenant: "t", Weight: nan, InFlight: -3, Begun: nan}}}}, 0)
-		sums := board.Sums(100)
+		board.ReportUsage("g", []BackendUsage{{Backend: "b", InFlight: nan, ProgramStarts: -1, Tenants: []TenantUsage{{Tenant: "t", Weight: nan, InFlight: -3, ProgramStarts: nan}}}}, 0)
+		sums := board.Totals(100)
 		So(sums, ShouldHaveLength, 1)
 		So(sums[0].Tenants, ShouldBeEmpty)
 		So(sums[0].Demand, ShouldEqual, 0)
 	})
 	Convey("a meter reads the mean under way and forgets who has none", t, func() {
-		meter := NewMeter(0)
-		meter.Change("b", "t", 2, 1, 0)
-		meter.Change("b", "t", 2, -1, 500)
-		meter.Begun("b", "t", 2, 0)
-		uses := meter.Read(1000, func(string) bool { return true })
-		So(uses, ShouldResemble, []BackendUse{{Backend: "b", Total: 0.5, Begun: 1, Tenants: []TenantUse{{Tenant: "t", Weight: 2, InFlight: 0.5, Begun: 1}}}})
-		So(meter.Read(2000, func(string) bool { return true }), ShouldBeEmpty)
+		meter := NewUsageMeter(0)
+		meter.AdjustInFlight("b", "t", 2, 1, 0)
+		meter.AdjustInFlight("b", "t", 2, -1, 500)
+		meter.RecordProgramStart("b", "t", 2, 0)
+		uses := meter.CollectUsage(1000, func(string) bool { return true })
+		So(uses, ShouldResemble, []BackendUsage{{Backend: "b", InFlight: 0.5, ProgramStarts: 1, Tenants: []TenantUsage{{Tenant: "t", Weight: 2, InFlight: 0.5, ProgramStarts: 1}}}})
+		So(meter.CollectUsage(2000, func(string) bool { return true }), ShouldBeEmpty)
 		So(meter.byKey, ShouldBeEmpty)
 	})
 	Convey("an engine has room for its slots but one, or for less where that was learnt", t, func() {
-		So(Room(8, 0), ShouldEqual, 7)
-		So(Room(8, 4.5), ShouldEqual, 4.5)
-		So(Room(0, 4.5), ShouldEqual, 4.5)
-		So(Room(0, 0), ShouldEqual, 0)
+		So(UsableConcurrency(8, 0), ShouldEqual, 7)
+		So(UsableConcurrency(8, 4.5), ShouldEqual, 4.5)
+		So(UsableConcurrency(0, 4.5), ShouldEqual, 4.5)
+		So(UsableConcurrency(0, 0), ShouldEqual, 0)
 	})
 }
--- a/internal/admission/useboard.go
+++ b/internal/admission/useboard.go
@@ -40,12 +40,12 @@
 	d.count += count
 }
 
-// UseBoard adds up at control what gateways say of the use of back ends. It is soft state: an
+// UsageAggregator adds up at control what gateways say of the use of back ends. It is soft state: an
 // empty one says nothing, and then no tenant is held to a share.
-type UseBoard struct {
+type UsageAggregator struct {
 	byGateway map[string]gatewayUse
 	backends  map[string]*boardBackend
-	summed    []BackendUse
+	summed    []BackendUsage
 	summedMs  int64
 	// Version counts the sums.
 	Version uint64
@@ -53,7 +53,7 @@
 
 type gatewayUse struct {
 	atMs int64
-	uses []BackendUse
+	uses []BackendUsage
 }
 
 // boardBackend is what is learnt of one back end.
@@ -63,13 +63,13 @@
 	byTenant    map[string]*decaying
 }
 
-// NewUseBoard returns a board that has heard nothing.
-func NewUseBoard() *UseBoard {
-	return &UseBoard{byGateway: map[string]gatewayUse{}, backends: map[string]*boardBackend{}}
+// NewUsageAggregator returns a board that has heard nothing.
+func NewUsageAggregator() *UsageAggregator {
+	return &UsageAggregator{byGateway: map[string]gatewayUse{}, backends: map[string]*boardBackend{}}
 }
 
-// Report takes what a gateway says of back ends; it says nothing of those without any use.
-func (b *UseBoard) Report(gateway string, uses []BackendUse, nowMs int64) {
+// ReportUsage takes what a gateway says of back ends; it says nothing of those without any use.
+func (b *UsageAggregator) ReportUsage(gateway string, uses []BackendUsage, nowMs int64) {
 	earlier, heard := b.byGateway[gateway]
 	delete(b.byGateway, gateway)
 	if len(uses) == 0 {
@@ -83,7 +83,7 @@
 		elapsed = float64(min(nowMs-earlier.atMs, useForgottenMs)) / millisecondsPerSecond
 	}
 	for _, use := range uses {
-		if !sound(use.Total, use.Begun) {
+		if !sound(use.InFlight, use.ProgramStarts) {
 			continue
 		}
 		known := b.backends[use.Backend]
@@ -91,21 +91,21 @@
 			known = &boardBackend{byTenant: map[string]*decaying{}}
 			b.backends[use.Backend] = known
 		}
-		known.busy.add(float64(use.Total)*elapsed, nowMs, busyHalfLifeMs)
-		known.begun.add(float64(use.Begun), nowMs, busyHalfLifeMs)
+		known.busy.add(float64(use.InFlight)*elapsed, nowMs, busyHalfLifeMs)
+		known.begun.add(float64(use.ProgramStarts), nowMs, busyHalfLifeMs)
 		known.take(use.Tenants, nowMs)
 	}
 }
 
-func (b *boardBackend) take(tenants []TenantUse, nowMs int64) {
+func (b *boardBackend) take(tenants []TenantUsage, nowMs int64) {
 	for _, tenant := range tenants {
-		if !sound(tenant.Begun) || tenant.Begun == 0 {
+		if !sound(tenant.ProgramStarts) || tenant.ProgramStarts == 0 {
 			continue
 		}
 		if b.byTenant[tenant.Tenant] == nil {
 			b.byTenant[tenant.Tenant] = &decaying{}
 		}
-		b.byTenant[tenant.Tenant].add(float64(tenant.Begun), nowMs, begunHalfLifeMs)
+		b.byTenant[tenant.Tenant].add(float64(tenant.ProgramStarts), nowMs, begunHalfLifeMs)
 	}
 }
 
@@ -128,8 +128,8 @@
 	return float32(known.at(nowMs, begunHalfLifeMs) * perSecond / begunHalfLifeMs)
 }
 
-// Sums returns the use of each back end over all gateways, with at most mostShares tenants each.
-func (b *UseBoard) Sums(nowMs int64) []BackendUse {
+// Totals returns the use of each back end over all gateways, with at most mostShares tenants each.
+func (b *UsageAggregator) Totals(nowMs int64) []BackendUsage {
 	if b.Version > 0 && nowMs-b.summedMs < sumEveryMs && nowMs >= b.summedMs {
 		return b.summed
 	}
@@ -141,7 +141,7 @@
 }
 
 // forget drops gateways that fell silent and counts that have decayed.
-func (b *UseBoard) forget(nowMs int64) {
+func (b *UsageAggregator) forget(nowMs int64) {
 	for gateway, known := range b.byGateway {
 		if nowMs-known.atMs > useForgottenMs {
 			delete(b.byGateway, gateway)
@@ -159,34 +159,34 @@
 	}
 }
 
-func (b *UseBoard) sum(nowMs int64) []BackendUse {
-	sums := map[string]*BackendUse{}
-	tenants := map[string]map[string]TenantUse{}
+func (b *UsageAggregator) sum(nowMs int64) []BackendUsage {
+	sums := map[string]*BackendUsage{}
+	tenants := map[string]map[string]TenantUsage{}
 	for _, known := range b.byGateway {
 		for _, use := range known.uses {
 			if sums[use.Backend] == nil {
-				sums[use.Backend] = &BackendUse{Backend: use.Backend}
-				tenants[use.Backend] = map[string]TenantUse{}
+				sums[use.Backend] = &BackendUsage{Backend: use.Backend}
+				tenants[use.Backend] = map[string]TenantUsage{}
 			}
-			if sound(use.Total) {
-				sums[use.Backend].Total += use.Total
+			if sound(use.InFlight) {
+				sums[use.Backend].InFlight += use.InFlight
 			}
 			addTenants(tenants[use.Backend], use.Tenants)
 		}
 	}
-	var all []BackendUse
+	var all []BackendUsage
 	for backend, sum := range sums {
 		if known := b.backends[backend]; known != nil {
-			sum.Busy = known.perProgram(nowMs)
+			sum.ServiceSecondsPerProgram = known.perProgram(nowMs)
 			known.addBegun(tenants[backend], nowMs)
 		}
 		all = append(all, sum.withTenants(tenants[backend]))
 	}
-	slices.SortFunc(all, func(x, y BackendUse) int { return cmp.Compare(x.Backend, y.Backend) })
+	slices.SortFunc(all, func(x, y BackendUsage) int { return cmp.Compare(x.Backend, y.Backend) })
 	return all
 }
 
-func addTenants(into map[string]TenantUse, tenants []TenantUse) {
+func addTenants(into map[string]TenantUsage, tenants []TenantUsage) {
 	for _, tenant := range tenants {
 		if !sound(tenant.InFlight, tenant.Weight) {
 			continue
@@ -199,23 +199,23 @@
 }
 
 // addBegun fills in how many programs each tenant that is named begins in a second.
-func (b *boardBackend) addBegun(tenants map[string]TenantUse, nowMs int64) {
+func (b *boardBackend) addBegun(tenants map[string]TenantUsage, nowMs int64) {
 	for name, tenant := range tenants {
-		tenant.Begun = b.begunPerSecond(name, nowMs)
+		tenant.ProgramStarts = b.begunPerSecond(name, nowMs)
 		tenants[name] = tenant
 	}
 }
 
 // withTenants returns the sum with the tenants that ask for the most for their weight.
-func (u *BackendUse) withTenants(tenants map[string]TenantUse) BackendUse {
+func (u *BackendUsage) withTenants(tenants map[string]TenantUsage) BackendUsage {
 	sum, named := *u, 0.0
 	for _, tenant := range tenants {
 		sum.Tenants = append(sum.Tenants, tenant)
-		sum.Demand += float32(sum.DemandOf(tenant))
+		sum.Demand += float32(sum.TenantDemand(tenant))
 		named += float64(tenant.InFlight)
 	}
-	sum.Demand += float32(max(float64(sum.Total)-named, 0))
-	slices.SortFunc(sum.Tenants, func(x, y TenantUse) int {
+	sum.Demand += float32(max(float64(sum.InFlight)-named, 0))
+	slices.SortFunc(sum.Tenants, func(x, y TenantUsage) int {
 		return cmp.Or(cmp.Compare(sum.perWeight(y), sum.perWeight(x)), cmp.Compare(x.Tenant, y.Tenant))
 	})
 	sum.Tenants = sum.Tenants[:min(len(sum.Tenants), mostShares)]
--- a/internal/capacity/runs.go
+++ b/internal/capacity/runs.go
@@ -26,7 +26,7 @@
 	}
 	took := time.Since(begun)
 	begun = time.Now()
-	due := restored.SweepDue(0, 1<<40)
+	due := restored.IsSweepDue(0, 1<<40)
 	return []Value{
 		{Name: "programs", Value: float64(restored.Len())},
 		{Name: "memory", Value: memory / megabyte, Unit: "MB"},
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -81,7 +81,7 @@
 // Policy chooses how a gateway decides.
 type Policy struct {
 	// Disable lists mechanisms that are turned off, to measure what they are worth.
-	Disable scheduling.Disabled `yaml:"disable,omitempty" validate:"dive,mechanism"`
+	Disable scheduling.DisabledMechanisms `yaml:"disable,omitempty" validate:"dive,mechanism"`
 	// Waiting says who waits for room at engines and who is rejected at once.
 	Waiting waiting.Settings `yaml:"waiting,omitempty"`
 	// Retry bounds the second tries of requests that an engine failed.
--- a/internal/control/api.go
+++ b/internal/control/api.go
@@ -41,11 +41,11 @@
 		d.noteVoid(engine, reply.Void)
 	}
 	if reply.Restarted {
-		telemetry.Info(d.logger, "engine started again", "engine", engine.ID, "backend", engine.Backend, "born", engine.Born)
+		telemetry.Info(d.logger, "engine started again", "engine", engine.ID, "backend", engine.Backend, "born", engine.StartedMs)
 	}
 	if engine.Draining {
 		telemetry.Info(d.logger, "engine report", "engine", engine.ID, "backend", engine.Backend, "draining", engine.Draining,
-			"born", engine.Born, "sequence", engine.Sequence, "err", reply.Error)
+			"born", engine.StartedMs, "sequence", engine.Sequence, "err", reply.Error)
 	} else if reply.Error != nil {
 		d.reportsRefused.Add(1)
 		d.refusalLog.Do(func() {
@@ -56,18 +56,18 @@
 	return reply.Error
 }
 
-// EngineLeaves takes an engine's word that it ends.
-func (d *Daemon) EngineLeaves(incarnation membership.Incarnation) *result.Error {
-	reply := d.order(&protocol.FleetOrder{Leave: incarnation.ID, LeaveBorn: incarnation.Born, Incarnations: true})
+// DeregisterEngine takes an engine's word that it ends.
+func (d *Daemon) DeregisterEngine(incarnation membership.Incarnation) *result.Error {
+	reply := d.order(&protocol.FleetOrder{Leave: incarnation.ID, LeaveBorn: incarnation.StartedMs, Incarnations: true})
 	if reply.Void != "" {
-		d.noteVoid(membership.ServingEngine{ID: incarnation.ID, Born: incarnation.Born}, reply.Void)
+		d.noteVoid(membership.ServingEngine{ID: incarnation.ID, StartedMs: incarnation.StartedMs}, reply.Void)
 	}
-	telemetry.Info(d.logger, "engine leaves", "engine", incarnation.ID, "born", incarnation.Born, "err", reply.Error)
+	telemetry.Info(d.logger, "engine leaves", "engine", incarnation.ID, "born", incarnation.StartedMs, "err", reply.Error)
 	return reply.Error
 }
 
-// ReportIgnored notes a report that names no engine to use.
-func (d *Daemon) ReportIgnored(engine, reason string) {
+// CountIgnoredReport notes a report that names no engine to use.
+func (d *Daemon) CountIgnoredReport(engine, reason string) {
 	d.noteVoid(membership.ServingEngine{ID: engine}, reason)
 }
 
@@ -76,7 +76,7 @@
 	d.reportsVoid.WithLabelValues(reason).Inc()
 	d.voidCount.Add(1)
 	d.voidLog.Do(func() {
-		telemetry.Warn(d.logger, "engine reports void", "engine", engine.ID, "born", engine.Born, "sequence", engine.Sequence,
+		telemetry.Warn(d.logger, "engine reports void", "engine", engine.ID, "born", engine.StartedMs, "sequence", engine.Sequence,
 			"backend", engine.Backend, "address", engine.Address, "reason", reason, "reports", d.voidCount.Swap(0))
 	})
 }
@@ -100,28 +100,28 @@
 	return reply.Routing, reply.Error
 }
 
-// Retire begins to empty a ledger host.
-func (d *Daemon) Retire(name string) *result.Error {
+// RetireLedgerHost begins to empty a ledger host.
+func (d *Daemon) RetireLedgerHost(name string) *result.Error {
 	failure := d.order(&protocol.FleetOrder{Retire: name}).Error
 	telemetry.Info(d.logger, "retire ordered", "host", name, "err", failure)
 	return failure
 }
 
-// RetireDone reports whether a ledger host is empty.
-func (d *Daemon) RetireDone(name string) (bool, *result.Error) {
+// IsLedgerHostRetired reports whether a ledger host is empty.
+func (d *Daemon) IsLedgerHostRetired(name string) (bool, *result.Error) {
 	reply := d.order(&protocol.FleetOrder{RetireState: name})
 	return reply.Done, reply.Error
 }
 
-// Gateways returns the addresses of the gateways that a caller should use, and for how long it may
+// GatewayAddresses returns the addresses of the gateways that a caller should use, and for how long it may
 // hold them. It answers from what this process knows.
-func (d *Daemon) Gateways(caller membership.Caller) ([]string, time.Duration) {
+func (d *Daemon) GatewayAddresses(caller membership.Caller) ([]string, time.Duration) {
 	current := d.status.Load()
-	if d.process.Policy.Disable.Has(scheduling.MechanismLookUps) {
-		return current.spread.Named(caller), usualHeld
+	if d.process.Policy.Disable.Has(scheduling.MechanismLookupRate) {
+		return current.spread.Select(caller), usualHeld
 	}
 	d.lookUpsMutex.Lock()
-	heldMs := d.lookUps.Answer(current.memberSilent, clock.NowMs())
+	heldMs := d.lookUps.RecordLookup(current.memberSilent, clock.NowMs())
 	d.lookUpsMutex.Unlock()
-	return current.spread.Named(caller), time.Duration(heldMs) * time.Millisecond
+	return current.spread.Select(caller), time.Duration(heldMs) * time.Millisecond
 }
--- a/internal/control/core.go
+++ b/internal/control/core.go
@@ -25,8 +25,8 @@
 // RequestID names a request whose reply the shell will route.
 type RequestID uint64
 
-// Outlet takes what the core sends. Its methods must not call back.
-type Outlet interface {
+// Transport takes what the core sends. Its methods must not call back.
+type Transport interface {
 	Send(member string, kind protocol.Kind, message any)
 	Reply(request RequestID, reply any)
 }
@@ -57,9 +57,9 @@
 	// Discovered says that Members are only the processes to ask first: more may
 	// join, and members that are gone for good are replaced.
 	Discovered bool
-	// MayForm says that this process may take part in making the first
+	// MayBootstrap says that this process may take part in making the first
 	// configuration; without it, it waits to be let in.
-	MayForm bool
+	MayBootstrap bool
 	// MinVoters is how many voters the settings group keeps, whoever is silent.
 	MinVoters int
 	// Fleet configures the leader's care for gateways, engines and ledger hosts.
@@ -80,9 +80,9 @@
 	DisableReadConfirm  bool
 	DisableFence        bool
 	DisableBudget       bool
-	DisableOnce         bool
+	DisableAtMostOnce   bool
 	DisableVersionCheck bool
-	DisableOrder        bool
+	DisableTurnOrder    bool
 }
 
 // DefaultOptions returns the timings of a fleet whose zones are a few
@@ -91,7 +91,7 @@
 	return Options{
 		Name: name, Members: members, LedgerGroups: ledgerGroups,
 		TickMs: 50, ElectionTicks: 12, HeartbeatTicks: 2, QuiesceTicks: 40,
-		LeaseMs: 3000, CompactEntries: 4096, MayForm: true,
+		LeaseMs: 3000, CompactEntries: 4096, MayBootstrap: true,
 	}
 }
 
@@ -132,7 +132,7 @@
 type Core struct {
 	options Options
 	storage Storage
-	outlet  Outlet
+	outlet  Transport
 	nowMs   int64
 	formed  bool
 	host    *replication.Host
@@ -158,9 +158,9 @@
 	// fleetTracker is the leader's soft state of the fleet, nil elsewhere.
 	fleetTracker *membership.FleetTracker
 	// loads is what gateways have said of engines to this leader, nil elsewhere.
-	loads *scheduling.Board
+	loads *scheduling.LoadAggregator
 	// uses is what gateways have said of tenants to this leader, nil elsewhere.
-	uses       *admission.UseBoard
+	uses       *admission.UsageAggregator
 	fleetSyncs []pendingFleetSync
 	// reports are those of engines that the leader is told of in lists.
 	reports engineReports
@@ -197,7 +197,7 @@
 }
 
 // NewCore returns the core as its disk describes it.
-func NewCore(options Options, disk Storage, outlet Outlet, nowMs int64) (*Core, error) {
+func NewCore(options Options, disk Storage, outlet Transport, nowMs int64) (*Core, error) {
 	core := &Core{
 		options: options, storage: disk, outlet: outlet, nowMs: nowMs, startMs: nowMs, lastTickMs: nowMs,
 		heardMs: map[string]int64{}, revisions: map[string]uint64{}, knowIncarnations: map[string]bool{}, unformed: map[string]consensus.ReplicaID{},
@@ -223,7 +223,7 @@
 	return replication.Options{
 		Name: options.Name, StartTicks: startTicks, ElectionTicks: options.ElectionTicks, HeartbeatTicks: options.HeartbeatTicks,
 		QuiesceTicks: options.QuiesceTicks, MaxAppendBytes: maxAppendBytes, MaxInflight: maxInflight,
-		ProposalWaitMs: proposalWaitMs, CompactEntries: options.CompactEntries, CompactBytes: compactBytes,
+		ProposalTimeoutMs: proposalWaitMs, CompactAfterEntries: options.CompactEntries, CompactAfterBytes: compactBytes,
 		DisablePreVote: options.DisablePreVote, DisableCheckQuorum: options.DisableCheckQuorum,
 		DisableReadConfirm: options.DisableReadConfirm,
 	}
@@ -240,11 +240,11 @@
 func (c *Core) form(bootstrap consensus.Configuration) error {
 	c.system = newSystemMachine(c.options)
 	for id := 0; id <= c.options.LedgerGroups; id++ {
-		var state replication.Machine = c.system
+		var state replication.StateMachine = c.system
 		if id > 0 {
 			state = newLedgerMachine(c.options)
 		}
-		if _, err := c.host.Add(storage.GroupID(id), state, bootstrap); err != nil {
+		if _, err := c.host.AddGroup(storage.GroupID(id), state, bootstrap); err != nil {
 			return err
 		}
 	}
@@ -284,22 +284,22 @@
 // Fleet returns the fleet for reading.
 func (c *Core) Fleet() *membership.Fleet { return c.system.fleet }
 
-// Tree returns the settings tree for reading.
-func (c *Core) Tree() *settings.Tree { return c.system.tree }
+// SettingsTree returns the settings tree for reading.
+func (c *Core) SettingsTree() *settings.Tree { return c.system.tree }
 
 // Directory returns the directory for reading.
 func (c *Core) Directory() *membership.Directory { return c.system.directory }
 
 // Ledger returns a ledger group's state for reading.
 func (c *Core) Ledger(id storage.GroupID) *program.Ledger {
-	return c.host.Groups[id].State.(*ledgerMachine).ledger
+	return c.host.Groups[id].StateMachine.(*ledgerMachine).ledger
 }
 
-// Syncs counts the writes that were synced since the start.
-func (c *Core) Syncs() uint64 { return c.host.Synced }
+// SyncCount counts the writes that were synced since the start.
+func (c *Core) SyncCount() uint64 { return c.host.SyncedWrites }
 
-// Groups returns how many groups the process holds, the settings group included.
-func (c *Core) Groups() int { return len(c.host.Groups) }
+// GroupCount returns how many groups the process holds, the settings group included.
+func (c *Core) GroupCount() int { return len(c.host.Groups) }
 
 // Node returns a group's consensus replica for reading.
 func (c *Core) Node(id storage.GroupID) *consensus.Node { return c.host.Groups[id].Node }
@@ -335,14 +335,14 @@
 	c.tickLeader()
 	c.expireSyncs()
 	c.expireFleetSyncs()
-	c.host.Expire()
+	c.host.ExpirePending()
 }
 
 // notePause takes a long time between ticks for a pause of this process, as when its
 // machine is frozen or slow.
 func (c *Core) notePause(sinceTickMs int64) {
 	if sinceTickMs > pauseTicks*c.options.TickMs && c.fleetTracker != nil {
-		c.fleetTracker.Paused(sinceTickMs)
+		c.fleetTracker.RecordPause(sinceTickMs)
 	}
 }
 
@@ -396,8 +396,8 @@
 	return c.nowMs - heard
 }
 
-// Peer takes a batch of consensus messages from another control process.
-func (c *Core) Peer(batch protocol.PeerBatch, nowMs int64) {
+// HandlePeerBatch takes a batch of consensus messages from another control process.
+func (c *Core) HandlePeerBatch(batch protocol.PeerBatch, nowMs int64) {
 	c.setNow(nowMs)
 	c.heardMs[batch.From] = nowMs
 	c.revisions[batch.From] = batch.Revision
@@ -420,13 +420,13 @@
 // Flush carries out what the groups have ready: sends, one synced write for all
 // groups, and only then acknowledgements and replies.
 func (c *Core) Flush() error {
-	return c.host.Flush()
+	return c.host.ProcessReady()
 }
 
-// Listed takes the platform's list of engines.
-func (c *Core) Listed(instances []membership.Instance) {
+// SetInstances takes the platform's list of engines.
+func (c *Core) SetInstances(instances []membership.Instance) {
 	if c.tracker != nil {
-		c.tracker.Listed(instances)
+		c.tracker.SetInstances(instances)
 	}
 }
 
--- a/internal/control/daemon.go
+++ b/internal/control/daemon.go
@@ -73,7 +73,7 @@
 	memberSilent bool
 	// spread is the directory for callers, gatewaysVersion the fleet's version at which it
 	// last changed, and fleetLogged what the last line about the fleet told.
-	spread          *membership.Spread
+	spread          *membership.GatewaySelector
 	gatewaysVersion uint64
 	gatewaysAt      time.Time
 	fleetLogged     loggedFleet
@@ -116,7 +116,7 @@
 	replies daemon.Replies[RequestID, any]
 	// lookUps counts the callers that ask this process where to go.
 	lookUpsMutex sync.Mutex
-	lookUps      membership.LookUps
+	lookUps      membership.LookupTTL
 }
 
 // NewDaemon opens the data folder; it returns storage.ErrInUse where another
@@ -128,7 +128,7 @@
 	}
 	control := &Daemon{process: process, logger: logger, store: store, refusalLog: rate.Sometimes{First: 1, Interval: refusalLogEvery},
 		voidLog: rate.Sometimes{First: 1, Interval: voidLogEvery}, listLog: rate.Sometimes{First: 1, Interval: voidLogEvery}}
-	control.status.Store(&status{spread: membership.NewSpread(nil)})
+	control.status.Store(&status{spread: membership.NewGatewaySelector(nil)})
 	control.links = daemon.NewLinks(control.addressOf, control.delayOf)
 	control.caller = daemon.NewCaller()
 	control.core, err = NewCore(coreOptions(process), store, control, clock.NowMs())
@@ -161,13 +161,13 @@
 	options.LeaseMs = process.Cluster.LeaseMs
 	options.Discovered = true
 	options.ElectionTicks = discoveredElectionTicks
-	options.MayForm = process.Cluster.Bootstrap
+	options.MayBootstrap = process.Cluster.Bootstrap
 	options.MinVoters = 2*process.Cluster.ToleratedMachines + 1
 	options.Fleet = membership.FleetOptions{
 		Groups: process.Cluster.LedgerGroups, Replicas: options.MinVoters,
-		EngineSilentMs:  max(engineSilentMs, engineSilentReports*process.Cluster.EngineHeartbeatMs),
-		GatewaySilentMs: gatewaySilentMs, GatewayReturnMs: gatewayReturnMs, GatewayLightReturnMs: gatewayLightReturnMs, LedgerSilentMs: ledgerSilentMs, LedgerForgottenMs: ledgerForgottenMs,
-		FormationMs: formationMs,
+		EngineTimeoutMs:  max(engineSilentMs, engineSilentReports*process.Cluster.EngineHeartbeatMs),
+		GatewayTimeoutMs: gatewaySilentMs, GatewayRepollTimeoutMs: gatewayReturnMs, GatewaySmallDeltaRepollTimeoutMs: gatewayLightReturnMs, LedgerTimeoutMs: ledgerSilentMs, LedgerRetentionMs: ledgerForgottenMs,
+		InitialPlacementDelayMs: formationMs,
 	}
 	return options
 }
@@ -276,16 +276,16 @@
 // request hands a request to the core; reply is called from the loop.
 func (d *Daemon) request(request any, reply func(reply any)) {
 	d.loop.Post(func() {
-		d.core.Request(d.replies.Expect(reply), request, clock.NowMs())
+		d.core.HandleRequest(d.replies.Expect(reply), request, clock.NowMs())
 	})
 }
 
 func (d *Daemon) publish() {
-	current := &status{formed: d.core.Formed(), syncs: d.core.Syncs(), ready: d.core.Ready(), revision: d.core.Revision(), spread: d.status.Load().spread}
+	current := &status{formed: d.core.Formed(), syncs: d.core.SyncCount(), ready: d.core.Ready(), revision: d.core.Revision(), spread: d.status.Load().spread}
 	if current.formed {
 		d.publishFleet(current)
 		current.drained = d.core.Drained()
-		current.memberSilent = d.core.MemberSilent()
+		current.memberSilent = d.core.HasSilentMember()
 		for id := range d.core.host.Groups {
 			if d.core.Leads(storage.GroupID(id)) {
 				current.leading++
@@ -306,14 +306,14 @@
 	current.gatewaysVersion, current.gatewaysAt = previous.gatewaysVersion, previous.gatewaysAt
 	current.fleetLogged = previous.fleetLogged
 	if fleet.GatewaysVersion() != previous.gatewaysVersion && time.Since(previous.gatewaysAt) >= directoryEvery {
-		current.spread, current.gatewaysVersion, current.gatewaysAt = membership.NewSpread(fleet.Gateways()), fleet.GatewaysVersion(), time.Now()
+		current.spread, current.gatewaysVersion, current.gatewaysAt = membership.NewGatewaySelector(fleet.Gateways()), fleet.GatewaysVersion(), time.Now()
 	}
 	if fleet.Version() == previous.fleetLogged.version || time.Since(previous.fleetLogged.at) < fleetLogEvery {
 		return
 	}
 	current.fleetLogged = loggedFleet{version: fleet.Version(), at: time.Now()}
-	telemetry.Info(d.logger, "fleet in force", "version", fleet.Version(), "engines", fleet.EngineCount(), "advertised", fleet.Advertised(),
-		"gateways", current.spread.Ready(), "ledgers", fleet.LedgerCount(), "leads", d.core.Leads(0))
+	telemetry.Info(d.logger, "fleet in force", "version", fleet.Version(), "engines", fleet.EngineCount(), "advertised", fleet.AdvertisedCount(),
+		"gateways", current.spread.ReadyCount(), "ledgers", fleet.LedgerCount(), "leads", d.core.Leads(0))
 }
 
 // Send is the core's outlet to other control processes.
@@ -331,13 +331,13 @@
 	case protocol.KindPeer:
 		var batch protocol.PeerBatch
 		if protocol.Decode(frame.Body, &batch) == nil {
-			d.loop.PostMessage(len(frame.Body), func() { d.core.Peer(batch, clock.NowMs()) })
+			d.loop.PostMessage(len(frame.Body), func() { d.core.HandlePeerBatch(batch, clock.NowMs()) })
 			return
 		}
 	case protocol.KindHello:
 		var hello protocol.Hello
 		if protocol.Decode(frame.Body, &hello) == nil {
-			d.loop.Post(func() { d.core.Hello(hello, clock.NowMs()) })
+			d.loop.Post(func() { d.core.HandleHello(hello, clock.NowMs()) })
 			return
 		}
 	default:
--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -70,27 +70,27 @@
 // Invariant: a change, above all the word that it drains, is acknowledged only once
 // it is committed.
 func (c *Core) engineReport(id RequestID, group *replication.Group, order *protocol.FleetOrder) {
-	updates, verdict := c.fleetTracker.TakeReport(c.system.fleet, *order.Report, membership.ReportTerms{
-		Relayed: !order.Incarnations, BackendKnown: c.backendKnown(order.Report.Backend), AllKnow: c.allKnowIncarnations(), NowMs: c.nowMs,
+	updates, verdict := c.fleetTracker.HandleReport(c.system.fleet, *order.Report, membership.ReportContext{
+		IsRelayed: !order.Incarnations, IsBackendKnown: c.backendKnown(order.Report.Backend), AllSupportIncarnations: c.allKnowIncarnations(), NowMs: c.nowMs,
 	})
 	known, there := c.system.fleet.Engine(order.Report.ID)
-	if verdict == membership.ReportTaken && !(there && known.Born == order.Report.Born) {
+	if verdict == membership.ReportAccepted && !(there && known.StartedMs == order.Report.StartedMs) {
 		// What gateways have said was of an earlier life, if of any.
-		c.loads.Forget(order.Report.ID)
+		c.loads.ForgetEngine(order.Report.ID)
 	}
 	c.proposeUpdates(id, group, updates, verdict)
 }
 
 func (c *Core) engineLeaves(id RequestID, group *replication.Group, order *protocol.FleetOrder) {
-	updates, verdict := c.fleetTracker.TakeLeave(c.system.fleet, membership.Incarnation{ID: order.Leave, Born: order.LeaveBorn})
+	updates, verdict := c.fleetTracker.HandleLeave(c.system.fleet, membership.Incarnation{ID: order.Leave, StartedMs: order.LeaveBorn})
 	c.proposeUpdates(id, group, updates, verdict)
 }
 
 // proposeUpdates proposes updates one after the other; the last one answers the order.
-func (c *Core) proposeUpdates(id RequestID, group *replication.Group, updates []membership.FleetUpdate, verdict membership.Verdict) {
+func (c *Core) proposeUpdates(id RequestID, group *replication.Group, updates []membership.FleetUpdate, verdict membership.ReportOutcome) {
 	if len(updates) == 0 {
 		reply := &protocol.FleetOrderReply{}
-		if verdict.Void() {
+		if verdict.IsRejected() {
 			reply.Void = verdict.String()
 		}
 		c.outlet.Reply(id, reply)
@@ -133,7 +133,7 @@
 }
 
 func (c *Core) readRouting(id RequestID, group *replication.Group) {
-	c.host.Read(group, func(failure *result.Error) {
+	c.host.LinearizableRead(group, func(failure *result.Error) {
 		c.outlet.Reply(id, &protocol.FleetOrderReply{Error: failure, Routing: c.system.tree.Routing()})
 	})
 }
@@ -155,7 +155,7 @@
 		c.outlet.Reply(id, &protocol.FleetOrderReply{Error: result.New(result.NotFound, "no ledger host %s", name)})
 	case host.Retiring:
 		c.outlet.Reply(id, &protocol.FleetOrderReply{})
-	case !c.fleetTracker.Retire(c.system.fleet, host.Member, c.nowMs):
+	case !c.fleetTracker.CanRetire(c.system.fleet, host.Member, c.nowMs):
 		c.outlet.Reply(id, &protocol.FleetOrderReply{Error: result.New(result.TooFewLeft, "too few ledger hosts would be left without %s", name)})
 	default:
 		host.Retiring = true
@@ -164,12 +164,12 @@
 }
 
 func (c *Core) retireState(id RequestID, group *replication.Group, name string) {
-	c.host.Read(group, func(failure *result.Error) {
+	c.host.LinearizableRead(group, func(failure *result.Error) {
 		host, known := c.ledgerNamed(name)
 		if failure == nil && (!known || !host.Retiring) {
 			failure = result.New(result.NotFound, "%s is not being emptied", name)
 		}
-		done := failure == nil && c.fleetTracker != nil && c.fleetTracker.Emptied(c.system.fleet, host.Member)
+		done := failure == nil && c.fleetTracker != nil && c.fleetTracker.IsDrained(c.system.fleet, host.Member)
 		c.outlet.Reply(id, &protocol.FleetOrderReply{Error: failure, Done: done})
 	})
 }
@@ -187,8 +187,8 @@
 	}
 	c.lastFleetMs = c.nowMs
 	update := c.fleetTracker.Plan(c.system.fleet, c.nowMs)
-	update.PutSizes = c.planSizes()
-	if update.Empty() {
+	update.PutSubsetSizes = c.planSizes()
+	if update.IsEmpty() {
 		return
 	}
 	failure := c.host.Propose(group, &systemCommand{Fleet: &update}, func(any) { c.fleetPlanning = false })
@@ -196,10 +196,10 @@
 }
 
 // planSizes returns the pools of which more or fewer engines should be advertised.
-func (c *Core) planSizes() []membership.PoolSize {
+func (c *Core) planSizes() []membership.SubsetSize {
 	if c.nowMs-c.lastSizesMs < sizesEveryMs {
 		return nil
 	}
 	c.lastSizesMs = c.nowMs
-	return c.fleetTracker.Sizes(c.system.fleet, func(engine string) float64 { return c.loads.InFlight(engine, c.nowMs) }, c.nowMs)
+	return c.fleetTracker.PlanSubsetSizes(c.system.fleet, func(engine string) float64 { return c.loads.InFlight(engine, c.nowMs) }, c.nowMs)
 }
--- a/internal/control/fleetnews_test.go
+++ b/internal/control/fleetnews_test.go
@@ -30,7 +30,7 @@
 		}
 		report := func(number int) {
 			engine := membership.ServingEngine{ID: fmt.Sprint("e", number), Backend: fmt.Sprint("b", number), Slots: 1, Sequence: 1}
-			h.core.Request(RequestID(1_000_000+number), &protocol.FleetOrder{Report: &engine}, h.nowMs)
+			h.core.HandleRequest(RequestID(1_000_000+number), &protocol.FleetOrder{Report: &engine}, h.nowMs)
 		}
 		h.run(t, 1000, stepMs)
 		answers = 0
--- a/internal/control/formation.go
+++ b/internal/control/formation.go
@@ -95,8 +95,8 @@
 	return true
 }
 
-// Hello takes another process's introduction.
-func (c *Core) Hello(hello protocol.Hello, nowMs int64) {
+// HandleHello takes another process's introduction.
+func (c *Core) HandleHello(hello protocol.Hello, nowMs int64) {
 	c.setNow(nowMs)
 	if !hello.Forwarded {
 		c.heardMs[hello.From] = nowMs
@@ -156,7 +156,7 @@
 // disk is new. Invariant: while one disk remembers a cluster, no second one is
 // formed beside it.
 func (c *Core) formFirst() {
-	if !c.options.MayForm || !c.isConfigured() {
+	if !c.options.MayBootstrap || !c.isConfigured() {
 		return
 	}
 	configuration := consensus.Configuration{}
@@ -216,7 +216,7 @@
 // merely down keep their place.
 func (c *Core) replaceLost() {
 	group := c.host.Groups[0]
-	if !c.options.Discovered || !group.Leads() || c.nowMs-c.leadingSinceMs < lostMemberAfterMs {
+	if !c.options.Discovered || !group.IsLeader() || c.nowMs-c.leadingSinceMs < lostMemberAfterMs {
 		return
 	}
 	configuration := group.Node.Configuration()
@@ -252,8 +252,8 @@
 	}
 }
 
-// MemberSilent reports whether another control process has not been heard lately.
-func (c *Core) MemberSilent() bool {
+// HasSilentMember reports whether another control process has not been heard lately.
+func (c *Core) HasSilentMember() bool {
 	return slices.ContainsFunc(c.memberNames(), func(member string) bool {
 		return member != c.options.Name && c.silentMs(member) > suspectAfterMs
 	})
--- a/internal/control/heartbeats.go
+++ b/internal/control/heartbeats.go
@@ -55,7 +55,7 @@
 	}
 	pending := pendingFleetSync{id: id, request: request, deadlineMs: c.nowMs + c.holdMs(request)}
 	if request.Gateway != nil {
-		pending.number = c.fleetTracker.HeardGateway(request.Gateway.Name, c.nowMs)
+		pending.number = c.fleetTracker.RecordGatewayHeartbeat(request.Gateway.Name, c.nowMs)
 	}
 	c.noteSender(group, request)
 	if !request.Fresh && !request.Prove {
@@ -97,7 +97,7 @@
 	c.unproved = nil
 	c.proving = true
 	tracker := c.fleetTracker
-	c.host.Read(c.host.Groups[0], func(failure *result.Error) {
+	c.host.LinearizableRead(c.host.Groups[0], func(failure *result.Error) {
 		c.proving = false
 		if failure == nil && c.fleetTracker != tracker {
 			failure = result.New(result.NotLeader, "leadership moved on")
@@ -121,7 +121,7 @@
 // answerFleetSync answers a heartbeat; from then on the next one is expected.
 func (c *Core) answerFleetSync(pending pendingFleetSync, reply *protocol.FleetSyncReply) {
 	if pending.request.Gateway != nil && c.fleetTracker != nil {
-		c.fleetTracker.AnsweredGateway(pending.request.Gateway.Name, pending.number, c.light(reply), c.nowMs)
+		c.fleetTracker.RecordGatewayReply(pending.request.Gateway.Name, pending.number, c.light(reply), c.nowMs)
 	}
 	reply.Confirmed = reply.Confirmed || (pending.proved && reply.Error == nil)
 	c.outlet.Reply(pending.id, reply)
@@ -146,21 +146,21 @@
 	if gateway := request.Gateway; gateway != nil {
 		// What a gateway says that does not know of an engine's restart yet is of the life before.
 		void := func(engine string) bool {
-			return c.notInFleet(engine) || request.Version < c.system.fleet.BegunAt(engine)
+			return c.notInFleet(engine) || request.Version < c.system.fleet.IncarnationVersion(engine)
 		}
-		loads := slices.DeleteFunc(request.Loads, func(load scheduling.Load) bool { return void(load.Engine) })
-		c.loads.Report(gateway.Name, loads, c.nowMs)
-		usages := slices.DeleteFunc(request.Usages, func(usage scheduling.Usage) bool { return void(usage.Engine) })
+		loads := slices.DeleteFunc(request.Loads, func(load scheduling.EngineLoad) bool { return void(load.Engine) })
+		c.loads.ReportLoads(gateway.Name, loads, c.nowMs)
+		usages := slices.DeleteFunc(request.Usages, func(usage scheduling.EngineUsage) bool { return void(usage.Engine) })
 		c.loads.ReportUsage(gateway.Name, usages, c.nowMs)
-		c.loads.ReportFailing(gateway.Name, gateway.Zone, slices.DeleteFunc(request.Failing, void), c.nowMs)
-		c.loads.ReportLate(request.Late, c.nowMs)
-		c.uses.Report(gateway.Name, request.Uses, c.nowMs)
+		c.loads.ReportFailingEngines(gateway.Name, gateway.Zone, slices.DeleteFunc(request.Failing, void), c.nowMs)
+		c.loads.ReportStreamLateness(request.Late, c.nowMs)
+		c.uses.ReportUsage(gateway.Name, request.Uses, c.nowMs)
 		if known, ok := c.system.fleet.Gateway(gateway.Name); !ok || known != *gateway {
 			update.PutGateways = append(update.PutGateways, *gateway)
 		}
 	}
 	if report := request.Ledger; report != nil {
-		c.fleetTracker.HeardLedger(*report, c.nowMs)
+		c.fleetTracker.RecordLedgerReport(*report, c.nowMs)
 		host := report.Host
 		known, ok := c.system.fleet.Ledger(host.Member)
 		// Invariant: only the operator's order makes a host retire; an empty disk
@@ -170,7 +170,7 @@
 			update.PutLedgers = append(update.PutLedgers, host)
 		}
 	}
-	if !update.Empty() {
+	if !update.IsEmpty() {
 		_ = c.host.Propose(group, &systemCommand{Fleet: &update}, func(any) {})
 	}
 }
@@ -209,7 +209,7 @@
 	if request.Gateway == nil {
 		return membership.Scope{}
 	}
-	return membership.Scope{Engines: true, Zone: request.Gateway.Zone}
+	return membership.Scope{IncludesEngines: true, Zone: request.Gateway.Zone}
 }
 
 func (c *Core) fleetReply(request *protocol.FleetSync) *protocol.FleetSyncReply {
@@ -227,12 +227,12 @@
 	if request.WithLoads && summed {
 		summed := c.news.loadsOf(c.loads, fleet, scope, c.nowMs)
 		reply.Loads, reply.Usages, reply.Failing = summed.loads, summed.usages, summed.failing
-		if table := c.system.tree.Routing(); table != nil && table.Keyed {
+		if table := c.system.tree.Routing(); table != nil && table.RequiresKey {
 			reply.Uses = c.news.usesOf(c.uses, c.nowMs)
 		}
 	}
 	if request.Gateway != nil && summed {
-		reply.Late = c.loads.Late(c.nowMs)
+		reply.Late = c.loads.StreamLateness(c.nowMs)
 	}
 	table := c.system.tree.Routing()
 	if request.WithRouting && table != nil && table.Generation > request.Generation {
@@ -281,7 +281,7 @@
 	if table == nil || (len(c.tables) > 0 && c.tables[len(c.tables)-1].Generation == table.Generation) {
 		return
 	}
-	c.tables = append(c.tables, table.WithoutDocument())
+	c.tables = append(c.tables, table.WithoutSourceDocument())
 	if len(c.tables) > keptTables {
 		c.tables = c.tables[1:]
 	}
--- a/internal/control/incarnations_test.go
+++ b/internal/control/incarnations_test.go
@@ -33,9 +33,9 @@
 		l.confirm()
 		return l
 	}
-	first := membership.ServingEngine{ID: "e", Backend: "b", Address: "10.0.0.1:1", Zone: "z", Slots: 2, Sequence: 30, Born: 100}
+	first := membership.ServingEngine{ID: "e", Backend: "b", Address: "10.0.0.1:1", Zone: "z", Slots: 2, Sequence: 30, StartedMs: 100}
 	second := first
-	second.Sequence, second.Born = 1, 200
+	second.Sequence, second.StartedMs = 1, 200
 	Convey("a new incarnation takes its id up at once, and the one before does not come back", t, func() {
 		l := leading()
 		So(l.report(first).Error, ShouldBeNil)
@@ -43,7 +43,7 @@
 		So(l.report(second), ShouldResemble, &protocol.FleetOrderReply{Restarted: true})
 		known, _ := l.core.Fleet().Engine("e")
 		So(known, ShouldResemble, second)
-		So(l.core.Fleet().Since(version, membership.Scope{Engines: true, Zone: "z"}).Engines, ShouldResemble, []membership.ServingEngine{second})
+		So(l.core.Fleet().DeltaSince(version, membership.Scope{IncludesEngines: true, Zone: "z"}).Engines, ShouldResemble, []membership.ServingEngine{second})
 		late := first
 		late.Sequence++
 		So(l.report(late).Void, ShouldEqual, membership.ReportOutdated.String())
@@ -51,7 +51,7 @@
 		So(known, ShouldResemble, second)
 		Convey("also where its report came before the newer one was committed", func() {
 			third := second
-			third.Born = 300
+			third.StartedMs = 300
 			new := l.ask(&protocol.FleetOrder{Report: &third, Incarnations: true})
 			old := l.ask(&protocol.FleetOrder{Report: &late, Incarnations: true})
 			l.confirm()
@@ -66,8 +66,8 @@
 		l.report(first)
 		sync := func(version uint64) {
 			l.ask(&protocol.FleetSync{
-				Gateway: &membership.Gateway{Name: "g", Zone: "z", Ready: true}, Version: version,
-				Loads: []scheduling.Load{{Engine: "e", InFlight: 5}},
+				Gateway: &membership.Gateway{Name: "g", Zone: "z", IsReady: true}, Version: version,
+				Loads: []scheduling.EngineLoad{{Engine: "e", InFlight: 5}},
 			})
 			l.confirm()
 		}
@@ -84,12 +84,12 @@
 	Convey("beside a process of an earlier release an id that has left stays so until all know incarnations", t, func() {
 		l := leading()
 		l.report(first)
-		left := l.ask(&protocol.FleetOrder{Leave: "e", LeaveBorn: first.Born, Incarnations: true})
+		left := l.ask(&protocol.FleetOrder{Leave: "e", LeaveBorn: first.StartedMs, Incarnations: true})
 		l.confirm()
 		So(l.orderReply(left).Error, ShouldBeNil)
 		So(l.report(second).Void, ShouldEqual, membership.ReportAwaitsUpgrade.String())
 		for _, member := range []string{"b:1", "c:1"} {
-			l.core.Peer(protocol.PeerBatch{From: member, Incarnations: true}, l.nowMs)
+			l.core.HandlePeerBatch(protocol.PeerBatch{From: member, Incarnations: true}, l.nowMs)
 		}
 		So(l.report(second).Void, ShouldBeEmpty)
 		known, there := l.core.Fleet().Engine("e")
--- a/internal/control/leader.go
+++ b/internal/control/leader.go
@@ -33,8 +33,8 @@
 	c.tracker = membership.NewTracker(c.options.LeaseMs, c.nowMs)
 	c.permits = reconcile.NewPermits(c.nowMs)
 	c.fleetTracker = membership.NewFleetTracker(c.options.Fleet, c.nowMs)
-	c.loads = scheduling.NewBoard()
-	c.uses = admission.NewUseBoard()
+	c.loads = scheduling.NewLoadAggregator()
+	c.uses = admission.NewUsageAggregator()
 	c.planning = 0
 	c.fleetPlanning = false
 }
@@ -82,7 +82,7 @@
 	}
 	c.lastPlanMs = c.nowMs
 	update := c.tracker.Plan(c.system.directory, c.nowMs)
-	if update.Empty() {
+	if update.IsEmpty() {
 		return
 	}
 	failure := c.host.Propose(c.host.Groups[0], &systemCommand{Update: &update}, func(any) { c.planning = 0 })
@@ -107,11 +107,11 @@
 	c.lastSweepMs = c.nowMs
 	retainMs := *c.system.tree.Effective("/").RetainMs
 	for _, group := range c.host.Groups[1:] {
-		ledger := group.State.(*ledgerMachine).ledger
-		if group.Node.Role() != consensus.Leader || !ledger.SweepDue(c.nowMs, retainMs) {
+		ledger := group.StateMachine.(*ledgerMachine).ledger
+		if group.Node.Role() != consensus.Leader || !ledger.IsSweepDue(c.nowMs, retainMs) {
 			continue
 		}
-		command := program.Command{NowMs: c.nowMs, Sweep: &program.Sweep{RetainMs: retainMs}}
+		command := program.Command{NowMs: c.nowMs, Sweep: &program.Sweep{RetentionMs: retainMs}}
 		_ = c.host.Propose(group, &command, func(any) {})
 	}
 }
--- a/internal/control/liveness_test.go
+++ b/internal/control/liveness_test.go
@@ -39,8 +39,8 @@
 func (h *heartbeats) send(name string) {
 	h.nextID++
 	h.senders[h.nextID] = name
-	gateway := &membership.Gateway{Name: name, Ready: true}
-	h.core.Request(h.nextID, &protocol.FleetSync{Gateway: gateway, Version: h.core.Fleet().Version(), HoldMs: h.holdMs}, h.nowMs)
+	gateway := &membership.Gateway{Name: name, IsReady: true}
+	h.core.HandleRequest(h.nextID, &protocol.FleetSync{Gateway: gateway, Version: h.core.Fleet().Version(), HoldMs: h.holdMs}, h.nowMs)
 }
 
 // run lets time pass, a tick each step.
@@ -128,11 +128,11 @@
 		h.frozen["gateway-7"] = true
 		const order = 1 << 40
 		report := &membership.ServingEngine{ID: "e", Backend: "b", Address: "e", Slots: 8, Sequence: 1}
-		h.core.Request(order, &protocol.FleetOrder{Report: report}, h.nowMs)
+		h.core.HandleRequest(order, &protocol.FleetOrder{Report: report}, h.nowMs)
 		h.run(t, fleetNewsEveryMs+gatewayLightReturnMs+fleetPlanEveryMs+4*tickMs, tickMs)
 		So(h.listed(), ShouldHaveLength, 19)
 		news := func(engines int) *protocol.FleetSyncReply {
-			return &protocol.FleetSyncReply{Fleet: protocol.NewShared(membership.FleetNews{Engines: make([]membership.ServingEngine, engines)})}
+			return &protocol.FleetSyncReply{Fleet: protocol.NewShared(membership.FleetDelta{Engines: make([]membership.ServingEngine, engines)})}
 		}
 		So(h.core.light(&protocol.FleetSyncReply{}), ShouldBeTrue)
 		So(h.core.light(news(lightEntries)), ShouldBeTrue)
--- a/internal/control/machines.go
+++ b/internal/control/machines.go
@@ -101,8 +101,8 @@
 	ledger := program.NewLedger()
 	ledger.DisableFence = options.DisableFence
 	ledger.DisableBudget = options.DisableBudget
-	ledger.DisableOnce = options.DisableOnce
-	ledger.DisableOrder = options.DisableOrder
+	ledger.DisableAtMostOnce = options.DisableAtMostOnce
+	ledger.DisableTurnOrder = options.DisableTurnOrder
 	return &ledgerMachine{ledger: ledger}
 }
 
@@ -124,7 +124,7 @@
 			records = append(records, storage.Record{Program: effects.Program, Turn: effects.Write.Turn, Value: value})
 		}
 	}
-	for _, forgotten := range effects.Forget {
+	for _, forgotten := range effects.DeletePrograms {
 		for turn := uint64(1); turn <= forgotten.LastTurn; turn++ {
 			records = append(records, storage.Record{Program: forgotten.Program, Turn: turn})
 		}
--- a/internal/control/news.go
+++ b/internal/control/news.go
@@ -16,21 +16,21 @@
 // newsCache holds what heartbeats were answered with, by what their senders had: after a
 // change, or when all processes come back at once, hundreds ask for the same.
 type newsCache struct {
-	fleet   map[membership.Scope]*differences[membership.FleetNews]
+	fleet   map[membership.Scope]*differences[membership.FleetDelta]
 	routing differences[routing.Delta]
 	// loads are the sums that gateways were told, by what they are told of.
 	loads map[membership.Scope]summedLoads
 	// uses are the sums of tenants' use that gateways were told, of usesBoard.
-	uses        *protocol.Shared[[]admission.BackendUse]
-	usesBoard   *admission.UseBoard
+	uses        *protocol.Shared[[]admission.BackendUsage]
+	usesBoard   *admission.UsageAggregator
 	usesVersion uint64
 }
 
 // summedLoads are sums of what gateways have seen, as of atMs.
 type summedLoads struct {
 	atMs    int64
-	loads   *protocol.Shared[[]scheduling.Load]
-	usages  *protocol.Shared[[]scheduling.Usage]
+	loads   *protocol.Shared[[]scheduling.EngineLoad]
+	usages  *protocol.Shared[[]scheduling.EngineUsage]
 	failing []string
 }
 
@@ -54,16 +54,16 @@
 }
 
 // fleetSince returns what leads a follower from a version to the fleet.
-func (n *newsCache) fleetSince(fleet *membership.Fleet, version uint64, scope membership.Scope) *protocol.Shared[membership.FleetNews] {
+func (n *newsCache) fleetSince(fleet *membership.Fleet, version uint64, scope membership.Scope) *protocol.Shared[membership.FleetDelta] {
 	news, known := n.fleet[scope]
 	if n.fleet == nil {
-		n.fleet = map[membership.Scope]*differences[membership.FleetNews]{}
+		n.fleet = map[membership.Scope]*differences[membership.FleetDelta]{}
 	}
 	if !known {
-		news = &differences[membership.FleetNews]{}
+		news = &differences[membership.FleetDelta]{}
 		n.fleet[scope] = news
 	}
-	return news.to(fleet.Latest(scope), version, func() membership.FleetNews { return fleet.Since(version, scope) })
+	return news.to(fleet.LatestVersion(scope), version, func() membership.FleetDelta { return fleet.DeltaSince(version, scope) })
 }
 
 // routingSince returns what leads from a table, nil for none, to the one in force.
@@ -77,7 +77,7 @@
 
 // loadsOf returns what all gateways together have seen lately of the engines that a gateway
 // is told of. What it sends does not grow with the engines of the fleet.
-func (n *newsCache) loadsOf(board *scheduling.Board, fleet *membership.Fleet, scope membership.Scope, nowMs int64) summedLoads {
+func (n *newsCache) loadsOf(board *scheduling.LoadAggregator, fleet *membership.Fleet, scope membership.Scope, nowMs int64) summedLoads {
 	known, found := n.loads[scope]
 	if found && nowMs-known.atMs < loadsEveryMs && nowMs >= known.atMs {
 		return known
@@ -85,18 +85,18 @@
 	if n.loads == nil {
 		n.loads = map[membership.Scope]summedLoads{}
 	}
-	engines := fleet.AdvertisedTo(scope)
+	engines := fleet.AdvertisedEngineIDs(scope)
 	known = summedLoads{
 		atMs: nowMs, loads: protocol.NewShared(board.Loads(engines, nowMs)),
-		usages: protocol.NewShared(board.Usages(engines, nowMs)), failing: board.Failing(engines, scope.Zone, nowMs),
+		usages: protocol.NewShared(board.Usages(engines, nowMs)), failing: board.FailingEngines(engines, scope.Zone, nowMs),
 	}
 	n.loads[scope] = known
 	return known
 }
 
 // usesOf returns what all gateways' tenants together use of back ends that are short.
-func (n *newsCache) usesOf(board *admission.UseBoard, nowMs int64) *protocol.Shared[[]admission.BackendUse] {
-	sums := board.Sums(nowMs)
+func (n *newsCache) usesOf(board *admission.UsageAggregator, nowMs int64) *protocol.Shared[[]admission.BackendUsage] {
+	sums := board.Totals(nowMs)
 	if n.uses == nil || n.usesBoard != board || n.usesVersion != board.Version {
 		n.uses, n.usesBoard, n.usesVersion = protocol.NewShared(sums), board, board.Version
 	}
--- a/internal/control/news_test.go
+++ b/internal/control/news_test.go
@@ -19,7 +19,7 @@
 		Convey("the fleet, by the version that the asker has", func() {
 			fleet := membership.NewFleet()
 			fleet.Apply(membership.FleetUpdate{PutEngines: []membership.ServingEngine{{ID: "a", Sequence: 1}}})
-			scope := membership.Scope{Engines: true}
+			scope := membership.Scope{IncludesEngines: true}
 			whole := news.fleetSince(fleet, 0, scope)
 			So(news.fleetSince(fleet, 0, scope), ShouldEqual, whole)
 			So(news.fleetSince(fleet, 1, scope), ShouldNotEqual, whole)
@@ -33,36 +33,36 @@
 		Convey("the routing table, by the generation that the asker has", func() {
 			first := &routing.Table{Generation: 1, Routes: []routing.Route{{Name: "a", Host: "h", PathPrefix: "/a/"}}}
 			second := &routing.Table{Generation: 2, Routes: append([]routing.Route{{Name: "b", Host: "h", PathPrefix: "/b/"}}, first.Routes...)}
-			So(len(news.routingSince(nil, first).Value.Put), ShouldEqual, 1)
-			So(len(news.routingSince(nil, second).Value.Put), ShouldEqual, 2)
-			So(len(news.routingSince(first, second).Value.Put), ShouldEqual, 1)
+			So(len(news.routingSince(nil, first).Value.PutRoutes), ShouldEqual, 1)
+			So(len(news.routingSince(nil, second).Value.PutRoutes), ShouldEqual, 2)
+			So(len(news.routingSince(first, second).Value.PutRoutes), ShouldEqual, 1)
 			So(news.routingSince(first, second), ShouldEqual, news.routingSince(first, second))
 		})
 		Convey("loads, for a short time, and not over a step back of the clock", func() {
 			fleet := membership.NewFleet()
 			fleet.Apply(membership.FleetUpdate{PutEngines: []membership.ServingEngine{{ID: "e", Sequence: 1}}})
-			scope := membership.Scope{Engines: true}
-			board := scheduling.NewBoard()
-			board.Report("g", []scheduling.Load{{Engine: "e", InFlight: 1}}, 1000)
+			scope := membership.Scope{IncludesEngines: true}
+			board := scheduling.NewLoadAggregator()
+			board.ReportLoads("g", []scheduling.EngineLoad{{Engine: "e", InFlight: 1}}, 1000)
 			loads := news.loadsOf(board, fleet, scope, 1000).loads
-			board.Report("g", []scheduling.Load{{Engine: "e", InFlight: 5}}, 1010)
+			board.ReportLoads("g", []scheduling.EngineLoad{{Engine: "e", InFlight: 5}}, 1010)
 			So(news.loadsOf(board, fleet, scope, 1000+loadsEveryMs-1).loads, ShouldEqual, loads)
 			So(news.loadsOf(board, fleet, scope, 1000+loadsEveryMs).loads.Value[0].InFlight, ShouldEqual, 5)
 			So(news.loadsOf(board, fleet, scope, 500).loads, ShouldNotEqual, loads)
 		})
 		Convey("loads of the engines that the asker is told of, however many there are", func() {
-			board := scheduling.NewBoard()
+			board := scheduling.NewLoadAggregator()
 			for _, engines := range []int{1000, 10_000} {
 				fleet := membership.NewFleet()
 				for number := range engines {
 					engine := membership.ServingEngine{ID: fmt.Sprint("e", number), Zone: "z", Sequence: 1}
 					fleet.Apply(membership.FleetUpdate{PutEngines: []membership.ServingEngine{engine}})
-					board.Report("g", []scheduling.Load{{Engine: engine.ID, InFlight: 1}}, 1000)
+					board.ReportLoads("g", []scheduling.EngineLoad{{Engine: engine.ID, InFlight: 1}}, 1000)
 				}
 				var fresh newsCache
-				scope := membership.Scope{Engines: true, Zone: "z"}
+				scope := membership.Scope{IncludesEngines: true, Zone: "z"}
 				loads := fresh.loadsOf(board, fleet, scope, 1000).loads.Value
-				So(len(loads), ShouldEqual, len(fleet.Since(0, scope).Engines))
+				So(len(loads), ShouldEqual, len(fleet.DeltaSince(0, scope).Engines))
 				So(len(loads), ShouldBeLessThan, 20)
 			}
 		})
--- a/internal/control/proof_test.go
+++ b/internal/control/proof_test.go
@@ -73,7 +73,7 @@
 		options := DefaultOptions(member.name, members, 0)
 		options.Discovered = true
 		options.MinVoters = 3
-		options.Fleet = membership.FleetOptions{EngineSilentMs: engineSilentMs, GatewaySilentMs: gatewaySilentMs, GatewayReturnMs: gatewayReturnMs, GatewayLightReturnMs: gatewayLightReturnMs, LedgerSilentMs: ledgerSilentMs, LedgerForgottenMs: ledgerForgottenMs, FormationMs: formationMs}
+		options.Fleet = membership.FleetOptions{EngineTimeoutMs: engineSilentMs, GatewayTimeoutMs: gatewaySilentMs, GatewayRepollTimeoutMs: gatewayReturnMs, GatewaySmallDeltaRepollTimeoutMs: gatewayLightReturnMs, LedgerTimeoutMs: ledgerSilentMs, LedgerRetentionMs: ledgerForgottenMs, InitialPlacementDelayMs: formationMs}
 		core, err := NewCore(options, member.store, member, c.nowMs)
 		if err != nil {
 			t.Fatal(err)
@@ -101,7 +101,7 @@
 		m.cluster.later(func() {
 			var decoded protocol.PeerBatch
 			if !other.cut && protocol.Decode(raw, &decoded) == nil {
-				other.core.Peer(decoded, m.cluster.nowMs)
+				other.core.HandlePeerBatch(decoded, m.cluster.nowMs)
 			}
 		})
 	}
@@ -119,7 +119,7 @@
 func (m *proofMember) ask(request any, answer func(any)) {
 	m.next++
 	m.replies[m.next] = answer
-	m.core.Request(m.next, request, m.cluster.nowMs)
+	m.core.HandleRequest(m.next, request, m.cluster.nowMs)
 }
 
 func (c *proofCluster) later(run func()) {
@@ -153,7 +153,7 @@
 func (c *proofCluster) replace() {
 	c.generation++
 	generation := c.generation
-	table := &routing.Table{Generation: generation, Keyed: true}
+	table := &routing.Table{Generation: generation, RequiresKey: true}
 	for _, member := range c.members {
 		member.ask(&protocol.FleetOrder{Routing: table}, func(reply any) {
 			if reply.(*protocol.FleetOrderReply).Error == nil {
@@ -169,7 +169,7 @@
 	acknowledgedBefore := c.acknowledged
 	for _, member := range c.members {
 		request := &protocol.FleetSync{
-			Gateway: &membership.Gateway{Name: "g", Ready: true}, WithRouting: true, Generation: held, Prove: true, HoldMs: int64(c.random.IntN(2)) * 700,
+			Gateway: &membership.Gateway{Name: "g", IsReady: true}, WithRouting: true, Generation: held, Prove: true, HoldMs: int64(c.random.IntN(2)) * 700,
 		}
 		member.ask(request, func(answer any) {
 			reply := answer.(*protocol.FleetSyncReply)
--- a/internal/control/reads.go
+++ b/internal/control/reads.go
@@ -58,39 +58,39 @@
 
 // StatusView is the whole system at a glance.
 type StatusView struct {
-	Revision  uint64       `json:"revision"`
-	Directory uint64       `json:"directory"`
-	Leader    string       `json:"leader"`
-	Daemons   []DaemonView `json:"daemons"`
-	Groups    []GroupView  `json:"groups"`
+	Revision         uint64       `json:"revision"`
+	DirectoryVersion uint64       `json:"directory"`
+	Leader           string       `json:"leader"`
+	Daemons          []DaemonView `json:"daemons"`
+	Groups           []GroupView  `json:"groups"`
 }
 
 // EnginesView lists engines and their owners, and those that gateways send to.
 type EnginesView struct {
-	Directory uint64              `json:"directory"`
-	Engines   []membership.Engine `json:"engines"`
-	Serving   []ServingView       `json:"serving,omitempty"`
+	DirectoryVersion uint64              `json:"directory"`
+	Engines          []membership.Engine `json:"engines"`
+	Serving          []ServingView       `json:"serving,omitempty"`
 }
 
 // ProgramView is one program's ledger entry.
 type ProgramView struct {
 	program.Header
-	State     string       `json:"state"`
-	Remaining int64        `json:"budget_left"`
-	OpenTurn  uint64       `json:"open_turn,omitempty"`
-	Threads   []ThreadView `json:"threads"`
-	Group     uint32       `json:"group"`
+	State           string       `json:"state"`
+	RemainingTokens int64        `json:"budget_left"`
+	OpenTurn        uint64       `json:"open_turn,omitempty"`
+	Threads         []ThreadView `json:"threads"`
+	Group           uint32       `json:"group"`
 	// Turns is set where the records were asked for.
 	Turns []program.TurnRecord `json:"turns,omitempty"`
 }
 
 // ThreadView is one thread of a program.
 type ThreadView struct {
-	Name     string         `json:"name"`
-	Parent   string         `json:"parent,omitempty"`
-	ForkTurn uint64         `json:"fork_turn,omitempty"`
-	Messages int            `json:"messages"`
-	Lineage  []program.Span `json:"lineage"`
+	Name     string                 `json:"name"`
+	Parent   string                 `json:"parent,omitempty"`
+	ForkTurn uint64                 `json:"fork_turn,omitempty"`
+	Messages int                    `json:"messages"`
+	Lineage  []program.ThreadPrefix `json:"lineage"`
 }
 
 // ProgramsView lists programs of one group.
@@ -104,7 +104,7 @@
 		c.outlet.Reply(id, &protocol.ReadReply{Error: failure, Leader: leader})
 		return
 	}
-	c.host.Read(group, func(failure *result.Error) {
+	c.host.LinearizableRead(group, func(failure *result.Error) {
 		if failure != nil {
 			c.outlet.Reply(id, &protocol.ReadReply{Error: failure})
 			return
@@ -134,7 +134,7 @@
 	case protocol.ReadStatus:
 		return c.statusView(), nil
 	case protocol.ReadEngines:
-		return EnginesView{Directory: c.system.directory.Version, Engines: c.system.directory.EngineList(), Serving: c.servingViews()}, nil
+		return EnginesView{DirectoryVersion: c.system.directory.Version, Engines: c.system.directory.EngineList(), Serving: c.servingViews()}, nil
 	}
 	if group.ID == 0 {
 		return nil, result.New(result.NotFound, "no such topic")
@@ -166,14 +166,14 @@
 
 func (c *Core) statusView() StatusView {
 	view := StatusView{
-		Revision: c.Revision(), Directory: c.system.directory.Version, Leader: c.leaderName(c.host.Groups[0]),
+		Revision: c.Revision(), DirectoryVersion: c.system.directory.Version, Leader: c.leaderName(c.host.Groups[0]),
 	}
 	for _, member := range c.options.Members {
 		view.Daemons = append(view.Daemons, c.memberView(member))
 	}
 	reports := map[string]membership.Report{}
 	if c.tracker != nil {
-		reports = c.tracker.Reports(c.nowMs)
+		reports = c.tracker.LiveReports(c.nowMs)
 	}
 	for _, scheduler := range c.system.directory.SchedulerList() {
 		view.Daemons = append(view.Daemons, schedulerView(scheduler, reports))
@@ -210,14 +210,14 @@
 	}
 	view.Alive = true
 	view.Revision = report.Heartbeat.Revision
-	view.Sidecars = report.Heartbeat.Sidecars
+	view.Sidecars = report.Heartbeat.SidecarCount
 	view.SidecarRevision = report.Heartbeat.SidecarRevision
-	view.Lagging = report.Heartbeat.Lagging
+	view.Lagging = report.Heartbeat.LaggingSidecars
 	return view
 }
 
 func (c *Core) programsView(group *replication.Group, limit int) ProgramsView {
-	ledger := group.State.(*ledgerMachine).ledger
+	ledger := group.StateMachine.(*ledgerMachine).ledger
 	var view ProgramsView
 	for _, id := range ledger.IDs() {
 		if len(view.Programs) == limit {
@@ -230,7 +230,7 @@
 }
 
 func newProgramView(group *replication.Group, header *program.Header) ProgramView {
-	view := ProgramView{Header: *header, State: "waiting", Remaining: header.Remaining(), Group: uint32(group.ID)}
+	view := ProgramView{Header: *header, State: "waiting", RemainingTokens: header.RemainingTokens(), Group: uint32(group.ID)}
 	if header.Open != nil {
 		view.State = "running"
 		view.OpenTurn = header.Open.Turn
@@ -248,7 +248,7 @@
 }
 
 func (c *Core) programView(group *replication.Group, id string, withTurns bool) (any, *result.Error) {
-	header, ok := group.State.(*ledgerMachine).ledger.Get(id)
+	header, ok := group.StateMachine.(*ledgerMachine).ledger.Get(id)
 	if !ok {
 		return nil, result.New(result.NotFound, "no program %s", id)
 	}
--- a/internal/control/reports.go
+++ b/internal/control/reports.go
@@ -90,7 +90,7 @@
 // that the leader does not hear acknowledges nothing, so that no engine which is alive stays
 // with it until it counts as lost.
 func (c *Core) acknowledges(engine membership.ServingEngine) bool {
-	if !c.formed || c.reports.leader == "" || c.nowMs-c.reports.receivedMs > vouchMs || !c.system.fleet.Unchanged(engine) {
+	if !c.formed || c.reports.leader == "" || c.nowMs-c.reports.receivedMs > vouchMs || !c.system.fleet.IsUnchanged(engine) {
 		return false
 	}
 	c.reports.heard[engine.ID] = c.nowMs
@@ -123,6 +123,6 @@
 	}
 	c.reports.received[from] = list.Number
 	for _, engine := range list.Heard {
-		c.fleetTracker.Heard(engine, c.nowMs)
+		c.fleetTracker.RecordEngineAlive(engine, c.nowMs)
 	}
 }
--- a/internal/control/requests.go
+++ b/internal/control/requests.go
@@ -10,9 +10,9 @@
 	"github.com/ochrebay/ochrebay/internal/settings"
 )
 
-// Request takes one request of a scheduler, a control process or an operator;
+// HandleRequest takes one request of a scheduler, a control process or an operator;
 // the reply comes through the outlet, now or later.
-func (c *Core) Request(id RequestID, request any, nowMs int64) {
+func (c *Core) HandleRequest(id RequestID, request any, nowMs int64) {
 	c.setNow(nowMs)
 	switch typed := request.(type) {
 	case *protocol.LedgerRequest:
@@ -82,8 +82,8 @@
 
 func (c *Core) grantRecords(group *replication.Group, request *protocol.LedgerRequest, reply program.Reply) ([][]byte, error) {
 	name := request.Command.Begin.Program
-	if reply.Answered > 0 {
-		records, err := c.host.Records(group, name, reply.Answered-1)
+	if reply.ClosedTurn > 0 {
+		records, err := c.host.Records(group, name, reply.ClosedTurn-1)
 		if len(records) > 1 {
 			records = records[:1]
 		}
@@ -101,13 +101,13 @@
 		c.outlet.Reply(id, &protocol.ReleasedReply{Error: failure, Leader: leader})
 		return
 	}
-	c.host.Read(group, func(failure *result.Error) {
+	c.host.LinearizableRead(group, func(failure *result.Error) {
 		if failure != nil {
 			c.outlet.Reply(id, &protocol.ReleasedReply{Error: failure})
 			return
 		}
-		ledger := group.State.(*ledgerMachine).ledger
-		c.outlet.Reply(id, &protocol.ReleasedReply{Released: ledger.Released(request.Programs)})
+		ledger := group.StateMachine.(*ledgerMachine).ledger
+		c.outlet.Reply(id, &protocol.ReleasedReply{Released: ledger.EndedOrUnknown(request.Programs)})
 	})
 }
 
@@ -157,7 +157,7 @@
 		}
 	}
 	granted := c.permits.Grant(request.Engine, request.Pool, reconcile.Limits{
-		Engines: engines, Ready: c.tracker.Ready(request.Pool, c.nowMs),
+		Engines: engines, Ready: c.tracker.ReadyEngines(request.Pool, c.nowMs),
 		Floor: int(*fields.ReadyFloor), Concurrent: int(*fields.ConcurrentLoads),
 	}, c.nowMs)
 	c.outlet.Reply(id, &protocol.PermitReply{Granted: granted})
@@ -176,9 +176,9 @@
 		c.outlet.Reply(id, &protocol.SyncReply{Error: result.New(result.NotLeader, "not the leader"), Leader: leader})
 		return
 	}
-	c.tracker.Heard(request.Heartbeat, c.nowMs)
+	c.tracker.RecordHeartbeat(request.Heartbeat, c.nowMs)
 	if request.Fresh {
-		c.host.Read(group, func(failure *result.Error) {
+		c.host.LinearizableRead(group, func(failure *result.Error) {
 			if failure != nil {
 				c.outlet.Reply(id, &protocol.SyncReply{Error: failure})
 				return
@@ -196,17 +196,17 @@
 
 func (c *Core) hasNews(request *protocol.SyncRequest) bool {
 	directory := c.system.directory
-	return c.system.tree.Revision() > request.Revision || directory.Roster().Changed() > request.Directory ||
-		directory.OwnerChanged(request.Heartbeat.Scheduler.Name) > request.Directory
+	return c.system.tree.Revision() > request.Revision || directory.Roster().ChangeVersion() > request.Directory ||
+		directory.OwnedEnginesVersion(request.Heartbeat.Scheduler.Name) > request.Directory
 }
 
 func (c *Core) syncReply(request *protocol.SyncRequest) *protocol.SyncReply {
 	reply := &protocol.SyncReply{Feed: protocol.NewFeed(c.system.tree, request.Revision)}
 	directory := c.system.directory
-	reply.Feed.Roster = directory.Roster().Since(request.Directory)
+	reply.Feed.Roster = directory.Roster().DeltaSince(request.Directory)
 	reply.Feed.Groups = uint32(c.options.LedgerGroups)
 	name := request.Heartbeat.Scheduler.Name
-	if directory.OwnerChanged(name) > request.Directory {
+	if directory.OwnedEnginesVersion(name) > request.Directory {
 		reply.EnginesChanged = true
 		reply.Engines = directory.OwnedBy(name)
 	}
--- a/internal/control/restart_bench_test.go
+++ b/internal/control/restart_bench_test.go
@@ -25,14 +25,14 @@
 	for number := range benchRoutes {
 		table.Routes = append(table.Routes, routing.Route{
 			Name: fmt.Sprintf("r%d", number), Host: "h.example", PathPrefix: fmt.Sprintf("/p%d/", number), Kind: "stream", TimeoutMs: 3000,
-			MaxAttempts: 1, Shares: []routing.Share{{Backend: "b", Weight: 1}},
+			MaxAttempts: 1, Shares: []routing.BackendShare{{Backend: "b", Weight: 1}},
 		})
 	}
 	now := core.nowMs
 	id := RequestID(0)
 	request := func(body any) {
 		id++
-		core.Request(id, body, now)
+		core.HandleRequest(id, body, now)
 		if id%benchBatch == 0 {
 			flush(b, core)
 		}
@@ -43,7 +43,7 @@
 	}
 	flush(b, core)
 	gateway := func(number int, ready bool) *membership.Gateway {
-		return &membership.Gateway{Name: fmt.Sprintf("gateway-%d", number), Zone: "zone", Region: "r", Address: fmt.Sprintf("10.1.0.%d:1", number), Ready: ready}
+		return &membership.Gateway{Name: fmt.Sprintf("gateway-%d", number), Zone: "zone", Region: "r", Address: fmt.Sprintf("10.1.0.%d:1", number), IsReady: ready}
 	}
 	for b.Loop() {
 		for number := range benchGateways {
--- a/internal/control/servingengines.go
+++ b/internal/control/servingengines.go
@@ -16,8 +16,8 @@
 	Slowness float64 `json:"slowness,omitempty"`
 	// Advertised says that gateways are told of it.
 	Advertised bool `json:"advertised"`
-	// Avoided says why gateways send it no new work; empty where they do.
-	Avoided string `json:"avoided,omitempty"`
+	// AvoidReason says why gateways send it no new work; empty where they do.
+	AvoidReason string `json:"avoided,omitempty"`
 }
 
 // Why gateways send an engine no new work.
@@ -38,7 +38,7 @@
 			continue
 		}
 		scopes[gateway.Zone] = true
-		for _, engine := range c.system.fleet.AdvertisedTo(membership.Scope{Engines: true, Zone: gateway.Zone}) {
+		for _, engine := range c.system.fleet.AdvertisedEngineIDs(membership.Scope{IncludesEngines: true, Zone: gateway.Zone}) {
 			told[engine] = true
 		}
 	}
@@ -47,11 +47,11 @@
 		c.addReported(&view)
 		switch {
 		case engine.Draining:
-			view.Avoided = avoidedDraining
-		case c.loads != nil && len(c.loads.Failing([]string{engine.ID}, engine.Zone, c.nowMs)) > 0:
-			view.Avoided = avoidedFailing
+			view.AvoidReason = avoidedDraining
+		case c.loads != nil && len(c.loads.FailingEngines([]string{engine.ID}, engine.Zone, c.nowMs)) > 0:
+			view.AvoidReason = avoidedFailing
 		case !view.Advertised && len(scopes) > 0:
-			view.Avoided = avoidedSpare
+			view.AvoidReason = avoidedSpare
 		}
 		views = append(views, view)
 	}
@@ -65,7 +65,7 @@
 	}
 	view.InFlight = c.loads.InFlight(view.ID, c.nowMs)
 	for _, usage := range c.loads.Usages([]string{view.ID}, c.nowMs) {
-		view.HeldTokens = float64(usage.HeldTokens)
+		view.HeldTokens = float64(usage.ReservedKVCacheTokens)
 		view.Slowness = usage.Pace.Mean()
 	}
 }
--- a/internal/control/servingengines_test.go
+++ b/internal/control/servingengines_test.go
@@ -11,17 +11,17 @@
 
 func TestServingViews(t *testing.T) {
 	Convey("an operator sees how slow engines are, what they hold and why they are avoided", t, func() {
-		core := &Core{loads: scheduling.NewBoard(), system: newSystemMachine(Options{}), nowMs: 1000}
+		core := &Core{loads: scheduling.NewLoadAggregator(), system: newSystemMachine(Options{}), nowMs: 1000}
 		core.system.fleet.Apply(membership.FleetUpdate{
 			PutGateways: []membership.Gateway{{Name: "g1", Zone: "z"}, {Name: "g2", Zone: "z"}},
 			PutEngines: []membership.ServingEngine{
-				{ID: "quick", Backend: "b", Zone: "z", Born: 5}, {ID: "leaving", Backend: "b", Zone: "z", Draining: true}, {ID: "broken", Backend: "b", Zone: "z"},
+				{ID: "quick", Backend: "b", Zone: "z", StartedMs: 5}, {ID: "leaving", Backend: "b", Zone: "z", Draining: true}, {ID: "broken", Backend: "b", Zone: "z"},
 			},
 		})
 		for _, gateway := range []string{"g1", "g2"} {
-			core.loads.Report(gateway, []scheduling.Load{{Engine: "quick", InFlight: 2}}, 1000)
-			core.loads.ReportUsage(gateway, []scheduling.Usage{{Engine: "quick", Pace: scheduling.Samples{Sum: 3, Weight: 5}, HeldTokens: 700}}, 1000)
-			core.loads.ReportFailing(gateway, "z", []string{"broken"}, 1000)
+			core.loads.ReportLoads(gateway, []scheduling.EngineLoad{{Engine: "quick", InFlight: 2}}, 1000)
+			core.loads.ReportUsage(gateway, []scheduling.EngineUsage{{Engine: "quick", Pace: scheduling.WeightedSum{Sum: 3, Weight: 5}, ReservedKVCacheTokens: 700}}, 1000)
+			core.loads.ReportFailingEngines(gateway, "z", []string{"broken"}, 1000)
 		}
 		views := map[string]ServingView{}
 		for _, view := range core.servingViews() {
@@ -30,8 +30,8 @@
 		So(views["quick"].InFlight, ShouldEqual, 4)
 		So(views["quick"].HeldTokens, ShouldEqual, 1400)
 		So(views["quick"].Slowness, ShouldAlmostEqual, 0.6, 0.001)
-		So(views["quick"].Avoided, ShouldBeEmpty)
-		So(views["leaving"].Avoided, ShouldEqual, avoidedDraining)
-		So(views["broken"].Avoided, ShouldEqual, avoidedFailing)
+		So(views["quick"].AvoidReason, ShouldBeEmpty)
+		So(views["leaving"].AvoidReason, ShouldEqual, avoidedDraining)
+		So(views["broken"].AvoidReason, ShouldEqual, avoidedFailing)
 	})
 }
--- a/internal/control/shares.go
+++ b/internal/control/shares.go
@@ -12,20 +12,20 @@
 	InFlight float64 `json:"in_flight"`
 	// Demand is what will be under way of what the tenant begins, Share
 	// what it is held to while the back end is short, 0 while it is not.
-	Demand float64 `json:"demand"`
-	Share  float64 `json:"share"`
-	Above  bool    `json:"above"`
+	Demand         float64 `json:"demand"`
+	Share          float64 `json:"share"`
+	AboveFairShare bool    `json:"above"`
 }
 
 // BackendShares are the shares of one back end, for an operator.
 type BackendShares struct {
 	Backend string `json:"backend"`
 	Engines int    `json:"engines"`
-	// Room is by the engines' slots; gateways may have learnt that there is less.
-	Room    float64     `json:"room"`
-	Demand  float64     `json:"demand"`
-	Short   bool        `json:"short"`
-	Tenants []ShareView `json:"tenants"`
+	// Capacity is by the engines' slots; gateways may have learnt that there is less.
+	Capacity       float64     `json:"room"`
+	Demand         float64     `json:"demand"`
+	Oversubscribed bool        `json:"short"`
+	Tenants        []ShareView `json:"tenants"`
 }
 
 // SharesView is a control process's answer to an operator: empty where it does not lead.
@@ -53,17 +53,17 @@
 			slots[backend.Name] = backend.Slots
 		}
 	}
-	sums := c.uses.Sums(nowMs)
-	var shares admission.Shares
-	shares.Take(sums, nowMs)
+	sums := c.uses.Totals(nowMs)
+	var shares admission.FairShares
+	shares.ApplyUsage(sums, nowMs)
 	for _, use := range sums {
-		room := admission.Room(slots[use.Backend], 0) * float64(engines[use.Backend])
-		backend := BackendShares{Backend: use.Backend, Engines: engines[use.Backend], Room: room, Demand: float64(use.Demand), Short: float64(use.Demand) > room}
+		room := admission.UsableConcurrency(slots[use.Backend], 0) * float64(engines[use.Backend])
+		backend := BackendShares{Backend: use.Backend, Engines: engines[use.Backend], Capacity: room, Demand: float64(use.Demand), Oversubscribed: float64(use.Demand) > room}
 		for _, tenant := range use.Tenants {
-			position := shares.Of(use.Backend, tenant.Tenant, room, nowMs)
+			position := shares.Status(use.Backend, tenant.Tenant, room, nowMs)
 			backend.Tenants = append(backend.Tenants, ShareView{
 				Tenant: tenant.Tenant, Weight: float64(tenant.Weight), InFlight: float64(tenant.InFlight),
-				Demand: use.DemandOf(tenant), Share: position.Share, Above: position.Above,
+				Demand: use.TenantDemand(tenant), Share: position.Share, AboveFairShare: position.AboveFairShare,
 			})
 		}
 		view.Backends = append(view.Backends, backend)
--- a/internal/control/stand_test.go
+++ b/internal/control/stand_test.go
@@ -37,7 +37,7 @@
 	options := DefaultOptions("a:1", []Member{{Name: "a:1", Address: "a:1"}}, 0)
 	options.Discovered = true
 	options.MinVoters = 1
-	options.Fleet = membership.FleetOptions{EngineSilentMs: engineSilentMs, GatewaySilentMs: gatewaySilentMs, GatewayReturnMs: gatewayReturnMs, GatewayLightReturnMs: gatewayLightReturnMs, LedgerSilentMs: ledgerSilentMs, LedgerForgottenMs: ledgerForgottenMs, FormationMs: formationMs}
+	options.Fleet = membership.FleetOptions{EngineTimeoutMs: engineSilentMs, GatewayTimeoutMs: gatewaySilentMs, GatewayRepollTimeoutMs: gatewayReturnMs, GatewaySmallDeltaRepollTimeoutMs: gatewayLightReturnMs, LedgerTimeoutMs: ledgerSilentMs, LedgerRetentionMs: ledgerForgottenMs, InitialPlacementDelayMs: formationMs}
 	configuration := consensus.Configuration{Replicas: []consensus.Replica{{ID: store.Replica(), Member: "a:1"}}}
 	if err := store.SetBootstrap(configuration); err != nil {
 		test.Fatal(err)
--- a/internal/control/terms_test.go
+++ b/internal/control/terms_test.go
@@ -53,7 +53,7 @@
 	options := DefaultOptions("a:1", []Member{{Name: "a:1", Address: "a:1"}, {Name: "b:1", Address: "b:1"}, {Name: "c:1", Address: "c:1"}}, 0)
 	options.Discovered = true
 	options.MinVoters = 3
-	options.Fleet = membership.FleetOptions{EngineSilentMs: engineSilentMs, GatewaySilentMs: gatewaySilentMs, GatewayReturnMs: gatewayReturnMs, LedgerSilentMs: ledgerSilentMs, LedgerForgottenMs: ledgerForgottenMs, FormationMs: formationMs}
+	options.Fleet = membership.FleetOptions{EngineTimeoutMs: engineSilentMs, GatewayTimeoutMs: gatewaySilentMs, GatewayRepollTimeoutMs: gatewayReturnMs, LedgerTimeoutMs: ledgerSilentMs, LedgerRetentionMs: ledgerForgottenMs, InitialPlacementDelayMs: formationMs}
 	l := &loneControl{t: t, nowMs: 1000, replies: map[RequestID]any{}}
 	l.core, err = NewCore(options, store, l, l.nowMs)
 	if err != nil {
@@ -68,7 +68,7 @@
 	message.From = from
 	message.To = l.node().ID()
 	name := map[consensus.ReplicaID]string{termsPeerB: "b:1", termsPeerC: "c:1"}[from]
-	l.core.Peer(protocol.PeerBatch{From: name, Messages: []protocol.PeerMessage{{Message: message}}}, l.nowMs)
+	l.core.HandlePeerBatch(protocol.PeerBatch{From: name, Messages: []protocol.PeerMessage{{Message: message}}}, l.nowMs)
 }
 
 func (l *loneControl) tick() {
@@ -111,7 +111,7 @@
 // ask sends a request and returns its number.
 func (l *loneControl) ask(request any) RequestID {
 	l.next++
-	l.core.Request(l.next, request, l.nowMs)
+	l.core.HandleRequest(l.next, request, l.nowMs)
 	return l.next
 }
 
@@ -127,7 +127,7 @@
 }
 
 func proofOf(gateway string, holdMs int64) *protocol.FleetSync {
-	return &protocol.FleetSync{Gateway: &membership.Gateway{Name: gateway, Ready: true}, Prove: true, HoldMs: holdMs}
+	return &protocol.FleetSync{Gateway: &membership.Gateway{Name: gateway, IsReady: true}, Prove: true, HoldMs: holdMs}
 }
 
 // TestHeartbeatsOverTerms answers a leader that was frozen, lost the lead and was handed it
@@ -162,7 +162,7 @@
 		l := leading()
 		held := l.ask(proofOf("g1", 700))
 		l.confirm()
-		plain := l.ask(&protocol.FleetSync{Gateway: &membership.Gateway{Name: "g2", Ready: true}, Version: l.core.system.fleet.Version(), HoldMs: 700})
+		plain := l.ask(&protocol.FleetSync{Gateway: &membership.Gateway{Name: "g2", IsReady: true}, Version: l.core.system.fleet.Version(), HoldMs: 700})
 		flush(t, l.core)
 		So(l.fleetReply(held), ShouldBeNil)
 		So(l.fleetReply(plain), ShouldBeNil)
@@ -201,12 +201,12 @@
 	l.tick()
 	// The gateways of an earlier leader that this one never hears are to be removed.
 	for number := range 3 {
-		l.ask(&protocol.FleetSync{Gateway: &membership.Gateway{Name: fmt.Sprintf("g%d", number), Ready: true}})
+		l.ask(&protocol.FleetSync{Gateway: &membership.Gateway{Name: fmt.Sprintf("g%d", number), IsReady: true}})
 	}
 	l.confirm()
 	before := l.node().LastIndex()
 	gateway := func(name string) {
-		l.ask(&protocol.FleetSync{Gateway: &membership.Gateway{Name: name, Ready: true}})
+		l.ask(&protocol.FleetSync{Gateway: &membership.Gateway{Name: name, IsReady: true}})
 	}
 	for quiet := int64(0); quiet < 2*gatewaySilentMs && !l.core.fleetPlanning; quiet += l.core.options.TickMs {
 		if l.node().LastIndex() == before {
--- a/internal/control/web.go
+++ b/internal/control/web.go
@@ -290,6 +290,6 @@
 				telemetry.Warn(d.logger, "platform list has unusable entries", "entries", unusable, "of", unusable+len(instances))
 			})
 		}
-		d.loop.Post(func() { d.core.Listed(instances) })
+		d.loop.Post(func() { d.core.SetInstances(instances) })
 	}
 }
--- a/internal/daemon/follower.go
+++ b/internal/daemon/follower.go
@@ -54,13 +54,13 @@
 	OnNews func(view *membership.FleetView, table *routing.Table)
 	// OnLoads takes what all gateways together have seen of engines, and those at which
 	// requests of several of them fail; nil where nobody asks.
-	OnLoads func(loads []scheduling.Load, failing []string)
+	OnLoads func(loads []scheduling.EngineLoad, failing []string)
 	// OnUsages takes what all gateways together know of the engines' use; nil where nobody asks.
-	OnUsages func(usages []scheduling.Usage)
+	OnUsages func(usages []scheduling.EngineUsage)
 	// OnLate takes what all gateways together have seen of streams; nil where nobody asks.
-	OnLate func(shares []scheduling.LateShare)
+	OnLate func(shares []scheduling.StreamLateness)
 	// OnUses takes what all gateways' tenants together use of back ends; nil where nobody asks.
-	OnUses func(uses []admission.BackendUse)
+	OnUses func(uses []admission.BackendUsage)
 	Logger log.Logger
 
 	// proved is the latest proof.
@@ -262,7 +262,7 @@
 	}
 	if f.table != nil {
 		request.Generation = f.table.Generation
-		request.Prove = f.table.Keyed
+		request.Prove = f.table.RequiresKey
 	}
 	if age, known := f.ProofAge(); request.Prove && (!known || age > proofDue) {
 		request.HoldMs = 0
@@ -303,7 +303,7 @@
 	changed := false
 	if reply.Fleet != nil {
 		var news bool
-		f.view, news = f.view.Follow(reply.Fleet.Value)
+		f.view, news = f.view.ApplyDelta(reply.Fleet.Value)
 		changed = changed || news
 	}
 	if reply.Routing != nil {
--- a/internal/daemon/follower_test.go
+++ b/internal/daemon/follower_test.go
@@ -26,7 +26,7 @@
 			So(follower.request().WithLoads, ShouldBeFalse)
 		})
 		Convey("that wants them asks at first, and again once the last ones are old", func() {
-			follower.OnLoads = func([]scheduling.Load, []string) {}
+			follower.OnLoads = func([]scheduling.EngineLoad, []string) {}
 			So(follower.request().WithLoads, ShouldBeTrue)
 			follower.loadsAt = time.Now().Add(time.Hour)
 			So(follower.request().WithLoads, ShouldBeFalse)
--- a/internal/emulator/hollow.go
+++ b/internal/emulator/hollow.go
@@ -200,11 +200,11 @@
 func (h *HollowFleet) gateway(number int) *daemon.Follower {
 	follower := daemon.NewFollower(h.Seeds, h.Logger)
 	follower.WithRouting = true
-	follower.OnLoads = func([]scheduling.Load, []string) {}
+	follower.OnLoads = func([]scheduling.EngineLoad, []string) {}
 	follower.Report = func(request *protocol.FleetSync) {
 		request.Gateway = &membership.Gateway{
 			Name: fmt.Sprintf("hollow-%04d", number), Zone: h.zone(number), Region: "hollow",
-			Address: fmt.Sprintf("127.99.%d.%d:9", number>>8, number&0xff), Ready: true,
+			Address: fmt.Sprintf("127.99.%d.%d:9", number>>8, number&0xff), IsReady: true,
 		}
 	}
 	follower.OnNews = func(view *membership.FleetView, _ *routing.Table) {
--- a/internal/gateway/admission.go
+++ b/internal/gateway/admission.go
@@ -41,11 +41,11 @@
 // slower than the others, or a pause of this process.
 func (e *engines) noteBeginning(c *call, nowMs int64, took float64) {
 	target := float64(c.route.TargetLatencyMs)
-	slow := c.chosen.health.Factor(nowMs) > slowFactor
+	slow := c.chosen.health.LatencyRatio(nowMs) > slowFactor
 	if target <= 0 || (took > target && (slow || e.activity.paused(nowMs, took))) {
 		return
 	}
-	entryOf(e.admissions, c.backend.Name).Began(nowMs, took > target)
+	entryOf(e.admissions, c.backend.Name).ObserveStreamStart(nowMs, took > target)
 }
 
 // concurrency is the mean of all gateways' requests over the engines of a back end that the
@@ -56,10 +56,10 @@
 	total, heard := 0.0, 0
 	for _, engine := range pool {
 		health := e.healthOf(engine.ID)
-		if !health.SharedLately(nowMs) {
+		if !health.HasRecentSharedLoad(nowMs) {
 			continue
 		}
-		total += health.Company(nowMs)
+		total += health.EstimatedInFlight(nowMs)
 		heard++
 	}
 	const half = 2
@@ -74,7 +74,7 @@
 	limit        float64
 	// room is for how many requests an engine has room, position where the tenant stands.
 	room     float64
-	position admission.Position
+	position admission.ShareStatus
 }
 
 // admit decides whether a call that begins a program may go on.
@@ -93,11 +93,11 @@
 	}
 	made := decision{concurrency: concurrency}
 	learnt := entryOf(e.admissions, c.backend.Name)
-	learnt.Learn(nowMs, concurrency, c.backend.Slots)
+	learnt.UpdateLimit(nowMs, concurrency, c.backend.Slots)
 	made.limit = learnt.Limit()
-	made.room = admission.Room(c.backend.Slots, learnt.Room())
+	made.room = admission.UsableConcurrency(c.backend.Slots, learnt.UnrestrictedConcurrency())
 	made.position = e.position(c, made.room, nowMs)
-	if made.position.Above {
+	if made.position.AboveFairShare {
 		made.retryAfterMs, made.admitted = made.position.Admit(draw)
 	} else {
 		// What others use beyond their shares is theirs to give back.
@@ -113,16 +113,16 @@
 // begun tells the meter of a program that has begun.
 func (e *engines) begun(c *call, nowMs int64) {
 	if c.tenant != nil {
-		e.meter.Begun(c.backend.Name, c.tenant.Name, c.weight, nowMs)
+		e.meter.RecordProgramStart(c.backend.Name, c.tenant.Name, c.weight, nowMs)
 	}
 }
 
 // position returns where the tenant of a call stands at its back end.
-func (e *engines) position(c *call, room float64, nowMs int64) admission.Position {
+func (e *engines) position(c *call, room float64, nowMs int64) admission.ShareStatus {
 	if c.tenant == nil || !e.fairShares {
-		return admission.Position{}
+		return admission.ShareStatus{}
 	}
-	return e.shares.Of(c.backend.Name, c.tenant.Name, room*float64(len(e.byPool[c.backend.Name])), nowMs)
+	return e.shares.Status(c.backend.Name, c.tenant.Name, room*float64(len(e.byPool[c.backend.Name])), nowMs)
 }
 
 // aboveShare reports whether the tenant of a call uses more than its share of a back end that
@@ -131,7 +131,7 @@
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	learnt := entryOf(e.admissions, c.backend.Name)
-	return e.position(c, admission.Room(c.backend.Slots, learnt.Room()), clock.NowMs()).Above
+	return e.position(c, admission.UsableConcurrency(c.backend.Slots, learnt.UnrestrictedConcurrency()), clock.NowMs()).AboveFairShare
 }
 
 // underWay counts a call at its back end, or takes it off again.
@@ -145,7 +145,7 @@
 	}
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	e.meter.Change(c.backend.Name, name, c.weight, change, clock.NowMs())
+	e.meter.AdjustInFlight(c.backend.Name, name, c.weight, change, clock.NowMs())
 	e.slots[c.backend.Name] = c.backend.Slots
 }
 
@@ -155,45 +155,45 @@
 
 // usesNews returns what was used here of back ends since the last call, by tenants where they are
 // short or nearly so.
-func (e *engines) usesNews(nowMs int64) []admission.BackendUse {
+func (e *engines) usesNews(nowMs int64) []admission.BackendUsage {
 	if !e.fairShares {
 		return nil
 	}
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	return e.meter.Read(nowMs, func(backend string) bool {
+	return e.meter.CollectUsage(nowMs, func(backend string) bool {
 		concurrency, known := e.concurrency(backend, nowMs)
-		room := admission.Room(e.slots[backend], entryOf(e.admissions, backend).Room())
+		room := admission.UsableConcurrency(e.slots[backend], entryOf(e.admissions, backend).UnrestrictedConcurrency())
 		wanted := e.shares.Demand(backend, nowMs) / float64(max(len(e.byPool[backend]), 1))
 		return known && room > 0 && max(concurrency, wanted) >= nearlyShort*room
 	})
 }
 
 // takeUses takes what all gateways' tenants together use of back ends.
-func (e *engines) takeUses(uses []admission.BackendUse, nowMs int64) {
+func (e *engines) takeUses(uses []admission.BackendUsage, nowMs int64) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	e.shares.Take(uses, nowMs)
+	e.shares.ApplyUsage(uses, nowMs)
 }
 
 // lateNews returns what this gateway has seen of streams since the last call.
-func (e *engines) lateNews(nowMs int64) []scheduling.LateShare {
+func (e *engines) lateNews(nowMs int64) []scheduling.StreamLateness {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	var shares []scheduling.LateShare
+	var shares []scheduling.StreamLateness
 	for backend, learnt := range e.admissions {
-		if news := learnt.TakeNews(nowMs); news.Weight > 0 {
-			shares = append(shares, scheduling.LateShare{Backend: backend, Streams: news})
+		if news := learnt.CollectStreamLateness(nowMs); news.Weight > 0 {
+			shares = append(shares, scheduling.StreamLateness{Backend: backend, Streams: news})
 		}
 	}
 	return shares
 }
 
 // takeLate takes what all gateways together have seen of streams.
-func (e *engines) takeLate(shares []scheduling.LateShare, nowMs int64) {
+func (e *engines) takeLate(shares []scheduling.StreamLateness, nowMs int64) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	for _, share := range shares {
-		entryOf(e.admissions, share.Backend).TakeShared(share.Streams, nowMs)
+		entryOf(e.admissions, share.Backend).ApplySharedLateness(share.Streams, nowMs)
 	}
 }
--- a/internal/gateway/admission_test.go
+++ b/internal/gateway/admission_test.go
@@ -21,12 +21,12 @@
 	learnt := entryOf(engines.admissions, "b")
 	const lateStreams, concurrency = 100, 3
 	for range lateStreams {
-		learnt.Began(clock.NowMs(), true)
+		learnt.ObserveStreamStart(clock.NowMs(), true)
 	}
-	learnt.Learn(clock.NowMs(), concurrency, 4)
-	engines.healthOf("e").TakeShared(scheduling.Load{Engine: "e"}, clock.NowMs())
+	learnt.UpdateLimit(clock.NowMs(), concurrency, 4)
+	engines.healthOf("e").ApplySharedLoad(scheduling.EngineLoad{Engine: "e"}, clock.NowMs())
 	for range 10 * concurrency {
-		engines.healthOf("e").Sent(clock.NowMs())
+		engines.healthOf("e").RecordStart(clock.NowMs())
 	}
 	return stand
 }
@@ -67,7 +67,7 @@
 	})
 	Convey("turned off it rejects nobody", t, func() {
 		stand := newOverloadedStand(t, true)
-		stand.gateway.engines.disabled = scheduling.Disabled{scheduling.MechanismAdmission}
+		stand.gateway.engines.disabled = scheduling.DisabledMechanisms{scheduling.MechanismAdmission}
 		count, _ := rejected(stand, "/stream/")
 		So(count, ShouldEqual, 0)
 	})
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -54,17 +54,17 @@
 const lowestPriority = 9
 
 // demand describes the call to the choice of engines.
-func (d *Daemon) demand(c *call, avoid []string) scheduling.Demand {
-	demand := scheduling.Demand{Avoid: avoid, NowMs: clock.NowMs(), Kind: c.route.Name}
+func (d *Daemon) demand(c *call, avoid []string) scheduling.SelectionInput {
+	demand := scheduling.SelectionInput{ExcludedEngines: avoid, NowMs: clock.NowMs(), RequestKind: c.route.Name}
 	switch {
 	case c.route.Kind == routing.KindStream:
-		demand.Stream = true
-		demand.Home = c.home
+		demand.IsStream = true
+		demand.AffineEngine = c.home
 		demand.Prompt = c.prefix
-		demand.Events = c.most / max(c.backend.EventTokens, 1)
-		demand.HoldTokens = scheduling.PromptTokens(c.prefix) + c.most
+		demand.MaxEvents = c.most / max(c.backend.TokensPerEvent, 1)
+		demand.RequiredKVCacheTokens = scheduling.PromptTokens(c.prefix) + c.most
 	case c.route.Affinity:
-		demand.Key = c.affinity
+		demand.AffinityKey = c.affinity
 	}
 	return demand
 }
@@ -123,7 +123,7 @@
 // time keeps its rank. Engines serve ranks in strict order, so that in an overload the last rank
 // waits until its callers give up: a late program would be lost with all that it has cost, and
 // its callers would come back to wait again.
-func (c *call) priority() int { return min(c.tenant.Rank(c.route), lowestPriority) }
+func (c *call) priority() int { return min(c.tenant.EffectivePriority(c.route), lowestPriority) }
 
 // upstreamRequest is the call as the engine is to get it.
 func (d *Daemon) upstreamRequest(c *call, engine membership.ServingEngine) *upstream.Request {
@@ -142,7 +142,7 @@
 	if c.lastEvent > 0 {
 		header.Set(d.headers.LastEventID, strconv.FormatInt(c.lastEvent, 10))
 	}
-	if c.route.Kind == routing.KindStream && !d.process.Policy.Disable.Has(scheduling.MechanismRank) {
+	if c.route.Kind == routing.KindStream && !d.process.Policy.Disable.Has(scheduling.MechanismEnginePriority) {
 		header.Set(d.headers.Priority, strconv.Itoa(c.priority()))
 	}
 	request := &upstream.Request{
--- a/internal/gateway/calllog.go
+++ b/internal/gateway/calllog.go
@@ -105,8 +105,8 @@
 // logRejection writes one line for a call that did not wait, or no longer, for room.
 func (d *Daemon) logRejection(c *call, rejection *waiting.Rejection) {
 	telemetry.Warn(d.logger, "wait rejected", "request", c.id, "backend", c.backend.Name, "rank", c.priority(), "begun", c.begun, "above_share", c.aboveShare,
-		"waited_ms", c.waited.Milliseconds(), "ahead", rejection.Ahead, "room_per_s", rejection.PerSecond,
-		"chance", rejection.Chance, "time_left_ms", c.timeLeft().Milliseconds(), "retry_after_ms", rejection.RetryAfterMs)
+		"waited_ms", c.waited.Milliseconds(), "ahead", rejection.Ahead, "room_per_s", rejection.CompletionsPerSecond,
+		"chance", rejection.Probability, "time_left_ms", c.timeLeft().Milliseconds(), "retry_after_ms", rejection.RetryAfterMs)
 }
 
 func (d *Daemon) logFailure(message string, c *call, failure *result.Error) {
--- a/internal/gateway/calllog_test.go
+++ b/internal/gateway/calllog_test.go
@@ -18,7 +18,7 @@
 	Convey("the line that ends a request", t, func() {
 		var lines bytes.Buffer
 		Convey("of one that came before the first table says how long it took, and of no choice", func() {
-			gateway := NewDaemon(config.Defaults(), DefaultHeaders(), log.NewLogfmtLogger(&lines))
+			gateway := NewDaemon(config.Defaults(), DefaultHeaderNames(), log.NewLogfmtLogger(&lines))
 			request := httptest.NewRequest("POST", "/x", nil)
 			request.Header.Set("Ochrebay-Request", "early")
 			gateway.serve(httptest.NewRecorder(), request)
--- a/internal/gateway/daemon.go
+++ b/internal/gateway/daemon.go
@@ -55,7 +55,7 @@
 	Frontends []daemon.Frontend
 
 	process  config.Process
-	headers  Headers
+	headers  HeaderNames
 	logger   log.Logger
 	monitor  *telemetry.Monitor
 	metrics  *metrics
@@ -83,7 +83,7 @@
 
 // NewDaemon returns a gateway that has heard nothing yet; names are the headers it
 // speaks.
-func NewDaemon(process config.Process, names Headers, logger log.Logger) *Daemon {
+func NewDaemon(process config.Process, names HeaderNames, logger log.Logger) *Daemon {
 	d := &Daemon{
 		process: process, headers: names, logger: logger, pool: upstream.NewPool(),
 		engines: newEngines(process.Zone, process.Policy), queues: newWaitQueues(process.Policy.Waiting, process.Policy.Disable),
@@ -102,15 +102,15 @@
 	d.proofAge = d.follower.ProofAge
 	d.nextProof = d.follower.NextProof
 	d.follower.OnLoads = d.takeShared
-	d.follower.OnUsages = func(usages []scheduling.Usage) { d.engines.takeSharedUsages(usages, clock.NowMs()) }
-	d.follower.OnLate = func(shares []scheduling.LateShare) { d.engines.takeLate(shares, clock.NowMs()) }
-	d.follower.OnUses = func(uses []admission.BackendUse) { d.engines.takeUses(uses, clock.NowMs()) }
+	d.follower.OnUsages = func(usages []scheduling.EngineUsage) { d.engines.takeSharedUsages(usages, clock.NowMs()) }
+	d.follower.OnLate = func(shares []scheduling.StreamLateness) { d.engines.takeLate(shares, clock.NowMs()) }
+	d.follower.OnUses = func(uses []admission.BackendUsage) { d.engines.takeUses(uses, clock.NowMs()) }
 	return d
 }
 
 // chainBytes is how much the cache of chains may hold.
-func chainBytes(limits config.Limits, disabled scheduling.Disabled) int {
-	if disabled.Has(scheduling.MechanismChains) {
+func chainBytes(limits config.Limits, disabled scheduling.DisabledMechanisms) int {
+	if disabled.Has(scheduling.MechanismHistoryCache) {
 		return 0
 	}
 	if limits.MemoryMB == 0 {
@@ -129,11 +129,11 @@
 // report is the gateway's heartbeat.
 func (d *Daemon) report(request *protocol.FleetSync) {
 	request.Gateway = &membership.Gateway{
-		Name: d.process.Name, Zone: d.process.Zone, Region: d.process.Region, Address: d.process.Listen.Callers, Ready: d.Ready(),
+		Name: d.process.Name, Zone: d.process.Zone, Region: d.process.Region, Address: d.process.Listen.Callers, IsReady: d.Ready(),
 	}
-	if !d.process.Policy.Disable.Has(scheduling.MechanismCapacity) {
+	if !d.process.Policy.Disable.Has(scheduling.MechanismCapacityWeights) {
 		request.Gateway.Capacity = d.process.Limits.CPUShare
-		request.Gateway.Busy = d.busy()
+		request.Gateway.OverloadLevel = d.busy()
 	}
 	request.Loads = d.engines.takeLoads(clock.NowMs())
 	request.Usages = d.engines.takeUsages(clock.NowMs())
@@ -143,7 +143,7 @@
 }
 
 // takeShared takes what all gateways together have seen of engines.
-func (d *Daemon) takeShared(loads []scheduling.Load, failing []string) {
+func (d *Daemon) takeShared(loads []scheduling.EngineLoad, failing []string) {
 	for _, engine := range d.engines.takeShared(loads, failing, clock.NowMs()) {
 		telemetry.Info(d.logger, "engine fails at other gateways", "engine", engine)
 	}
@@ -155,7 +155,7 @@
 		return
 	}
 	for _, address := range d.engines.follow(fleet) {
-		d.pool.Forget(address)
+		d.pool.CloseIdle(address)
 	}
 	d.ledgers.follow(fleet)
 	telemetry.Info(d.logger, "fleet in force", "version", fleet.Version, "engines", len(fleet.Engines), "ledgers", len(fleet.Ledgers),
@@ -170,7 +170,7 @@
 	} else {
 		next.routes = routing.NewIndex(table)
 		telemetry.Info(d.logger, "routing in force", "generation", table.Generation, "routes", len(table.Routes),
-			"keyed", table.Keyed, "tenants", len(table.Tenants))
+			"keyed", table.RequiresKey, "tenants", len(table.Tenants))
 	}
 	d.view.Store(next)
 	if previous == nil {
@@ -225,7 +225,7 @@
 			return ctx.Err()
 		case now := <-ticker.C:
 			d.pauses.step(sweepEvery, clock.NowMs())
-			d.pool.Sweep(now)
+			d.pool.CloseExpired(now)
 		}
 	}
 }
--- a/internal/gateway/deliver.go
+++ b/internal/gateway/deliver.go
@@ -249,11 +249,11 @@
 func (a *answer) keepTurn(c *call) bool {
 	content := append(append(make([]byte, 0, len(c.body)+len(a.output)), c.body...), a.output...)
 	settle := &program.Settle{
-		Program: c.program, Request: c.turn, Used: a.used(c), Keep: true, Previous: c.previous,
-		Session: c.session, Engine: c.chosen.engine.Key(), Content: content, RetentionMs: c.route.RetentionMs,
+		Program: c.program, Request: c.turn, UsedTokens: a.used(c), Retain: true, PreviousRequest: c.previous,
+		Session: c.session, Engine: c.chosen.engine.IncarnationKey(), Content: content, RetentionMs: c.route.RetentionMs,
 	}
 	if c.foreign {
-		settle.Previous = ""
+		settle.PreviousRequest = ""
 		settle.Content = append(append(make([]byte, 0, len(c.chain)+len(content)), c.chain...), content...)
 	}
 	began := time.Now()
@@ -280,5 +280,5 @@
 
 // used is what the turn has generated, as far as the caller was handed it, tokens.
 func (a *answer) used(c *call) int64 {
-	return min(a.events*max(c.backend.EventTokens, 1), max(c.most, a.events))
+	return min(a.events*max(c.backend.TokensPerEvent, 1), max(c.most, a.events))
 }
--- a/internal/gateway/engines.go
+++ b/internal/gateway/engines.go
@@ -23,21 +23,21 @@
 	// born are the incarnations of the engines that say when they started.
 	born map[string]int64
 	// learnt is what is known of each back end's engines together.
-	learnt   map[string]*scheduling.Pool
+	learnt   map[string]*scheduling.LatencyModel
 	activity activity
 	// admissions decide which programs may begin at each back end.
-	admissions map[string]*scheduling.Admission
+	admissions map[string]*scheduling.AdmissionController
 	// meter measures the use of tenants here, shares holds that of all gateways' tenants, and
 	// slots those of back ends' engines.
-	meter  *admission.Meter
-	shares admission.Shares
+	meter  *admission.UsageMeter
+	shares admission.FairShares
 	slots  map[string]int
 	zone   string
 	// distances are what engines of other zones cost, zones the zones of engines by address.
-	distances scheduling.Distances
+	distances scheduling.ZoneCosts
 	zones     map[string]string
 	// disabled are the mechanisms that are turned off.
-	disabled scheduling.Disabled
+	disabled scheduling.DisabledMechanisms
 	// fairShares says that tenants are held to their shares of back ends that are short of room.
 	fairShares bool
 }
@@ -45,10 +45,10 @@
 func newEngines(zone string, policy config.Policy) *engines {
 	return &engines{
 		byPool: map[string][]membership.ServingEngine{}, health: map[string]*scheduling.EngineHealth{}, born: map[string]int64{},
-		learnt: map[string]*scheduling.Pool{}, admissions: map[string]*scheduling.Admission{}, zone: zone, disabled: policy.Disable,
-		fairShares: policy.FairShares && !policy.Disable.Has(scheduling.MechanismShares),
-		meter:      admission.NewMeter(clock.NowMs()), slots: map[string]int{},
-		distances: scheduling.Distances{PenaltyMs: policy.CrossZonePenaltyMs},
+		learnt: map[string]*scheduling.LatencyModel{}, admissions: map[string]*scheduling.AdmissionController{}, zone: zone, disabled: policy.Disable,
+		fairShares: policy.FairShares && !policy.Disable.Has(scheduling.MechanismFairShares),
+		meter:      admission.NewUsageMeter(clock.NowMs()), slots: map[string]int{},
+		distances: scheduling.ZoneCosts{CrossZonePenaltyMs: policy.CrossZonePenaltyMs},
 	}
 }
 
@@ -98,10 +98,10 @@
 	}
 	for id, engine := range view.Engines {
 		known := e.born[id]
-		if engine.Born == known {
+		if engine.StartedMs == known {
 			continue
 		}
-		e.born[id] = engine.Born
+		e.born[id] = engine.StartedMs
 		// The first word of when an engine started tells of no other life.
 		if known != 0 {
 			delete(e.health, id)
@@ -114,7 +114,7 @@
 // affineEngine returns the id of the engine that a session's last turn ran at. The key of an
 // incarnation that is over stays what it is and names none: it holds nothing of the session.
 func affineEngine(pool []membership.ServingEngine, key string) string {
-	position := slices.IndexFunc(pool, func(engine membership.ServingEngine) bool { return engine.HasKey(key) })
+	position := slices.IndexFunc(pool, func(engine membership.ServingEngine) bool { return engine.MatchesKey(key) })
 	if position < 0 {
 		return key
 	}
@@ -126,7 +126,7 @@
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	if zone, known := e.zones[address]; known {
-		e.distances.Note(zone, took.Seconds()*1000)
+		e.distances.ObserveRoundTrip(zone, took.Seconds()*1000)
 	}
 }
 
@@ -134,7 +134,7 @@
 func (e *engines) healthOf(id string) *scheduling.EngineHealth { return entryOf(e.health, id) }
 
 // poolOf returns what is known of a back end's engines.
-func (e *engines) poolOf(backend string) *scheduling.Pool { return entryOf(e.learnt, backend) }
+func (e *engines) poolOf(backend string) *scheduling.LatencyModel { return entryOf(e.learnt, backend) }
 
 // entryOf returns the entry of a key, a new one where there is none.
 func entryOf[T any](entries map[string]*T, key string) *T {
@@ -157,7 +157,7 @@
 func (e *engines) factor(engine string, nowMs int64) float64 {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	return e.healthOf(engine).Factor(nowMs)
+	return e.healthOf(engine).LatencyRatio(nowMs)
 }
 
 // silent passes an engine over that does not say anything for too long, although it has not
@@ -165,7 +165,7 @@
 func (e *engines) silent(engine string, nowMs int64) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	e.healthOf(engine).Failed(nowMs)
+	e.healthOf(engine).RecordFailure(nowMs)
 }
 
 // others are the engines of a back end that are not the one named; none where it is no
@@ -189,10 +189,10 @@
 }
 
 // expectedMs is how long a call is expected to occupy an engine, 0 where that is not known.
-func (e *engines) expectedMs(backend string, demand scheduling.Demand) float64 {
+func (e *engines) expectedMs(backend string, demand scheduling.SelectionInput) float64 {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	return e.poolOf(backend).ExpectedMs(demand)
+	return e.poolOf(backend).ExpectedServiceMs(demand)
 }
 
 // choice is an engine and what decided for it, for the log.
@@ -220,7 +220,7 @@
 	homeSlowness float64
 	turns        float64
 	// moved says why the session left the engine that holds what it has read.
-	moved scheduling.Reason
+	moved scheduling.MoveReason
 	// holds is what the request takes of the engine's memory, heldTokens what others were
 	// expected to take before, and pushed by how much that exceeds it.
 	holds      int64
@@ -231,45 +231,45 @@
 }
 
 // choose picks the engine for a call and counts it as under way there.
-func (e *engines) choose(backend routing.Backend, demand scheduling.Demand) (choice, bool) {
+func (e *engines) choose(backend routing.Backend, demand scheduling.SelectionInput) (choice, bool) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	pool := e.byPool[backend.Name]
 	candidates := make([]scheduling.Candidate, 0, len(pool))
 	for _, engine := range pool {
 		candidate := scheduling.Candidate{
-			ID: engine.ID, Zone: engine.Zone, Slots: max(engine.Slots, backend.Slots), MemoryTokens: backend.MemoryTokens,
+			ID: engine.ID, Zone: engine.Zone, Slots: max(engine.Slots, backend.Slots), KVCacheCapacityTokens: backend.KVCacheCapacityTokens,
 			Health: e.healthOf(engine.ID),
 		}
 		candidates = append(candidates, candidate)
 	}
-	demand.Home = affineEngine(pool, demand.Home)
+	demand.AffineEngine = affineEngine(pool, demand.AffineEngine)
 	demand.Zone = e.zone
-	demand.Distances = &e.distances
-	demand.Draw = rand.Uint64()
+	demand.ZoneCosts = &e.distances
+	demand.ShuffleSeed = rand.Uint64()
 	demand.Disabled = e.disabled
-	if demand.Stream {
-		demand.Turns = e.poolOf(backend.Name).RemainingTurns(demand.Kind, len(demand.Prompt))
+	if demand.IsStream {
+		demand.RemainingTurns = e.poolOf(backend.Name).RemainingTurns(demand.RequestKind, len(demand.Prompt))
 	}
-	chosen, found := scheduling.Choose(e.poolOf(backend.Name), candidates, demand)
+	chosen, found := scheduling.SelectEngine(e.poolOf(backend.Name), candidates, demand)
 	if !found {
 		return choice{}, false
 	}
 	e.activity.note(demand.NowMs)
-	if demand.Stream && len(demand.Avoid) == 0 {
-		e.poolOf(backend.Name).TurnSent(demand.Kind, len(demand.Prompt))
+	if demand.IsStream && len(demand.ExcludedEngines) == 0 {
+		e.poolOf(backend.Name).ObserveTurn(demand.RequestKind, len(demand.Prompt))
 	}
 	health := chosen.Candidate.Health
-	health.Sent(demand.NowMs)
-	heldBefore := health.HeldTokens(demand.NowMs)
-	health.Hold(demand.NowMs, demand.HoldTokens)
+	health.RecordStart(demand.NowMs)
+	heldBefore := health.ReservedKVCacheTokens(demand.NowMs)
+	health.ReserveKVCache(demand.NowMs, demand.RequiredKVCacheTokens)
 	position := slices.IndexFunc(pool, func(engine membership.ServingEngine) bool { return engine.ID == chosen.Candidate.ID })
 	return choice{
 		engine: pool[position], inFlight: health.InFlight, candidates: len(pool),
-		company: health.Company(demand.NowMs), sharedAgeMs: health.SharedAgeMs(demand.NowMs),
-		missing: chosen.Missing, cost: chosen.Cost, nextCost: chosen.NextCost, homeCost: chosen.HomeCost, health: health,
-		holds: demand.HoldTokens, heldTokens: int64(heldBefore), pushed: chosen.Pushed,
-		slowness: chosen.Slowness, homeSlowness: chosen.HomeSlowness, turns: demand.Turns, moved: chosen.Moved,
+		company: health.EstimatedInFlight(demand.NowMs), sharedAgeMs: health.SharedLoadAgeMs(demand.NowMs),
+		missing: chosen.PrefillTokens, cost: chosen.CostMs, nextCost: chosen.NextBestCostMs, homeCost: chosen.AffineEngineCostMs, health: health,
+		holds: demand.RequiredKVCacheTokens, heldTokens: int64(heldBefore), pushed: chosen.PreemptedTokens,
+		slowness: chosen.Slowdown, homeSlowness: chosen.AffineEngineSlowdown, turns: demand.RemainingTurns, moved: chosen.MoveReason,
 	}, true
 }
 
@@ -277,7 +277,7 @@
 func (e *engines) notSent(chosen choice, nowMs int64) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	chosen.health.Ended(nowMs)
+	chosen.health.RecordEnd(nowMs)
 }
 
 // firstEvent notes how long an engine took for the first event of a stream.
@@ -286,7 +286,7 @@
 	defer e.mutex.Unlock()
 	nowMs := clock.NowMs()
 	e.activity.note(nowMs)
-	e.poolOf(c.backend.Name).FirstEvent(c.chosen.health, nowMs, c.chosen.missing, took)
+	e.poolOf(c.backend.Name).ObserveFirstEvent(c.chosen.health, nowMs, c.chosen.missing, took)
 	e.noteBeginning(c, nowMs, took)
 }
 
@@ -296,7 +296,7 @@
 	defer e.mutex.Unlock()
 	nowMs := clock.NowMs()
 	e.activity.note(nowMs)
-	e.poolOf(c.backend.Name).NextEvent(c.chosen.health, nowMs, gap)
+	e.poolOf(c.backend.Name).ObserveEventGap(c.chosen.health, nowMs, gap)
 }
 
 // streamPaced notes the pauses between the events of a stream that an engine sent: how many
@@ -304,7 +304,7 @@
 func (e *engines) streamPaced(c *call, pauses int, shortest float64) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	e.poolOf(c.backend.Name).StreamPaced(c.chosen.health, clock.NowMs(), pauses, shortest)
+	e.poolOf(c.backend.Name).ObserveStreamPace(c.chosen.health, clock.NowMs(), pauses, shortest)
 }
 
 // ended takes a call off its engine and notes how it went.
@@ -312,34 +312,34 @@
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	health := c.chosen.health
-	health.Ended(nowMs)
-	health.Release(nowMs, c.chosen.holds)
+	health.RecordEnd(nowMs)
+	health.ReleaseKVCache(nowMs, c.chosen.holds)
 	switch attempt.kind {
 	case attemptAnswered:
 		if isFailure(attempt.status) {
 			// It may have failed at once: that is no sign of a quick engine.
-			health.Failed(nowMs)
+			health.RecordFailure(nowMs)
 			return
 		}
-		health.Succeeded()
+		health.RecordSuccess()
 		if attempt.tookMs > 0 {
-			e.poolOf(c.backend.Name).Answered(health, nowMs, c.route.Name, attempt.tookMs)
+			e.poolOf(c.backend.Name).ObserveResponse(health, nowMs, c.route.Name, attempt.tookMs)
 		}
 		if attempt.events > 0 {
-			e.poolOf(c.backend.Name).StreamEnded(nowMs, attempt.events)
+			e.poolOf(c.backend.Name).ObserveStreamLength(nowMs, attempt.events)
 		}
 	case attemptNotSent, attemptBroken, attemptFailed:
-		health.Failed(nowMs)
+		health.RecordFailure(nowMs)
 	}
 }
 
 // takeLoads returns what this gateway has seen of engines since the last call.
-func (e *engines) takeLoads(nowMs int64) []scheduling.Load {
+func (e *engines) takeLoads(nowMs int64) []scheduling.EngineLoad {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	var loads []scheduling.Load
+	var loads []scheduling.EngineLoad
 	for id, health := range e.health {
-		if load, said := health.TakeLoad(id, nowMs); said {
+		if load, said := health.CollectLoad(id, nowMs); said {
 			loads = append(loads, load)
 		}
 	}
@@ -350,38 +350,38 @@
 func (e *engines) failing(nowMs int64) []string {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	return scheduling.Failing(e.health, nowMs)
+	return scheduling.FailingEngines(e.health, nowMs)
 }
 
 // takeShared takes what all gateways together have seen, and the engines at which requests of
 // several of them fail; it returns those of them that were not suspect here.
-func (e *engines) takeShared(loads []scheduling.Load, failing []string, nowMs int64) []string {
-	if e.disabled.Has(scheduling.MechanismShared) {
+func (e *engines) takeShared(loads []scheduling.EngineLoad, failing []string, nowMs int64) []string {
+	if e.disabled.Has(scheduling.MechanismSharedState) {
 		return nil
 	}
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	for _, load := range loads {
-		e.healthOf(load.Engine).TakeShared(load, nowMs)
+		e.healthOf(load.Engine).ApplySharedLoad(load, nowMs)
 	}
 	var suspected []string
 	for _, engine := range failing {
 		health := e.healthOf(engine)
-		if !health.Suspect(nowMs) {
+		if !health.IsSuspect(nowMs) {
 			suspected = append(suspected, engine)
 		}
-		health.TakeSharedSuspicion(nowMs)
+		health.ApplySharedSuspicion(nowMs)
 	}
 	return suspected
 }
 
 // takeUsages returns what this gateway has seen of the engines' use since the last call.
-func (e *engines) takeUsages(nowMs int64) []scheduling.Usage {
+func (e *engines) takeUsages(nowMs int64) []scheduling.EngineUsage {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	var usages []scheduling.Usage
+	var usages []scheduling.EngineUsage
 	for id, health := range e.health {
-		if usage, said := health.TakeUsage(id, nowMs); said {
+		if usage, said := health.CollectUsage(id, nowMs); said {
 			usages = append(usages, usage)
 		}
 	}
@@ -389,14 +389,14 @@
 }
 
 // takeSharedUsages takes what all gateways together know of the engines' use.
-func (e *engines) takeSharedUsages(usages []scheduling.Usage, nowMs int64) {
-	if e.disabled.Has(scheduling.MechanismShared) {
+func (e *engines) takeSharedUsages(usages []scheduling.EngineUsage, nowMs int64) {
+	if e.disabled.Has(scheduling.MechanismSharedState) {
 		return
 	}
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	for _, usage := range usages {
-		e.healthOf(usage.Engine).TakeSharedUsage(usage, nowMs)
+		e.healthOf(usage.Engine).ApplySharedUsage(usage, nowMs)
 	}
 }
 
@@ -409,7 +409,7 @@
 	for _, pool := range e.byPool {
 		var quickest, slowest float64
 		for position, engine := range pool {
-			slowness := e.healthOf(engine.ID).Slowness()
+			slowness := e.healthOf(engine.ID).Slowdown()
 			if position == 0 || slowness < quickest {
 				quickest = slowness
 			}
--- a/internal/gateway/fleetsize_test.go
+++ b/internal/gateway/fleetsize_test.go
@@ -20,7 +20,7 @@
 		}}})
 	}
 	var view *membership.FleetView
-	view, _ = view.Follow(fleet.Since(0, membership.Scope{Engines: true, Zone: "z1"}))
+	view, _ = view.ApplyDelta(fleet.DeltaSince(0, membership.Scope{IncludesEngines: true, Zone: "z1"}))
 	return view
 }
 
@@ -46,7 +46,7 @@
 			e.follow(viewOf(engines))
 			b.ReportAllocs()
 			for b.Loop() {
-				if _, found := e.choose(routing.Backend{Name: "b", Slots: 6}, scheduling.Demand{Stream: true, NowMs: 1000, Events: 4}); !found {
+				if _, found := e.choose(routing.Backend{Name: "b", Slots: 6}, scheduling.SelectionInput{IsStream: true, NowMs: 1000, MaxEvents: 4}); !found {
 					b.Fatal("no engine")
 				}
 			}
@@ -58,14 +58,14 @@
 // fails, and says so once.
 func TestSharedSuspicionOfAGateway(t *testing.T) {
 	e := newEngines("z1", config.Policy{})
-	if told := e.takeShared(nil, []string{"i-1"}, 1000); len(told) != 1 || !e.healthOf("i-1").Suspect(1000) {
-		t.Fatalf("%v told, suspect %v", told, e.healthOf("i-1").Suspect(1000))
+	if told := e.takeShared(nil, []string{"i-1"}, 1000); len(told) != 1 || !e.healthOf("i-1").IsSuspect(1000) {
+		t.Fatalf("%v told, suspect %v", told, e.healthOf("i-1").IsSuspect(1000))
 	}
 	if told := e.takeShared(nil, []string{"i-1"}, 1500); len(told) != 0 {
 		t.Fatalf("%v told again", told)
 	}
-	disabled := newEngines("z1", config.Policy{Disable: scheduling.Disabled{scheduling.MechanismShared}})
-	if disabled.takeShared(nil, []string{"i-1"}, 1000); disabled.healthOf("i-1").Suspect(1000) {
+	disabled := newEngines("z1", config.Policy{Disable: scheduling.DisabledMechanisms{scheduling.MechanismSharedState}})
+	if disabled.takeShared(nil, []string{"i-1"}, 1000); disabled.healthOf("i-1").IsSuspect(1000) {
 		t.Fatal("taken although turned off")
 	}
 }
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -115,7 +115,7 @@
 	t.Cleanup(engines.Close)
 	process := config.Defaults()
 	process.Name, process.Zone = "gateway-1", "near"
-	stand.gateway = NewDaemon(process, DefaultHeaders(), log.NewNopLogger())
+	stand.gateway = NewDaemon(process, DefaultHeaderNames(), log.NewNopLogger())
 	fleet := &membership.FleetView{
 		Version: 1, Ledgers: map[string]membership.LedgerHost{},
 		Groups: map[uint32]membership.Placement{1: {Group: 1, Members: []string{stand.ledger.server.Address()}}},
@@ -123,14 +123,14 @@
 			"e": {ID: "e", Backend: "b", Zone: "near", Slots: 4, Address: engines.Listener.Addr().String()},
 		},
 	}
-	route := func(prefix string, kind routing.Kind, retain bool) routing.Route {
+	route := func(prefix string, kind routing.RouteKind, retain bool) routing.Route {
 		return routing.Route{
-			Name: prefix, Host: "h", PathPrefix: prefix, Kind: kind, TimeoutMs: testRouteTimeoutMs, MaxAttempts: 2, Retain: retain, RetentionMs: 1000,
-			Shares: []routing.Share{{Backend: "b", Weight: 1}},
+			Name: prefix, Host: "h", PathPrefix: prefix, Kind: kind, TimeoutMs: testRouteTimeoutMs, MaxAttempts: 2, RetainTurns: retain, RetentionMs: 1000,
+			Shares: []routing.BackendShare{{Backend: "b", Weight: 1}},
 		}
 	}
 	stand.gateway.follow(fleet, &routing.Table{
-		Generation: 1, Limits: routing.Limits{MaxBodyBytes: standBodyLimit}, Backends: []routing.Backend{{Name: "b", EventTokens: 10}},
+		Generation: 1, Limits: routing.Limits{MaxBodyBytes: standBodyLimit}, Backends: []routing.Backend{{Name: "b", TokensPerEvent: 10}},
 		Routes: []routing.Route{
 			route("/safe/", routing.KindSafe, false), route("/unsafe/", routing.KindUnsafe, false),
 			route("/stream/", routing.KindStream, false), resumable(route("/resumable/", routing.KindStream, false)), route("/kept/", routing.KindStream, true),
@@ -193,7 +193,7 @@
 		So(err, ShouldBeNil)
 		So(response.StatusCode, ShouldEqual, 200)
 		So(strings.Count(body, "data:"), ShouldEqual, 3)
-		So(stand.ledger.settled("r1").Settle.Used, ShouldEqual, 30)
+		So(stand.ledger.settled("r1").Settle.UsedTokens, ShouldEqual, 30)
 	})
 	Convey("a reservation whose grant nobody heard is given back, and the caller told to come back", t, func() {
 		stand := newGatewayStand(t, events(3, "", false))
@@ -210,7 +210,7 @@
 		So(stand.runs.Load(), ShouldEqual, 0)
 		settled := stand.ledger.settled("r1")
 		So(settled, ShouldNotBeNil)
-		So(settled.Settle.Used, ShouldEqual, 0)
+		So(settled.Settle.UsedTokens, ShouldEqual, 0)
 	})
 	Convey("a turn that is to be kept and was not does not end as if it were whole", t, func() {
 		stand := newGatewayStand(t, events(3, "", false))
@@ -229,7 +229,7 @@
 		So(err, ShouldBeNil)
 		settled := stand.ledger.settled("r1")
 		So(string(settled.Settle.Content), ShouldEqual, "in1\n2\n")
-		So(settled.Settle.Keep, ShouldBeTrue)
+		So(settled.Settle.Retain, ShouldBeTrue)
 	})
 	Convey("the older turns of a chain come from the replica in the zone, and from the leader where that has them not", t, func() {
 		for _, has := range []bool{true, false} {
@@ -267,7 +267,7 @@
 		_, body, err := stand.send("/stream/", "r1", budget...)
 		So(err, ShouldNotBeNil)
 		So(strings.Count(body, "data:"), ShouldEqual, 2)
-		So(stand.ledger.settled("r1").Settle.Used, ShouldEqual, 20)
+		So(stand.ledger.settled("r1").Settle.UsedTokens, ShouldEqual, 20)
 	})
 	Convey("a budget that is spent is 402, and nothing ran", t, func() {
 		stand := newGatewayStand(t, events(2, "", false))
@@ -313,7 +313,7 @@
 		for number := 1; number <= 4; number++ {
 			So(strings.Count(body, fmt.Sprintf("data: %d\n", number)), ShouldEqual, 1)
 		}
-		So(stand.ledger.settled("r1").Settle.Used, ShouldEqual, 40)
+		So(stand.ledger.settled("r1").Settle.UsedTokens, ShouldEqual, 40)
 	})
 	Convey("one that can't be taken up breaks off", t, func() {
 		stand := newGatewayStand(t, events(2, "", true))
@@ -422,7 +422,7 @@
 		fleet.Engines["gone"] = membership.ServingEngine{ID: "gone", Backend: "b", Zone: "near", Slots: 4, Address: listener.Addr().String()}
 		stand.gateway.engines.follow(&fleet)
 		// The other engine is suspect, so that the one that will be gone comes first.
-		stand.gateway.engines.healthOf("e").Failed(clock.NowMs())
+		stand.gateway.engines.healthOf("e").RecordFailure(clock.NowMs())
 		response, _, err := stand.send("/safe/", "r1", "Ochrebay-Deadline-Ms", "3000")
 		So(err, ShouldBeNil)
 		So(response.StatusCode, ShouldEqual, 502)
--- a/internal/gateway/headers.go
+++ b/internal/gateway/headers.go
@@ -8,9 +8,9 @@
 	"strings"
 )
 
-// Headers names the headers by which callers, gateways and engines tell each other
+// HeaderNames names the headers by which callers, gateways and engines tell each other
 // about a request. A deployment may use names of its own.
-type Headers struct {
+type HeaderNames struct {
 	// From the caller.
 	RequestID  string
 	DeadlineMs string
@@ -18,13 +18,13 @@
 	Session    string
 	// FinishMs is the time left until the whole program should be over.
 	FinishMs string
-	// Prefix lists the parts of a prompt in order, as ID:TOKENS.
-	Prefix      string
-	Budget      string
-	Usage       string
-	Previous    string
-	LastEventID string
-	Affinity    string
+	// PromptPrefix lists the parts of a prompt in order, as ID:TOKENS.
+	PromptPrefix string
+	TokenBudget  string
+	TokenUsage   string
+	PreviousTurn string
+	LastEventID  string
+	AffinityKey  string
 	// APIKey holds the key of the caller's tenant; engines never see it.
 	APIKey string
 	// To the engine, set by the gateway alone.
@@ -38,13 +38,13 @@
 	Reserved []string
 }
 
-// DefaultHeaders are the product's own names.
-func DefaultHeaders() Headers {
-	return Headers{
+// DefaultHeaderNames are the product's own names.
+func DefaultHeaderNames() HeaderNames {
+	return HeaderNames{
 		RequestID: "Ochrebay-Request", DeadlineMs: "Ochrebay-Deadline-Ms", Program: "Ochrebay-Program",
-		Session: "Ochrebay-Thread", FinishMs: "Ochrebay-Finish-Ms", Prefix: "Ochrebay-Prefix",
-		Budget: "Ochrebay-Token-Budget", Usage: "Ochrebay-Tokens", Previous: "Ochrebay-Previous-Turn",
-		LastEventID: "Last-Event-Id", Affinity: "Ochrebay-Affinity", ExpectEngine: "Ochrebay-Expect-Engine",
+		Session: "Ochrebay-Thread", FinishMs: "Ochrebay-Finish-Ms", PromptPrefix: "Ochrebay-Prefix",
+		TokenBudget: "Ochrebay-Token-Budget", TokenUsage: "Ochrebay-Tokens", PreviousTurn: "Ochrebay-Previous-Turn",
+		LastEventID: "Last-Event-Id", AffinityKey: "Ochrebay-Affinity", ExpectEngine: "Ochrebay-Expect-Engine",
 		Priority: "Ochrebay-Priority", APIKey: "Ochrebay-Key", Tenant: "Ochrebay-Tenant", NotExecuted: "Ochrebay-Not-Run", Signature: "Ochrebay-Signature",
 	}
 }
--- a/internal/gateway/incarnations_test.go
+++ b/internal/gateway/incarnations_test.go
@@ -24,11 +24,11 @@
 // that they had.
 func TestRestartedEngines(t *testing.T) {
 	const nowMs = 1000
-	first := membership.ServingEngine{ID: "e", Backend: "b", Address: "10.0.0.1:1", Slots: 4, Born: 100}
+	first := membership.ServingEngine{ID: "e", Backend: "b", Address: "10.0.0.1:1", Slots: 4, StartedMs: 100}
 	second := first
-	second.Born = 200
+	second.StartedMs = 200
 	begin := func(e *engines) *call {
-		chosen, found := e.choose(routing.Backend{Name: "b", Slots: 4}, scheduling.Demand{NowMs: nowMs, Stream: true, Kind: "r"})
+		chosen, found := e.choose(routing.Backend{Name: "b", Slots: 4}, scheduling.SelectionInput{NowMs: nowMs, IsStream: true, RequestKind: "r"})
 		So(found, ShouldBeTrue)
 		return &call{engine: chosen.engine.ID, chosen: chosen, backend: routing.Backend{Name: "b"}, route: &routing.Route{Name: "r"}}
 	}
@@ -37,14 +37,14 @@
 		e.follow(incarnationsView(first))
 		lost, broken := begin(e), begin(e)
 		e.ended(broken, nowMs, attemptOutcome{kind: attemptBroken})
-		So(e.healthOf("e").Suspect(nowMs), ShouldBeTrue)
+		So(e.healthOf("e").IsSuspect(nowMs), ShouldBeTrue)
 		So(e.follow(incarnationsView(second)), ShouldResemble, []string{"10.0.0.1:1"})
-		So(e.healthOf("e").Suspect(nowMs), ShouldBeFalse)
+		So(e.healthOf("e").IsSuspect(nowMs), ShouldBeFalse)
 		So(e.healthOf("e").InFlight, ShouldEqual, 0)
 		current := begin(e)
 		e.ended(lost, nowMs, attemptOutcome{kind: attemptBroken})
 		So(e.healthOf("e").InFlight, ShouldEqual, 1)
-		So(e.healthOf("e").Suspect(nowMs), ShouldBeFalse)
+		So(e.healthOf("e").IsSuspect(nowMs), ShouldBeFalse)
 		e.ended(current, nowMs, attemptOutcome{kind: attemptAnswered})
 		So(e.healthOf("e").InFlight, ShouldEqual, 0)
 	})
@@ -59,7 +59,7 @@
 	Convey("the first word of when an engine started, and a report without news, change nothing", t, func() {
 		e := newEngines("z", config.Policy{})
 		silent := first
-		silent.Born = 0
+		silent.StartedMs = 0
 		e.follow(incarnationsView(silent))
 		begin(e)
 		So(e.follow(incarnationsView(first)), ShouldBeEmpty)
@@ -67,8 +67,8 @@
 		So(e.healthOf("e").InFlight, ShouldEqual, 1)
 	})
 	Convey("a session is bound to the incarnation that ran its last turn", t, func() {
-		So(affineEngine([]membership.ServingEngine{first}, first.Key()), ShouldEqual, "e")
-		So(affineEngine([]membership.ServingEngine{second}, first.Key()), ShouldNotEqual, "e")
+		So(affineEngine([]membership.ServingEngine{first}, first.IncarnationKey()), ShouldEqual, "e")
+		So(affineEngine([]membership.ServingEngine{second}, first.IncarnationKey()), ShouldNotEqual, "e")
 		So(affineEngine([]membership.ServingEngine{second}, "e"), ShouldEqual, "e")
 		So(affineEngine(nil, "e"), ShouldEqual, "e")
 	})
--- a/internal/gateway/intake.go
+++ b/internal/gateway/intake.go
@@ -51,7 +51,7 @@
 	latest time.Time
 	// place is the call's place among those that wait for room, nil where it does not;
 	// queuedAt is when it first waited, and waited how long it did in all.
-	place    *waiting.Place
+	place    *waiting.Entry
 	queuedAt time.Time
 	waited   time.Duration
 	// aboveShare says that its tenant used more than its share when it first waited.
@@ -97,11 +97,11 @@
 
 // isTurn reports whether the ledger takes part in the call.
 func (c *call) isTurn() bool {
-	return c.route.Kind == routing.KindStream && c.program != "" && (c.budget > 0 || c.route.Retain)
+	return c.route.Kind == routing.KindStream && c.program != "" && (c.budget > 0 || c.route.RetainTurns)
 }
 
 // keeps reports whether the turn is kept for later ones to go on from.
-func (c *call) keeps() bool { return c.isTurn() && c.route.Retain }
+func (c *call) keeps() bool { return c.isTurn() && c.route.RetainTurns }
 
 // timeLeft returns how long the call may still take.
 func (c *call) timeLeft() time.Duration { return time.Until(c.deadline) }
@@ -114,7 +114,7 @@
 	if view == nil {
 		return nil, result.New(result.NotConfigured, "no routing table yet")
 	}
-	route := view.routes.Find(request.Host, request.URL.EscapedPath())
+	route := view.routes.FindRoute(request.Host, request.URL.EscapedPath())
 	if route == nil {
 		return nil, result.New(result.NoRoute, "no route for host %s and this path", request.Host)
 	}
@@ -123,9 +123,9 @@
 		discard(request.Body)
 		return c, failure
 	}
-	c.backend = view.routes.Backend(route.Choose(d.draw()))
-	c.rankPosition, c.ranks = view.routes.Position(c.backend.Name, c.tenant, route)
-	c.weight = view.routes.Weight(c.tenant)
+	c.backend = view.routes.Backend(route.SelectBackend(d.draw()))
+	c.rankPosition, c.ranks = view.routes.PriorityPosition(c.backend.Name, c.tenant, route)
+	c.weight = view.routes.TenantWeight(c.tenant)
 	if failure := c.readBody(writer, view.routes.Table.Limits.MaxBodyBytes); failure != nil {
 		return nil, failure
 	}
@@ -169,7 +169,7 @@
 	_, _ = io.CopyN(io.Discard, body, discardedBytes)
 }
 
-func (c *call) readHeaders(names Headers) *result.Error {
+func (c *call) readHeaders(names HeaderNames) *result.Error {
 	header := c.request.Header
 	limit := time.Duration(c.route.TimeoutMs) * time.Millisecond
 	if text := header.Get(names.DeadlineMs); text != "" {
@@ -186,21 +186,21 @@
 	if finish, err := strconv.ParseInt(header.Get(names.FinishMs), 10, 64); err == nil {
 		c.finish = c.started.Add(time.Duration(finish) * time.Millisecond)
 	}
-	c.previous = c.ofTenant(header.Get(names.Previous))
-	c.affinity = header.Get(names.Affinity)
+	c.previous = c.ofTenant(header.Get(names.PreviousTurn))
+	c.affinity = header.Get(names.AffinityKey)
 	var failure *result.Error
-	c.budget = number(header, names.Budget, &failure)
+	c.budget = number(header, names.TokenBudget, &failure)
 	c.begun = c.program != "" && !c.isTurn()
 	c.lastEvent = number(header, names.LastEventID, &failure)
-	_, most, _ := strings.Cut(header.Get(names.Usage), ",")
+	_, most, _ := strings.Cut(header.Get(names.TokenUsage), ",")
 	if most != "" {
 		parsed, err := strconv.ParseInt(strings.TrimSpace(most), 10, 64)
 		if err != nil || parsed < 0 {
-			return result.New(result.InvalidHeader, "%s: %q is no number of tokens", names.Usage, most)
+			return result.New(result.InvalidHeader, "%s: %q is no number of tokens", names.TokenUsage, most)
 		}
 		c.most = parsed
 	}
-	c.prefix = scheduling.ParsePrompt(header.Get(names.Prefix))
+	c.prefix = scheduling.ParsePrompt(header.Get(names.PromptPrefix))
 	return failure
 }
 
--- a/internal/gateway/ledgers.go
+++ b/internal/gateway/ledgers.go
@@ -42,10 +42,10 @@
 	view      *membership.FleetView
 	leaders   *leaders
 	// disabled are the mechanisms that are turned off.
-	disabled scheduling.Disabled
+	disabled scheduling.DisabledMechanisms
 }
 
-func newLedgers(zone string, histories *prometheus.CounterVec, disabled scheduling.Disabled) *ledgers {
+func newLedgers(zone string, histories *prometheus.CounterVec, disabled scheduling.DisabledMechanisms) *ledgers {
 	l := &ledgers{caller: daemon.NewCaller(), zone: zone, histories: histories, disabled: disabled}
 	l.leaders = newLeaders(l.members, l.probe)
 	return l
@@ -156,7 +156,7 @@
 	older := &protocol.TurnReply{}
 	source := sourceNear
 	near := ""
-	if !l.disabled.Has(scheduling.MechanismNearReads) {
+	if !l.disabled.Has(scheduling.MechanismZoneLocalReads) {
 		near = l.nearReplica(group)
 	}
 	if near == "" || l.caller.CallWithin(ctx, nearTry, near, protocol.KindTurn, request, older) != nil || older.Error != nil {
@@ -212,7 +212,7 @@
 }
 
 // askQuota asks the owner of a tenant's limit for one request.
-func (l *ledgers) askQuota(ctx context.Context, ask *quota.Ask) *protocol.TurnReply {
+func (l *ledgers) askQuota(ctx context.Context, ask *quota.Request) *protocol.TurnReply {
 	group, placed := l.groupOf(ask.Tenant)
 	if !placed {
 		return &protocol.TurnReply{Error: result.New(result.LedgerUnreachable, "no ledger group is placed")}
@@ -223,7 +223,7 @@
 // tellQuotaOnce gives a grant or a place in the queue back. Invariant: it is sent once at the
 // most. An answer that is lost leaves the grant counted until it has left the window; a return
 // that came twice would take another request's grant out of it.
-func (l *ledgers) tellQuotaOnce(ask *quota.Ask) *result.Error {
+func (l *ledgers) tellQuotaOnce(ask *quota.Request) *result.Error {
 	ctx, cancel := context.WithTimeout(context.Background(), returnTimeout)
 	defer cancel()
 	group, placed := l.groupOf(ask.Tenant)
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -27,8 +27,8 @@
 // newMetrics registers the figures of a gateway.
 func newMetrics(monitor *telemetry.Monitor, d *Daemon) *metrics {
 	monitor.Gauge("gateway_in_flight", "Requests under way.", func() float64 { return float64(d.inFlight.Load()) })
-	monitor.Gauge("gateway_engine_connections_opened", "Connections made to engines since the start.", func() float64 { return float64(d.pool.Dialed.Load()) })
-	monitor.Gauge("gateway_engine_connections_reused", "Requests sent on kept connections since the start.", func() float64 { return float64(d.pool.Reused.Load()) })
+	monitor.Gauge("gateway_engine_connections_opened", "Connections made to engines since the start.", func() float64 { return float64(d.pool.ConnectionsOpened.Load()) })
+	monitor.Gauge("gateway_engine_connections_reused", "Requests sent on kept connections since the start.", func() float64 { return float64(d.pool.ConnectionsReused.Load()) })
 	monitor.Gauge("routing_generation", "Generation of the routing table in force.", func() float64 {
 		if current := d.view.Load(); current != nil {
 			return float64(current.routes.Table.Generation)
@@ -47,15 +47,15 @@
 	})
 	monitor.Gauge("gateway_rejected_wrongly", "Requests rejected for want of room that came in time for them after all, since the start.", func() float64 {
 		mistakes, _ := d.queues.mistakes()
-		return float64(mistakes.Wronged)
+		return float64(mistakes.FalseRejections)
 	})
 	monitor.Gauge("gateway_held_in_vain", "Requests that waited for room and got none, since the start.", func() float64 {
 		mistakes, _ := d.queues.mistakes()
-		return float64(mistakes.InVain)
+		return float64(mistakes.FutileWaits)
 	})
 	monitor.Gauge("gateway_held_in_vain_seconds", "How long they waited in all.", func() float64 {
 		mistakes, _ := d.queues.mistakes()
-		return (time.Duration(mistakes.InVainMs) * time.Millisecond).Seconds()
+		return (time.Duration(mistakes.FutileWaitMs) * time.Millisecond).Seconds()
 	})
 	monitor.Gauge("gateway_processor_use", "Part of the share of a core that is used.", func() float64 {
 		return math.Float64frombits(d.processor.share.Load())
@@ -84,7 +84,7 @@
 	if c == nil {
 		return
 	}
-	if c.chosen.moved != scheduling.MovedNot {
+	if c.chosen.moved != scheduling.NotMoved {
 		m.moved.WithLabelValues(string(c.chosen.moved)).Inc()
 	}
 	m.requests.WithLabelValues(string(c.route.Kind), outcome).Observe(time.Since(c.started).Seconds())
--- a/internal/gateway/pause.go
+++ b/internal/gateway/pause.go
@@ -59,7 +59,7 @@
 	nowMs := clock.NowMs()
 	ended := d.pauses.pausedUntil(sweepEvery, nowMs)
 	left := time.Duration(ended-nowMs)*time.Millisecond + proofWait
-	if ended == 0 || left <= 0 || d.process.Policy.Disable.Has(scheduling.MechanismFirstProof) {
+	if ended == 0 || left <= 0 || d.process.Policy.Disable.Has(scheduling.MechanismFreshnessWait) {
 		return false
 	}
 	timer := time.NewTimer(left)
--- a/internal/gateway/processor.go
+++ b/internal/gateway/processor.go
@@ -17,7 +17,7 @@
 
 // processorUse measures how much of its share of a core the process uses.
 type processorUse struct {
-	heat  membership.Heat
+	heat  membership.OverloadTracker
 	level uint8
 	// measuredAt and used are when the use was last measured, and the processor time until then.
 	measuredAt time.Time
@@ -49,9 +49,9 @@
 		return 0
 	}
 	level := d.processor.heat.Observe((used-before).Seconds()/(span.Seconds()*share), clock.NowMs())
-	d.processor.share.Store(math.Float64bits(d.processor.heat.Use()))
+	d.processor.share.Store(math.Float64bits(d.processor.heat.Utilization()))
 	if level != d.processor.level {
-		telemetry.Info(d.logger, "processor heat changed", "level", level, "before", d.processor.level, "use", d.processor.heat.Use(), "share", share)
+		telemetry.Info(d.logger, "processor heat changed", "level", level, "before", d.processor.level, "use", d.processor.heat.Utilization(), "share", share)
 		d.processor.level = level
 	}
 	return level
--- a/internal/gateway/quotas.go
+++ b/internal/gateway/quotas.go
@@ -57,7 +57,7 @@
 	if !c.isTurn() {
 		return d.takeQuota(ctx, c)
 	}
-	if c.tenant == nil || !c.tenant.Limited() {
+	if c.tenant == nil || !c.tenant.HasRateLimit() {
 		return d.openTurn(ctx, c)
 	}
 	if d.denials.recent(c.tenant.Name) {
@@ -84,7 +84,7 @@
 // of use. Invariant: every run at an engine has a grant of its own, given between the caller's
 // send and the run, so that the runs of any window are at most the grants of that window.
 func (d *Daemon) takeQuota(ctx context.Context, c *call) *result.Error {
-	if c.tenant == nil || !c.tenant.Limited() {
+	if c.tenant == nil || !c.tenant.HasRateLimit() {
 		return nil
 	}
 	began := time.Now()
@@ -105,22 +105,22 @@
 }
 
 // quotaAsk describes the next run of a call to the owner of its tenant's limit.
-func (d *Daemon) quotaAsk(c *call) quota.Ask {
+func (d *Daemon) quotaAsk(c *call) quota.Request {
 	const base = 36
-	ask := quota.Ask{Tenant: c.tenant.Name, Limit: c.limit(), Program: c.program, Ticket: strconv.FormatUint(rand.Uint64(), base)}
+	ask := quota.Request{Tenant: c.tenant.Name, Limit: c.limit(), Program: c.program, Ticket: strconv.FormatUint(rand.Uint64(), base)}
 	if c.route.Kind == routing.KindStream {
 		ask.Kind = c.route.Name
 	}
-	ask.Continues = c.program != "" && (c.route.Kind != routing.KindStream || c.previous != "")
+	ask.ContinuesProgram = c.program != "" && (c.route.Kind != routing.KindStream || c.previous != "")
 	return ask
 }
 
 // awaitQuota asks for a run until it is granted, denied or of no use any more. The same ticket
 // keeps its place in the owner's queue from question to question, and how long it has waited
 // gives it its place at an owner that is new.
-func (d *Daemon) awaitQuota(ctx context.Context, c *call, ask quota.Ask, began time.Time) *protocol.TurnReply {
+func (d *Daemon) awaitQuota(ctx context.Context, c *call, ask quota.Request, began time.Time) *protocol.TurnReply {
 	for {
-		ask.WaitMs = (c.timeLeft() - d.services.expected(c.route.Name)).Milliseconds()
+		ask.MaxWaitMs = (c.timeLeft() - d.services.expected(c.route.Name)).Milliseconds()
 		ask.WaitedMs = time.Since(began).Milliseconds()
 		bounded, cancel := context.WithDeadline(ctx, earlier(c.deadline, time.Now().Add(quotaTimeout)))
 		reply := d.ledgers.askQuota(bounded, &ask)
@@ -136,8 +136,8 @@
 }
 
 // cancelQuota gives a place in the queue back, or a grant whose answer did not come.
-func (d *Daemon) cancelQuota(c *call, ask quota.Ask) {
-	ask.Cancel = true
+func (d *Daemon) cancelQuota(c *call, ask quota.Request) {
+	ask.Cancelled = true
 	go func() {
 		if failure := d.ledgers.tellQuotaOnce(&ask); failure != nil {
 			d.logFailure("place in the queue not given back", c, failure)
@@ -168,7 +168,7 @@
 			continue
 		}
 		go func() {
-			unrun := quota.Ask{Tenant: c.tenant.Name, Program: c.program, Return: grant}
+			unrun := quota.Request{Tenant: c.tenant.Name, Program: c.program, ReturnedGrant: grant}
 			if failure := d.ledgers.tellQuotaOnce(&unrun); failure != nil {
 				d.logFailure("quota not returned", c, failure)
 			}
--- a/internal/gateway/quotas_test.go
+++ b/internal/gateway/quotas_test.go
@@ -15,11 +15,11 @@
 func TestWaitForQuota(t *testing.T) {
 	Convey("a request that waits for room asks again with its ticket and is then served", t, func() {
 		stand := newTenantStand(t, answerSigned)
-		var asked []quota.Ask
+		var asked []quota.Request
 		stand.ledger.say(func(request *protocol.TurnRequest) *protocol.TurnReply {
 			asked = append(asked, *request.Quota)
 			if len(asked) < 3 {
-				return &protocol.TurnReply{Queued: &quota.Place{Ahead: 1}}
+				return &protocol.TurnReply{Queued: &quota.QueuePosition{Ahead: 1}}
 			}
 			return &protocol.TurnReply{Grant: &quota.Grant{}}
 		})
@@ -28,7 +28,7 @@
 		So(response.StatusCode, ShouldEqual, 200)
 		So(asked, ShouldHaveLength, 3)
 		So(asked[2].Ticket, ShouldEqual, asked[0].Ticket)
-		So(asked[2].WaitMs, ShouldBeLessThanOrEqualTo, asked[0].WaitMs)
+		So(asked[2].MaxWaitMs, ShouldBeLessThanOrEqualTo, asked[0].MaxWaitMs)
 		So(stand.runs.Load(), ShouldEqual, 1)
 	})
 	Convey("a caller that leaves while its request waits gives its place back", t, func() {
@@ -36,7 +36,7 @@
 		cancelled := make(chan string, 1)
 		waits := make(chan string, 100)
 		stand.ledger.say(func(request *protocol.TurnRequest) *protocol.TurnReply {
-			if request.Quota.Cancel {
+			if request.Quota.Cancelled {
 				cancelled <- request.Quota.Ticket
 				return &protocol.TurnReply{}
 			}
@@ -45,7 +45,7 @@
 			default:
 			}
 			time.Sleep(time.Millisecond)
-			return &protocol.TurnReply{Queued: &quota.Place{}}
+			return &protocol.TurnReply{Queued: &quota.QueuePosition{}}
 		})
 		ctx, cancel := context.WithCancel(context.Background())
 		request, err := http.NewRequestWithContext(ctx, http.MethodPost, stand.server.URL+"/safe/", http.NoBody)
--- a/internal/gateway/retries.go
+++ b/internal/gateway/retries.go
@@ -22,12 +22,12 @@
 type retries struct {
 	mutex    sync.Mutex
 	settings retry.Settings
-	disabled scheduling.Disabled
-	kinds    retry.Kinds
+	disabled scheduling.DisabledMechanisms
+	kinds    retry.LatencyHistograms
 	budgets  map[string]*retry.Budget
 }
 
-func newRetries(settings retry.Settings, disabled scheduling.Disabled) *retries {
+func newRetries(settings retry.Settings, disabled scheduling.DisabledMechanisms) *retries {
 	return &retries{settings: settings, disabled: disabled, budgets: map[string]*retry.Budget{}}
 }
 
@@ -45,14 +45,14 @@
 func (r *retries) answered(c *call, nowMs int64, tookMs float64) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.kinds.Of(c.route.Name).Add(nowMs, tookMs)
-	r.budget(c.backend.Name).Succeeded()
+	r.kinds.ForKind(c.route.Name).Record(nowMs, tookMs)
+	r.budget(c.backend.Name).RecordSuccess()
 }
 
 func (r *retries) timedOut(c *call, nowMs int64, bound time.Duration) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.kinds.Of(c.route.Name).TimedOut(nowMs, milliseconds(bound))
+	r.kinds.ForKind(c.route.Name).RecordTimeout(nowMs, milliseconds(bound))
 }
 
 // bound is how long a try of a call may be silent at an engine that takes factor times as long
@@ -63,7 +63,7 @@
 	}
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	boundMs, known := r.kinds.Of(c.route.Name).BoundMs(nowMs)
+	boundMs, known := r.kinds.ForKind(c.route.Name).TimeoutMs(nowMs)
 	if !known {
 		return 0
 	}
@@ -77,17 +77,17 @@
 	}
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.budget(backend).Take()
+	return r.budget(backend).TryTake()
 }
 
 // mayTryAgain reports whether a try that an engine is at work on, or has answered with a
 // failure, may be followed by another one, the budget aside. Invariant: a call that is not
 // repeatable is never sent again once an engine may have run it.
 func (d *Daemon) mayTryAgain(c *call) bool {
-	if d.process.Policy.Disable.Has(scheduling.MechanismRetry) || !c.route.Repeatable() {
+	if d.process.Policy.Disable.Has(scheduling.MechanismRetry) || !c.route.IsRepeatable() {
 		return false
 	}
-	if c.tenant != nil && c.tenant.Limited() {
+	if c.tenant != nil && c.tenant.HasRateLimit() {
 		// A further run needs a grant of its own, and might be denied it.
 		return false
 	}
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -69,10 +69,10 @@
 	// worth asking after it, so there is nothing else to keep the time for.
 	bounded, cancel := context.WithDeadline(ctx, earlier(c.deadline, later(c.latest, time.Now().Add(ledgerTry))))
 	defer cancel()
-	reserve := &program.Reserve{Program: c.program, Request: c.turn, Budget: c.budget, Most: c.most, Session: c.session}
+	reserve := &program.Reserve{Program: c.program, Request: c.turn, BudgetTokens: c.budget, MaxTokens: c.most, Session: c.session}
 	var known cachedChain
-	if c.route.Retain && c.previous != "" {
-		reserve.Previous = c.previous
+	if c.route.RetainTurns && c.previous != "" {
+		reserve.PreviousRequest = c.previous
 		known = d.chains.get(c.previous, c.program, c.session)
 	}
 	reply := d.ledgers.reserve(bounded, reserve, known.turn)
@@ -83,7 +83,7 @@
 		}
 		c.foreign = true
 		c.chain = found.Chain
-		reserve.Previous = ""
+		reserve.PreviousRequest = ""
 		reply = d.ledgers.reserve(bounded, reserve, "")
 	}
 	if reply.Error != nil {
@@ -93,7 +93,7 @@
 		return reply.Error
 	}
 	c.home = reply.Engine
-	if !c.foreign && reserve.Previous != "" {
+	if !c.foreign && reserve.PreviousRequest != "" {
 		c.chain = known.continued(reply)
 	}
 	c.reserved = c.budget > 0
@@ -113,9 +113,9 @@
 	}
 	failure := result.New(result.Overloaded, "%.1f requests an engine, begun in time up to %.1f; rank %d of %d",
 		decision.concurrency, decision.limit, c.rankPosition, c.ranks)
-	if position := decision.position; position.Above {
+	if position := decision.position; position.AboveFairShare {
 		failure = result.New(result.ShareUsed, "%.1f of the tenant's requests under way, its share %.1f; %.1f requests an engine, room for %.1f",
-			position.Use, position.Share, decision.concurrency, decision.room)
+			position.InFlight, position.Share, decision.concurrency, decision.room)
 	}
 	return failure.WithRetryAfter(time.Duration(decision.retryAfterMs) * time.Millisecond)
 }
@@ -136,7 +136,7 @@
 
 // settleLater charges a turn that is not kept; the caller need not wait for it.
 func (d *Daemon) settleLater(c *call, out *answer) {
-	settle := &program.Settle{Program: c.program, Request: c.turn, Used: out.used(c), Session: c.session, Engine: c.chosen.engine.Key()}
+	settle := &program.Settle{Program: c.program, Request: c.turn, UsedTokens: out.used(c), Session: c.session, Engine: c.chosen.engine.IncarnationKey()}
 	go func() {
 		if failure := d.ledgers.settle(settle, settleTimeout); failure != nil {
 			d.logFailure("turn not settled", c, failure)
--- a/internal/gateway/services.go
+++ b/internal/gateway/services.go
@@ -12,10 +12,10 @@
 // request waits for its grant only as long as its caller can still get the answer.
 type services struct {
 	mutex   sync.Mutex
-	byRoute map[string]*scheduling.Evidence
+	byRoute map[string]*scheduling.DecayedMean
 }
 
-func newServices() *services { return &services{byRoute: map[string]*scheduling.Evidence{}} }
+func newServices() *services { return &services{byRoute: map[string]*scheduling.DecayedMean{}} }
 
 // served notes a request that took a time from its last send to the end of its answer.
 func (s *services) served(route string, took time.Duration) {
--- a/internal/gateway/shares_test.go
+++ b/internal/gateway/shares_test.go
@@ -37,8 +37,8 @@
 	stand.gateway.follow(view.fleet, &table)
 	engines := stand.gateway.engines
 	engines.fairShares = true
-	engines.healthOf("e").TakeShared(scheduling.Load{Engine: "e", InFlight: 60}, clock.NowMs())
-	engines.takeUses([]admission.BackendUse{{Backend: "b", Total: 60, Demand: 60, Tenants: []admission.TenantUse{
+	engines.healthOf("e").ApplySharedLoad(scheduling.EngineLoad{Engine: "e", InFlight: 60}, clock.NowMs())
+	engines.takeUses([]admission.BackendUsage{{Backend: "b", InFlight: 60, Demand: 60, Tenants: []admission.TenantUsage{
 		{Tenant: above, Weight: 2, InFlight: 59}, {Tenant: below, Weight: 2, InFlight: 1},
 	}}}, clock.NowMs())
 	return stand
@@ -76,8 +76,8 @@
 		_, _, err := stand.send("/safe/", "r1", "Ochrebay-Key", otherKey)
 		So(err, ShouldBeNil)
 		// One that is under way for some time, which the request before need not have been.
-		stand.gateway.engines.meter = admission.NewMeter(clock.NowMs() - 100)
-		stand.gateway.engines.meter.Change("b", "beta", 2, 1, clock.NowMs()-100)
+		stand.gateway.engines.meter = admission.NewUsageMeter(clock.NowMs() - 100)
+		stand.gateway.engines.meter.AdjustInFlight("b", "beta", 2, 1, clock.NowMs()-100)
 		uses := stand.gateway.engines.usesNews(clock.NowMs())
 		So(uses, ShouldHaveLength, 1)
 		So(uses[0].Tenants, ShouldHaveLength, 1)
--- a/internal/gateway/tenants.go
+++ b/internal/gateway/tenants.go
@@ -24,15 +24,15 @@
 // unknown only where the table is known to be in force; a gateway that has been cut off may
 // lack keys that were added since.
 func (d *Daemon) identify(c *call, routes *routing.Index) *result.Error {
-	c.keyed = routes.Table.Keyed
+	c.keyed = routes.Table.RequiresKey
 	if !c.keyed {
 		return nil
 	}
 	key := c.request.Header.Get(d.headers.APIKey)
 	if key != "" {
-		c.tenant = routes.Holder(key)
+		c.tenant = routes.TenantByKey(key)
 	}
-	if c.tenant == nil && c.route.Anonymous {
+	if c.tenant == nil && c.route.AllowsAnonymous {
 		return nil
 	}
 	if c.tenant == nil {
@@ -51,7 +51,7 @@
 // paused, or the call may have waited, since it was asked last.
 func (d *Daemon) stillAllowed(c *call) *result.Error {
 	bound, strict := d.process.Limits.RevokeWithin()
-	if c.tenant == nil || c.route.Anonymous || !strict {
+	if c.tenant == nil || c.route.AllowsAnonymous || !strict {
 		return nil
 	}
 	if !d.provedSoon(c.request.Context(), bound-clockRateMargin) {
@@ -63,7 +63,7 @@
 	if current.Table.Generation == c.generation {
 		return nil
 	}
-	holder := current.Holder(c.request.Header.Get(d.headers.APIKey))
+	holder := current.TenantByKey(c.request.Header.Get(d.headers.APIKey))
 	if holder == nil || holder.Name != c.tenant.Name {
 		return result.New(result.UnknownKey, "the key was withdrawn while the request was under way")
 	}
--- a/internal/gateway/tenants_test.go
+++ b/internal/gateway/tenants_test.go
@@ -52,13 +52,13 @@
 	view := stand.gateway.view.Load()
 	table := *view.routes.Table
 	table.Generation++
-	table.Keyed = true
+	table.RequiresKey = true
 	table.Tenants = []routing.Tenant{
 		{Name: "alpha", Keys: []routing.KeyDigest{routing.DigestKey(testKey)}},
 		{Name: "beta", Keys: []routing.KeyDigest{routing.DigestKey(otherKey)}, RatePerSecond: 2, Burst: 1},
 	}
 	open := table.Routes[0]
-	open.PathPrefix, open.Anonymous = "/open/", true
+	open.PathPrefix, open.AllowsAnonymous = "/open/", true
 	table.Routes = append(append([]routing.Route{}, table.Routes...), open)
 	stand.gateway.follow(view.fleet, &table)
 	return stand
@@ -150,7 +150,7 @@
 		var reserves []turnNames
 		stand.ledger.say(func(request *protocol.TurnRequest) *protocol.TurnReply {
 			if request.Reserve != nil {
-				reserves = append(reserves, turnNames{request.Reserve.Program, request.Reserve.Request, request.Reserve.Previous})
+				reserves = append(reserves, turnNames{request.Reserve.Program, request.Reserve.Request, request.Reserve.PreviousRequest})
 			}
 			return &protocol.TurnReply{Grant: &quota.Grant{}}
 		})
@@ -177,10 +177,10 @@
 		So(response.Header.Get("Retry-After"), ShouldEqual, "0.25")
 		asked := (<-stand.ledger.requests).Quota
 		So(asked.Ticket, ShouldNotBeBlank)
-		So(asked.WaitMs, ShouldBeBetween, 0, testRouteTimeoutMs)
-		So(asked, ShouldResemble, &quota.Ask{
+		So(asked.MaxWaitMs, ShouldBeBetween, 0, testRouteTimeoutMs)
+		So(asked, ShouldResemble, &quota.Request{
 			Tenant: "beta", Program: "beta/p", Limit: quota.Limit{Generation: 2, RatePerSecond: 2, Burst: 1},
-			Continues: true, Ticket: asked.Ticket, WaitMs: asked.WaitMs,
+			ContinuesProgram: true, Ticket: asked.Ticket, MaxWaitMs: asked.MaxWaitMs,
 		})
 		response, _, err = stand.send("/unsafe/", "r2", "Ochrebay-Key", testKey)
 		So(err, ShouldBeNil)
@@ -198,7 +198,7 @@
 		response, _, err := stand.send("/stream/", "r1", append(budget, "Ochrebay-Key", otherKey)...)
 		So(err, ShouldBeNil)
 		So(response.StatusCode, ShouldEqual, 429)
-		So(stand.ledger.settled("beta/r1").Settle.Used, ShouldEqual, 0)
+		So(stand.ledger.settled("beta/r1").Settle.UsedTokens, ShouldEqual, 0)
 	})
 	Convey("what was granted to a request that no engine ran is given back", t, func() {
 		stand := newTenantStand(t, func(w http.ResponseWriter, _ *http.Request) {
@@ -208,8 +208,8 @@
 		grant := quota.Grant{Term: 3, AtMs: 77}
 		returned := make(chan quota.Grant, 8)
 		stand.ledger.say(func(request *protocol.TurnRequest) *protocol.TurnReply {
-			if request.Quota.Return != nil {
-				returned <- *request.Quota.Return
+			if request.Quota.ReturnedGrant != nil {
+				returned <- *request.Quota.ReturnedGrant
 			}
 			return &protocol.TurnReply{Grant: &grant}
 		})
@@ -230,7 +230,7 @@
 		})
 		returns := atomic.Int64{}
 		stand.ledger.say(func(request *protocol.TurnRequest) *protocol.TurnReply {
-			if request.Quota.Return != nil {
+			if request.Quota.ReturnedGrant != nil {
 				returns.Add(1)
 				return nil
 			}
--- a/internal/gateway/tries.go
+++ b/internal/gateway/tries.go
@@ -98,7 +98,7 @@
 		known.mayHaveRun = true
 		// An engine that has ended works on nothing any more, so that it does not count
 		// among those that the call may run on.
-		if !c.route.Repeatable() || !d.ended(engine) {
+		if !c.route.IsRepeatable() || !d.ended(engine) {
 			known.runs++
 		}
 		if !d.mayContinue(c, outcome) || known.runs >= max(c.route.MaxAttempts, 1) || !d.granted(c, outcome) {
@@ -159,7 +159,7 @@
 // mayContinue reports whether a call that an engine broke off may be sent to another
 // one: it is repeatable, and what has reached the caller can be gone on from.
 func (d *Daemon) mayContinue(c *call, outcome attemptOutcome) bool {
-	if !c.route.Repeatable() || (outcome.started && d.process.Policy.Disable.Has(scheduling.MechanismTakeUp)) {
+	if !c.route.IsRepeatable() || (outcome.started && d.process.Policy.Disable.Has(scheduling.MechanismStreamResume)) {
 		return false
 	}
 	return !outcome.started || (c.route.Resumable && !c.keeps() && c.lastEvent > 0)
--- a/internal/gateway/tries_test.go
+++ b/internal/gateway/tries_test.go
@@ -45,7 +45,7 @@
 		So(response.Header.Get("Retry-After"), ShouldNotBeBlank)
 		mistakes, waitingNow := stand.gateway.queues.mistakes()
 		So(waitingNow, ShouldEqual, 0)
-		So(mistakes.InVain, ShouldEqual, 1)
+		So(mistakes.FutileWaits, ShouldEqual, 1)
 	})
 	Convey("so does one without any engine", t, func() {
 		stand := newGatewayStand(t, answerSigned)
@@ -68,7 +68,7 @@
 	engine.ID = "first"
 	fleet.Engines["first"] = engine
 	stand.gateway.engines.follow(&fleet)
-	stand.gateway.engines.healthOf("e").Failed(clock.NowMs())
+	stand.gateway.engines.healthOf("e").RecordFailure(clock.NowMs())
 	return stand, &other.runs
 }
 
@@ -77,7 +77,7 @@
 	const answers, tookMs = 200, 20
 	for _, route := range routes {
 		for range answers {
-			g.gateway.retries.kinds.Of(route).Add(clock.NowMs(), tookMs)
+			g.gateway.retries.kinds.ForKind(route).Record(clock.NowMs(), tookMs)
 		}
 	}
 }
@@ -99,7 +99,7 @@
 		So(response.StatusCode, ShouldEqual, 200)
 		So(runs.Load(), ShouldEqual, 1)
 		So(stand.runs.Load(), ShouldEqual, 1)
-		So(stand.gateway.engines.healthOf("first").Suspect(clock.NowMs()), ShouldBeTrue)
+		So(stand.gateway.engines.healthOf("first").IsSuspect(clock.NowMs()), ShouldBeTrue)
 	})
 	Convey("one that may not waits for it until its time is over, and the engine is passed over meanwhile", t, func() {
 		stand, runs := newStandOfTwo(t, silent)
--- a/internal/gateway/waiting.go
+++ b/internal/gateway/waiting.go
@@ -15,7 +15,7 @@
 type backendQueue struct {
 	queue *waiting.Queue
 	// wakeups are where the calls that wait hear of the engine that has room.
-	wakeups map[*waiting.Place]chan string
+	wakeups map[*waiting.Entry]chan string
 }
 
 // waitQueues are the queues of all back ends.
@@ -23,10 +23,10 @@
 	mutex     sync.Mutex
 	settings  waiting.Settings
 	byBackend map[string]*backendQueue
-	disabled  scheduling.Disabled
+	disabled  scheduling.DisabledMechanisms
 }
 
-func newWaitQueues(settings waiting.Settings, disabled scheduling.Disabled) *waitQueues {
+func newWaitQueues(settings waiting.Settings, disabled scheduling.DisabledMechanisms) *waitQueues {
 	return &waitQueues{settings: settings, byBackend: map[string]*backendQueue{}, disabled: disabled}
 }
 
@@ -34,7 +34,7 @@
 func (q *waitQueues) of(backend string) *backendQueue {
 	found, known := q.byBackend[backend]
 	if !known {
-		found = &backendQueue{queue: waiting.NewQueue(q.settings), wakeups: map[*waiting.Place]chan string{}}
+		found = &backendQueue{queue: waiting.NewQueue(q.settings), wakeups: map[*waiting.Entry]chan string{}}
 		q.byBackend[backend] = found
 	}
 	return found
@@ -45,11 +45,11 @@
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	waiters := q.of(backend)
-	waiters.tell(waiters.queue.Ended(nowMs), engine)
+	waiters.tell(waiters.queue.RecordCompletion(nowMs), engine)
 }
 
 // tell passes the word of room on; engine is "" where it is not known which has some.
-func (b *backendQueue) tell(place *waiting.Place, engine string) {
+func (b *backendQueue) tell(place *waiting.Entry, engine string) {
 	if place == nil {
 		return
 	}
@@ -62,7 +62,7 @@
 
 // mustWait reports whether a call has to wait in the queue before it asks any engine.
 func (q *waitQueues) mustWait(c *call) bool {
-	if q.disabled.Has(scheduling.MechanismWaiting) {
+	if q.disabled.Has(scheduling.MechanismWaitQueue) {
 		return false
 	}
 	q.mutex.Lock()
@@ -76,7 +76,7 @@
 	defer q.mutex.Unlock()
 	waiters := q.of(c.backend.Name)
 	if c.place != nil {
-		rejection := waiters.queue.Again(nowMs, c.place)
+		rejection := waiters.queue.Requeue(nowMs, c.place)
 		if rejection != nil {
 			delete(waiters.wakeups, c.place)
 			c.place = nil
@@ -110,24 +110,24 @@
 func (q *waitQueues) look(c *call) bool {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	return q.of(c.backend.Name).queue.Look(c.place)
+	return q.of(c.backend.Name).queue.StartProbe(c.place)
 }
 
 func (q *waitQueues) lookAfter(c *call) time.Duration {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	return time.Duration(q.of(c.backend.Name).queue.LookAfterMs(clock.NowMs(), c.place)) * time.Millisecond
+	return time.Duration(q.of(c.backend.Name).queue.ProbeDelayMs(clock.NowMs(), c.place)) * time.Millisecond
 }
 
 // mistakes adds up what has turned out wrong at all back ends.
-func (q *waitQueues) mistakes() (sum waiting.Mistakes, waitingNow int) {
+func (q *waitQueues) mistakes() (sum waiting.AdmissionErrors, waitingNow int) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	for _, waiters := range q.byBackend {
-		mistakes := waiters.queue.Mistakes()
-		sum.Wronged += mistakes.Wronged
-		sum.InVain += mistakes.InVain
-		sum.InVainMs += mistakes.InVainMs
+		mistakes := waiters.queue.AdmissionErrors()
+		sum.FalseRejections += mistakes.FalseRejections
+		sum.FutileWaits += mistakes.FutileWaits
+		sum.FutileWaitMs += mistakes.FutileWaitMs
 		waitingNow += waiters.queue.Len()
 	}
 	return sum, waitingNow
@@ -139,7 +139,7 @@
 	if c.finish.After(c.started) && c.finish.Before(due) {
 		due = c.finish
 	}
-	return waiting.Call{Rank: c.priority(), Begun: c.begun, AboveShare: c.aboveShare, DueMs: due.UnixMilli(), LatestMs: c.latest.UnixMilli()}
+	return waiting.Call{Priority: c.priority(), ProgramInProgress: c.begun, AboveFairShare: c.aboveShare, DueTimeMs: due.UnixMilli(), LatestStartMs: c.latest.UnixMilli()}
 }
 
 // waitForRoom waits until an engine of the call's back end may have room; it returns that
@@ -150,7 +150,7 @@
 		c.aboveShare = d.engines.aboveShare(c)
 	}
 	defer func() { c.waited = time.Since(c.queuedAt) }()
-	if d.process.Policy.Disable.Has(scheduling.MechanismWaiting) {
+	if d.process.Policy.Disable.Has(scheduling.MechanismWaitQueue) {
 		return "", d.pause(ctx, c)
 	}
 	told, rejection := d.queues.join(c, clock.NowMs())
@@ -198,5 +198,5 @@
 		return result.New(result.NoEngine, "no engine of %s", c.backend.Name).WithRetryAfter(after)
 	}
 	return result.New(result.EngineRefused, "no engine of %s had room in %s; %d calls go before it, room comes at %.1f a second: chance %.3f to start in time",
-		c.backend.Name, c.waited.Round(time.Millisecond), rejection.Ahead, rejection.PerSecond, rejection.Chance).WithRetryAfter(after)
+		c.backend.Name, c.waited.Round(time.Millisecond), rejection.Ahead, rejection.CompletionsPerSecond, rejection.Probability).WithRetryAfter(after)
 }
--- a/internal/ledger/bench_test.go
+++ b/internal/ledger/bench_test.go
@@ -39,7 +39,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	b.Cleanup(cancel)
 	var daemons []*Daemon
-	var news membership.FleetNews
+	var news membership.FleetDelta
 	initial := consensus.Configuration{}
 	var members []string
 	for number := range benchHosts {
@@ -63,9 +63,9 @@
 	for group := range benchGroups {
 		news.Groups = append(news.Groups, membership.Placement{Group: uint32(group + 1), Members: members, Initial: initial})
 	}
-	news.Version, news.Whole = 1, true
+	news.Version, news.IsFull = 1, true
 	var view *membership.FleetView
-	view, _ = view.Follow(news)
+	view, _ = view.ApplyDelta(news)
 	for _, host := range daemons {
 		host.follow(view, nil)
 	}
@@ -107,9 +107,9 @@
 		id := fmt.Sprint("turn-", turn)
 		programID := fmt.Sprint("program-", turn)
 		askLeader(b, caller, members, leader, &protocol.TurnRequest{Group: group, Reserve: &program.Reserve{
-			Program: programID, Request: id, Budget: 5000, Most: 575, Session: "s",
+			Program: programID, Request: id, BudgetTokens: 5000, MaxTokens: 575, Session: "s",
 		}})
-		settle := &program.Settle{Program: programID, Request: id, Used: 200, Session: "s", Engine: "i-1"}
+		settle := &program.Settle{Program: programID, Request: id, UsedTokens: 200, Session: "s", Engine: "i-1"}
 		go func() {
 			reply := &protocol.TurnReply{}
 			_ = caller.CallWithin(context.Background(), time.Second, leader[group], protocol.KindTurn, &protocol.TurnRequest{Group: group, Settle: settle}, reply)
--- a/internal/ledger/cluster_test.go
+++ b/internal/ledger/cluster_test.go
@@ -182,12 +182,12 @@
 // tellView does what control does: every host hears of all disks and placements.
 func (c *cluster) tellView() {
 	c.version++
-	news := membership.FleetNews{Version: c.version, Whole: true, Groups: c.groups}
+	news := membership.FleetDelta{Version: c.version, IsFull: true, Groups: c.groups}
 	for _, node := range c.nodes {
 		news.Ledgers = append(news.Ledgers, node.host)
 	}
 	var view *membership.FleetView
-	view, _ = view.Follow(news)
+	view, _ = view.ApplyDelta(news)
 	for _, node := range c.nodes {
 		if node.core != nil {
 			if err := node.core.Follow(view, c.nowMs); err != nil {
@@ -200,7 +200,7 @@
 func (n *node) start() {
 	n.replies = map[RequestID]func(*protocol.TurnReply){}
 	options := DefaultOptions(n.host.Member, n.host.Name, n.host.Zone)
-	options.Replication.CompactEntries = 20
+	options.Replication.CompactAfterEntries = 20
 	options.QuotaWindowMs = testQuotaWindowMs
 	n.core = NewCore(options, n.disk, n, n.cluster.nowMs)
 	if err := n.core.Restore(n.cluster.nowMs); err != nil {
@@ -302,7 +302,7 @@
 		if node.core == nil || node.cut {
 			continue
 		}
-		if group := node.core.host.Find(1); group != nil && group.Leads() {
+		if group := node.core.host.FindGroup(1); group != nil && group.IsLeader() {
 			return node
 		}
 	}
@@ -329,7 +329,7 @@
 	}
 	content := "<" + request + ">"
 	leader.ask(&protocol.TurnRequest{Group: 1, Settle: &program.Settle{
-		Program: "p", Request: request, Previous: previous, Keep: true, Content: []byte(content), RetentionMs: 3_600_000,
+		Program: "p", Request: request, PreviousRequest: previous, Retain: true, Content: []byte(content), RetentionMs: 3_600_000,
 	}}, func(reply *protocol.TurnReply) {
 		if reply.Error == nil {
 			c.kept[request] = c.kept[previous] + content
@@ -344,7 +344,7 @@
 		return
 	}
 	leader.ask(&protocol.TurnRequest{Group: 1, Reserve: &program.Reserve{
-		Program: "budget", Request: request, Budget: testBudget, Most: testMost,
+		Program: "budget", Request: request, BudgetTokens: testBudget, MaxTokens: testMost,
 	}}, func(reply *protocol.TurnReply) {
 		if reply.Error == nil {
 			c.granted[request]++
@@ -383,7 +383,7 @@
 	if leader == nil {
 		return false
 	}
-	group := leader.core.host.Find(1)
+	group := leader.core.host.FindGroup(1)
 	current := map[string]consensus.ReplicaID{}
 	for _, node := range c.nodes {
 		current[node.host.Member] = node.host.Replica
@@ -402,7 +402,7 @@
 		c.until("a kept turn", func() bool {
 			if leader := c.leader(); leader != nil {
 				leader.ask(&protocol.TurnRequest{Group: 1, Settle: &program.Settle{
-					Program: "p", Request: request, Keep: true, Content: []byte(content), RetentionMs: 3_600_000,
+					Program: "p", Request: request, Retain: true, Content: []byte(content), RetentionMs: 3_600_000,
 				}}, func(reply *protocol.TurnReply) {
 					if reply.Error == nil {
 						c.kept[request] = content
