--- a/internal/ledger/core.go
+++ b/internal/ledger/core.go
@@ -32,8 +32,8 @@
 // placementNote is the name under which the last view of the fleet is kept.
 const placementNote = "placement"
 
-// Outlet takes what the core sends. Its methods must not call back.
-type Outlet interface {
+// Transport takes what the core sends. Its methods must not call back.
+type Transport interface {
 	Send(member string, batch protocol.PeerBatch)
 	Reply(request RequestID, reply *protocol.TurnReply)
 }
@@ -99,8 +99,8 @@
 		Member: member, Name: name, Zone: zone, TickMs: defaultTickMs,
 		Replication: replication.Options{
 			Name: member, StartTicks: startTicks, ElectionTicks: electionTicks, HeartbeatTicks: heartbeatTicks,
-			MaxAppendBytes: maxAppendBytes, MaxInflight: maxInflight, ProposalWaitMs: proposalWaitMs,
-			CompactEntries: compactEntries, CompactBytes: compactBytes,
+			MaxAppendBytes: maxAppendBytes, MaxInflight: maxInflight, ProposalTimeoutMs: proposalWaitMs,
+			CompactAfterEntries: compactEntries, CompactAfterBytes: compactBytes,
 		},
 	}
 }
@@ -109,7 +109,7 @@
 type Core struct {
 	options Options
 	storage Storage
-	outlet  Outlet
+	outlet  Transport
 	host    *replication.Host
 	nowMs   int64
 	view    *membership.FleetView
@@ -130,7 +130,7 @@
 	// quotas grant the requests of tenants in the groups led here.
 	quotas map[storage.GroupID]*quotaOwner
 	// kinds is what was learnt of the kinds of tenants' programs, in all groups led here.
-	kinds    *admission.Kinds
+	kinds    *admission.ProgramKinds
 	draining bool
 
 	quotasGranted atomic.Int64
@@ -141,11 +141,11 @@
 }
 
 // NewCore returns a core that hosts nothing until it hears of its placement.
-func NewCore(options Options, disk Storage, outlet Outlet, nowMs int64) *Core {
+func NewCore(options Options, disk Storage, outlet Transport, nowMs int64) *Core {
 	core := &Core{
 		options: options, storage: disk, outlet: outlet, nowMs: nowMs, lastTickMs: nowMs,
 		leaderlessMs: map[storage.GroupID]int64{}, settles: map[storage.GroupID][]waitingSettle{}, ledSinceMs: map[storage.GroupID]int64{},
-		quotas: map[storage.GroupID]*quotaOwner{}, kinds: admission.NewKinds(),
+		quotas: map[storage.GroupID]*quotaOwner{}, kinds: admission.NewProgramKinds(),
 	}
 	core.host = replication.NewHost(options.Replication, disk, func(member string, messages []protocol.PeerMessage) {
 		outlet.Send(member, protocol.PeerBatch{From: options.Member, Messages: messages})
@@ -164,11 +164,11 @@
 
 // Turns returns the state of a hosted group for reading, nil where it is not hosted.
 func (c *Core) Turns(id storage.GroupID) *stateMachine {
-	group := c.host.Find(id)
+	group := c.host.FindGroup(id)
 	if group == nil {
 		return nil
 	}
-	return group.State.(*stateMachine)
+	return group.StateMachine.(*stateMachine)
 }
 
 // placementNoted is what a host must know to go on without control.
@@ -202,7 +202,7 @@
 	}
 	c.noted = raw
 	var view *membership.FleetView
-	view, _ = view.Follow(membership.FleetNews{Whole: true, Ledgers: noted.Ledgers, Groups: noted.Groups})
+	view, _ = view.ApplyDelta(membership.FleetDelta{IsFull: true, Ledgers: noted.Ledgers, Groups: noted.Groups})
 	return c.hostView(view, nowMs)
 }
 
@@ -237,7 +237,7 @@
 
 func (c *Core) hostPlaced(placement membership.Placement) error {
 	id := storage.GroupID(placement.Group)
-	if !slices.Contains(placement.Members, c.options.Member) || c.host.Find(id) != nil {
+	if !slices.Contains(placement.Members, c.options.Member) || c.host.FindGroup(id) != nil {
 		return nil
 	}
 	// Invariant: a disk that the first configuration doesn't name has promised
@@ -246,7 +246,7 @@
 	if _, first := placement.Initial.Find(c.storage.Replica()); first {
 		bootstrap = placement.Initial
 	}
-	_, err := c.host.Add(id, newStateMachine(c.options), bootstrap)
+	_, err := c.host.AddGroup(id, newStateMachine(c.options), bootstrap)
 	return err
 }
 
@@ -257,7 +257,7 @@
 }
 
 // Flush carries out what the groups have ready.
-func (c *Core) Flush() error { return c.host.Flush() }
+func (c *Core) Flush() error { return c.host.ProcessReady() }
 
 // Tick advances the core's clock.
 func (c *Core) Tick(nowMs int64) {
@@ -278,7 +278,7 @@
 		c.lastSweepMs = nowMs
 		c.sweep()
 	}
-	c.host.Expire()
+	c.host.ExpirePending()
 }
 
 // Report returns what the host says of itself to control.
@@ -287,18 +287,18 @@
 		Member: c.options.Member, Name: c.options.Name, Zone: c.options.Zone, Replica: c.storage.Replica(),
 	}}
 	for _, group := range c.host.Groups {
-		if group.Leads() {
-			report.Led = append(report.Led, ledGroup(group))
+		if group.IsLeader() {
+			report.LedGroups = append(report.LedGroups, ledGroup(group))
 		}
 	}
 	return report
 }
 
-func ledGroup(group *replication.Group) membership.LedGroup {
-	led := membership.LedGroup{Group: uint32(group.ID), Term: group.Node.Term(), Settled: true}
+func ledGroup(group *replication.Group) membership.GroupReport {
+	led := membership.GroupReport{Group: uint32(group.ID), Term: group.Node.Term(), IsStable: true}
 	for _, replica := range group.Node.Configuration().Replicas {
 		led.Members = append(led.Members, replica.Member)
-		led.Settled = led.Settled && !replica.Learner
+		led.IsStable = led.IsStable && !replica.Learner
 	}
 	return led
 }
@@ -313,12 +313,12 @@
 
 // Drained reports whether this process leads nothing any more.
 func (c *Core) Drained() bool {
-	return !slices.ContainsFunc(c.host.Groups, (*replication.Group).Leads)
+	return !slices.ContainsFunc(c.host.Groups, (*replication.Group).IsLeader)
 }
 
 // handOver gives leadership to a voter that is heard, has the whole log and is eligible.
 func (c *Core) handOver(group *replication.Group, eligible func(member string) bool) {
-	if !group.Leads() {
+	if !group.IsLeader() {
 		return
 	}
 	for _, replica := range group.Node.Configuration().Replicas {
@@ -335,7 +335,7 @@
 // sweep forgets expired turns and idle budgets in the groups led here.
 func (c *Core) sweep() {
 	for _, group := range c.host.Groups {
-		if group.Leads() && group.State.(*stateMachine).turns.SweepDue(c.nowMs) {
+		if group.IsLeader() && group.StateMachine.(*stateMachine).turns.IsSweepDue(c.nowMs) {
 			c.proposeSweep(group)
 		}
 	}
--- a/internal/ledger/daemon.go
+++ b/internal/ledger/daemon.go
@@ -90,14 +90,14 @@
 	}
 	d.follower.OnNews = d.follow
 	d.publish()
-	d.monitor = telemetry.NewMonitor(func() bool { return len(d.status.Load().report.Led)+d.status.Load().hosted > 0 })
+	d.monitor = telemetry.NewMonitor(func() bool { return len(d.status.Load().report.LedGroups)+d.status.Load().hosted > 0 })
 	d.registerMetrics()
 	return d, nil
 }
 
 func (d *Daemon) registerMetrics() {
 	d.monitor.Gauge("ledger_groups_hosted", "Ledger groups with a replica here.", func() float64 { return float64(d.status.Load().hosted) })
-	d.monitor.Gauge("ledger_groups_led", "Ledger groups led here.", func() float64 { return float64(len(d.status.Load().report.Led)) })
+	d.monitor.Gauge("ledger_groups_led", "Ledger groups led here.", func() float64 { return float64(len(d.status.Load().report.LedGroups)) })
 	d.monitor.Gauge("ledger_groups_voting", "Ledger groups whose quorum counts the replica here.", func() float64 { return float64(d.status.Load().voting) })
 	d.monitor.Gauge("ledger_requests_expired", "Requests dropped since the start: they waited longer than their senders.", func() float64 { return float64(d.expired.Load()) })
 	d.monitor.Gauge("ledger_turns_kept", "Turns kept in the groups hosted here.", func() float64 { return float64(d.status.Load().turns) })
@@ -111,15 +111,15 @@
 
 // tenants tells an operator of the tenants whose limits are owned here.
 func (d *Daemon) tenants() any {
-	views := make(chan []quota.TenantView, 1)
+	views := make(chan []quota.TenantUsage, 1)
 	d.loop.Post(func() { views <- d.core.Tenants() })
 	return TenantsView{Process: d.process.Name, Tenants: <-views}
 }
 
 // TenantsView is a ledger host's answer to an operator.
 type TenantsView struct {
-	Process string             `json:"process"`
-	Tenants []quota.TenantView `json:"tenants"`
+	Process string              `json:"process"`
+	Tenants []quota.TenantUsage `json:"tenants"`
 }
 
 // Follower returns the daemon's link to control, for changed settings.
@@ -171,23 +171,23 @@
 // publish makes the snapshot for other goroutines and logs changes of leadership.
 func (d *Daemon) publish() {
 	current := &status{
-		leaders: map[uint32]string{}, report: d.core.Report(), drained: d.core.Drained(), hosted: len(d.core.host.Groups), synced: d.core.host.Synced,
+		leaders: map[uint32]string{}, report: d.core.Report(), drained: d.core.Drained(), hosted: len(d.core.host.Groups), synced: d.core.host.SyncedWrites,
 		waiting: d.core.QuotasWaiting(),
 	}
 	for _, group := range d.core.host.Groups {
 		current.leaders[uint32(group.ID)] = group.LeaderMember()
-		current.turns += group.State.(*stateMachine).turns.Len()
+		current.turns += group.StateMachine.(*stateMachine).turns.Len()
 		current.applied += group.Node.Applied()
 		if group.Node.Configuration().IsVoter(group.Node.ID()) {
 			current.voting++
 		}
 		term := uint64(0)
-		if group.Leads() {
+		if group.IsLeader() {
 			term = group.Node.Term()
 		}
 		if d.led[uint32(group.ID)] != term {
 			d.led[uint32(group.ID)] = term
-			telemetry.Info(d.logger, "leadership changed", "group", uint32(group.ID), "leads", group.Leads(), "term", group.Node.Term())
+			telemetry.Info(d.logger, "leadership changed", "group", uint32(group.ID), "leads", group.IsLeader(), "term", group.Node.Term())
 		}
 	}
 	d.status.Store(current)
@@ -273,11 +273,11 @@
 	switch {
 	case request.Reserve != nil:
 		id, message = request.Reserve.Request, "turn opened"
-		keyValues = append(keyValues, "program", request.Reserve.Program, "budget", request.Reserve.Budget, "most", request.Reserve.Most,
-			"previous", request.Reserve.Previous, "home", reply.Engine)
+		keyValues = append(keyValues, "program", request.Reserve.Program, "budget", request.Reserve.BudgetTokens, "most", request.Reserve.MaxTokens,
+			"previous", request.Reserve.PreviousRequest, "home", reply.Engine)
 	case request.Settle != nil:
 		id, message = request.Settle.Request, "turn settled"
-		keyValues = append(keyValues, "program", request.Settle.Program, "used", request.Settle.Used, "keep", request.Settle.Keep)
+		keyValues = append(keyValues, "program", request.Settle.Program, "used", request.Settle.UsedTokens, "keep", request.Settle.Retain)
 	}
 	if request.Quota != nil {
 		message = "quota asked for"
--- a/internal/ledger/faults_test.go
+++ b/internal/ledger/faults_test.go
@@ -112,7 +112,7 @@
 		c.groups[0].Members[retiring] = c.nodes[3].host.Member
 		c.tellView()
 		c.until("the move", c.settled)
-		for _, replica := range c.leader().core.host.Find(1).Node.Configuration().Replicas {
+		for _, replica := range c.leader().core.host.FindGroup(1).Node.Configuration().Replicas {
 			if replica.Member == c.nodes[retiring].host.Member {
 				t.Fatalf("%s still counts", replica.Member)
 			}
--- a/internal/ledger/handover_test.go
+++ b/internal/ledger/handover_test.go
@@ -11,7 +11,7 @@
 	if leader == nil {
 		return 0
 	}
-	return leader.core.host.Find(1).Node.Term()
+	return leader.core.host.FindGroup(1).Node.Term()
 }
 
 // place moves the group to the hosts from first on, as many as before.
@@ -92,7 +92,7 @@
 	if leader == nil {
 		t.Fatal("no leader")
 	}
-	for _, replica := range leader.core.host.Find(1).Node.Configuration().Replicas {
+	for _, replica := range leader.core.host.FindGroup(1).Node.Configuration().Replicas {
 		absent := replica.Member == c.nodes[5].host.Member || replica.Member == c.nodes[6].host.Member
 		if absent && !replica.Learner {
 			t.Fatalf("%s votes and was never heard", replica.Member)
--- a/internal/ledger/load_test.go
+++ b/internal/ledger/load_test.go
@@ -82,7 +82,7 @@
 		leader := c.leader()
 		if number > 0 {
 			leader.ask(&protocol.TurnRequest{Group: 1, Settle: &program.Settle{
-				Program: "budget", Request: fmt.Sprint(number - 1), Used: 1,
+				Program: "budget", Request: fmt.Sprint(number - 1), UsedTokens: 1,
 			}}, func(reply *protocol.TurnReply) {
 				if reply.Error == nil {
 					settled++
@@ -125,7 +125,7 @@
 		return answer
 	}
 	reserve := func(zone, known string) *protocol.TurnReply {
-		return ask(leader, &protocol.TurnRequest{Group: 1, Zone: zone, Known: known, Reserve: &program.Reserve{Program: "p", Request: "next", Previous: last}})
+		return ask(leader, &protocol.TurnRequest{Group: 1, Zone: zone, Known: known, Reserve: &program.Reserve{Program: "p", Request: "next", PreviousRequest: last}})
 	}
 	for _, host := range c.nodes[:3] {
 		reply := reserve(host.host.Zone, "")
--- a/internal/ledger/quotaqueue_test.go
+++ b/internal/ledger/quotaqueue_test.go
@@ -28,7 +28,7 @@
 
 // queueCall is one request of a gateway.
 type queueCall struct {
-	ask     quota.Ask
+	ask     quota.Request
 	beganMs int64
 	askedMs int64
 	queued  bool
@@ -37,8 +37,8 @@
 // begin asks for a run of a program.
 func (q *queueCallers) begin(program string, continues bool) {
 	q.tickets++
-	call := &queueCall{beganMs: q.cluster.nowMs, ask: quota.Ask{
-		Tenant: "t", Program: program, Kind: "k", Limit: q.limit, Continues: continues, Ticket: fmt.Sprint(q.tickets),
+	call := &queueCall{beganMs: q.cluster.nowMs, ask: quota.Request{
+		Tenant: "t", Program: program, Kind: "k", Limit: q.limit, ContinuesProgram: continues, Ticket: fmt.Sprint(q.tickets),
 	}}
 	q.open[call.ask.Ticket] = call
 	q.put(call)
@@ -49,12 +49,12 @@
 	call.askedMs = q.cluster.nowMs
 	ask := call.ask
 	ask.WaitedMs = q.cluster.nowMs - call.beganMs
-	ask.WaitMs = queueWaitMs - ask.WaitedMs
+	ask.MaxWaitMs = queueWaitMs - ask.WaitedMs
 	for _, host := range q.cluster.nodes {
 		if host.core == nil {
 			continue
 		}
-		if group := host.core.host.Find(1); group == nil || !group.Leads() {
+		if group := host.core.host.FindGroup(1); group == nil || !group.IsLeader() {
 			continue
 		}
 		host.ask(&protocol.TurnRequest{Group: 1, WithinMs: queueAskAgainMs, Quota: &ask}, func(reply *protocol.TurnReply) {
--- a/internal/ledger/quotas.go
+++ b/internal/ledger/quotas.go
@@ -38,7 +38,7 @@
 // waitingAsk waits until untilMs, when whoever asked asks again.
 type waitingAsk struct {
 	id      RequestID
-	ask     quota.Ask
+	ask     quota.Request
 	untilMs int64
 }
 
@@ -50,15 +50,15 @@
 		return
 	}
 	ask := *request.Quota
-	if ask.Return != nil {
-		if ask.Return.Term == owner.term {
-			owner.owner.Return(ask.Tenant, ask.Return.AtMs)
-			owner.owner.Unrun(ask.Tenant, ask.Program)
+	if ask.ReturnedGrant != nil {
+		if ask.ReturnedGrant.Term == owner.term {
+			owner.owner.ReturnGrant(ask.Tenant, ask.ReturnedGrant.AtMs)
+			owner.owner.RecordNotRun(ask.Tenant, ask.Program)
 		}
 		c.outlet.Reply(id, &protocol.TurnReply{})
 		return
 	}
-	if ask.Cancel {
+	if ask.Cancelled {
 		owner.owner.Cancel(ask.Tenant, ask.Ticket)
 		c.outlet.Reply(id, &protocol.TurnReply{})
 		return
@@ -91,7 +91,7 @@
 		return nil, result.New(result.NoQuorum, "group %d: what was granted before term %d is not known yet", group.ID, term)
 	}
 	created := &quotaOwner{
-		term: term, owner: quota.NewLearntOwner(group.State.(*stateMachine).quotas, c.nowMs, c.kinds, c.options.QuotaTolerance),
+		term: term, owner: quota.NewOwnerWithAdmission(group.StateMachine.(*stateMachine).quotas, c.nowMs, c.kinds, c.options.QuotaTolerance),
 		waiting: map[string][]waitingAsk{}, reserving: map[string]bool{}, held: map[string]waitingAsk{},
 	}
 	c.quotas[group.ID] = created
@@ -101,9 +101,9 @@
 // decideQuota answers a request, or holds it while it waits for room; false where more has to
 // be reserved first.
 func (c *Core) decideQuota(group *replication.Group, owner *quotaOwner, next waitingAsk) bool {
-	decision := owner.owner.Ask(next.ask, c.nowMs)
+	decision := owner.owner.RequestGrant(next.ask, c.nowMs)
 	switch decision.Verdict {
-	case quota.Short:
+	case quota.ReservationNeeded:
 		return false
 	case quota.Granted:
 		c.quotasGranted.Add(1)
@@ -122,9 +122,9 @@
 // deniedQuota says what a request was denied by.
 func deniedQuota(decision quota.Decision) *result.Error {
 	failure := result.New(result.TenantLimit, "%d requests in the window, limit %d", decision.Used, decision.Allowed)
-	if fit := decision.Program; fit != nil {
+	if fit := decision.ProgramAdmission; fit != nil {
 		failure = result.New(result.TenantLimit, "new program: %d requests count, %.1f expected of programs under way, %.1f of its own; limit %d",
-			fit.Counted, fit.Expected, fit.Own, decision.Allowed)
+			fit.CountedRequests, fit.ExpectedRequests, fit.OwnRequests, decision.Allowed)
 	}
 	return failure.WithRetryAfter(time.Duration(decision.RetryAfterMs) * time.Millisecond)
 }
@@ -133,7 +133,7 @@
 // same ticket has lost its asker.
 func (c *Core) holdQuota(owner *quotaOwner, next waitingAsk) {
 	if earlier, known := owner.held[next.ask.Ticket]; known {
-		c.outlet.Reply(earlier.id, &protocol.TurnReply{Queued: &quota.Place{}})
+		c.outlet.Reply(earlier.id, &protocol.TurnReply{Queued: &quota.QueuePosition{}})
 	}
 	next.untilMs -= answerMarginMs
 	owner.held[next.ask.Ticket] = next
@@ -143,12 +143,12 @@
 // is about to end that they still wait, and ends the owners of terms that are over.
 func (c *Core) tickQuotas() {
 	for id, owner := range c.quotas {
-		group := c.host.Find(id)
-		if group == nil || !group.Leads() || group.Node.Term() != owner.term {
+		group := c.host.FindGroup(id)
+		if group == nil || !group.IsLeader() || group.Node.Term() != owner.term {
 			c.dropQuota(id)
 			continue
 		}
-		for _, tenant := range owner.owner.Queued() {
+		for _, tenant := range owner.owner.QueuedTenants() {
 			c.resumeQueue(group, owner, tenant)
 		}
 		c.answerHeld(owner)
@@ -157,7 +157,7 @@
 
 // resumeQueue grants what there is room for to the requests of a tenant that wait.
 func (c *Core) resumeQueue(group *replication.Group, owner *quotaOwner, tenant string) {
-	tickets, short := owner.owner.Resume(tenant, c.nowMs)
+	tickets, short := owner.owner.GrantQueued(tenant, c.nowMs)
 	for _, ticket := range tickets {
 		if next, known := owner.held[ticket]; known {
 			delete(owner.held, ticket)
@@ -176,7 +176,7 @@
 			continue
 		}
 		delete(owner.held, ticket)
-		c.outlet.Reply(next.id, &protocol.TurnReply{Queued: &quota.Place{}})
+		c.outlet.Reply(next.id, &protocol.TurnReply{Queued: &quota.QueuePosition{}})
 	}
 }
 
@@ -195,7 +195,7 @@
 
 // reserveQuota writes to the log what the owner may grant next of a tenant's limit.
 func (c *Core) reserveQuota(group *replication.Group, owner *quotaOwner, tenant string) {
-	reservation := owner.owner.Size(tenant, len(owner.waiting[tenant]), c.nowMs)
+	reservation := owner.owner.NextReservation(tenant, len(owner.waiting[tenant]), c.nowMs)
 	reservation.Term = owner.term
 	owner.proposedMs = c.nowMs
 	owner.reserving[tenant] = true
@@ -206,7 +206,7 @@
 			return
 		}
 		delete(owner.reserving, tenant)
-		owner.owner.Reserved(reservation)
+		owner.owner.AddReservation(reservation)
 		c.resumeQueue(group, owner, tenant)
 		c.resumeQuotas(group, owner, tenant)
 	})
@@ -264,10 +264,10 @@
 func (c *Core) QuotasDenied() int64 { return c.quotasDenied.Load() }
 
 // Tenants tells of the tenants whose limits are owned here.
-func (c *Core) Tenants() []quota.TenantView {
-	var views []quota.TenantView
+func (c *Core) Tenants() []quota.TenantUsage {
+	var views []quota.TenantUsage
 	for _, owner := range c.quotas {
-		views = append(views, owner.owner.Overview(c.nowMs)...)
+		views = append(views, owner.owner.Usage(c.nowMs)...)
 	}
 	return views
 }
--- a/internal/ledger/quotas_test.go
+++ b/internal/ledger/quotas_test.go
@@ -25,10 +25,10 @@
 		if host.core == nil {
 			continue
 		}
-		if group := host.core.host.Find(1); group == nil || !group.Leads() {
+		if group := host.core.host.FindGroup(1); group == nil || !group.IsLeader() {
 			continue
 		}
-		request := &protocol.TurnRequest{Group: 1, WithinMs: 450, Quota: &quota.Ask{Tenant: "t", Program: program, Limit: q.limit}}
+		request := &protocol.TurnRequest{Group: 1, WithinMs: 450, Quota: &quota.Request{Tenant: "t", Program: program, Limit: q.limit}}
 		host.ask(request, func(reply *protocol.TurnReply) {
 			switch {
 			case reply.Error == nil:
@@ -42,7 +42,7 @@
 
 // check holds that no window has seen more grants than the limit.
 func (q *quotaCallers) check(t *testing.T, seed uint64) {
-	allowed := int(q.limit.Within(testQuotaWindowMs))
+	allowed := int(q.limit.AllowedRequests(testQuotaWindowMs))
 	first := 0
 	for position, at := range q.granted {
 		for q.granted[first] <= at-testQuotaWindowMs {
@@ -142,7 +142,7 @@
 func TestSnapshotOfAGroup(t *testing.T) {
 	filled := func() *stateMachine {
 		machine := newStateMachine(Options{QuotaWindowMs: testQuotaWindowMs})
-		machine.turns.Apply(program.TurnCommand{NowMs: 1, Settle: &program.Settle{Program: "p", Request: "r", Keep: true, RetentionMs: 60_000}})
+		machine.turns.Apply(program.TurnCommand{NowMs: 1, Settle: &program.Settle{Program: "p", Request: "r", Retain: true, RetentionMs: 60_000}})
 		machine.quotas.Apply(quota.Reservation{Tenant: "t", Count: 3, Term: 1, NowMs: 1})
 		return machine
 	}
@@ -151,17 +151,17 @@
 		So(err, ShouldBeNil)
 		restored := newStateMachine(Options{QuotaWindowMs: testQuotaWindowMs})
 		So(restored.Restore(raw), ShouldBeNil)
-		So(restored.turns.Has("r"), ShouldBeTrue)
-		So(restored.quotas.Tenants(), ShouldEqual, 1)
+		So(restored.turns.HasTurn("r"), ShouldBeTrue)
+		So(restored.quotas.TenantCount(), ShouldEqual, 1)
 		So(restored.Restore(nil), ShouldBeNil)
-		So(restored.turns.Has("r"), ShouldBeFalse)
+		So(restored.turns.HasTurn("r"), ShouldBeFalse)
 	})
 	Convey("one of turns alone, as disks from before there were limits hold it, is read too", t, func() {
 		raw, err := filled().turns.Snapshot()
 		So(err, ShouldBeNil)
 		restored := newStateMachine(Options{QuotaWindowMs: testQuotaWindowMs})
 		So(restored.Restore(raw), ShouldBeNil)
-		So(restored.turns.Has("r"), ShouldBeTrue)
-		So(restored.quotas.Tenants(), ShouldEqual, 0)
+		So(restored.turns.HasTurn("r"), ShouldBeTrue)
+		So(restored.quotas.TenantCount(), ShouldEqual, 0)
 	})
 }
--- a/internal/ledger/reconcile.go
+++ b/internal/ledger/reconcile.go
@@ -19,7 +19,7 @@
 		if !placed {
 			continue
 		}
-		if !group.Leads() {
+		if !group.IsLeader() {
 			delete(c.ledSinceMs, group.ID)
 			c.dropForgotten(group, placement)
 			continue
@@ -102,7 +102,7 @@
 	}
 	if c.nowMs-since > forgetGroupAfterMs {
 		delete(c.leaderlessMs, group.ID)
-		c.host.Remove(group.ID)
+		c.host.RemoveGroup(group.ID)
 	}
 }
 
--- a/internal/ledger/requests.go
+++ b/internal/ledger/requests.go
@@ -23,12 +23,12 @@
 // or later.
 func (c *Core) Request(id RequestID, request *protocol.TurnRequest, nowMs int64) {
 	c.setNow(nowMs)
-	group := c.host.Find(storage.GroupID(request.Group))
+	group := c.host.FindGroup(storage.GroupID(request.Group))
 	if group != nil && len(request.Contents) > 0 {
 		c.outlet.Reply(id, c.contents(group, request.Contents))
 		return
 	}
-	if group == nil || !group.Leads() || c.draining {
+	if group == nil || !group.IsLeader() || c.draining {
 		reply := &protocol.TurnReply{Error: result.New(result.NotLeader, "%s does not lead group %d", c.options.Name, request.Group)}
 		if group != nil {
 			reply.Leader = group.LeaderMember()
@@ -41,7 +41,7 @@
 		c.askQuota(id, group, request)
 	case request.Reserve != nil:
 		c.reserve(id, group, request)
-	case request.Settle != nil && !request.Settle.Keep:
+	case request.Settle != nil && !request.Settle.Retain:
 		c.settles[group.ID] = append(c.settles[group.ID], waitingSettle{id, request.Settle})
 	case request.Settle != nil:
 		c.propose(id, group, program.TurnCommand{Settle: request.Settle}, nil)
@@ -55,15 +55,15 @@
 // reserve opens a turn. A turn without a budget changes nothing, so that a
 // confirmed read is enough.
 func (c *Core) reserve(id RequestID, group *replication.Group, request *protocol.TurnRequest) {
-	previous := request.Reserve.Previous
+	previous := request.Reserve.PreviousRequest
 	withChain := func() *protocol.TurnReply {
 		if previous == "" {
 			return &protocol.TurnReply{}
 		}
 		return c.chain(group, previous, request.Known, request.Zone)
 	}
-	if request.Reserve.Budget <= 0 {
-		c.host.Read(group, func(failure *result.Error) {
+	if request.Reserve.BudgetTokens <= 0 {
+		c.host.LinearizableRead(group, func(failure *result.Error) {
 			if failure == nil && previous != "" && !c.has(group, previous) {
 				failure = result.New(result.UnknownTurn, "no turn %s", previous)
 			}
@@ -79,7 +79,7 @@
 }
 
 func (c *Core) has(group *replication.Group, request string) bool {
-	return group.State.(*stateMachine).turns.Has(request)
+	return group.StateMachine.(*stateMachine).turns.HasTurn(request)
 }
 
 // proposeSettles proposes the charges that wait.
@@ -105,10 +105,10 @@
 	failure := c.host.Propose(group, &command, func(applied any) {
 		answer := &protocol.TurnReply{}
 		switch typed := applied.(type) {
-		case program.TurnOutcome:
+		case program.TurnReply:
 			answer.Error = typed.Error
 			answer.Engine = typed.Engine
-			answer.First = typed.First
+			answer.First = typed.IsFirstTurn
 		case *result.Error:
 			answer.Error = typed
 		}
@@ -126,7 +126,7 @@
 
 // find answers with the chain of a turn that another group may not know.
 func (c *Core) find(id RequestID, group *replication.Group, request string) {
-	c.host.Read(group, func(failure *result.Error) {
+	c.host.LinearizableRead(group, func(failure *result.Error) {
 		switch {
 		case failure != nil:
 			c.outlet.Reply(id, &protocol.TurnReply{Error: failure})
@@ -144,7 +144,7 @@
 // applied yet.
 func (c *Core) chain(group *replication.Group, last, known, zone string) *protocol.TurnReply {
 	reply := &protocol.TurnReply{}
-	line := group.State.(*stateMachine).turns.Chain(last)
+	line := group.StateMachine.(*stateMachine).turns.Chain(last)
 	if place := slices.Index(line, known); place >= 0 {
 		line = line[place+1:]
 		reply.Continued = true
@@ -175,7 +175,7 @@
 func (c *Core) contents(group *replication.Group, turns []string) *protocol.TurnReply {
 	reply := &protocol.TurnReply{}
 	for _, request := range turns {
-		if !group.Leads() && !c.has(group, request) {
+		if !group.IsLeader() && !c.has(group, request) {
 			return &protocol.TurnReply{Leader: group.LeaderMember(), Error: result.New(result.NotLeader, "turn %s is not here", request)}
 		}
 		records, err := c.host.Records(group, request, 0)
--- a/internal/ledger/state.go
+++ b/internal/ledger/state.go
@@ -13,40 +13,40 @@
 
 // stateMachine is the replicated state of one ledger group.
 type stateMachine struct {
-	turns *program.Turns
+	turns *program.TurnLedger
 	// quotas are the reservations of the limits of the tenants that belong to the group.
 	quotas *quota.State
 }
 
 func newStateMachine(options Options) *stateMachine {
-	turns := program.NewTurns()
+	turns := program.NewTurnLedger()
 	turns.DisableBudget = options.DisableBudget
 	return &stateMachine{turns: turns, quotas: quota.NewState(options.QuotaWindowMs)}
 }
 
 // Turns returns the turns for reading.
-func (m *stateMachine) Turns() *program.Turns { return m.turns }
+func (m *stateMachine) Turns() *program.TurnLedger { return m.turns }
 
 // Apply carries out an entry.
 func (m *stateMachine) Apply(_ uint64, data []byte) (any, []storage.Record) {
 	var command program.TurnCommand
 	if err := protocol.Decode(data, &command); err != nil {
-		return program.TurnOutcome{Error: result.New(result.Internal, "undecodable entry: %v", err)}, nil
+		return program.TurnReply{Error: result.New(result.Internal, "undecodable entry: %v", err)}, nil
 	}
 	if command.Quota != nil {
 		m.quotas.Apply(*command.Quota)
-		return program.TurnOutcome{}, nil
+		return program.TurnReply{}, nil
 	}
 	outcome, effects := m.turns.Apply(command)
 	var records []storage.Record
-	if effects.Write != "" {
+	if effects.WriteRequest != "" {
 		content := effects.Content
 		if content == nil {
 			content = []byte{}
 		}
-		records = append(records, storage.Record{Program: effects.Write, Turn: contentRecord, Value: content})
+		records = append(records, storage.Record{Program: effects.WriteRequest, Turn: contentRecord, Value: content})
 	}
-	for _, request := range effects.Forget {
+	for _, request := range effects.DeleteRequests {
 		records = append(records, storage.Record{Program: request, Turn: contentRecord})
 	}
 	return outcome, records
--- a/internal/membership/advertised.go
+++ b/internal/membership/advertised.go
@@ -26,17 +26,17 @@
 // Scope says what of a fleet a follower is told of besides ledger hosts and groups: no
 // engines, or those advertised to the gateways of a zone.
 type Scope struct {
-	Engines bool
-	Zone    string
+	IncludesEngines bool
+	Zone            string
 }
 
-// PoolSize is how many engines of a back end in a zone are advertised to the gateways of
+// SubsetSize is how many engines of a back end in a zone are advertised to the gateways of
 // the zone and to those of other zones.
-type PoolSize struct {
+type SubsetSize struct {
 	Backend string `msgpack:"b"`
 	Zone    string `msgpack:"z"`
-	Near    int    `msgpack:"n"`
-	Far     int    `msgpack:"f"`
+	Local   int    `msgpack:"n"`
+	Remote  int    `msgpack:"f"`
 }
 
 // poolKey names the engines of one back end in one zone.
@@ -93,7 +93,7 @@
 
 // concerns reports whether a follower may hold the key.
 func (w withdrawal) concerns(scope Scope) bool {
-	return w.everyone || (scope.Engines && scope.audienceOf(w.zone) == w.audience)
+	return w.everyone || (scope.IncludesEngines && scope.audienceOf(w.zone) == w.audience)
 }
 
 // audienceOf returns the audience to which a follower belongs for engines of a zone.
@@ -190,10 +190,10 @@
 }
 
 // resize changes how many engines of a pool are advertised.
-func (a *advertised) resize(version uint64, size PoolSize) {
+func (a *advertised) resize(version uint64, size SubsetSize) {
 	key := poolKey{size.Backend, size.Zone}
 	pool := a.pool(key)
-	wanted := [audienceCount]int{nearAudience: max(size.Near, leastNear), farAudience: max(size.Far, leastFar)}
+	wanted := [audienceCount]int{nearAudience: max(size.Local, leastNear), farAudience: max(size.Remote, leastFar)}
 	wanted[farAudience] = min(wanted[farAudience], wanted[nearAudience])
 	count := len(pool.ranked)
 	for _, told := range audiences {
@@ -252,7 +252,7 @@
 // latest returns the version at which what a follower is told last changed.
 func (a *advertised) latest(scope Scope) uint64 {
 	latest := max(a.horizon, a.placement)
-	if scope.Engines {
+	if scope.IncludesEngines {
 		latest = max(latest, a.far, a.near[scope.Zone])
 	}
 	return latest
--- a/internal/membership/advertised_test.go
+++ b/internal/membership/advertised_test.go
@@ -14,7 +14,7 @@
 )
 
 // advertisedBy is what a follower should be told, by looking at all engines.
-func advertisedBy(fleet *Fleet, scope Scope, sizes map[poolKey]PoolSize) map[string]ServingEngine {
+func advertisedBy(fleet *Fleet, scope Scope, sizes map[poolKey]SubsetSize) map[string]ServingEngine {
 	pools := map[poolKey][]ServingEngine{}
 	for _, engine := range fleet.Engines() {
 		if key := (poolKey{engine.Backend, engine.Zone}); !engine.Draining {
@@ -26,15 +26,15 @@
 		slices.SortFunc(engines, func(a, b ServingEngine) int {
 			return cmp.Compare(xxhash.Sum64String(a.ID), xxhash.Sum64String(b.ID))
 		})
-		size := max(sizes[key].Near, leastNear)
+		size := max(sizes[key].Local, leastNear)
 		if key.zone != scope.Zone {
-			size = min(max(sizes[key].Far, leastFar), size)
+			size = min(max(sizes[key].Remote, leastFar), size)
 		}
 		for _, engine := range engines[:min(size, len(engines))] {
 			told[engine.ID] = engine
 		}
 	}
-	if !scope.Engines {
+	if !scope.IncludesEngines {
 		return map[string]ServingEngine{}
 	}
 	return told
@@ -46,9 +46,9 @@
 func TestFollowProperty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		zones := []string{"a", "b", "c"}
-		sizes := map[poolKey]PoolSize{}
+		sizes := map[poolKey]SubsetSize{}
 		replicas := []*Fleet{NewFleet(), NewFleet()}
-		scopes := []Scope{{}, {Engines: true, Zone: "a"}, {Engines: true, Zone: "b"}, {Engines: true, Zone: "elsewhere"}}
+		scopes := []Scope{{}, {IncludesEngines: true, Zone: "a"}, {IncludesEngines: true, Zone: "b"}, {IncludesEngines: true, Zone: "elsewhere"}}
 		views := make([]*FleetView, len(scopes))
 		follow := func(position int, replica *Fleet) {
 			version := uint64(0)
@@ -58,8 +58,8 @@
 			if version > 0 && !replica.ChangedSince(version, scopes[position]) {
 				return
 			}
-			next, _ := views[position].Follow(replica.Since(version, scopes[position]))
-			if stale, changed := next.Follow(FleetNews{Version: version, Whole: true}); changed || stale != next {
+			next, _ := views[position].ApplyDelta(replica.DeltaSince(version, scopes[position]))
+			if stale, changed := next.ApplyDelta(FleetDelta{Version: version, IsFull: true}); changed || stale != next {
 				t.Fatal("older news were taken")
 			}
 			views[position] = next
@@ -83,9 +83,9 @@
 			case 6:
 				apply(FleetUpdate{LeftEngines: []string{id}})
 			case 7:
-				size := PoolSize{Backend: "b", Zone: zone, Near: rapid.IntRange(0, 30).Draw(t, "near"), Far: rapid.IntRange(0, 30).Draw(t, "far")}
+				size := SubsetSize{Backend: "b", Zone: zone, Local: rapid.IntRange(0, 30).Draw(t, "near"), Remote: rapid.IntRange(0, 30).Draw(t, "far")}
 				sizes[poolKey{"b", zone}] = size
-				apply(FleetUpdate{PutSizes: []PoolSize{size}})
+				apply(FleetUpdate{PutSubsetSizes: []SubsetSize{size}})
 			case 8:
 				raw, err := replicas[0].Snapshot()
 				if err != nil {
@@ -107,8 +107,8 @@
 				known = views[position].Engines
 			}
 			want := advertisedBy(replicas[1], scope, sizes)
-			if !slices.Equal(replicas[1].AdvertisedTo(scope), slices.Sorted(maps.Keys(want))) {
-				t.Fatalf("%+v is told of %v instead of %v", scope, replicas[1].AdvertisedTo(scope), slices.Sorted(maps.Keys(want)))
+			if !slices.Equal(replicas[1].AdvertisedEngineIDs(scope), slices.Sorted(maps.Keys(want))) {
+				t.Fatalf("%+v is told of %v instead of %v", scope, replicas[1].AdvertisedEngineIDs(scope), slices.Sorted(maps.Keys(want)))
 			}
 			if !slices.Equal(slices.Sorted(maps.Keys(known)), slices.Sorted(maps.Keys(want))) {
 				t.Fatalf("%+v knows %v instead of %v", scope, slices.Sorted(maps.Keys(known)), slices.Sorted(maps.Keys(want)))
@@ -140,23 +140,23 @@
 
 // TestAdvertised holds that what a change costs does not grow with the fleet.
 func TestAdvertised(t *testing.T) {
-	gateway := Scope{Engines: true, Zone: "zone-1"}
+	gateway := Scope{IncludesEngines: true, Zone: "zone-1"}
 	Convey("what a follower is told does not grow with the fleet", t, func() {
 		for _, engines := range []int{1000, 10_000} {
-			So(len(fleetOf(engines).Since(0, gateway).Engines), ShouldEqual, leastNear+4*leastFar)
-			So(fleetOf(engines).Since(0, Scope{}).Engines, ShouldBeEmpty)
+			So(len(fleetOf(engines).DeltaSince(0, gateway).Engines), ShouldEqual, leastNear+4*leastFar)
+			So(fleetOf(engines).DeltaSince(0, Scope{}).Engines, ShouldBeEmpty)
 		}
 	})
 	Convey("an engine that is not advertised is news for nobody, one that is, for its audience", t, func() {
 		for _, engines := range []int{1000, 10_000} {
 			fleet := fleetOf(engines)
-			heard := func(id string) map[string]FleetNews {
+			heard := func(id string) map[string]FleetDelta {
 				version := fleet.Version()
 				fleet.Apply(FleetUpdate{LostEngines: []string{id}})
-				news := map[string]FleetNews{}
-				for _, scope := range []Scope{{}, {Engines: true, Zone: "zone-1"}, {Engines: true, Zone: "zone-2"}} {
+				news := map[string]FleetDelta{}
+				for _, scope := range []Scope{{}, {IncludesEngines: true, Zone: "zone-1"}, {IncludesEngines: true, Zone: "zone-2"}} {
 					if fleet.ChangedSince(version, scope) {
-						news[scope.Zone] = fleet.Since(version, scope)
+						news[scope.Zone] = fleet.DeltaSince(version, scope)
 					}
 				}
 				return news
@@ -184,7 +184,7 @@
 					sequence++
 					engine.Draining, engine.Sequence = draining, sequence
 					fleet.Apply(FleetUpdate{PutEngines: []ServingEngine{engine}})
-					fleet.Since(version, gateway)
+					fleet.DeltaSince(version, gateway)
 				}
 			})
 		}
@@ -198,7 +198,7 @@
 			leaving.Draining = true
 			leaving.Sequence++
 			fleet.Apply(FleetUpdate{PutEngines: []ServingEngine{leaving}})
-			news := fleet.Since(0, gateway)
+			news := fleet.DeltaSince(0, gateway)
 			So(len(news.Engines), ShouldEqual, leastNear+4*leastFar)
 			for _, engine := range news.Engines {
 				So(engine.ID, ShouldNotEqual, leaving.ID)
@@ -213,7 +213,7 @@
 			fleet.Apply(FleetUpdate{PutEngines: []ServingEngine{engine}})
 			fleet.Apply(FleetUpdate{LostEngines: []string{engine.ID}})
 		}
-		So(fleet.Since(version, gateway).Whole, ShouldBeTrue)
+		So(fleet.DeltaSince(version, gateway).IsFull, ShouldBeTrue)
 		So(len(fleet.advertised.withdrawals), ShouldBeLessThanOrEqualTo, keptWithdrawals)
 	})
 }
@@ -224,9 +224,9 @@
 	key := poolKey{"b", "zone-1"}
 	// at has requests under way at each advertised engine, and more at those that other zones
 	// know; it returns the sizes that follow.
-	at := func(fleet *Fleet, tracker *FleetTracker, each, fromOthers float64, nowMs int64) PoolSize {
-		near := fleet.AdvertisedTo(Scope{Engines: true, Zone: key.zone})
-		far := fleet.AdvertisedTo(Scope{Engines: true, Zone: "another"})
+	at := func(fleet *Fleet, tracker *FleetTracker, each, fromOthers float64, nowMs int64) SubsetSize {
+		near := fleet.AdvertisedEngineIDs(Scope{IncludesEngines: true, Zone: key.zone})
+		far := fleet.AdvertisedEngineIDs(Scope{IncludesEngines: true, Zone: "another"})
 		inFlight := func(id string) float64 {
 			switch {
 			case slices.Contains(far, id):
@@ -236,47 +236,47 @@
 			}
 			return 0
 		}
-		fleet.Apply(FleetUpdate{PutSizes: tracker.Sizes(fleet, inFlight, nowMs)})
+		fleet.Apply(FleetUpdate{PutSubsetSizes: tracker.PlanSubsetSizes(fleet, inFlight, nowMs)})
 		pool := fleet.advertised.pools[key]
-		return PoolSize{Near: pool.sizes[nearAudience], Far: pool.sizes[farAudience]}
+		return SubsetSize{Local: pool.sizes[nearAudience], Remote: pool.sizes[farAudience]}
 	}
 	Convey("the number of engines advertised follows what is under way", t, func() {
 		fleet := fleetOf(1000)
 		tracker := NewFleetTracker(fleetOptions(), 0)
-		So(at(fleet, tracker, 1.4, 0, 100), ShouldResemble, PoolSize{Near: leastNear, Far: leastFar})
-		So(at(fleet, tracker, 3, 0, 200), ShouldResemble, PoolSize{Near: 24, Far: leastFar})
-		So(at(fleet, tracker, 6, 0, 300), ShouldResemble, PoolSize{Near: 96, Far: leastFar})
+		So(at(fleet, tracker, 1.4, 0, 100), ShouldResemble, SubsetSize{Local: leastNear, Remote: leastFar})
+		So(at(fleet, tracker, 3, 0, 200), ShouldResemble, SubsetSize{Local: 24, Remote: leastFar})
+		So(at(fleet, tracker, 6, 0, 300), ShouldResemble, SubsetSize{Local: 96, Remote: leastFar})
 		Convey("up to all that there are, and to no others where all are as full", func() {
-			So(at(fleet, tracker, 50, 0, 400), ShouldResemble, PoolSize{Near: 200, Far: leastFar})
-			So(at(fleet, tracker, 50, 0, 500), ShouldResemble, PoolSize{Near: 200, Far: leastFar})
+			So(at(fleet, tracker, 50, 0, 400), ShouldResemble, SubsetSize{Local: 200, Remote: leastFar})
+			So(at(fleet, tracker, 50, 0, 500), ShouldResemble, SubsetSize{Local: 200, Remote: leastFar})
 		})
 		Convey("to other zones where these crowd the few that they know", func() {
-			So(at(fleet, tracker, 0.1, 4.4, 400), ShouldResemble, PoolSize{Near: 96, Far: 12})
+			So(at(fleet, tracker, 0.1, 4.4, 400), ShouldResemble, SubsetSize{Local: 96, Remote: 12})
 		})
 		Convey("and down again by half, after a minute of calm", func() {
-			So(at(fleet, tracker, 0.1, 0, 1000).Near, ShouldEqual, 96)
-			So(at(fleet, tracker, 0.1, 0, 1000+calmMs-1).Near, ShouldEqual, 96)
-			So(at(fleet, tracker, 0.1, 0, 1000+calmMs).Near, ShouldEqual, 48)
-			So(at(fleet, tracker, 0.1, 0, 1000+calmMs+1).Near, ShouldEqual, 48)
+			So(at(fleet, tracker, 0.1, 0, 1000).Local, ShouldEqual, 96)
+			So(at(fleet, tracker, 0.1, 0, 1000+calmMs-1).Local, ShouldEqual, 96)
+			So(at(fleet, tracker, 0.1, 0, 1000+calmMs).Local, ShouldEqual, 48)
+			So(at(fleet, tracker, 0.1, 0, 1000+calmMs+1).Local, ShouldEqual, 48)
 		})
 	})
 	Convey("what was heard of engines that are gone does not add up", t, func() {
 		fleet := fleetOf(100)
 		tracker := NewFleetTracker(fleetOptions(), 0)
 		for nowMs := int64(1); nowMs < 20_000; nowMs += 10 {
-			tracker.Heard(fmt.Sprint("gone-", nowMs), nowMs)
+			tracker.RecordEngineAlive(fmt.Sprint("gone-", nowMs), nowMs)
 			tracker.Plan(fleet, nowMs)
 		}
 		So(len(tracker.heard), ShouldBeLessThanOrEqualTo, 2*100+100)
 	})
 	Convey("sizes outlive a snapshot", t, func() {
 		fleet := fleetOf(1000)
-		fleet.Apply(FleetUpdate{PutSizes: []PoolSize{{Backend: "b", Zone: "zone-1", Near: 30, Far: 10}}})
+		fleet.Apply(FleetUpdate{PutSubsetSizes: []SubsetSize{{Backend: "b", Zone: "zone-1", Local: 30, Remote: 10}}})
 		raw, err := fleet.Snapshot()
 		So(err, ShouldBeNil)
 		restored := NewFleet()
 		So(restored.Restore(raw), ShouldBeNil)
-		scope := Scope{Engines: true, Zone: "zone-1"}
-		So(restored.Since(0, scope).Engines, ShouldResemble, fleet.Since(0, scope).Engines)
+		scope := Scope{IncludesEngines: true, Zone: "zone-1"}
+		So(restored.DeltaSince(0, scope).Engines, ShouldResemble, fleet.DeltaSince(0, scope).Engines)
 	})
 }
--- a/internal/membership/bench_test.go
+++ b/internal/membership/bench_test.go
@@ -15,7 +15,7 @@
 		fleet.Apply(FleetUpdate{PutLedgers: []LedgerHost{hostAt(number, "zone")}})
 	}
 	for number := range 259 {
-		fleet.Apply(FleetUpdate{PutGateways: []Gateway{{Name: fmt.Sprintf("gateway-%d", number), Ready: true}}})
+		fleet.Apply(FleetUpdate{PutGateways: []Gateway{{Name: fmt.Sprintf("gateway-%d", number), IsReady: true}}})
 	}
 	for number := range 3000 {
 		fleet.Apply(FleetUpdate{PutEngines: []ServingEngine{{ID: fmt.Sprintf("gone-%d", number)}}})
@@ -31,7 +31,7 @@
 	version := fleet.Version()
 	fleet.Apply(FleetUpdate{PutGateways: []Gateway{{Name: "gateway-1"}}})
 	for b.Loop() {
-		if fleet.ChangedSince(version, Scope{Engines: true, Zone: "zone"}) {
+		if fleet.ChangedSince(version, Scope{IncludesEngines: true, Zone: "zone"}) {
 			b.Fatal("a gateway's change is no news")
 		}
 	}
--- a/internal/membership/directory.go
+++ b/internal/membership/directory.go
@@ -16,8 +16,8 @@
 	Name    string `json:"name" msgpack:"n"`
 	Zone    string `json:"zone" msgpack:"z"`
 	Address string `json:"address" msgpack:"a"`
-	// Start identifies the process; it changes when the daemon restarts.
-	Start uint64 `json:"start" msgpack:"s"`
+	// Incarnation identifies the process; it changes when the daemon restarts.
+	Incarnation uint64 `json:"start" msgpack:"s"`
 	// Draining marks a scheduler that stops as planned.
 	Draining bool `json:"draining,omitempty" msgpack:"d,omitempty"`
 }
@@ -44,8 +44,8 @@
 	RemoveEngines    []string    `msgpack:"x,omitempty"`
 }
 
-// Empty reports whether the update changes nothing.
-func (u Update) Empty() bool {
+// IsEmpty reports whether the update changes nothing.
+func (u Update) IsEmpty() bool {
 	return len(u.Schedulers) == 0 && len(u.RemoveSchedulers) == 0 && len(u.Engines) == 0 && len(u.RemoveEngines) == 0
 }
 
@@ -107,8 +107,8 @@
 // Roster returns the schedulers with what changed when.
 func (d *Directory) Roster() *Roster { return d.roster }
 
-// OwnerChanged is the version at which a scheduler's engines changed last.
-func (d *Directory) OwnerChanged(scheduler string) uint64 {
+// OwnedEnginesVersion is the version at which a scheduler's engines changed last.
+func (d *Directory) OwnedEnginesVersion(scheduler string) uint64 {
 	return max(d.ownersBase, d.ownerChanged[scheduler])
 }
 
--- a/internal/membership/fleet.go
+++ b/internal/membership/fleet.go
@@ -25,9 +25,9 @@
 	Draining bool `msgpack:"d,omitempty" json:"draining,omitempty"`
 	// Sequence orders the reports of one incarnation.
 	Sequence uint64 `msgpack:"q" json:"sequence"`
-	// Born tells the incarnations of an id apart and orders them: when the engine started by
+	// StartedMs tells the incarnations of an id apart and orders them: when the engine started by
 	// its own clock, Unix milliseconds; 0 where the engine does not say.
-	Born int64 `msgpack:"n,omitempty" json:"born,omitempty"`
+	StartedMs int64 `msgpack:"n,omitempty" json:"born,omitempty"`
 }
 
 // Gateway is one process that takes callers' requests.
@@ -38,16 +38,16 @@
 	Region string `msgpack:"r,omitempty" json:"region,omitempty"`
 	// Address is where callers reach it.
 	Address string `msgpack:"a" json:"address"`
-	// Ready gateways are told to callers.
-	Ready bool `msgpack:"e" json:"ready"`
+	// IsReady gateways are told to callers.
+	IsReady bool `msgpack:"e" json:"ready"`
 	// Capacity is the share of a core that it may use, 0 where it does not say.
 	Capacity float64 `msgpack:"c,omitempty" json:"capacity,omitempty"`
-	// Busy is how hot it is: each step halves what callers bring it.
-	Busy uint8 `msgpack:"b,omitempty" json:"busy,omitempty"`
+	// OverloadLevel is how hot it is: each step halves what callers bring it.
+	OverloadLevel uint8 `msgpack:"b,omitempty" json:"busy,omitempty"`
 }
 
 // room returns what part of its capacity is left to callers that ask where to go.
-func (g Gateway) room() float64 { return 1 / float64(uint64(1)<<min(g.Busy, mostBusy)) }
+func (g Gateway) room() float64 { return 1 / float64(uint64(1)<<min(g.OverloadLevel, mostBusy)) }
 
 // mostBusy bounds how little of its capacity a hot gateway is given: one in eight.
 const mostBusy = 3
@@ -76,8 +76,8 @@
 	PutEngines []ServingEngine `msgpack:"e,omitempty"`
 	// LeftEngines said that they end; that incarnation never comes back.
 	LeftEngines []string `msgpack:"l,omitempty"`
-	// Ended are incarnations that are over, those of LeftEngines among them.
-	Ended []Incarnation `msgpack:"b,omitempty"`
+	// EndedIncarnations are incarnations that are over, those of LeftEngines among them.
+	EndedIncarnations []Incarnation `msgpack:"b,omitempty"`
 	// LostEngines fell silent; they may come back.
 	LostEngines    []string     `msgpack:"o,omitempty"`
 	PutGateways    []Gateway    `msgpack:"g,omitempty"`
@@ -85,14 +85,14 @@
 	PutLedgers     []LedgerHost `msgpack:"d,omitempty"`
 	RemoveLedgers  []string     `msgpack:"c,omitempty"`
 	PutGroups      []Placement  `msgpack:"p,omitempty"`
-	// PutSizes change how many engines are advertised.
-	PutSizes []PoolSize `msgpack:"z,omitempty"`
+	// PutSubsetSizes change how many engines are advertised.
+	PutSubsetSizes []SubsetSize `msgpack:"z,omitempty"`
 }
 
-// Empty reports whether the update changes nothing.
-func (u *FleetUpdate) Empty() bool {
+// IsEmpty reports whether the update changes nothing.
+func (u *FleetUpdate) IsEmpty() bool {
 	return len(u.PutEngines)+len(u.LeftEngines)+len(u.LostEngines)+len(u.PutGateways)+len(u.RemoveGateways)+
-		len(u.PutLedgers)+len(u.RemoveLedgers)+len(u.PutGroups)+len(u.PutSizes) == 0
+		len(u.PutLedgers)+len(u.RemoveLedgers)+len(u.PutGroups)+len(u.PutSubsetSizes) == 0
 }
 
 // versioned is an entry with the fleet version of its last change.
@@ -117,7 +117,7 @@
 	// addresses since. Oldest first.
 	Superseded []string `msgpack:"u,omitempty"`
 	// Sizes are the pools of which more engines than the least are advertised.
-	Sizes []PoolSize `msgpack:"z,omitempty"`
+	Sizes []SubsetSize `msgpack:"z,omitempty"`
 }
 
 // Fleet is the replicated list of engines that registered themselves, gateways,
@@ -157,13 +157,13 @@
 	f.applyEngines(update)
 	f.applyGateways(update)
 	f.applyLedgers(update)
-	for _, size := range update.PutSizes {
+	for _, size := range update.PutSubsetSizes {
 		f.putSize(size)
 	}
 }
 
 func (f *Fleet) applyEngines(update FleetUpdate) {
-	for _, over := range update.Ended {
+	for _, over := range update.EndedIncarnations {
 		f.noteEnded(over)
 	}
 	for _, engine := range update.PutEngines {
@@ -214,11 +214,11 @@
 }
 
 // putSize changes how many engines of a pool are advertised.
-func (f *Fleet) putSize(size PoolSize) {
-	f.state.Sizes = slices.DeleteFunc(f.state.Sizes, func(known PoolSize) bool {
+func (f *Fleet) putSize(size SubsetSize) {
+	f.state.Sizes = slices.DeleteFunc(f.state.Sizes, func(known SubsetSize) bool {
 		return known.Backend == size.Backend && known.Zone == size.Zone
 	})
-	if size.Near > leastNear || size.Far > leastFar {
+	if size.Local > leastNear || size.Remote > leastFar {
 		f.state.Sizes = append(f.state.Sizes, size)
 	}
 	f.advertised.resize(f.state.Version, size)
@@ -227,7 +227,7 @@
 // putEngine takes a report. Invariant: an older report never undoes a newer one, and an
 // incarnation that has left, or that another one has followed, does not come back.
 func (f *Fleet) putEngine(engine ServingEngine) {
-	if f.Outdated(engine) {
+	if f.IsOutdated(engine) {
 		return
 	}
 	known, ok := f.state.Engines[engine.ID]
@@ -288,8 +288,8 @@
 // LedgerCount returns how many ledger hosts there are.
 func (f *Fleet) LedgerCount() int { return len(f.state.Ledgers) }
 
-// Advertised returns how many engines gateways are told of.
-func (f *Fleet) Advertised() int { return len(f.advertised.engines) }
+// AdvertisedCount returns how many engines gateways are told of.
+func (f *Fleet) AdvertisedCount() int { return len(f.advertised.engines) }
 
 // Engines returns all engines in ascending order of their ids.
 func (f *Fleet) Engines() []ServingEngine {
@@ -348,7 +348,7 @@
 		fresh.left[id] = true
 	}
 	for _, over := range fresh.state.Ended {
-		fresh.ended[over.ID] = over.Born
+		fresh.ended[over.ID] = over.StartedMs
 	}
 	for id, entry := range fresh.state.Engines {
 		fresh.addresses[entry.Value.Address] = id
@@ -367,38 +367,38 @@
 	return nil
 }
 
-// FleetNews is what a follower lacks of a fleet.
-type FleetNews struct {
+// FleetDelta is what a follower lacks of a fleet.
+type FleetDelta struct {
 	Version uint64 `msgpack:"v"`
-	// Whole news replace all that the follower has.
-	Whole   bool            `msgpack:"w,omitempty"`
+	// IsFull news replace all that the follower has.
+	IsFull  bool            `msgpack:"w,omitempty"`
 	Engines []ServingEngine `msgpack:"e,omitempty"`
 	Ledgers []LedgerHost    `msgpack:"l,omitempty"`
 	Groups  []Placement     `msgpack:"p,omitempty"`
 	Removed []string        `msgpack:"r,omitempty"`
 }
 
-// Latest returns the version at which what a follower is told last changed, 0 where nothing
+// LatestVersion returns the version at which what a follower is told last changed, 0 where nothing
 // ever did. It is asked for each held heartbeat at each change, so that it must cost next to
 // nothing.
-func (f *Fleet) Latest(scope Scope) uint64 { return f.advertised.latest(scope) }
+func (f *Fleet) LatestVersion(scope Scope) uint64 { return f.advertised.latest(scope) }
 
-// Since returns what a follower at a version lacks. Gateways are no part of it: only
+// DeltaSince returns what a follower at a version lacks. Gateways are no part of it: only
 // directories need them, and those read the replicated fleet itself. Its version is the latest
 // that matters to the follower, so that all that come back while gateways are listed one after
 // the other are told the same.
-func (f *Fleet) Since(version uint64, scope Scope) FleetNews {
-	news := FleetNews{Version: f.Latest(scope)}
+func (f *Fleet) DeltaSince(version uint64, scope Scope) FleetDelta {
+	news := FleetDelta{Version: f.LatestVersion(scope)}
 	if version < f.advertised.horizon || version > f.state.Version || version == 0 {
-		news.Whole = true
+		news.IsFull = true
 		version = 0
 	}
-	if scope.Engines {
+	if scope.IncludesEngines {
 		news.Engines = f.advertisedSince(version, scope)
 	}
 	news.Ledgers = changedSince(f.state.Ledgers, version)
 	news.Groups = changedSince(f.state.Groups, version)
-	if news.Whole {
+	if news.IsFull {
 		return news
 	}
 	for _, gone := range f.advertised.withdrawals {
@@ -409,9 +409,9 @@
 	return news
 }
 
-// AdvertisedTo returns the ids of the engines that a follower is told of, in ascending order.
-func (f *Fleet) AdvertisedTo(scope Scope) []string {
-	if !scope.Engines {
+// AdvertisedEngineIDs returns the ids of the engines that a follower is told of, in ascending order.
+func (f *Fleet) AdvertisedEngineIDs(scope Scope) []string {
+	if !scope.IncludesEngines {
 		return nil
 	}
 	var ids []string
@@ -449,4 +449,6 @@
 }
 
 // ChangedSince reports whether a follower may lack something.
-func (f *Fleet) ChangedSince(version uint64, scope Scope) bool { return version < f.Latest(scope) }
+func (f *Fleet) ChangedSince(version uint64, scope Scope) bool {
+	return version < f.LatestVersion(scope)
+}
--- a/internal/membership/fleet_test.go
+++ b/internal/membership/fleet_test.go
@@ -14,7 +14,7 @@
 }
 
 func fleetOptions() FleetOptions {
-	return FleetOptions{Groups: 2, Replicas: 3, EngineSilentMs: 1000, GatewaySilentMs: 1000, GatewayReturnMs: 200, LedgerSilentMs: 1000, LedgerForgottenMs: 5000, FormationMs: 100}
+	return FleetOptions{Groups: 2, Replicas: 3, EngineTimeoutMs: 1000, GatewayTimeoutMs: 1000, GatewayRepollTimeoutMs: 200, LedgerTimeoutMs: 1000, LedgerRetentionMs: 5000, InitialPlacementDelayMs: 100}
 }
 
 func TestFleet(t *testing.T) {
@@ -39,7 +39,7 @@
 		tracker := NewFleetTracker(fleetOptions(), 0)
 		report := func(id string) {
 			engine := ServingEngine{ID: id, Address: "10.0.0.1:1"}
-			if tracker.Believes(fleet, engine, 0) {
+			if tracker.AcceptsReport(fleet, engine, 0) {
 				fleet.Apply(FleetUpdate{PutEngines: []ServingEngine{engine}})
 			}
 		}
@@ -97,12 +97,12 @@
 		for _, name := range []string{"frozen", "held", "impatient", "unheard"} {
 			fleet.Apply(FleetUpdate{PutGateways: []Gateway{{Name: name}}})
 		}
-		frozen := tracker.HeardGateway("frozen", 100)
-		tracker.HeardGateway("held", 100)
-		given := tracker.HeardGateway("impatient", 100)
-		tracker.HeardGateway("impatient", 150)
-		tracker.AnsweredGateway("frozen", frozen, false, 300)
-		tracker.AnsweredGateway("impatient", given, false, 300)
+		frozen := tracker.RecordGatewayHeartbeat("frozen", 100)
+		tracker.RecordGatewayHeartbeat("held", 100)
+		given := tracker.RecordGatewayHeartbeat("impatient", 100)
+		tracker.RecordGatewayHeartbeat("impatient", 150)
+		tracker.RecordGatewayReply("frozen", frozen, false, 300)
+		tracker.RecordGatewayReply("impatient", given, false, 300)
 		So(tracker.Plan(fleet, 500).RemoveGateways, ShouldBeEmpty)
 		So(tracker.Plan(fleet, 501).RemoveGateways, ShouldResemble, []string{"frozen"})
 		So(tracker.Plan(fleet, 1000).RemoveGateways, ShouldResemble, []string{"frozen"})
@@ -113,8 +113,8 @@
 		fleet := NewFleet()
 		tracker := NewFleetTracker(fleetOptions(), 0)
 		fleet.Apply(FleetUpdate{PutGateways: []Gateway{{Name: "g"}}})
-		tracker.AnsweredGateway("g", tracker.HeardGateway("g", 100), false, 100)
-		tracker.Paused(3000)
+		tracker.RecordGatewayReply("g", tracker.RecordGatewayHeartbeat("g", 100), false, 100)
+		tracker.RecordPause(3000)
 		So(tracker.Plan(fleet, 3200).RemoveGateways, ShouldBeEmpty)
 		So(tracker.Plan(fleet, 3301).RemoveGateways, ShouldResemble, []string{"g"})
 	})
@@ -125,14 +125,14 @@
 		fleet.Apply(FleetUpdate{PutGateways: []Gateway{{Name: "g"}}})
 		fleet.Apply(FleetUpdate{RemoveGateways: []string{"g"}})
 		So(fleet.Gateways(), ShouldBeEmpty)
-		So(fleet.ChangedSince(version, Scope{Engines: true}), ShouldBeFalse)
+		So(fleet.ChangedSince(version, Scope{IncludesEngines: true}), ShouldBeFalse)
 	})
 	Convey("groups are placed over zones once no further host comes, and each once", t, func() {
 		fleet := NewFleet()
 		tracker := NewFleetTracker(fleetOptions(), 0)
 		for number, zone := range []string{"a", "a", "b", "c"} {
 			host := hostAt(number+1, zone)
-			tracker.HeardLedger(LedgerReport{Host: host}, 10)
+			tracker.RecordLedgerReport(LedgerReport{Host: host}, 10)
 			fleet.Apply(FleetUpdate{PutLedgers: []LedgerHost{host}})
 		}
 		So(tracker.Plan(fleet, 50).PutGroups, ShouldBeEmpty)
@@ -156,7 +156,7 @@
 		heard := func(nowMs int64, numbers ...int) {
 			for _, number := range numbers {
 				host := hostAt(number, fmt.Sprint(number))
-				tracker.HeardLedger(LedgerReport{Host: host}, nowMs)
+				tracker.RecordLedgerReport(LedgerReport{Host: host}, nowMs)
 				fleet.Apply(FleetUpdate{PutLedgers: []LedgerHost{host}})
 			}
 		}
@@ -178,23 +178,23 @@
 		tracker := NewFleetTracker(fleetOptions(), 0)
 		for number := 1; number <= 3; number++ {
 			host := hostAt(number, fmt.Sprint(number))
-			tracker.HeardLedger(LedgerReport{Host: host}, 0)
+			tracker.RecordLedgerReport(LedgerReport{Host: host}, 0)
 			fleet.Apply(FleetUpdate{PutLedgers: []LedgerHost{host}})
 		}
 		fleet.Apply(tracker.Plan(fleet, 200))
 		retiring := hostAt(3, "3")
-		So(tracker.Retire(fleet, retiring.Member, 300), ShouldBeFalse)
+		So(tracker.CanRetire(fleet, retiring.Member, 300), ShouldBeFalse)
 		spare := hostAt(4, "4")
-		tracker.HeardLedger(LedgerReport{Host: spare}, 300)
+		tracker.RecordLedgerReport(LedgerReport{Host: spare}, 300)
 		fleet.Apply(FleetUpdate{PutLedgers: []LedgerHost{spare}})
-		So(tracker.Retire(fleet, retiring.Member, 300), ShouldBeTrue)
+		So(tracker.CanRetire(fleet, retiring.Member, 300), ShouldBeTrue)
 		retiring.Retiring = true
 		fleet.Apply(FleetUpdate{PutLedgers: []LedgerHost{retiring}})
 		fleet.Apply(tracker.Plan(fleet, 400))
-		So(tracker.Emptied(fleet, retiring.Member), ShouldBeFalse)
+		So(tracker.IsDrained(fleet, retiring.Member), ShouldBeFalse)
 		for _, placement := range fleet.Placements() {
-			tracker.HeardLedger(LedgerReport{Host: spare, Led: []LedGroup{{Group: placement.Group, Members: placement.Members, Settled: true}}}, 500)
+			tracker.RecordLedgerReport(LedgerReport{Host: spare, LedGroups: []GroupReport{{Group: placement.Group, Members: placement.Members, IsStable: true}}}, 500)
 		}
-		So(tracker.Emptied(fleet, retiring.Member), ShouldBeTrue)
+		So(tracker.IsDrained(fleet, retiring.Member), ShouldBeTrue)
 	})
 }
--- a/internal/membership/fleet_tracker.go
+++ b/internal/membership/fleet_tracker.go
@@ -15,38 +15,38 @@
 	// hold each.
 	Groups   int
 	Replicas int
-	// EngineSilentMs is how long an engine may be silent before it counts as lost,
+	// EngineTimeoutMs is how long an engine may be silent before it counts as lost,
 	// GatewaySilentMs and LedgerSilentMs the same for ochrebay's own processes.
-	EngineSilentMs  int64
-	GatewaySilentMs int64
-	LedgerSilentMs  int64
-	// GatewayReturnMs is how long a gateway may take for its next heartbeat once the last
+	EngineTimeoutMs  int64
+	GatewayTimeoutMs int64
+	LedgerTimeoutMs  int64
+	// GatewayRepollTimeoutMs is how long a gateway may take for its next heartbeat once the last
 	// one was answered. A heartbeat is held for a while and the next follows at once, so
 	// that a gateway that does not come back is frozen or cut off. GatewayLightReturnMs is the
 	// same after an answer that is light: it takes next to nothing to be put in force.
-	GatewayReturnMs      int64
-	GatewayLightReturnMs int64
-	// LedgerForgottenMs is how long a ledger host that holds nothing may be silent before
+	GatewayRepollTimeoutMs           int64
+	GatewaySmallDeltaRepollTimeoutMs int64
+	// LedgerRetentionMs is how long a ledger host that holds nothing may be silent before
 	// it is forgotten; it is known again once it reports.
-	LedgerForgottenMs int64
-	// FormationMs is how long the first placement waits for further ledger hosts.
-	FormationMs int64
+	LedgerRetentionMs int64
+	// InitialPlacementDelayMs is how long the first placement waits for further ledger hosts.
+	InitialPlacementDelayMs int64
 }
 
 // LedgerReport is what a ledger host says of itself.
 type LedgerReport struct {
 	Host LedgerHost `msgpack:"h"`
-	// Led are the configurations of the groups that the host leads.
-	Led []LedGroup `msgpack:"l,omitempty"`
+	// LedGroups are the configurations of the groups that the host leads.
+	LedGroups []GroupReport `msgpack:"l,omitempty"`
 }
 
-// LedGroup is a group's configuration as its leader knows it.
-type LedGroup struct {
+// GroupReport is a group's configuration as its leader knows it.
+type GroupReport struct {
 	Group   uint32   `msgpack:"g"`
 	Term    uint64   `msgpack:"t"`
 	Members []string `msgpack:"m"`
-	// Settled says that all members vote and no change is pending.
-	Settled bool `msgpack:"s"`
+	// IsStable says that all members vote and no change is pending.
+	IsStable bool `msgpack:"s"`
 }
 
 // FleetTracker is a leader's soft state of the fleet; a new leader starts with an
@@ -58,7 +58,7 @@
 	// gateways are the latest heartbeats of gateways.
 	gateways map[string]gatewayHeartbeat
 	// led holds the last word of the groups' leaders.
-	led map[uint32]LedGroup
+	led map[uint32]GroupReport
 	// lastNewLedgerMs is when a ledger host was last seen for the first time.
 	lastNewLedgerMs int64
 	// enginesCheckedMs is when silent engines were last looked for.
@@ -90,27 +90,27 @@
 func NewFleetTracker(options FleetOptions, nowMs int64) *FleetTracker {
 	return &FleetTracker{
 		options: options, startMs: nowMs, heard: map[string]int64{}, gateways: map[string]gatewayHeartbeat{},
-		led: map[uint32]LedGroup{}, lastNewLedgerMs: nowMs, enginesCheckedMs: nowMs, doubts: map[string]doubt{}, newest: latestIncarnations{}, calmSinceMs: map[poolKey]int64{},
+		led: map[uint32]GroupReport{}, lastNewLedgerMs: nowMs, enginesCheckedMs: nowMs, doubts: map[string]doubt{}, newest: latestIncarnations{}, calmSinceMs: map[poolKey]int64{},
 	}
 }
 
-// HeardGateway notes a gateway's heartbeat and returns its number.
-func (t *FleetTracker) HeardGateway(name string, nowMs int64) uint64 {
+// RecordGatewayHeartbeat notes a gateway's heartbeat and returns its number.
+func (t *FleetTracker) RecordGatewayHeartbeat(name string, nowMs int64) uint64 {
 	number := t.gateways[name].number + 1
 	t.gateways[name] = gatewayHeartbeat{number: number, sinceMs: nowMs}
 	return number
 }
 
-// AnsweredGateway notes that the heartbeat of a number is answered, light where that takes next to nothing to put in force.
-func (t *FleetTracker) AnsweredGateway(name string, number uint64, light bool, nowMs int64) {
+// RecordGatewayReply notes that the heartbeat of a number is answered, light where that takes next to nothing to put in force.
+func (t *FleetTracker) RecordGatewayReply(name string, number uint64, light bool, nowMs int64) {
 	if latest := t.gateways[name]; latest.number == number && !latest.answered {
 		t.gateways[name] = gatewayHeartbeat{number: number, answered: true, light: light, sinceMs: nowMs}
 	}
 }
 
-// Paused notes that the leader itself did nothing for a time: what gateways sent
+// RecordPause notes that the leader itself did nothing for a time: what gateways sent
 // meanwhile still waits for it, so that their silence does not count.
-func (t *FleetTracker) Paused(forMs int64) {
+func (t *FleetTracker) RecordPause(forMs int64) {
 	for name, latest := range t.gateways {
 		latest.sinceMs += forMs
 		t.gateways[name] = latest
@@ -122,27 +122,27 @@
 func (t *FleetTracker) gatewaySilent(name string, nowMs int64) bool {
 	latest, known := t.gateways[name]
 	if !known {
-		return nowMs-t.startMs > t.options.GatewaySilentMs
+		return nowMs-t.startMs > t.options.GatewayTimeoutMs
 	}
 	switch {
 	case latest.answered && latest.light:
-		return nowMs-latest.sinceMs > t.options.GatewayLightReturnMs
+		return nowMs-latest.sinceMs > t.options.GatewaySmallDeltaRepollTimeoutMs
 	case latest.answered:
-		return nowMs-latest.sinceMs > t.options.GatewayReturnMs
+		return nowMs-latest.sinceMs > t.options.GatewayRepollTimeoutMs
 	}
-	return nowMs-latest.sinceMs > t.options.GatewaySilentMs
+	return nowMs-latest.sinceMs > t.options.GatewayTimeoutMs
 }
 
-// Heard notes that an engine is alive.
-func (t *FleetTracker) Heard(key string, nowMs int64) { t.heard[key] = nowMs }
+// RecordEngineAlive notes that an engine is alive.
+func (t *FleetTracker) RecordEngineAlive(key string, nowMs int64) { t.heard[key] = nowMs }
 
-// HeardLedger notes a ledger host's report.
-func (t *FleetTracker) HeardLedger(report LedgerReport, nowMs int64) {
+// RecordLedgerReport notes a ledger host's report.
+func (t *FleetTracker) RecordLedgerReport(report LedgerReport, nowMs int64) {
 	if _, known := t.heard[report.Host.Member]; !known {
 		t.lastNewLedgerMs = nowMs
 	}
 	t.heard[report.Host.Member] = nowMs
-	for _, led := range report.Led {
+	for _, led := range report.LedGroups {
 		if known, ok := t.led[led.Group]; !ok || led.Term >= known.Term {
 			t.led[led.Group] = led
 		}
@@ -175,7 +175,7 @@
 	t.enginesCheckedMs = nowMs
 	var lost []string
 	for id := range fleet.state.Engines {
-		if t.silentMs(id, nowMs) > t.options.EngineSilentMs {
+		if t.silentMs(id, nowMs) > t.options.EngineTimeoutMs {
 			lost = append(lost, id)
 		}
 	}
@@ -222,16 +222,16 @@
 	}
 	var gone []string
 	for _, host := range fleet.Ledgers() {
-		if !holds[host.Member] && t.silentMs(host.Member, nowMs) > t.options.LedgerForgottenMs {
+		if !holds[host.Member] && t.silentMs(host.Member, nowMs) > t.options.LedgerRetentionMs {
 			gone = append(gone, host.Member)
 		}
 	}
 	return gone
 }
 
-// Alive reports whether a ledger host was heard of lately.
-func (t *FleetTracker) Alive(member string, nowMs int64) bool {
-	return t.silentMs(member, nowMs) <= t.options.LedgerSilentMs
+// IsLedgerHostAlive reports whether a ledger host was heard of lately.
+func (t *FleetTracker) IsLedgerHostAlive(member string, nowMs int64) bool {
+	return t.silentMs(member, nowMs) <= t.options.LedgerTimeoutMs
 }
 
 // place returns the placements that should change: the first ones together, later
@@ -260,7 +260,7 @@
 func (t *FleetTracker) usable(fleet *Fleet, nowMs int64) []LedgerHost {
 	var usable []LedgerHost
 	for _, host := range fleet.Ledgers() {
-		if !host.Retiring && t.Alive(host.Member, nowMs) {
+		if !host.Retiring && t.IsLedgerHostAlive(host.Member, nowMs) {
 			usable = append(usable, host)
 		}
 	}
@@ -268,7 +268,7 @@
 }
 
 func (t *FleetTracker) placeFirst(usable []LedgerHost, nowMs int64) []Placement {
-	waited := nowMs-t.lastNewLedgerMs >= t.options.FormationMs
+	waited := nowMs-t.lastNewLedgerMs >= t.options.InitialPlacementDelayMs
 	if len(usable) == 0 || !waited {
 		return nil
 	}
@@ -298,7 +298,7 @@
 	next.Members = slices.Clone(placement.Members)
 	for position, member := range placement.Members {
 		host, known := fleet.Ledger(member)
-		if known && !host.Retiring && t.Alive(member, nowMs) {
+		if known && !host.Retiring && t.IsLedgerHostAlive(member, nowMs) {
 			continue
 		}
 		others := slices.Delete(slices.Clone(placement.Members), position, position+1)
@@ -362,9 +362,9 @@
 	return best, found
 }
 
-// Retire decides on a request to empty a ledger host: false where too few would be
+// CanRetire decides on a request to empty a ledger host: false where too few would be
 // left.
-func (t *FleetTracker) Retire(fleet *Fleet, member string, nowMs int64) bool {
+func (t *FleetTracker) CanRetire(fleet *Fleet, member string, nowMs int64) bool {
 	left := 0
 	for _, host := range t.usable(fleet, nowMs) {
 		if host.Member != member {
@@ -374,15 +374,15 @@
 	return left >= t.options.Replicas
 }
 
-// Emptied reports whether no group has a member any more: none is placed on it and
+// IsDrained reports whether no group has a member any more: none is placed on it and
 // every group's leader said so.
-func (t *FleetTracker) Emptied(fleet *Fleet, member string) bool {
+func (t *FleetTracker) IsDrained(fleet *Fleet, member string) bool {
 	for _, placement := range fleet.Placements() {
 		if slices.Contains(placement.Members, member) {
 			return false
 		}
 		led, ok := t.led[placement.Group]
-		if !ok || !led.Settled || slices.Contains(led.Members, member) {
+		if !ok || !led.IsStable || slices.Contains(led.Members, member) {
 			return false
 		}
 	}
--- a/internal/membership/fleetsize_bench_test.go
+++ b/internal/membership/fleetsize_bench_test.go
@@ -14,7 +14,7 @@
 				fleet.Apply(FleetUpdate{PutEngines: []ServingEngine{{ID: fmt.Sprintf("i-%06d", number), Backend: "b", Zone: fmt.Sprint("z", number%5), Sequence: 1}}})
 			}
 			options := fleetOptions()
-			options.EngineSilentMs = 1 << 40
+			options.EngineTimeoutMs = 1 << 40
 			tracker := NewFleetTracker(options, 0)
 			nowMs := int64(0)
 			b.ReportAllocs()
--- a/internal/membership/follower.go
+++ b/internal/membership/follower.go
@@ -11,14 +11,14 @@
 	Groups  map[uint32]Placement
 }
 
-// Follow returns the view after news, and whether anything changed. Invariant: the
+// ApplyDelta returns the view after news, and whether anything changed. Invariant: the
 // version only grows within one life of the follower.
-func (v *FleetView) Follow(news FleetNews) (*FleetView, bool) {
+func (v *FleetView) ApplyDelta(news FleetDelta) (*FleetView, bool) {
 	if v != nil && news.Version <= v.Version {
 		return v, false
 	}
 	next := &FleetView{Version: news.Version}
-	if v == nil || news.Whole {
+	if v == nil || news.IsFull {
 		next.Engines, next.Ledgers, next.Groups = map[string]ServingEngine{}, map[string]LedgerHost{}, map[uint32]Placement{}
 	} else {
 		next.Engines, next.Ledgers, next.Groups = maps.Clone(v.Engines), maps.Clone(v.Ledgers), maps.Clone(v.Groups)
--- a/internal/membership/heat.go
+++ b/internal/membership/heat.go
@@ -15,9 +15,9 @@
 	heatStepMs     = 3000
 )
 
-// Heat tells from the processor time that a gateway uses how much of its capacity callers should
+// OverloadTracker tells from the processor time that a gateway uses how much of its capacity callers should
 // bring. The zero value is a gateway that is cool. Times are in milliseconds.
-type Heat struct {
+type OverloadTracker struct {
 	level uint8
 	// use is the decaying mean of the share of its processor that is taken.
 	use       float64
@@ -27,7 +27,7 @@
 
 // Observe takes the share of its processor that a gateway has used since the last time, and returns
 // its level: each one halves what callers bring.
-func (h *Heat) Observe(use float64, nowMs int64) uint8 {
+func (h *OverloadTracker) Observe(use float64, nowMs int64) uint8 {
 	if h.atMs == 0 {
 		h.atMs, h.changedMs, h.use = nowMs, nowMs-heatStepMs, use
 	}
@@ -48,5 +48,5 @@
 	return h.level
 }
 
-// Use returns the share of its processor that a gateway has used lately.
-func (h *Heat) Use() float64 { return h.use }
+// Utilization returns the share of its processor that a gateway has used lately.
+func (h *OverloadTracker) Utilization() float64 { return h.use }
--- a/internal/membership/heat_test.go
+++ b/internal/membership/heat_test.go
@@ -13,10 +13,10 @@
 func TestHeatSettles(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		demand := rapid.Float64Range(0, 8).Draw(t, "demand")
-		var heat Heat
+		var heat OverloadTracker
 		level, changes := uint8(0), 0
 		for nowMs := int64(heartbeatMs); nowMs < 60_000; nowMs += heartbeatMs {
-			next := heat.Observe(min(demand*Gateway{Busy: level}.room(), 1), nowMs)
+			next := heat.Observe(min(demand*Gateway{OverloadLevel: level}.room(), 1), nowMs)
 			if next != level {
 				changes++
 			}
@@ -25,7 +25,7 @@
 		if changes > mostBusy {
 			t.Fatalf("%d changes of level under a constant demand of %g", changes, demand)
 		}
-		if used := demand * (Gateway{Busy: level}).room(); used > hotAbove && level < mostBusy {
+		if used := demand * (Gateway{OverloadLevel: level}).room(); used > hotAbove && level < mostBusy {
 			t.Fatalf("level %d at a use of %g", level, used)
 		}
 	})
@@ -34,7 +34,7 @@
 // TestHeatReturns holds that a burst makes a gateway hot within a second or so and that it is cool again
 // some seconds after; a single long step makes it nothing.
 func TestHeatReturns(t *testing.T) {
-	var heat Heat
+	var heat OverloadTracker
 	nowMs := int64(heartbeatMs)
 	observe := func(use float64, forMs int64) (level uint8) {
 		for end := nowMs + forMs; nowMs < end; nowMs += heartbeatMs {
--- a/internal/membership/incarnation.go
+++ b/internal/membership/incarnation.go
@@ -7,8 +7,8 @@
 
 // Incarnation is one life of an engine that says when it started.
 type Incarnation struct {
-	ID   string `msgpack:"i" json:"id"`
-	Born int64  `msgpack:"b" json:"born"`
+	ID        string `msgpack:"i" json:"id"`
+	StartedMs int64  `msgpack:"b" json:"born"`
 }
 
 const (
@@ -20,68 +20,70 @@
 )
 
 // Incarnation returns which life of the engine this is.
-func (e ServingEngine) Incarnation() Incarnation { return Incarnation{ID: e.ID, Born: e.Born} }
+func (e ServingEngine) Incarnation() Incarnation {
+	return Incarnation{ID: e.ID, StartedMs: e.StartedMs}
+}
 
-// Key names an engine's incarnation, for what is remembered of it elsewhere: what it holds in
+// IncarnationKey names an engine's incarnation, for what is remembered of it elsewhere: what it holds in
 // memory is gone with it. It is the id alone where the engine does not say when it started.
-func (e ServingEngine) Key() string {
-	if e.Born == 0 {
+func (e ServingEngine) IncarnationKey() string {
+	if e.StartedMs == 0 {
 		return e.ID
 	}
-	return e.ID + incarnationMark + strconv.FormatInt(e.Born, incarnationBase)
+	return e.ID + incarnationMark + strconv.FormatInt(e.StartedMs, incarnationBase)
 }
 
-// HasKey reports whether a key names this incarnation. The id alone, which a process that
+// MatchesKey reports whether a key names this incarnation. The id alone, which a process that
 // knows no incarnations remembers, names any.
-func (e ServingEngine) HasKey(key string) bool { return key == e.ID || key == e.Key() }
+func (e ServingEngine) MatchesKey(key string) bool { return key == e.ID || key == e.IncarnationKey() }
 
-// Outdated reports whether a report says nothing of how things are: its incarnation has left
+// IsOutdated reports whether a report says nothing of how things are: its incarnation has left
 // or has been followed by another one, or has reported later than that.
-func (f *Fleet) Outdated(engine ServingEngine) bool {
+func (f *Fleet) IsOutdated(engine ServingEngine) bool {
 	if f.isOver(engine.Incarnation()) {
 		return true
 	}
 	known, ok := f.state.Engines[engine.ID]
-	if !ok || engine.Born > known.Value.Born {
+	if !ok || engine.StartedMs > known.Value.StartedMs {
 		return false
 	}
-	return engine.Born < known.Value.Born || engine.Sequence < known.Value.Sequence
+	return engine.StartedMs < known.Value.StartedMs || engine.Sequence < known.Value.Sequence
 }
 
 // isOver reports whether an incarnation is known to be over.
 func (f *Fleet) isOver(incarnation Incarnation) bool {
 	born, lived := f.ended[incarnation.ID]
-	if incarnation.Born == 0 {
+	if incarnation.StartedMs == 0 {
 		return lived || f.left[incarnation.ID]
 	}
-	return lived && incarnation.Born <= born
+	return lived && incarnation.StartedMs <= born
 }
 
 // HasLeft reports whether an incarnation said that it ends; of one that does not say when it
 // started the id decides.
 func (f *Fleet) HasLeft(incarnation Incarnation) bool {
 	_, there := f.state.Engines[incarnation.ID]
-	return f.isOver(incarnation) && !(there && incarnation.Born == 0)
+	return f.isOver(incarnation) && !(there && incarnation.StartedMs == 0)
 }
 
-// BegunAt returns the version at which another incarnation last took up an id, 0 where that
+// IncarnationVersion returns the version at which another incarnation last took up an id, 0 where that
 // is not known: what was said of the id before is void.
-func (f *Fleet) BegunAt(id string) uint64 { return f.begun[id] }
+func (f *Fleet) IncarnationVersion(id string) uint64 { return f.begun[id] }
 
 // outlives reports whether a known engine is of a later life than the one that is over.
 func (f *Fleet) outlives(known ServingEngine) bool {
-	return known.Born > 0 && !f.isOver(known.Incarnation())
+	return known.StartedMs > 0 && !f.isOver(known.Incarnation())
 }
 
 // noteEnded remembers that an incarnation, and with it all before it, is over.
 func (f *Fleet) noteEnded(over Incarnation) {
-	if over.Born == 0 || f.isOver(over) {
+	if over.StartedMs == 0 || f.isOver(over) {
 		return
 	}
 	if _, known := f.ended[over.ID]; known {
 		f.state.Ended = slices.DeleteFunc(f.state.Ended, func(earlier Incarnation) bool { return earlier.ID == over.ID })
 	}
-	f.ended[over.ID] = over.Born
+	f.ended[over.ID] = over.StartedMs
 	f.state.Ended = append(f.state.Ended, over)
 	if len(f.state.Ended) > keptEnded {
 		for _, old := range f.state.Ended[:keptEnded/2] {
@@ -112,15 +114,15 @@
 // restarted reports whether a report is of a later life than the one that is known. Where it
 // is the first to say when the engine started, its place in the order of reports decides.
 func (e ServingEngine) restarted(known ServingEngine) bool {
-	if known.Born == 0 {
-		return e.Born > 0 && e.Sequence < known.Sequence
+	if known.StartedMs == 0 {
+		return e.StartedMs > 0 && e.Sequence < known.Sequence
 	}
-	return e.Born > known.Born
+	return e.StartedMs > known.StartedMs
 }
 
-// Restarted reports whether an engine is known that a report says has started again, and
+// PreviousIncarnation reports whether an engine is known that a report says has started again, and
 // returns the life that is over.
-func (f *Fleet) Restarted(engine ServingEngine) (Incarnation, bool) {
+func (f *Fleet) PreviousIncarnation(engine ServingEngine) (Incarnation, bool) {
 	known, there := f.state.Engines[engine.ID]
 	return known.Value.Incarnation(), there && engine.restarted(known.Value)
 }
--- a/internal/membership/lookups.go
+++ b/internal/membership/lookups.go
@@ -18,9 +18,9 @@
 	lookUpWindowMs = 1000
 )
 
-// LookUps decides how long callers may hold an answer of the directory: as short as the process
+// LookupTTL decides how long callers may hold an answer of the directory: as short as the process
 // that answers can afford to be asked again. The zero value has seen nobody. Times are in milliseconds.
-type LookUps struct {
+type LookupTTL struct {
 	windowMs int64
 	// heldMs is for how long the answers of this window may be held in sum.
 	heldMs int64
@@ -30,9 +30,9 @@
 	known   bool
 }
 
-// Answer notes a look-up and returns how long its answer may be held; dark says that another
+// RecordLookup notes a look-up and returns how long its answer may be held; dark says that another
 // process that answers look-ups is silent.
-func (l *LookUps) Answer(dark bool, nowMs int64) int64 {
+func (l *LookupTTL) RecordLookup(dark bool, nowMs int64) int64 {
 	if l.windowMs == 0 {
 		l.windowMs = nowMs
 	}
@@ -49,7 +49,7 @@
 	return held
 }
 
-func (l *LookUps) holdMs() int64 {
+func (l *LookupTTL) holdMs() int64 {
 	if !l.known {
 		return mostHeldMs
 	}
--- a/internal/membership/lookups_test.go
+++ b/internal/membership/lookups_test.go
@@ -27,7 +27,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		callers := rapid.IntRange(1, 1500).Draw(t, "callers")
 		patient := rapid.IntRange(0, 10).Draw(t, "patient in ten")
-		var lookUps LookUps
+		var lookUps LookupTTL
 		next := &askers{}
 		for number := range callers {
 			heap.Push(next, int64(1+number%mostHeldMs))
@@ -36,7 +36,7 @@
 		answers, held := 0, int64(0)
 		for number := 0; (*next)[0] < endMs; number++ {
 			nowMs := heap.Pop(next).(int64)
-			held = lookUps.Answer(false, nowMs)
+			held = lookUps.RecordLookup(false, nowMs)
 			if held < leastHeldMs || held > mostHeldMs {
 				t.Fatalf("held for %d ms", held)
 			}
@@ -62,10 +62,10 @@
 // TestLookUpsWhileADirectoryIsDark holds that callers come less often while they may ask a process
 // that is silent first, and as often as before once it is back.
 func TestLookUpsWhileADirectoryIsDark(t *testing.T) {
-	var lookUps LookUps
+	var lookUps LookupTTL
 	answer := func(dark bool, fromMs int64) (held int64) {
 		for nowMs := fromMs; nowMs < fromMs+3*lookUpWindowMs; nowMs += leastHeldMs {
-			held = lookUps.Answer(dark, nowMs)
+			held = lookUps.RecordLookup(dark, nowMs)
 		}
 		return held
 	}
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -11,7 +11,7 @@
 const leaseMs = 1000
 
 func heartbeat(name, zone string) Heartbeat {
-	return Heartbeat{Scheduler: Scheduler{Name: name, Zone: zone, Address: "127.0.0.1:1", Start: 1}}
+	return Heartbeat{Scheduler: Scheduler{Name: name, Zone: zone, Address: "127.0.0.1:1", Incarnation: 1}}
 }
 
 func instances(count int) []Instance {
@@ -26,19 +26,19 @@
 	Convey("engines go to schedulers of their zone, and a lost scheduler's are taken over under a higher epoch", t, func() {
 		directory := NewDirectory()
 		tracker := NewTracker(leaseMs, 0)
-		tracker.Heard(heartbeat("s1", "a"), 0)
-		tracker.Heard(heartbeat("s2", "b"), 0)
-		tracker.Listed(instances(6))
+		tracker.RecordHeartbeat(heartbeat("s1", "a"), 0)
+		tracker.RecordHeartbeat(heartbeat("s2", "b"), 0)
+		tracker.SetInstances(instances(6))
 		directory.Apply(tracker.Plan(directory, 0))
 		So(len(directory.OwnedBy("s1")), ShouldEqual, 3)
 		So(directory.OwnedBy("s2")[0].Zone, ShouldEqual, "b")
 		epoch := directory.OwnedBy("s1")[0].Epoch
-		tracker.Heard(heartbeat("s2", "b"), 900)
-		So(tracker.Plan(directory, 1000).Empty(), ShouldBeTrue)
+		tracker.RecordHeartbeat(heartbeat("s2", "b"), 900)
+		So(tracker.Plan(directory, 1000).IsEmpty(), ShouldBeTrue)
 		directory.Apply(tracker.Plan(directory, 1100))
 		So(len(directory.OwnedBy("s2")), ShouldEqual, 6)
 		So(directory.Engines["engine-0"].Epoch, ShouldBeGreaterThan, epoch)
-		tracker.Heard(heartbeat("s1", "a"), 1200)
+		tracker.RecordHeartbeat(heartbeat("s1", "a"), 1200)
 		directory.Apply(tracker.Plan(directory, 1200))
 		So(len(directory.OwnedBy("s1")), ShouldEqual, 3)
 	})
@@ -46,19 +46,19 @@
 		directory := NewDirectory()
 		directory.Apply(Update{Schedulers: []Scheduler{heartbeat("s1", "a").Scheduler}})
 		tracker := NewTracker(leaseMs, 5000)
-		So(tracker.Plan(directory, 5900).Empty(), ShouldBeTrue)
+		So(tracker.Plan(directory, 5900).IsEmpty(), ShouldBeTrue)
 		So(tracker.Plan(directory, 6100).RemoveSchedulers, ShouldResemble, []string{"s1"})
 	})
 	Convey("a draining scheduler hands its engines over", t, func() {
 		directory := NewDirectory()
 		tracker := NewTracker(leaseMs, 0)
-		tracker.Heard(heartbeat("s1", "a"), 0)
-		tracker.Heard(heartbeat("s2", "b"), 0)
-		tracker.Listed(instances(4))
+		tracker.RecordHeartbeat(heartbeat("s1", "a"), 0)
+		tracker.RecordHeartbeat(heartbeat("s2", "b"), 0)
+		tracker.SetInstances(instances(4))
 		directory.Apply(tracker.Plan(directory, 0))
 		leaving := heartbeat("s1", "a")
 		leaving.Scheduler.Draining = true
-		tracker.Heard(leaving, 10)
+		tracker.RecordHeartbeat(leaving, 10)
 		directory.Apply(tracker.Plan(directory, 10))
 		So(len(directory.OwnedBy("s2")), ShouldEqual, 4)
 	})
@@ -76,9 +76,9 @@
 			name := fmt.Sprint("s", rapid.IntRange(1, 4).Draw(t, "scheduler"))
 			switch rapid.IntRange(0, 3).Draw(t, "event") {
 			case 0:
-				tracker.Listed(instances(rapid.IntRange(0, 12).Draw(t, "engines")))
+				tracker.SetInstances(instances(rapid.IntRange(0, 12).Draw(t, "engines")))
 			default:
-				tracker.Heard(heartbeat(name, rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "zone")), now)
+				tracker.RecordHeartbeat(heartbeat(name, rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "zone")), now)
 			}
 			epochs := map[string]uint64{}
 			for _, engine := range directory.Engines {
@@ -86,7 +86,7 @@
 			}
 			for round := 0; ; round++ {
 				update := tracker.Plan(directory, now)
-				if update.Empty() {
+				if update.IsEmpty() {
 					break
 				}
 				if round > 20 {
--- a/internal/membership/reports.go
+++ b/internal/membership/reports.go
@@ -1,100 +1,100 @@
 package membership
 
-// Verdict says what became of a report of an engine, or of its word that it ends.
-type Verdict uint8
+// ReportOutcome says what became of a report of an engine, or of its word that it ends.
+type ReportOutcome uint8
 
 // The verdicts.
 const (
-	// ReportTaken changes the fleet.
-	ReportTaken Verdict = iota
+	// ReportAccepted changes the fleet.
+	ReportAccepted ReportOutcome = iota
 	// ReportUnchanged says only that the engine is alive.
 	ReportUnchanged
 	// ReportOutdated is of an incarnation that is over, or older than one that was taken.
 	ReportOutdated
 	// ReportUnknownBackend is of an unknown engine for a back end that no table names.
 	ReportUnknownBackend
-	// ReportContradicts speaks against an engine that is known.
-	ReportContradicts
+	// ReportContradictory speaks against an engine that is known.
+	ReportContradictory
 	// ReportAwaitsUpgrade is of an id that has left, while some of the control processes would
 	// take it for the engine that left.
 	ReportAwaitsUpgrade
 )
 
 // String returns the verdict as logs and metrics name it.
-func (v Verdict) String() string {
+func (v ReportOutcome) String() string {
 	return [...]string{"taken", "unchanged", "outdated", "unknown_backend", "contradicts", "awaits_upgrade"}[v]
 }
 
-// Void reports whether what was said changes nothing and says nothing of the engine.
-func (v Verdict) Void() bool { return v > ReportUnchanged }
+// IsRejected reports whether what was said changes nothing and says nothing of the engine.
+func (v ReportOutcome) IsRejected() bool { return v > ReportUnchanged }
 
-// ReportTerms is what a leader knows beside the fleet when it takes a report.
-type ReportTerms struct {
-	// Relayed says that a process which knows no incarnations passed the report on, so that
+// ReportContext is what a leader knows beside the fleet when it takes a report.
+type ReportContext struct {
+	// IsRelayed says that a process which knows no incarnations passed the report on, so that
 	// its lack of one says nothing.
-	Relayed bool
-	// BackendKnown says that a routing table names the back end, or that there is none.
-	BackendKnown bool
-	// AllKnow says that all processes that apply updates know incarnations.
-	AllKnow bool
-	NowMs   int64
+	IsRelayed bool
+	// IsBackendKnown says that a routing table names the back end, or that there is none.
+	IsBackendKnown bool
+	// AllSupportIncarnations says that all processes that apply updates know incarnations.
+	AllSupportIncarnations bool
+	NowMs                  int64
 }
 
-// TakeReport returns the updates that a report of an engine calls for, one after the other.
+// HandleReport returns the updates that a report of an engine calls for, one after the other.
 // Invariant: what is written by others, or comes late, neither brings back an incarnation that
 // is over nor takes down or changes one that is there.
-func (t *FleetTracker) TakeReport(fleet *Fleet, engine ServingEngine, terms ReportTerms) ([]FleetUpdate, Verdict) {
+func (t *FleetTracker) HandleReport(fleet *Fleet, engine ServingEngine, terms ReportContext) ([]FleetUpdate, ReportOutcome) {
 	known, there := fleet.Engine(engine.ID)
-	if terms.Relayed && engine.Born == 0 {
-		engine.Born = known.Born
+	if terms.IsRelayed && engine.StartedMs == 0 {
+		engine.StartedMs = known.StartedMs
 	}
 	switch {
-	case !there && !terms.BackendKnown:
+	case !there && !terms.IsBackendKnown:
 		return nil, ReportUnknownBackend
-	case fleet.Outdated(engine) || !t.newest.take(engine):
-		if there && engine.Born == 0 && known.Born == 0 {
-			t.Heard(engine.ID, terms.NowMs)
+	case fleet.IsOutdated(engine) || !t.newest.take(engine):
+		if there && engine.StartedMs == 0 && known.StartedMs == 0 {
+			t.RecordEngineAlive(engine.ID, terms.NowMs)
 		}
 		return nil, ReportOutdated
-	case fleet.Unchanged(engine):
-		t.Heard(engine.ID, terms.NowMs)
+	case fleet.IsUnchanged(engine):
+		t.RecordEngineAlive(engine.ID, terms.NowMs)
 		return nil, ReportUnchanged
-	case !t.Believes(fleet, engine, terms.NowMs):
-		return nil, ReportContradicts
-	case !there && fleet.left[engine.ID] && !terms.AllKnow:
+	case !t.AcceptsReport(fleet, engine, terms.NowMs):
+		return nil, ReportContradictory
+	case !there && fleet.left[engine.ID] && !terms.AllSupportIncarnations:
 		return nil, ReportAwaitsUpgrade
 	}
-	t.Heard(engine.ID, terms.NowMs)
+	t.RecordEngineAlive(engine.ID, terms.NowMs)
 	var updates []FleetUpdate
-	if over, restarted := fleet.Restarted(engine); restarted {
+	if over, restarted := fleet.PreviousIncarnation(engine); restarted {
 		// A replica that knows no incarnations would take the new one's first reports for late.
-		updates = append(updates, FleetUpdate{LostEngines: []string{engine.ID}, Ended: []Incarnation{over}})
+		updates = append(updates, FleetUpdate{LostEngines: []string{engine.ID}, EndedIncarnations: []Incarnation{over}})
 	}
-	return append(updates, FleetUpdate{PutEngines: []ServingEngine{engine}}), ReportTaken
+	return append(updates, FleetUpdate{PutEngines: []ServingEngine{engine}}), ReportAccepted
 }
 
-// TakeLeave returns the updates that an engine's word that it ends calls for. Where the word
+// HandleLeave returns the updates that an engine's word that it ends calls for. Where the word
 // does not say which incarnation it is of, it is taken to be of the one that is known.
-func (t *FleetTracker) TakeLeave(fleet *Fleet, incarnation Incarnation) ([]FleetUpdate, Verdict) {
+func (t *FleetTracker) HandleLeave(fleet *Fleet, incarnation Incarnation) ([]FleetUpdate, ReportOutcome) {
 	known, there := fleet.Engine(incarnation.ID)
-	if incarnation.Born == 0 {
-		incarnation.Born = known.Born
+	if incarnation.StartedMs == 0 {
+		incarnation.StartedMs = known.StartedMs
 	}
 	switch {
 	case fleet.HasLeft(incarnation):
 		return nil, ReportUnchanged
-	case there && incarnation.Born < known.Born, incarnation.Born > 0 && incarnation.Born < t.newest[incarnation.ID]:
+	case there && incarnation.StartedMs < known.StartedMs, incarnation.StartedMs > 0 && incarnation.StartedMs < t.newest[incarnation.ID]:
 		return nil, ReportOutdated
 	}
 	update := FleetUpdate{LeftEngines: []string{incarnation.ID}}
-	if incarnation.Born > 0 {
-		update.Ended = []Incarnation{incarnation}
+	if incarnation.StartedMs > 0 {
+		update.EndedIncarnations = []Incarnation{incarnation}
 	}
-	return []FleetUpdate{update}, ReportTaken
+	return []FleetUpdate{update}, ReportAccepted
 }
 
-// Unchanged reports whether a report says nothing that is not replicated already.
-func (f *Fleet) Unchanged(engine ServingEngine) bool {
+// IsUnchanged reports whether a report says nothing that is not replicated already.
+func (f *Fleet) IsUnchanged(engine ServingEngine) bool {
 	known, ok := f.Engine(engine.ID)
 	return ok && engine.Sequence >= known.Sequence && known.withoutSequence() == engine.withoutSequence()
 }
@@ -105,11 +105,11 @@
 
 // take reports whether no later incarnation than the engine's was heard of, and notes it.
 func (n latestIncarnations) take(engine ServingEngine) bool {
-	if engine.Born < n[engine.ID] {
+	if engine.StartedMs < n[engine.ID] {
 		return false
 	}
-	if engine.Born > 0 {
-		n[engine.ID] = engine.Born
+	if engine.StartedMs > 0 {
+		n[engine.ID] = engine.StartedMs
 	}
 	return true
 }
--- a/internal/membership/roster.go
+++ b/internal/membership/roster.go
@@ -31,12 +31,12 @@
 	version uint64
 }
 
-// RosterNews is what a follower at an older version lacks.
-type RosterNews struct {
+// RosterDelta is what a follower at an older version lacks.
+type RosterDelta struct {
 	// Version is the sender's version after these changes.
 	Version uint64 `msgpack:"v"`
-	// Whole says that Changed is the whole list.
-	Whole   bool        `msgpack:"w,omitempty"`
+	// IsFull says that Changed is the whole list.
+	IsFull  bool        `msgpack:"w,omitempty"`
 	Changed []Scheduler `msgpack:"c,omitempty"`
 	Removed []string    `msgpack:"r,omitempty"`
 }
@@ -47,8 +47,8 @@
 // Version is the directory version that the list is of.
 func (r *Roster) Version() uint64 { return r.version }
 
-// Changed is the version at which the list itself changed last.
-func (r *Roster) Changed() uint64 { return r.changed }
+// ChangeVersion is the version at which the list itself changed last.
+func (r *Roster) ChangeVersion() uint64 { return r.changed }
 
 // List returns the schedulers in ascending order of name; it must not be changed.
 func (r *Roster) List() []Scheduler {
@@ -99,14 +99,14 @@
 	}
 }
 
-// Since returns what a follower at a version lacks.
-func (r *Roster) Since(version uint64) RosterNews {
-	news := RosterNews{Version: r.version}
+// DeltaSince returns what a follower at a version lacks.
+func (r *Roster) DeltaSince(version uint64) RosterDelta {
+	news := RosterDelta{Version: r.version}
 	if version >= r.changed {
 		return news
 	}
 	if version < r.forgotten || version == 0 {
-		news.Whole = true
+		news.IsFull = true
 		news.Changed = r.List()
 		return news
 	}
@@ -123,13 +123,13 @@
 	return news
 }
 
-// Take applies news and reports whether it was newer. Invariant: the version only
+// ApplyDelta applies news and reports whether it was newer. Invariant: the version only
 // grows, whoever sent the news.
-func (r *Roster) Take(news RosterNews) bool {
+func (r *Roster) ApplyDelta(news RosterDelta) bool {
 	if news.Version <= r.version {
 		return false
 	}
-	if news.Whole {
+	if news.IsFull {
 		r.replace(news.Changed, news.Version)
 		return true
 	}
--- a/internal/membership/roster_test.go
+++ b/internal/membership/roster_test.go
@@ -18,7 +18,7 @@
 			name := fmt.Sprint("s", rapid.IntRange(0, 6).Draw(t, "scheduler"))
 			switch rapid.IntRange(0, 4).Draw(t, "step") {
 			case 0:
-				directory.Apply(Update{Schedulers: []Scheduler{{Name: name, Start: directory.Version}}})
+				directory.Apply(Update{Schedulers: []Scheduler{{Name: name, Incarnation: directory.Version}}})
 			case 1:
 				directory.Apply(Update{RemoveSchedulers: []string{name}})
 			case 2:
@@ -35,14 +35,14 @@
 					from = other
 				}
 				before := to.Version()
-				to.Take(from.Since(to.Version()))
+				to.ApplyDelta(from.DeltaSince(to.Version()))
 				if to.Version() < before {
 					t.Fatalf("version went back from %d to %d", before, to.Version())
 				}
 			}
 		}
 		for _, follower := range followers {
-			follower.Take(directory.Roster().Since(follower.Version()))
+			follower.ApplyDelta(directory.Roster().DeltaSince(follower.Version()))
 			if fmt.Sprint(follower.List()) != fmt.Sprint(directory.SchedulerList()) {
 				t.Fatalf("follower has %v, the directory %v", follower.List(), directory.SchedulerList())
 			}
--- a/internal/membership/sizing.go
+++ b/internal/membership/sizing.go
@@ -40,18 +40,18 @@
 	return int(math.Ceil(u.inFlight / (slotsEach * advertisedUse)))
 }
 
-// Sizes returns the pools of which more or fewer engines should be advertised. inFlight
+// PlanSubsetSizes returns the pools of which more or fewer engines should be advertised. inFlight
 // says how many requests are under way at an engine. More are advertised at once, fewer
 // after a long time in which they were not needed.
-func (t *FleetTracker) Sizes(fleet *Fleet, inFlight func(engine string) float64, nowMs int64) []PoolSize {
-	var changed []PoolSize
+func (t *FleetTracker) PlanSubsetSizes(fleet *Fleet, inFlight func(engine string) float64, nowMs int64) []SubsetSize {
+	var changed []SubsetSize
 	for key, pool := range fleet.advertised.pools {
-		size := PoolSize{Backend: key.backend, Zone: key.zone, Near: pool.sizes[nearAudience], Far: pool.sizes[farAudience]}
+		size := SubsetSize{Backend: key.backend, Zone: key.zone, Local: pool.sizes[nearAudience], Remote: pool.sizes[farAudience]}
 		wanted := size
-		near := fleet.useOf(pool, size.Near, inFlight)
-		wanted.Near = max(size.Near, min(near.needed(), len(pool.ranked)))
-		if far := fleet.useOf(pool, size.Far, inFlight); far.share() > crowdedByOthers*near.share() {
-			wanted.Far = max(size.Far, min(far.needed(), wanted.Near))
+		near := fleet.useOf(pool, size.Local, inFlight)
+		wanted.Local = max(size.Local, min(near.needed(), len(pool.ranked)))
+		if far := fleet.useOf(pool, size.Remote, inFlight); far.share() > crowdedByOthers*near.share() {
+			wanted.Remote = max(size.Remote, min(far.needed(), wanted.Local))
 		}
 		if wanted == size {
 			wanted = t.shrunk(key, size, near.needed(), nowMs)
@@ -75,9 +75,9 @@
 }
 
 // shrunk returns half of a size where that has been enough for long.
-func (t *FleetTracker) shrunk(key poolKey, size PoolSize, needed int, nowMs int64) PoolSize {
+func (t *FleetTracker) shrunk(key poolKey, size SubsetSize, needed int, nowMs int64) SubsetSize {
 	const half = 2
-	if size.Near <= leastNear && size.Far <= leastFar || needed*half > size.Near {
+	if size.Local <= leastNear && size.Remote <= leastFar || needed*half > size.Local {
 		delete(t.calmSinceMs, key)
 		return size
 	}
@@ -90,7 +90,7 @@
 		return size
 	}
 	delete(t.calmSinceMs, key)
-	size.Near = max(size.Near/half, leastNear)
-	size.Far = max(size.Far/half, leastFar)
+	size.Local = max(size.Local/half, leastNear)
+	size.Remote = max(size.Remote/half, leastFar)
 	return size
 }
--- a/internal/membership/spread.go
+++ b/internal/membership/spread.go
@@ -33,11 +33,11 @@
 	Region string
 }
 
-// Spread names the gateways that callers are sent to. A caller opens its connections to
+// GatewaySelector names the gateways that callers are sent to. A caller opens its connections to
 // those that it was named with equal probability, so that a gateway that can take more has to
 // be named to more callers. It is a function of the gateways alone: all control processes give
 // a caller the same answer.
-type Spread struct {
+type GatewaySelector struct {
 	zones map[string]*zoneGateways
 	// byRegion and all hold the ready gateways in ascending order of their names, for callers
 	// whose zone has few.
@@ -58,11 +58,11 @@
 	everyone []string
 }
 
-// NewSpread returns the spread over gateways, of which those that are not ready are left out.
-func NewSpread(gateways []Gateway) *Spread {
-	spread := &Spread{zones: map[string]*zoneGateways{}, byRegion: map[string][]Gateway{}}
+// NewGatewaySelector returns the spread over gateways, of which those that are not ready are left out.
+func NewGatewaySelector(gateways []Gateway) *GatewaySelector {
+	spread := &GatewaySelector{zones: map[string]*zoneGateways{}, byRegion: map[string][]Gateway{}}
 	for _, gateway := range gateways {
-		if !gateway.Ready {
+		if !gateway.IsReady {
 			continue
 		}
 		zone := spread.zones[gateway.Zone]
@@ -89,7 +89,7 @@
 
 // answer returns what callers of a zone are named: its gateways, and those of the region's other
 // zones for what the zone's own can't take while many of them are hot.
-func (s *Spread) answer(name string, names []string, own map[string][]float64) *zoneGateways {
+func (s *GatewaySelector) answer(name string, names []string, own map[string][]float64) *zoneGateways {
 	zone := s.zones[name]
 	answer := &zoneGateways{gateways: zone.gateways}
 	weights := own[name]
@@ -103,7 +103,7 @@
 				continue
 			}
 			for position, gateway := range candidates {
-				if gateway.Busy == 0 {
+				if gateway.OverloadLevel == 0 {
 					others = append(others, gateway)
 					weights = append(weights, own[other][position])
 					spare += own[other][position]
@@ -139,12 +139,12 @@
 	return short
 }
 
-// Ready returns how many gateways take requests.
-func (s *Spread) Ready() int { return len(s.all) }
+// ReadyCount returns how many gateways take requests.
+func (s *GatewaySelector) ReadyCount() int { return len(s.all) }
 
-// Named returns the addresses of the gateways that a caller should use: of its own zone, and
+// Select returns the addresses of the gateways that a caller should use: of its own zone, and
 // of others too where that has few.
-func (s *Spread) Named(caller Caller) []string {
+func (s *GatewaySelector) Select(caller Caller) []string {
 	zone := s.zones[caller.Zone]
 	if zone != nil && len(zone.gateways) >= fewNear {
 		return zone.sample(caller.Key)
--- a/internal/membership/spread_test.go
+++ b/internal/membership/spread_test.go
@@ -15,7 +15,7 @@
 	var gateways []Gateway
 	for number, capacity := range capacities {
 		name := fmt.Sprintf("%s-%d", zone, number+1)
-		gateways = append(gateways, Gateway{Name: name, Zone: zone, Region: "r", Address: name + ":1", Ready: true, Capacity: capacity})
+		gateways = append(gateways, Gateway{Name: name, Zone: zone, Region: "r", Address: name + ":1", IsReady: true, Capacity: capacity})
 	}
 	return gateways
 }
@@ -27,10 +27,10 @@
 
 // loadsOf returns the part of all connections that each address gets from a number of callers
 // that open as many each.
-func loadsOf(spread *Spread, zone string, callers int) map[string]float64 {
+func loadsOf(spread *GatewaySelector, zone string, callers int) map[string]float64 {
 	loads := map[string]float64{}
 	for number := range callers {
-		named := spread.Named(Caller{Key: fmt.Sprintf("10.0.%d.%d", number/256, number%256), Zone: zone, Region: "r"})
+		named := spread.Select(Caller{Key: fmt.Sprintf("10.0.%d.%d", number/256, number%256), Zone: zone, Region: "r"})
 		for _, address := range named {
 			loads[address] += 1 / float64(len(named)) / float64(callers)
 		}
@@ -45,24 +45,24 @@
 		gateways := gatewaysOf("a", append(repeated(0.144, 20), repeated(0.48, 6)...)...)
 		const total = 20*0.144 + 6*0.48
 		Convey("each gets its share", func() {
-			loads := loadsOf(NewSpread(gateways), "a", 20_000)
+			loads := loadsOf(NewGatewaySelector(gateways), "a", 20_000)
 			for _, gateway := range gateways {
 				So(loads[gateway.Address], ShouldAlmostEqual, gateway.Capacity/total, 0.05*gateway.Capacity/total)
 			}
 		})
 		Convey("a hot one gets half of what the others like it get", func() {
-			gateways[25].Busy = 1
-			loads := loadsOf(NewSpread(gateways), "a", 20_000)
+			gateways[25].OverloadLevel = 1
+			loads := loadsOf(NewGatewaySelector(gateways), "a", 20_000)
 			So(loads["a-26:1"]/loads["a-25:1"], ShouldAlmostEqual, 0.5, 0.05)
 		})
 	})
 	Convey("gateways that are alike are all named to everybody", t, func() {
-		named := NewSpread(gatewaysOf("a", repeated(0.192, 20)...)).Named(Caller{Key: "c", Zone: "a"})
+		named := NewGatewaySelector(gatewaysOf("a", repeated(0.192, 20)...)).Select(Caller{Key: "c", Zone: "a"})
 		So(named, ShouldHaveLength, 20)
-		So(NewSpread(gatewaysOf("a", repeated(0, 20)...)).Named(Caller{Key: "c", Zone: "a"}), ShouldResemble, named)
+		So(NewGatewaySelector(gatewaysOf("a", repeated(0, 20)...)).Select(Caller{Key: "c", Zone: "a"}), ShouldResemble, named)
 	})
 	Convey("of very many each caller has its own, and all are used", t, func() {
-		loads := loadsOf(NewSpread(gatewaysOf("a", repeated(0.192, 300)...)), "a", 5000)
+		loads := loadsOf(NewGatewaySelector(gatewaysOf("a", repeated(0.192, 300)...)), "a", 5000)
 		So(loads, ShouldHaveLength, 300)
 		for _, load := range loads {
 			So(load, ShouldBeBetween, 0.8/300, 1.2/300)
@@ -76,7 +76,7 @@
 	const callers = 5000
 	far := func(gateways []Gateway) float64 {
 		share := 0.0
-		for address, load := range loadsOf(NewSpread(gateways), "a", callers) {
+		for address, load := range loadsOf(NewGatewaySelector(gateways), "a", callers) {
 			if address[0] != 'a' {
 				share += load
 			}
@@ -86,7 +86,7 @@
 	heated := func(hot int, busy uint8) []Gateway {
 		gateways := slices.Concat(gatewaysOf("a", repeated(0.192, 20)...), gatewaysOf("b", repeated(0.192, 20)...), gatewaysOf("c", repeated(0.192, 20)...))
 		for position := range hot {
-			gateways[position].Busy = busy
+			gateways[position].OverloadLevel = busy
 		}
 		return gateways
 	}
@@ -115,18 +115,18 @@
 		capacities := rapid.SliceOfN(rapid.SampledFrom([]float64{0, 0.144, 0.192, 0.48, 1}), 1, 120).Draw(t, "capacities")
 		gateways := gatewaysOf("a", capacities...)
 		for position := range gateways {
-			gateways[position].Busy = uint8(rapid.SampledFrom([]int{0, 0, 0, 1, mostBusy, 255}).Draw(t, "busy"))
-			gateways[position].Ready = rapid.SampledFrom([]bool{true, true, true, false}).Draw(t, "ready")
+			gateways[position].OverloadLevel = uint8(rapid.SampledFrom([]int{0, 0, 0, 1, mostBusy, 255}).Draw(t, "busy"))
+			gateways[position].IsReady = rapid.SampledFrom([]bool{true, true, true, false}).Draw(t, "ready")
 		}
 		ready := 0
 		for _, gateway := range gateways {
-			if gateway.Ready {
+			if gateway.IsReady {
 				ready++
 			}
 		}
-		spread := NewSpread(gateways)
+		spread := NewGatewaySelector(gateways)
 		caller := Caller{Key: rapid.String().Draw(t, "caller"), Zone: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "zone"), Region: "r"}
-		named := spread.Named(caller)
+		named := spread.Select(caller)
 		distinct := map[string]bool{}
 		for _, address := range named {
 			distinct[address] = true
@@ -135,16 +135,16 @@
 			t.Fatalf("%d of %d ready gateways named, %d of them distinct", len(named), ready, len(distinct))
 		}
 		for _, gateway := range gateways {
-			if distinct[gateway.Address] && !gateway.Ready {
+			if distinct[gateway.Address] && !gateway.IsReady {
 				t.Fatalf("%s is not ready and named", gateway.Name)
 			}
 		}
-		if !slices.Equal(named, NewSpread(gateways).Named(caller)) {
+		if !slices.Equal(named, NewGatewaySelector(gateways).Select(caller)) {
 			t.Fatal("two answers to one caller differ")
 		}
 		// A gateway that goes changes an answer in itself and what takes its place.
 		gone := rapid.IntRange(0, len(gateways)-1).Draw(t, "gone")
-		after := NewSpread(slices.Delete(slices.Clone(gateways), gone, gone+1)).Named(caller)
+		after := NewGatewaySelector(slices.Delete(slices.Clone(gateways), gone, gone+1)).Select(caller)
 		lost := 0
 		for _, address := range named {
 			if !slices.Contains(after, address) {
@@ -190,10 +190,10 @@
 // BenchmarkNamed is what a look-up costs among the gateways of a large zone.
 func BenchmarkNamed(b *testing.B) {
 	for _, size := range []int{26, 300, 1000} {
-		spread := NewSpread(gatewaysOf("a", append(repeated(0.144, size-size/4), repeated(0.48, size/4)...)...))
+		spread := NewGatewaySelector(gatewaysOf("a", append(repeated(0.144, size-size/4), repeated(0.48, size/4)...)...))
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			for number := range b.N {
-				spread.Named(Caller{Key: fmt.Sprint(number), Zone: "a"})
+				spread.Select(Caller{Key: fmt.Sprint(number), Zone: "a"})
 			}
 		})
 	}
--- a/internal/membership/superseded.go
+++ b/internal/membership/superseded.go
@@ -18,10 +18,10 @@
 	lastMs  int64
 }
 
-// Believes reports whether what an engine reports is taken for true. What contradicts an
+// AcceptsReport reports whether what an engine reports is taken for true. What contradicts an
 // engine that is known is late, or was written by others, unless it is said again and again
 // while that engine is silent.
-func (t *FleetTracker) Believes(fleet *Fleet, engine ServingEngine, nowMs int64) bool {
+func (t *FleetTracker) AcceptsReport(fleet *Fleet, engine ServingEngine, nowMs int64) bool {
 	contradicted, doubtful := fleet.contradicts(engine)
 	if !doubtful {
 		delete(t.doubts, engine.ID)
@@ -54,11 +54,11 @@
 	switch known, there := f.state.Engines[engine.ID]; {
 	case slices.Contains(f.state.Superseded, engine.ID):
 		return holder, true
-	case held && engine.Born <= f.state.Engines[holder].Value.Born && f.state.Engines[holder].Value.Born > 0:
+	case held && engine.StartedMs <= f.state.Engines[holder].Value.StartedMs && f.state.Engines[holder].Value.StartedMs > 0:
 		return holder, true
-	case there && known.Value.Born == 0 && engine.restarted(known.Value):
+	case there && known.Value.StartedMs == 0 && engine.restarted(known.Value):
 		return engine.ID, true
-	case there && engine.Born > 0 && engine.Born == known.Value.Born:
+	case there && engine.StartedMs > 0 && engine.StartedMs == known.Value.StartedMs:
 		return engine.ID, !engine.samePlace(known.Value)
 	case !there && f.left[engine.ID]:
 		_, lived := f.ended[engine.ID]
--- a/internal/membership/tracker.go
+++ b/internal/membership/tracker.go
@@ -10,17 +10,17 @@
 	Scheduler Scheduler `msgpack:"s"`
 	// Revision is the settings revision in force at the scheduler.
 	Revision uint64 `msgpack:"r"`
-	// Sidecars counts the sidecars that follow the tree through this scheduler;
+	// SidecarCount counts the sidecars that follow the tree through this scheduler;
 	// SidecarRevision is the lowest revision in force among them, and Lagging
 	// names some of those below the scheduler's own.
-	Sidecars        int      `msgpack:"c"`
+	SidecarCount    int      `msgpack:"c"`
 	SidecarRevision uint64   `msgpack:"m"`
-	Lagging         []string `msgpack:"l,omitempty"`
-	// Ready counts engines ready to serve, by pool.
-	Ready map[string]int `msgpack:"e,omitempty"`
-	// Queue and InFlight sum up the cell.
-	Queue    int `msgpack:"q"`
-	InFlight int `msgpack:"f"`
+	LaggingSidecars []string `msgpack:"l,omitempty"`
+	// ReadyEngines counts engines ready to serve, by pool.
+	ReadyEngines map[string]int `msgpack:"e,omitempty"`
+	// QueueLength and InFlight sum up the cell.
+	QueueLength int `msgpack:"q"`
+	InFlight    int `msgpack:"f"`
 }
 
 // Instance is one machine on the platform's list.
@@ -34,8 +34,8 @@
 
 // Report is the last heartbeat of a scheduler and when it came.
 type Report struct {
-	Heartbeat Heartbeat
-	AtMs      int64
+	Heartbeat  Heartbeat
+	ReceivedMs int64
 }
 
 // Tracker is the leader's soft state; a new leader starts with an empty one.
@@ -56,17 +56,17 @@
 	return &Tracker{leaseMs: leaseMs, startMs: nowMs, reports: map[string]Report{}, changed: true}
 }
 
-// Heard notes a heartbeat.
-func (t *Tracker) Heard(heartbeat Heartbeat, nowMs int64) {
+// RecordHeartbeat notes a heartbeat.
+func (t *Tracker) RecordHeartbeat(heartbeat Heartbeat, nowMs int64) {
 	previous, known := t.reports[heartbeat.Scheduler.Name]
-	if !known || previous.Heartbeat.Scheduler != heartbeat.Scheduler || nowMs-previous.AtMs > t.leaseMs {
+	if !known || previous.Heartbeat.Scheduler != heartbeat.Scheduler || nowMs-previous.ReceivedMs > t.leaseMs {
 		t.changed = true
 	}
-	t.reports[heartbeat.Scheduler.Name] = Report{Heartbeat: heartbeat, AtMs: nowMs}
+	t.reports[heartbeat.Scheduler.Name] = Report{Heartbeat: heartbeat, ReceivedMs: nowMs}
 }
 
-// Listed notes the platform's list of engines.
-func (t *Tracker) Listed(instances []Instance) {
+// SetInstances notes the platform's list of engines.
+func (t *Tracker) SetInstances(instances []Instance) {
 	if !t.listed || !slices.Equal(t.instances, instances) {
 		t.changed = true
 	}
@@ -74,22 +74,22 @@
 	t.listed = true
 }
 
-// Reports returns the last report of each scheduler that is alive.
-func (t *Tracker) Reports(nowMs int64) map[string]Report {
+// LiveReports returns the last report of each scheduler that is alive.
+func (t *Tracker) LiveReports(nowMs int64) map[string]Report {
 	alive := map[string]Report{}
 	for name, report := range t.reports {
-		if nowMs-report.AtMs <= t.leaseMs {
+		if nowMs-report.ReceivedMs <= t.leaseMs {
 			alive[name] = report
 		}
 	}
 	return alive
 }
 
-// Ready sums up the ready engines of a pool over all live schedulers.
-func (t *Tracker) Ready(pool string, nowMs int64) int {
+// ReadyEngines sums up the ready engines of a pool over all live schedulers.
+func (t *Tracker) ReadyEngines(pool string, nowMs int64) int {
 	ready := 0
-	for _, report := range t.Reports(nowMs) {
-		ready += report.Heartbeat.Ready[pool]
+	for _, report := range t.LiveReports(nowMs) {
+		ready += report.Heartbeat.ReadyEngines[pool]
 	}
 	return ready
 }
@@ -107,7 +107,7 @@
 		report, heard := t.reports[scheduler.Name]
 		since := t.startMs
 		if heard {
-			since = report.AtMs
+			since = report.ReceivedMs
 		}
 		if nowMs-since > t.leaseMs {
 			update.RemoveSchedulers = append(update.RemoveSchedulers, scheduler.Name)
@@ -115,7 +115,7 @@
 		}
 		alive[scheduler.Name] = scheduler
 	}
-	for name, report := range t.Reports(nowMs) {
+	for name, report := range t.LiveReports(nowMs) {
 		reported := report.Heartbeat.Scheduler
 		if current, ok := directory.Schedulers[name]; !ok || current != reported {
 			update.Schedulers = append(update.Schedulers, reported)
@@ -124,7 +124,7 @@
 	}
 	slices.SortFunc(update.Schedulers, func(a, b Scheduler) int { return strings.Compare(a.Name, b.Name) })
 	t.planEngines(directory, alive, &update)
-	if update.Empty() {
+	if update.IsEmpty() {
 		t.changed = false
 		t.planned = directory.Version
 	}
@@ -137,7 +137,7 @@
 	for name := range directory.Schedulers {
 		since := t.startMs
 		if report, heard := t.reports[name]; heard {
-			since = report.AtMs
+			since = report.ReceivedMs
 		}
 		if nowMs-since > t.leaseMs {
 			return true
--- a/internal/program/close.go
+++ b/internal/program/close.go
@@ -18,7 +18,7 @@
 	if !ok || fence == 0 || header.ClosedFence != fence || header.ClosedByAbort != byAbort {
 		return Reply{}, false
 	}
-	return Reply{Turn: header.Turn, Ended: header.Ended, Remaining: header.Remaining()}, true
+	return Reply{Turn: header.LastTurn, Ended: header.Ended, RemainingTokens: header.RemainingTokens()}, true
 }
 
 func (l *Ledger) commit(nowMs int64, commit *Commit) (Reply, Effects) {
@@ -33,23 +33,23 @@
 	header.Open = nil
 	header.ClosedFence = commit.Fence
 	header.ClosedByAbort = false
-	header.Turn = open.Turn
-	header.Spent += min(commit.NewTokens+commit.Usage.CompletionTokens, open.Reserved)
-	header.LastMs = nowMs
+	header.LastTurn = open.Turn
+	header.SpentTokens += min(commit.NewTokens+commit.Usage.CompletionTokens, open.Reserved)
+	header.LastActiveMs = nowMs
 	header.Engine = commit.Engine
 	header.remember(open)
 	thread := header.findThread(open.Thread)
 	thread.Messages += len(commit.Messages) + 1
 	thread.Digest = ChainDigest(ChainDigest(thread.Digest, commit.Messages...), commit.Answer)
-	if commit.End {
+	if commit.EndsProgram {
 		header.Ended = true
 		header.EndReason = "caller"
 	}
-	return Reply{Turn: header.Turn, Ended: header.Ended, Remaining: header.Remaining()}, Effects{
+	return Reply{Turn: header.LastTurn, Ended: header.Ended, RemainingTokens: header.RemainingTokens()}, Effects{
 		Program: header.ID,
 		Write: &TurnRecord{
 			Turn: open.Turn, Thread: open.Thread, Request: open.Request, Messages: commit.Messages,
-			Answer: commit.Answer, Usage: commit.Usage, Engine: commit.Engine, AtMs: nowMs,
+			Answer: commit.Answer, Usage: commit.Usage, Engine: commit.Engine, ClosedMs: nowMs,
 		},
 	}
 }
@@ -65,16 +65,16 @@
 	open := header.Open
 	header.ClosedFence = abort.Fence
 	header.ClosedByAbort = true
-	if open.Once && !abort.NotRun {
+	if open.AtMostOnce && !abort.NotRun {
 		effects := header.closeUnknown(nowMs)
-		return Reply{Turn: header.Turn, Remaining: header.Remaining()}, effects
+		return Reply{Turn: header.LastTurn, RemainingTokens: header.RemainingTokens()}, effects
 	}
 	if !abort.NotRun {
-		header.Spent += min(abort.Tokens, open.Reserved)
+		header.SpentTokens += min(abort.UsedTokens, open.Reserved)
 	}
 	header.Open = nil
-	header.LastMs = nowMs
-	return Reply{Turn: header.Turn, Remaining: header.Remaining()}, Effects{}
+	header.LastActiveMs = nowMs
+	return Reply{Turn: header.LastTurn, RemainingTokens: header.RemainingTokens()}, Effects{}
 }
 
 func (l *Ledger) end(nowMs int64, end *End) (Reply, Effects) {
@@ -86,29 +86,29 @@
 		return refuse(result.ForeignProgram, "program %s is not of tenant %q", end.Program, end.Tenant)
 	}
 	if header.Ended {
-		return Reply{Turn: header.Turn, Ended: true, Remaining: header.Remaining()}, Effects{}
+		return Reply{Turn: header.LastTurn, Ended: true, RemainingTokens: header.RemainingTokens()}, Effects{}
 	}
 	effects := header.close(nowMs, end.Reason)
-	return Reply{Turn: header.Turn, Ended: true, Remaining: header.Remaining()}, effects
+	return Reply{Turn: header.LastTurn, Ended: true, RemainingTokens: header.RemainingTokens()}, effects
 }
 
 // close ends the program; a call under way loses its turn.
 func (h *Header) close(nowMs int64, reason string) Effects {
 	var effects Effects
-	if h.Open != nil && h.Open.Once {
+	if h.Open != nil && h.Open.AtMostOnce {
 		effects = h.closeUnknown(nowMs)
 	} else if h.Open != nil {
-		h.Spent += h.Open.Reserved
+		h.SpentTokens += h.Open.Reserved
 		h.Open = nil
 	}
 	h.Ended = true
 	h.EndReason = reason
-	h.LastMs = nowMs
+	h.LastActiveMs = nowMs
 	return effects
 }
 
-// SweepDue reports whether a Sweep now would change anything.
-func (l *Ledger) SweepDue(nowMs, retainMs int64) bool {
+// IsSweepDue reports whether a Sweep now would change anything.
+func (l *Ledger) IsSweepDue(nowMs, retainMs int64) bool {
 	for _, header := range l.programs {
 		if header.idle(nowMs) || header.forgettable(nowMs, retainMs) {
 			return true
@@ -120,15 +120,15 @@
 // idle reports whether nobody has used the program for its idle time. A turn that
 // is open past its caller's deadline has lost its scheduler and doesn't count.
 func (h *Header) idle(nowMs int64) bool {
-	sinceMs := h.LastMs
+	sinceMs := h.LastActiveMs
 	if h.Open != nil {
-		sinceMs = max(sinceMs, h.Open.UntilMs)
+		sinceMs = max(sinceMs, h.Open.DeadlineMs)
 	}
-	return !h.Ended && h.Limits.IdleMs > 0 && nowMs-sinceMs > h.Limits.IdleMs
+	return !h.Ended && h.Limits.IdleTimeoutMs > 0 && nowMs-sinceMs > h.Limits.IdleTimeoutMs
 }
 
 func (h *Header) forgettable(nowMs, retainMs int64) bool {
-	return h.Ended && nowMs-h.LastMs > retainMs
+	return h.Ended && nowMs-h.LastActiveMs > retainMs
 }
 
 func (l *Ledger) sweep(nowMs int64, sweep *Sweep) (Reply, Effects) {
@@ -143,8 +143,8 @@
 			}
 			continue
 		}
-		if header.forgettable(nowMs, sweep.RetainMs) {
-			effects.Forget = append(effects.Forget, Forgotten{Program: id, LastTurn: header.Turn})
+		if header.forgettable(nowMs, sweep.RetentionMs) {
+			effects.DeletePrograms = append(effects.DeletePrograms, DeletedProgram{Program: id, LastTurn: header.LastTurn})
 			delete(l.programs, id)
 		}
 	}
--- a/internal/program/digest.go
+++ b/internal/program/digest.go
@@ -37,9 +37,9 @@
 	return ChainDigest(identity, messages...)
 }
 
-// IsWholeHistory reports whether messages hold an answer of a model, which
+// IncludesHistory reports whether messages hold an answer of a model, which
 // means that the caller sent its conversation whole and not just what is new.
-func IsWholeHistory(messages []Message) bool {
+func IncludesHistory(messages []Message) bool {
 	for _, message := range messages {
 		if message.Role == "assistant" {
 			return true
@@ -49,7 +49,7 @@
 }
 
 // Conversation joins the records of a thread in turn order.
-func Conversation(lineage []Span, records []TurnRecord) []Message {
+func Conversation(lineage []ThreadPrefix, records []TurnRecord) []Message {
 	var messages []Message
 	for _, record := range records {
 		if record.Code != 0 || !inLineage(lineage, record) {
@@ -61,7 +61,7 @@
 	return messages
 }
 
-func inLineage(lineage []Span, record TurnRecord) bool {
+func inLineage(lineage []ThreadPrefix, record TurnRecord) bool {
 	for _, span := range lineage {
 		if span.Thread == record.Thread && record.Turn <= span.Last {
 			return true
--- a/internal/program/ledger.go
+++ b/internal/program/ledger.go
@@ -19,21 +19,21 @@
 
 // OpenTurn is the call that is under way.
 type OpenTurn struct {
-	Turn      uint64 `msgpack:"t"`
-	Fence     uint64 `msgpack:"f"`
-	Request   string `msgpack:"r"`
-	Digest    uint64 `msgpack:"d"`
-	Thread    string `msgpack:"h"`
-	Once      bool   `msgpack:"o"`
-	Reserved  int64  `msgpack:"v"`
-	Scheduler string `msgpack:"s"`
-	SinceMs   int64  `msgpack:"n"`
-	// Start identifies the holder's process, and UntilMs is when its caller stops
+	Turn       uint64 `msgpack:"t"`
+	Fence      uint64 `msgpack:"f"`
+	Request    string `msgpack:"r"`
+	Digest     uint64 `msgpack:"d"`
+	Thread     string `msgpack:"h"`
+	AtMostOnce bool   `msgpack:"o"`
+	Reserved   int64  `msgpack:"v"`
+	Scheduler  string `msgpack:"s"`
+	OpenedMs   int64  `msgpack:"n"`
+	// Incarnation identifies the holder's process, and UntilMs is when its caller stops
 	// waiting.
-	Start   uint64 `msgpack:"st,omitempty" json:"-"`
-	UntilMs int64  `msgpack:"un,omitempty" json:"until_ms,omitempty"`
-	Nonce   uint64 `msgpack:"z"`
-	Skip    int    `msgpack:"k"`
+	Incarnation  uint64 `msgpack:"st,omitempty" json:"-"`
+	DeadlineMs   int64  `msgpack:"un,omitempty" json:"until_ms,omitempty"`
+	Nonce        uint64 `msgpack:"z"`
+	SkipMessages int    `msgpack:"k"`
 }
 
 // answered remembers one finished request in 16 bytes.
@@ -45,19 +45,19 @@
 
 // Header is the state of one program.
 type Header struct {
-	ID        string     `msgpack:"i" json:"id"`
-	Tenant    string     `msgpack:"t" json:"tenant"`
-	Service   string     `msgpack:"s" json:"service"`
-	Limits    Limits     `msgpack:"l" json:"limits"`
-	Spent     int64      `msgpack:"p" json:"spent_tokens"`
-	Turn      uint64     `msgpack:"n" json:"turn"`
-	Open      *OpenTurn  `msgpack:"o" json:"-"`
-	Threads   []*Thread  `msgpack:"h" json:"-"`
-	Answered  []answered `msgpack:"a" json:"-"`
-	Scheduler string     `msgpack:"w" json:"scheduler"`
-	Engine    string     `msgpack:"e" json:"engine"`
-	CreatedMs int64      `msgpack:"c" json:"created_ms"`
-	LastMs    int64      `msgpack:"m" json:"last_ms"`
+	ID             string     `msgpack:"i" json:"id"`
+	Tenant         string     `msgpack:"t" json:"tenant"`
+	Service        string     `msgpack:"s" json:"service"`
+	Limits         Limits     `msgpack:"l" json:"limits"`
+	SpentTokens    int64      `msgpack:"p" json:"spent_tokens"`
+	LastTurn       uint64     `msgpack:"n" json:"turn"`
+	Open           *OpenTurn  `msgpack:"o" json:"-"`
+	Threads        []*Thread  `msgpack:"h" json:"-"`
+	ClosedRequests []answered `msgpack:"a" json:"-"`
+	Scheduler      string     `msgpack:"w" json:"scheduler"`
+	Engine         string     `msgpack:"e" json:"engine"`
+	CreatedMs      int64      `msgpack:"c" json:"created_ms"`
+	LastActiveMs   int64      `msgpack:"m" json:"last_ms"`
 	// ClosedFence is the fence of the turn closed last, so that a commit which
 	// is proposed again gets its first answer.
 	ClosedFence uint64 `msgpack:"g" json:"-"`
@@ -67,9 +67,9 @@
 	EndReason     string `msgpack:"r" json:"end_reason"`
 }
 
-// Remaining returns the budget that is neither spent nor reserved.
-func (h *Header) Remaining() int64 {
-	left := h.Limits.BudgetTokens - h.Spent
+// RemainingTokens returns the budget that is neither spent nor reserved.
+func (h *Header) RemainingTokens() int64 {
+	left := h.Limits.BudgetTokens - h.SpentTokens
 	if h.Open != nil {
 		left -= h.Open.Reserved
 	}
@@ -84,10 +84,10 @@
 	// no call for its budget; for runs that show what each is for.
 	DisableFence  bool
 	DisableBudget bool
-	// DisableOnce lets a call that is not repeatable run again.
-	DisableOnce bool
-	// DisableOrder opens a turn although another is open.
-	DisableOrder bool
+	// DisableAtMostOnce lets a call that is not repeatable run again.
+	DisableAtMostOnce bool
+	// DisableTurnOrder opens a turn although another is open.
+	DisableTurnOrder bool
 }
 
 // NewLedger returns an empty ledger.
@@ -116,9 +116,9 @@
 	return ids
 }
 
-// Released returns which of the programs given hold no engine memory by right:
+// EndedOrUnknown returns which of the programs given hold no engine memory by right:
 // they have ended, or the ledger has forgotten them.
-func (l *Ledger) Released(ids []string) []string {
+func (l *Ledger) EndedOrUnknown(ids []string) []string {
 	var released []string
 	for _, id := range ids {
 		header, ok := l.programs[id]
@@ -159,7 +159,7 @@
 		}
 		header = &Header{
 			ID: begin.Program, Tenant: begin.Tenant, Service: begin.Service, Limits: begin.Limits,
-			Threads: []*Thread{{}}, CreatedMs: nowMs, LastMs: nowMs,
+			Threads: []*Thread{{}}, CreatedMs: nowMs, LastActiveMs: nowMs,
 		}
 	}
 	if header.Tenant != begin.Tenant || header.Service != begin.Service {
@@ -210,7 +210,7 @@
 // answeredBefore gives the recorded answer to a request that was answered.
 func (h *Header) answeredBefore(begin *Begin) (Reply, bool) {
 	hash := requestHash(begin.Request)
-	for _, previous := range h.Answered {
+	for _, previous := range h.ClosedRequests {
 		if previous.Request != hash {
 			continue
 		}
@@ -218,7 +218,7 @@
 			reply, _ := refuse(result.RequestConflict, "request %s was used with other content", begin.Request)
 			return reply, true
 		}
-		return Reply{Answered: uint64(previous.Turn), Ended: h.Ended, Remaining: h.Remaining()}, true
+		return Reply{ClosedTurn: uint64(previous.Turn), Ended: h.Ended, RemainingTokens: h.RemainingTokens()}, true
 	}
 	return Reply{}, false
 }
@@ -233,14 +233,14 @@
 		return reply, effects, true
 	}
 	ownRetry := begin.RetryOf != 0 && begin.RetryOf == open.Fence
-	if !ownRetry && !begin.TakeOver && !l.DisableOrder {
+	if !ownRetry && !begin.TakeOver && !l.DisableTurnOrder {
 		reply, effects := refuse(result.TurnOpen, "turn %d of program %s is open", open.Turn, header.ID)
 		reply.Holder = open.Scheduler
-		reply.HolderStart = open.Start
-		reply.Open = open.Request
+		reply.HolderIncarnation = open.Incarnation
+		reply.OpenRequest = open.Request
 		return reply, effects, true
 	}
-	if open.Once && !l.DisableOnce {
+	if open.AtMostOnce && !l.DisableAtMostOnce {
 		// Invariant: a call that is not repeatable is sent at most once; its
 		// intent was durable before the send, so a lost attempt may have run.
 		effects := header.closeUnknown(nowMs)
@@ -250,7 +250,7 @@
 		}
 		// The record of the unknown turn must be written before the next turn,
 		// so the caller of this Begin comes back.
-		reply, _ := refuse(result.TurnOpen, "turn %d was closed with its outcome unknown", header.Turn)
+		reply, _ := refuse(result.TurnOpen, "turn %d was closed with its outcome unknown", header.LastTurn)
 		return reply, effects, true
 	}
 	lost := open.Reserved
@@ -259,7 +259,7 @@
 	}
 	// Invariant: tokens of lost attempts are charged; what is not known is
 	// charged at its upper bound, the reservation.
-	header.Spent += lost
+	header.SpentTokens += lost
 	header.Open = nil
 	return Reply{}, Effects{}, false
 }
@@ -267,31 +267,31 @@
 // closeUnknown closes the open turn with a record that says so.
 func (h *Header) closeUnknown(nowMs int64) Effects {
 	open := h.Open
-	h.Spent += open.Reserved
+	h.SpentTokens += open.Reserved
 	h.Open = nil
-	h.Turn = open.Turn
+	h.LastTurn = open.Turn
 	h.remember(open)
-	h.LastMs = nowMs
+	h.LastActiveMs = nowMs
 	return Effects{Program: h.ID, Write: &TurnRecord{
 		Turn: open.Turn, Thread: open.Thread, Request: open.Request,
-		Code: result.OutcomeUnknown, AtMs: nowMs,
+		Code: result.OutcomeUnknown, ClosedMs: nowMs,
 	}}
 }
 
 func (h *Header) remember(open *OpenTurn) {
-	h.Answered = append(h.Answered, answered{
+	h.ClosedRequests = append(h.ClosedRequests, answered{
 		Request: requestHash(open.Request), Digest: uint32(open.Digest), Turn: uint32(open.Turn),
 	})
 }
 
 func (l *Ledger) grant(index uint64, nowMs int64, header *Header, begin *Begin) (Reply, Effects) {
 	if code := header.overLimit(nowMs); code != result.OK {
-		return refuse(code, "program %s is over its limit after %d turns", header.ID, header.Turn)
+		return refuse(code, "program %s is over its limit after %d turns", header.ID, header.LastTurn)
 	}
 	reserved := begin.NewTokens + begin.MaxTokens
-	if reserved > header.Remaining() && !l.DisableBudget {
-		reply, effects := refuse(result.BudgetExhausted, "call needs up to %d tokens, %d are left", reserved, header.Remaining())
-		reply.Remaining = header.Remaining()
+	if reserved > header.RemainingTokens() && !l.DisableBudget {
+		reply, effects := refuse(result.BudgetExhausted, "call needs up to %d tokens, %d are left", reserved, header.RemainingTokens())
+		reply.RemainingTokens = header.RemainingTokens()
 		return reply, effects
 	}
 	thread, code := header.thread(begin)
@@ -304,11 +304,11 @@
 	}
 	header.addThread(thread)
 	header.Scheduler = begin.Scheduler
-	header.LastMs = nowMs
+	header.LastActiveMs = nowMs
 	header.Open = &OpenTurn{
-		Turn: header.Turn + 1, Fence: index, Request: begin.Request, Digest: begin.Digest, Thread: begin.Thread,
-		Once: begin.Once, Reserved: reserved, Scheduler: begin.Scheduler, SinceMs: nowMs,
-		Nonce: begin.Nonce, Skip: skip, Start: begin.Start, UntilMs: nowMs + begin.DeadlineMs,
+		Turn: header.LastTurn + 1, Fence: index, Request: begin.Request, Digest: begin.Digest, Thread: begin.Thread,
+		AtMostOnce: begin.AtMostOnce, Reserved: reserved, Scheduler: begin.Scheduler, OpenedMs: nowMs,
+		Nonce: begin.Nonce, SkipMessages: skip, Incarnation: begin.Incarnation, DeadlineMs: nowMs + begin.TimeoutMs,
 	}
 	return header.granted(begin.Thread), Effects{}
 }
@@ -316,16 +316,16 @@
 // granted describes the open turn to the scheduler that holds it.
 func (h *Header) granted(thread string) Reply {
 	return Reply{
-		Turn: h.Open.Turn, Fence: h.Open.Fence, Skip: h.Open.Skip,
-		Lineage: h.lineage(thread), Remaining: h.Remaining(),
+		Turn: h.Open.Turn, Fence: h.Open.Fence, SkipMessages: h.Open.SkipMessages,
+		Lineage: h.lineage(thread), RemainingTokens: h.RemainingTokens(),
 	}
 }
 
 func (h *Header) overLimit(nowMs int64) result.Code {
-	if h.Limits.MaxTurns > 0 && int64(h.Turn) >= h.Limits.MaxTurns {
+	if h.Limits.MaxTurns > 0 && int64(h.LastTurn) >= h.Limits.MaxTurns {
 		return result.TurnLimit
 	}
-	if h.Limits.WallMs > 0 && nowMs-h.CreatedMs > h.Limits.WallMs {
+	if h.Limits.WallTimeMs > 0 && nowMs-h.CreatedMs > h.Limits.WallTimeMs {
 		return result.WallTimeLimit
 	}
 	return result.OK
@@ -355,7 +355,7 @@
 	if parent == nil {
 		return nil, result.UnknownThread
 	}
-	return &Thread{Name: begin.Thread, Parent: begin.Parent, ForkTurn: h.Turn, Messages: parent.Messages, Digest: parent.Digest}, result.OK
+	return &Thread{Name: begin.Thread, Parent: begin.Parent, ForkTurn: h.LastTurn, Messages: parent.Messages, Digest: parent.Digest}, result.OK
 }
 
 func (t *Thread) skip(prefixDigests []uint64) (int, result.Code) {
@@ -369,11 +369,11 @@
 }
 
 // lineage lists the spans whose records make a thread's history, oldest first.
-func (h *Header) lineage(name string) []Span {
-	last := h.Turn
-	var spans []Span
+func (h *Header) lineage(name string) []ThreadPrefix {
+	last := h.LastTurn
+	var spans []ThreadPrefix
 	for {
-		spans = append(spans, Span{Thread: name, Last: last})
+		spans = append(spans, ThreadPrefix{Thread: name, Last: last})
 		thread := h.findThread(name)
 		if name == "" || thread == nil {
 			slices.Reverse(spans)
@@ -385,7 +385,7 @@
 }
 
 // Lineage returns the spans of a thread's history; false for no such thread.
-func (h *Header) Lineage(thread string) ([]Span, bool) {
+func (h *Header) Lineage(thread string) ([]ThreadPrefix, bool) {
 	if h.findThread(thread) == nil {
 		return nil, false
 	}
--- a/internal/program/ledger_test.go
+++ b/internal/program/ledger_test.go
@@ -34,7 +34,7 @@
 }
 
 func limits() Limits {
-	return Limits{BudgetTokens: 100, MaxTurns: 8, WallMs: 1 << 40, IdleMs: 1 << 40}
+	return Limits{BudgetTokens: 100, MaxTurns: 8, WallTimeMs: 1 << 40, IdleTimeoutMs: 1 << 40}
 }
 
 func beginOf(program, request, content string) *Begin {
@@ -58,7 +58,7 @@
 		So(first.Error, ShouldBeNil)
 		So(h.apply(Command{Begin: beginOf("p", "r2", "y")}).Error.Code, ShouldEqual, result.TurnOpen)
 		So(h.apply(Command{Commit: commitOf("p", first.Fence, "x")}).Error, ShouldBeNil)
-		So(h.apply(Command{Begin: beginOf("p", "r1", "x")}).Answered, ShouldEqual, first.Turn)
+		So(h.apply(Command{Begin: beginOf("p", "r1", "x")}).ClosedTurn, ShouldEqual, first.Turn)
 		So(h.apply(Command{Begin: beginOf("p", "r1", "other")}).Error.Code, ShouldEqual, result.RequestConflict)
 		So(h.apply(Command{Commit: commitOf("p", first.Fence, "x")}).Turn, ShouldEqual, first.Turn)
 		So(len(h.records["p"]), ShouldEqual, 1)
@@ -78,19 +78,19 @@
 		again.TakeOver = true
 		second := h.apply(Command{Begin: again})
 		So(second.Error, ShouldBeNil)
-		So(second.Remaining, ShouldEqual, 100-12-12)
+		So(second.RemainingTokens, ShouldEqual, 100-12-12)
 		So(h.apply(Command{Commit: commitOf("p", first.Fence, "x")}).Error.Code, ShouldEqual, result.StaleFence)
-		So(h.apply(Command{Commit: commitOf("p", second.Fence, "x")}).Remaining, ShouldEqual, 100-12-7)
+		So(h.apply(Command{Commit: commitOf("p", second.Fence, "x")}).RemainingTokens, ShouldEqual, 100-12-7)
 	})
 	Convey("a call that is not repeatable is never granted twice", t, func() {
 		h := newHarness()
 		once := beginOf("p", "r1", "x")
-		once.Once = true
+		once.AtMostOnce = true
 		So(h.apply(Command{Begin: once}).Error, ShouldBeNil)
 		again := *once
 		again.TakeOver = true
 		So(h.apply(Command{Begin: &again}).Error.Code, ShouldEqual, result.OutcomeUnknown)
-		So(h.apply(Command{Begin: &again}).Answered, ShouldEqual, 1)
+		So(h.apply(Command{Begin: &again}).ClosedTurn, ShouldEqual, 1)
 		So(h.records["p"][0].Code, ShouldEqual, result.OutcomeUnknown)
 	})
 	Convey("a whole history is checked against the ledger's", t, func() {
@@ -102,7 +102,7 @@
 		begin.PrefixDigests = PrefixDigests(sent)
 		reply := h.apply(Command{Begin: begin})
 		So(reply.Error, ShouldBeNil)
-		So(reply.Skip, ShouldEqual, 2)
+		So(reply.SkipMessages, ShouldEqual, 2)
 		h.apply(Command{Abort: &Abort{Program: "p", Fence: reply.Fence, NotRun: true}})
 		sent[1].Content = "something else"
 		begin.PrefixDigests = PrefixDigests(sent)
@@ -133,16 +133,16 @@
 	Convey("idle programs end and are forgotten later", t, func() {
 		h := newHarness()
 		begin := beginOf("p", "r1", "x")
-		begin.Limits.IdleMs = 50
+		begin.Limits.IdleTimeoutMs = 50
 		first := h.apply(Command{Begin: begin})
 		h.apply(Command{Commit: commitOf("p", first.Fence, "x")})
 		h.index += 10
-		So(h.ledger.SweepDue(int64(h.index)*10, 1000), ShouldBeTrue)
-		h.apply(Command{Sweep: &Sweep{RetainMs: 1000}})
-		So(h.ledger.Released([]string{"p", "q"}), ShouldResemble, []string{"p", "q"})
+		So(h.ledger.IsSweepDue(int64(h.index)*10, 1000), ShouldBeTrue)
+		h.apply(Command{Sweep: &Sweep{RetentionMs: 1000}})
+		So(h.ledger.EndedOrUnknown([]string{"p", "q"}), ShouldResemble, []string{"p", "q"})
 		So(h.apply(Command{Begin: beginOf("p", "r2", "y")}).Error.Code, ShouldEqual, result.ProgramClosed)
 		h.index += 200
-		h.apply(Command{Sweep: &Sweep{RetainMs: 1000}})
+		h.apply(Command{Sweep: &Sweep{RetentionMs: 1000}})
 		So(h.ledger.Len(), ShouldEqual, 0)
 	})
 }
@@ -159,22 +159,22 @@
 			before, existed := h.ledger.Get(id)
 			var turnBefore uint64
 			if existed {
-				turnBefore = before.Turn
+				turnBefore = before.LastTurn
 			}
 			switch rapid.IntRange(0, 5).Draw(t, "command") {
 			case 0, 1, 2:
 				begin := beginOf(id, request, "content of "+request)
-				begin.Once = request < "r3"
+				begin.AtMostOnce = request < "r3"
 				begin.TakeOver = rapid.Bool().Draw(t, "take over")
 				if rapid.Bool().Draw(t, "retry") {
 					begin.RetryOf = fence
 					begin.LostTokens = 3
 				}
 				reply := h.apply(Command{Begin: begin})
-				if reply.Error == nil && reply.Answered == 0 {
+				if reply.Error == nil && reply.ClosedTurn == 0 {
 					fences = append(fences, reply.Fence)
 					h.granted[id+request]++
-					if begin.Once && h.granted[id+request] > 1+h.notRun[id+request] {
+					if begin.AtMostOnce && h.granted[id+request] > 1+h.notRun[id+request] {
 						t.Fatalf("%s of %s, not repeatable, was granted %d times", request, id, h.granted[id+request])
 					}
 				}
@@ -186,7 +186,7 @@
 				if ok && header.Open != nil && header.Open.Fence == fence && notRun {
 					h.notRun[id+header.Open.Request]++
 				}
-				h.apply(Command{Abort: &Abort{Program: id, Fence: fence, NotRun: notRun, Tokens: 4}})
+				h.apply(Command{Abort: &Abort{Program: id, Fence: fence, NotRun: notRun, UsedTokens: 4}})
 			default:
 				if rapid.IntRange(0, 9).Draw(t, "end") == 0 {
 					h.apply(Command{End: &End{Program: id, Tenant: "t"}})
@@ -196,11 +196,11 @@
 			if !ok {
 				continue
 			}
-			if header.Remaining() < 0 {
-				t.Fatalf("budget of %s exceeded by %d", id, -header.Remaining())
+			if header.RemainingTokens() < 0 {
+				t.Fatalf("budget of %s exceeded by %d", id, -header.RemainingTokens())
 			}
-			if header.Turn < turnBefore || header.Turn > turnBefore+1 {
-				t.Fatalf("turn of %s went from %d to %d", id, turnBefore, header.Turn)
+			if header.LastTurn < turnBefore || header.LastTurn > turnBefore+1 {
+				t.Fatalf("turn of %s went from %d to %d", id, turnBefore, header.LastTurn)
 			}
 			lineage, _ := header.Lineage("")
 			if ChainDigest(0, Conversation(lineage, h.records[id])...) != header.Threads[0].Digest {
--- a/internal/program/turns.go
+++ b/internal/program/turns.go
@@ -28,12 +28,12 @@
 type Reserve struct {
 	Program string `msgpack:"p"`
 	Request string `msgpack:"r"`
-	// Budget bounds the tokens that all turns of the program generate; zero is no
+	// BudgetTokens bounds the tokens that all turns of the program generate; zero is no
 	// bound. Most is what this turn may generate, tokens.
-	Budget int64 `msgpack:"b,omitempty"`
-	Most   int64 `msgpack:"m,omitempty"`
-	// Previous names the turn that this one goes on from, by its request.
-	Previous string `msgpack:"v,omitempty"`
+	BudgetTokens int64 `msgpack:"b,omitempty"`
+	MaxTokens    int64 `msgpack:"m,omitempty"`
+	// PreviousRequest names the turn that this one goes on from, by its request.
+	PreviousRequest string `msgpack:"v,omitempty"`
 	// Session is the line of turns that the turn belongs to.
 	Session string `msgpack:"s,omitempty"`
 }
@@ -43,17 +43,17 @@
 type Settle struct {
 	Program string `msgpack:"p"`
 	Request string `msgpack:"r"`
-	// Used is what was generated, tokens.
-	Used int64 `msgpack:"u,omitempty"`
+	// UsedTokens is what was generated, tokens.
+	UsedTokens int64 `msgpack:"u,omitempty"`
 	// Session and Engine remember which engine ran the turn, whose cache may hold what
 	// it has read.
 	Session string `msgpack:"s,omitempty"`
 	Engine  string `msgpack:"e,omitempty"`
-	// Keep stores Content, the turn's input and output, for RetentionMs.
-	Keep        bool   `msgpack:"k,omitempty"`
-	Previous    string `msgpack:"v,omitempty"`
-	Content     []byte `msgpack:"c,omitempty"`
-	RetentionMs int64  `msgpack:"t,omitempty"`
+	// Retain stores Content, the turn's input and output, for RetentionMs.
+	Retain          bool   `msgpack:"k,omitempty"`
+	PreviousRequest string `msgpack:"v,omitempty"`
+	Content         []byte `msgpack:"c,omitempty"`
+	RetentionMs     int64  `msgpack:"t,omitempty"`
 }
 
 // TurnCommand is one entry of a turn group's log; exactly one part is set.
@@ -69,11 +69,11 @@
 
 // TurnEffects are the writes that a command asks of the owner's disk.
 type TurnEffects struct {
-	// Write is the request whose content is to be kept.
-	Write   string
-	Content []byte
-	// Forget lists requests whose content may go.
-	Forget []string
+	// WriteRequest is the request whose content is to be kept.
+	WriteRequest string
+	Content      []byte
+	// DeleteRequests lists requests whose content may go.
+	DeleteRequests []string
 }
 
 // reservation is what one open turn may generate, tokens.
@@ -141,10 +141,10 @@
 	ExpiresMs int64  `msgpack:"e"`
 }
 
-// Turns is the ledger of opaque turns: a tree of kept turns by request, and the
+// TurnLedger is the ledger of opaque turns: a tree of kept turns by request, and the
 // budgets of generated tokens of their programs. It is the deterministic state of
 // one ledger group.
-type Turns struct {
+type TurnLedger struct {
 	budgets map[string]*budget
 	turns   map[string]*turn
 
@@ -153,25 +153,25 @@
 	DisableBudget bool
 }
 
-// NewTurns returns an empty ledger.
-func NewTurns() *Turns {
-	return &Turns{budgets: map[string]*budget{}, turns: map[string]*turn{}}
+// NewTurnLedger returns an empty ledger.
+func NewTurnLedger() *TurnLedger {
+	return &TurnLedger{budgets: map[string]*budget{}, turns: map[string]*turn{}}
 }
 
 // Len returns how many turns are kept.
-func (t *Turns) Len() int { return len(t.turns) }
+func (t *TurnLedger) Len() int { return len(t.turns) }
 
-// Programs returns how many budgets are kept.
-func (t *Turns) Programs() int { return len(t.budgets) }
+// BudgetCount returns how many budgets are kept.
+func (t *TurnLedger) BudgetCount() int { return len(t.budgets) }
 
-// Has reports whether a turn is kept.
-func (t *Turns) Has(request string) bool {
+// HasTurn reports whether a turn is kept.
+func (t *TurnLedger) HasTurn(request string) bool {
 	_, ok := t.turns[request]
 	return ok
 }
 
-// Spent returns what a program has generated and what its open turns may.
-func (t *Turns) Spent(program string) (spent, reserved int64) {
+// TokenUse returns what a program has generated and what its open turns may.
+func (t *TurnLedger) TokenUse(program string) (spent, reserved int64) {
 	known, ok := t.budgets[program]
 	if !ok {
 		return 0, 0
@@ -181,7 +181,7 @@
 
 // Chain returns the requests of the line of turns that ends with the one given,
 // oldest first.
-func (t *Turns) Chain(request string) []string {
+func (t *TurnLedger) Chain(request string) []string {
 	var chain []string
 	for request != "" && len(chain) < maxChainTurns {
 		known, ok := t.turns[request]
@@ -195,36 +195,36 @@
 	return chain
 }
 
-// TurnOutcome is the reply to one command.
-type TurnOutcome struct {
+// TurnReply is the reply to one command.
+type TurnReply struct {
 	Error *result.Error
 	// Engine is the one that most likely holds what a reserved turn's session has read.
 	Engine string
-	// First says that no turn of the program has run yet, nor is another one open.
-	First bool
+	// IsFirstTurn says that no turn of the program has run yet, nor is another one open.
+	IsFirstTurn bool
 }
 
 // Apply carries out one command.
-func (t *Turns) Apply(command TurnCommand) (TurnOutcome, TurnEffects) {
+func (t *TurnLedger) Apply(command TurnCommand) (TurnReply, TurnEffects) {
 	switch {
 	case command.Reserve != nil:
 		failure := t.reserve(command.NowMs, command.Reserve)
-		outcome := TurnOutcome{Error: failure, Engine: t.EngineOf(command.Reserve.Program, command.Reserve.Session)}
+		outcome := TurnReply{Error: failure, Engine: t.AffineEngine(command.Reserve.Program, command.Reserve.Session)}
 		if known, ok := t.budgets[command.Reserve.Program]; ok {
-			outcome.First = known.first()
+			outcome.IsFirstTurn = known.first()
 		}
 		return outcome, TurnEffects{}
 	case command.Settle != nil:
-		return TurnOutcome{}, t.settle(command.NowMs, command.Settle)
+		return TurnReply{}, t.settle(command.NowMs, command.Settle)
 	case command.Sweep:
-		return TurnOutcome{}, t.sweep(command.NowMs)
+		return TurnReply{}, t.sweep(command.NowMs)
 	}
-	return TurnOutcome{Error: result.New(result.Internal, "empty command")}, TurnEffects{}
+	return TurnReply{Error: result.New(result.Internal, "empty command")}, TurnEffects{}
 }
 
-// EngineOf returns the engine that most likely holds what a session has read, ""
+// AffineEngine returns the engine that most likely holds what a session has read, ""
 // where none is known.
-func (t *Turns) EngineOf(program, session string) string {
+func (t *TurnLedger) AffineEngine(program, session string) string {
 	known, ok := t.budgets[program]
 	if !ok {
 		return ""
@@ -235,11 +235,11 @@
 // reserve grants a turn. Invariant: what a program has generated and what its open
 // turns may generate stays within its budget, whichever gateways run them; a turn
 // whose end nobody reported counts at its most.
-func (t *Turns) reserve(nowMs int64, reserve *Reserve) *result.Error {
-	if reserve.Previous != "" && !t.Has(reserve.Previous) {
-		return result.New(result.UnknownTurn, "no turn %s", reserve.Previous)
+func (t *TurnLedger) reserve(nowMs int64, reserve *Reserve) *result.Error {
+	if reserve.PreviousRequest != "" && !t.HasTurn(reserve.PreviousRequest) {
+		return result.New(result.UnknownTurn, "no turn %s", reserve.PreviousRequest)
 	}
-	if reserve.Budget <= 0 {
+	if reserve.BudgetTokens <= 0 {
 		return nil
 	}
 	known, ok := t.budgets[reserve.Program]
@@ -250,41 +250,41 @@
 		return nil
 	}
 	reserved := known.reserved()
-	if known.Spent+reserved+reserve.Most > reserve.Budget && !t.DisableBudget {
+	if known.Spent+reserved+reserve.MaxTokens > reserve.BudgetTokens && !t.DisableBudget {
 		return result.New(result.BudgetExhausted, "budget %d, spent %d, reserved %d, asked %d",
-			reserve.Budget, known.Spent, reserved, reserve.Most)
+			reserve.BudgetTokens, known.Spent, reserved, reserve.MaxTokens)
 	}
-	known.Reserved = append(known.Reserved, reservation{Request: reserve.Request, Most: reserve.Most})
+	known.Reserved = append(known.Reserved, reservation{Request: reserve.Request, Most: reserve.MaxTokens})
 	known.LastMs = max(known.LastMs, nowMs)
 	t.budgets[reserve.Program] = known
 	return nil
 }
 
 // settle closes a turn; one that is settled again changes nothing.
-func (t *Turns) settle(nowMs int64, settle *Settle) TurnEffects {
+func (t *TurnLedger) settle(nowMs int64, settle *Settle) TurnEffects {
 	if known, ok := t.budgets[settle.Program]; ok {
 		if place := known.place(settle.Request); place >= 0 {
 			known.Reserved = slices.Delete(known.Reserved, place, place+1)
-			known.Spent += settle.Used
+			known.Spent += settle.UsedTokens
 		}
 		known.noteEngine(settle.Session, settle.Engine)
 		known.LastMs = max(known.LastMs, nowMs)
 	}
-	if !settle.Keep || t.Has(settle.Request) {
+	if !settle.Retain || t.HasTurn(settle.Request) {
 		return TurnEffects{}
 	}
 	expires := nowMs + settle.RetentionMs + turnGraceMs
-	t.turns[settle.Request] = &turn{Request: settle.Request, Previous: settle.Previous, ExpiresMs: expires}
+	t.turns[settle.Request] = &turn{Request: settle.Request, Previous: settle.PreviousRequest, ExpiresMs: expires}
 	// Invariant: a kept turn's whole chain is kept as long as the turn.
 	for _, ancestor := range t.Chain(settle.Request) {
 		known := t.turns[ancestor]
 		known.ExpiresMs = max(known.ExpiresMs, expires)
 	}
-	return TurnEffects{Write: settle.Request, Content: settle.Content}
+	return TurnEffects{WriteRequest: settle.Request, Content: settle.Content}
 }
 
-// SweepDue reports whether a sweep would forget something.
-func (t *Turns) SweepDue(nowMs int64) bool {
+// IsSweepDue reports whether a sweep would forget something.
+func (t *TurnLedger) IsSweepDue(nowMs int64) bool {
 	for _, known := range t.turns {
 		if known.ExpiresMs < nowMs {
 			return true
@@ -298,15 +298,15 @@
 	return false
 }
 
-func (t *Turns) sweep(nowMs int64) TurnEffects {
+func (t *TurnLedger) sweep(nowMs int64) TurnEffects {
 	var effects TurnEffects
 	for request, known := range t.turns {
 		if known.ExpiresMs < nowMs {
 			delete(t.turns, request)
-			effects.Forget = append(effects.Forget, request)
+			effects.DeleteRequests = append(effects.DeleteRequests, request)
 		}
 	}
-	slices.Sort(effects.Forget)
+	slices.Sort(effects.DeleteRequests)
 	for id, known := range t.budgets {
 		if known.LastMs+budgetIdleMs < nowMs {
 			delete(t.budgets, id)
@@ -322,7 +322,7 @@
 }
 
 // Snapshot encodes the ledger without the turns' content.
-func (t *Turns) Snapshot() ([]byte, error) {
+func (t *TurnLedger) Snapshot() ([]byte, error) {
 	var encoded turnsSnapshot
 	for _, known := range t.budgets {
 		encoded.Budgets = append(encoded.Budgets, known)
@@ -340,7 +340,7 @@
 }
 
 // Restore replaces the ledger by a snapshot; empty data gives an empty ledger.
-func (t *Turns) Restore(data []byte) error {
+func (t *TurnLedger) Restore(data []byte) error {
 	var encoded turnsSnapshot
 	if len(data) > 0 {
 		if err := msgpack.Unmarshal(data, &encoded); err != nil {
--- a/internal/program/types.go
+++ b/internal/program/types.go
@@ -26,10 +26,10 @@
 // Limits bound one program; they are fixed when it is created.
 type Limits struct {
 	// BudgetTokens bounds new prompt tokens plus generated tokens.
-	BudgetTokens int64 `msgpack:"b" json:"budget_tokens"`
-	MaxTurns     int64 `msgpack:"t" json:"max_turns"`
-	WallMs       int64 `msgpack:"w" json:"wall_ms"`
-	IdleMs       int64 `msgpack:"i" json:"idle_ms"`
+	BudgetTokens  int64 `msgpack:"b" json:"budget_tokens"`
+	MaxTurns      int64 `msgpack:"t" json:"max_turns"`
+	WallTimeMs    int64 `msgpack:"w" json:"wall_ms"`
+	IdleTimeoutMs int64 `msgpack:"i" json:"idle_ms"`
 }
 
 // Begin asks to start one call.
@@ -43,8 +43,8 @@
 	Create  bool   `msgpack:"c,omitempty"`
 	Limits  Limits `msgpack:"l"`
 	Digest  uint64 `msgpack:"d"`
-	// Once marks a call that is not repeatable.
-	Once bool `msgpack:"o,omitempty"`
+	// AtMostOnce marks a call that is not repeatable.
+	AtMostOnce bool `msgpack:"o,omitempty"`
 	// PrefixDigests holds the chain digest after 0..n of the messages sent, when
 	// the caller sent the whole history; nil when it sent only new messages.
 	PrefixDigests []uint64 `msgpack:"x,omitempty"`
@@ -62,12 +62,12 @@
 	// Nonce makes a Begin that is proposed again, because its reply was lost,
 	// return the grant of the first.
 	Nonce uint64 `msgpack:"z,omitempty"`
-	// KnownTurn is the last turn whose record the scheduler has cached.
-	KnownTurn uint64 `msgpack:"y,omitempty"`
-	// Start identifies the scheduler's process: a successor has its name.
-	Start uint64 `msgpack:"q,omitempty"`
-	// DeadlineMs is the time that the caller leaves for the call, milliseconds.
-	DeadlineMs int64 `msgpack:"j,omitempty"`
+	// CachedTurn is the last turn whose record the scheduler has cached.
+	CachedTurn uint64 `msgpack:"y,omitempty"`
+	// Incarnation identifies the scheduler's process: a successor has its name.
+	Incarnation uint64 `msgpack:"q,omitempty"`
+	// TimeoutMs is the time that the caller leaves for the call, milliseconds.
+	TimeoutMs int64 `msgpack:"j,omitempty"`
 }
 
 // Commit ends a turn with its answer.
@@ -78,9 +78,9 @@
 	Answer   Message   `msgpack:"a"`
 	Usage    Usage     `msgpack:"u"`
 	// NewTokens is the part of the prompt that was not in the history before.
-	NewTokens int64  `msgpack:"n"`
-	Engine    string `msgpack:"e"`
-	End       bool   `msgpack:"d,omitempty"`
+	NewTokens   int64  `msgpack:"n"`
+	Engine      string `msgpack:"e"`
+	EndsProgram bool   `msgpack:"d,omitempty"`
 }
 
 // Abort closes a turn without an answer.
@@ -89,8 +89,8 @@
 	Fence   uint64      `msgpack:"f"`
 	Code    result.Code `msgpack:"c"`
 	// NotRun says that no engine started the call: nothing is charged.
-	NotRun bool  `msgpack:"n,omitempty"`
-	Tokens int64 `msgpack:"t,omitempty"`
+	NotRun     bool  `msgpack:"n,omitempty"`
+	UsedTokens int64 `msgpack:"t,omitempty"`
 }
 
 // End ends a program.
@@ -103,7 +103,7 @@
 
 // Sweep ends idle programs and forgets programs that ended long ago.
 type Sweep struct {
-	RetainMs int64 `msgpack:"r"`
+	RetentionMs int64 `msgpack:"r"`
 }
 
 // Command is one entry of a ledger group's log; exactly one part is set.
@@ -123,26 +123,26 @@
 	// Turn and Fence identify a granted turn.
 	Turn  uint64 `msgpack:"t,omitempty"`
 	Fence uint64 `msgpack:"f,omitempty"`
-	// Answered is the turn whose record answers this request already.
-	Answered uint64 `msgpack:"a,omitempty"`
-	// Skip is how many of the messages sent the ledger has already.
-	Skip int `msgpack:"s,omitempty"`
+	// ClosedTurn is the turn whose record answers this request already.
+	ClosedTurn uint64 `msgpack:"a,omitempty"`
+	// SkipMessages is how many of the messages sent the ledger has already.
+	SkipMessages int `msgpack:"s,omitempty"`
 	// Lineage tells which records make the thread's history.
-	Lineage []Span `msgpack:"l,omitempty"`
+	Lineage []ThreadPrefix `msgpack:"l,omitempty"`
 	// Holder is the scheduler that has the open turn (code TurnOpen).
 	Holder string `msgpack:"h,omitempty"`
-	// HolderStart is the start of that scheduler's process.
-	HolderStart uint64 `msgpack:"i,omitempty"`
-	// Open is the request that has the open turn (code TurnOpen).
-	Open string `msgpack:"o,omitempty"`
+	// HolderIncarnation is the start of that scheduler's process.
+	HolderIncarnation uint64 `msgpack:"i,omitempty"`
+	// OpenRequest is the request that has the open turn (code TurnOpen).
+	OpenRequest string `msgpack:"o,omitempty"`
 	// Ended says that the program is closed after this command.
 	Ended bool `msgpack:"d,omitempty"`
-	// Remaining is the budget left.
-	Remaining int64 `msgpack:"r,omitempty"`
+	// RemainingTokens is the budget left.
+	RemainingTokens int64 `msgpack:"r,omitempty"`
 }
 
-// Span is a range of one thread's turns, first to last inclusive.
-type Span struct {
+// ThreadPrefix is a range of one thread's turns, first to last inclusive.
+type ThreadPrefix struct {
 	Thread string `msgpack:"t"`
 	Last   uint64 `msgpack:"l"`
 }
@@ -157,7 +157,7 @@
 	Usage    Usage       `msgpack:"u" json:"usage"`
 	Engine   string      `msgpack:"e" json:"engine"`
 	Code     result.Code `msgpack:"c" json:"code"`
-	AtMs     int64       `msgpack:"w" json:"at_ms"`
+	ClosedMs int64       `msgpack:"w" json:"at_ms"`
 }
 
 // Effects are the writes that Apply asks of the owner's disk.
@@ -165,12 +165,12 @@
 	Write *TurnRecord
 	// Program owns Write.
 	Program string
-	// Forget lists programs whose records may be deleted, with their last turn.
-	Forget []Forgotten
+	// DeletePrograms lists programs whose records may be deleted, with their last turn.
+	DeletePrograms []DeletedProgram
 }
 
-// Forgotten is a program that the ledger no longer knows.
-type Forgotten struct {
+// DeletedProgram is a program that the ledger no longer knows.
+type DeletedProgram struct {
 	Program  string
 	LastTurn uint64
 }
--- a/internal/protocol/fleet.go
+++ b/internal/protocol/fleet.go
@@ -53,15 +53,15 @@
 	Gateway *membership.Gateway      `msgpack:"g,omitempty"`
 	Ledger  *membership.LedgerReport `msgpack:"d,omitempty"`
 	// Loads is what the gateway has seen of engines since its last heartbeat.
-	Loads []scheduling.Load `msgpack:"o,omitempty"`
+	Loads []scheduling.EngineLoad `msgpack:"o,omitempty"`
 	// Usages is what it has seen of their speed; releases that know nothing of it pass it over.
-	Usages []scheduling.Usage `msgpack:"x,omitempty"`
+	Usages []scheduling.EngineUsage `msgpack:"x,omitempty"`
 	// Failing are the engines at which the gateway's requests fail.
 	Failing []string `msgpack:"k,omitempty"`
 	// Late is what the gateway has seen of streams since its last heartbeat.
-	Late []scheduling.LateShare `msgpack:"t,omitempty"`
+	Late []scheduling.StreamLateness `msgpack:"t,omitempty"`
 	// Uses is what the gateway's tenants use of back ends that are short of room.
-	Uses []admission.BackendUse `msgpack:"uses,omitempty"`
+	Uses []admission.BackendUsage `msgpack:"uses,omitempty"`
 	// Version and Generation are the fleet and the routing table in force at the
 	// sender; WithRouting says that it wants the table at all.
 	Version     uint64 `msgpack:"v"`
@@ -91,22 +91,22 @@
 
 // FleetSyncReply carries the news.
 type FleetSyncReply struct {
-	Error  *result.Error                 `msgpack:"e,omitempty"`
-	Leader string                        `msgpack:"l,omitempty"`
-	Fleet  *Shared[membership.FleetNews] `msgpack:"f,omitempty"`
+	Error  *result.Error                  `msgpack:"e,omitempty"`
+	Leader string                         `msgpack:"l,omitempty"`
+	Fleet  *Shared[membership.FleetDelta] `msgpack:"f,omitempty"`
 	// Routing leads from the sender's generation to the one in force.
 	Routing *Shared[routing.Delta] `msgpack:"r,omitempty"`
 	// Loads is what all gateways together have seen of engines, where it was asked for.
-	Loads *Shared[[]scheduling.Load] `msgpack:"o,omitempty"`
+	Loads *Shared[[]scheduling.EngineLoad] `msgpack:"o,omitempty"`
 	// Usages is what all gateways together know of their speed; it comes with Loads.
-	Usages *Shared[[]scheduling.Usage] `msgpack:"x,omitempty"`
+	Usages *Shared[[]scheduling.EngineUsage] `msgpack:"x,omitempty"`
 	// Failing are the engines at which requests of several gateways fail; it comes with Loads.
 	Failing []string `msgpack:"k,omitempty"`
 	// Late is what all gateways together have seen of streams, with every answer to one.
-	Late []scheduling.LateShare `msgpack:"t,omitempty"`
+	Late []scheduling.StreamLateness `msgpack:"t,omitempty"`
 	// Uses is what all gateways' tenants together use of back ends that are short of room; it
 	// comes with Loads, where the routing table has tenants.
-	Uses *Shared[[]admission.BackendUse] `msgpack:"uses,omitempty"`
+	Uses *Shared[[]admission.BackendUsage] `msgpack:"uses,omitempty"`
 	// Controls are the inner addresses of the control processes, where the sender knows others.
 	Controls []string `msgpack:"c,omitempty"`
 	// Confirmed says that a quorum confirmed the reply after the request had come.
@@ -130,7 +130,7 @@
 	// Contents asks for the content of turns, joined in the order given.
 	Contents []string `msgpack:"c,omitempty"`
 	// Quota asks for one request of a tenant.
-	Quota *quota.Ask `msgpack:"q,omitempty"`
+	Quota *quota.Request `msgpack:"q,omitempty"`
 	// Probe asks whether the receiver leads the group.
 	Probe bool `msgpack:"p,omitempty"`
 	// WithinMs is how long the sender waits for this answer; a request that has waited
@@ -154,6 +154,6 @@
 	// First says, of a reserved turn with a budget, that nothing of its program has run yet.
 	First bool `msgpack:"f,omitempty"`
 	// Grant answers Quota; Queued does where the request waits and is to be asked for again.
-	Grant  *quota.Grant `msgpack:"q,omitempty"`
-	Queued *quota.Place `msgpack:"u,omitempty"`
+	Grant  *quota.Grant         `msgpack:"q,omitempty"`
+	Queued *quota.QueuePosition `msgpack:"u,omitempty"`
 }
--- a/internal/protocol/messages.go
+++ b/internal/protocol/messages.go
@@ -158,7 +158,7 @@
 	Snapshot []byte              `msgpack:"s,omitempty"`
 	Changes  []settings.Accepted `msgpack:"c,omitempty"`
 	// Roster tells of schedulers that came, changed or went.
-	Roster membership.RosterNews `msgpack:"d"`
+	Roster membership.RosterDelta `msgpack:"d"`
 	// Groups is the number of ledger groups.
 	Groups uint32 `msgpack:"g"`
 }
--- a/internal/protocol/shared_test.go
+++ b/internal/protocol/shared_test.go
@@ -11,7 +11,7 @@
 // TestShared holds that a shared part arrives as it was sent, in every message.
 func TestShared(t *testing.T) {
 	Convey("a part that is encoded once arrives in each message", t, func() {
-		news := NewShared(membership.FleetNews{Version: 7, Removed: []string{"gone"}})
+		news := NewShared(membership.FleetDelta{Version: 7, Removed: []string{"gone"}})
 		for range 2 {
 			body, err := Encode(&FleetSyncReply{Fleet: news, Leader: "l"})
 			So(err, ShouldBeNil)
--- a/internal/quota/closedloop_test.go
+++ b/internal/quota/closedloop_test.go
@@ -122,10 +122,10 @@
 		return
 	}
 	l.reserving[tenant] = true
-	reservation := l.owner.Size(tenant, len(l.short[tenant]), l.nowMs)
+	reservation := l.owner.NextReservation(tenant, len(l.short[tenant]), l.nowMs)
 	l.after(loopCommitMs, func() {
 		delete(l.reserving, tenant)
-		l.owner.Reserved(reservation)
+		l.owner.AddReservation(reservation)
 		l.resume(tenant)
 		waiting := l.short[tenant]
 		delete(l.short, tenant)
@@ -136,11 +136,11 @@
 }
 
 func (l *loop) resume(tenant string) {
-	tickets, short := l.owner.Resume(tenant, l.nowMs)
+	tickets, short := l.owner.GrantQueued(tenant, l.nowMs)
 	for _, ticket := range tickets {
 		if answer := l.held[ticket]; answer != nil {
 			delete(l.held, ticket)
-			answer(l.owner.Ask(Ask{Tenant: tenant, Ticket: ticket, Limit: l.limitOf(tenant)}, l.nowMs))
+			answer(l.owner.RequestGrant(Request{Tenant: tenant, Ticket: ticket, Limit: l.limitOf(tenant)}, l.nowMs))
 		}
 	}
 	if short {
@@ -155,10 +155,10 @@
 }
 
 // put puts a question to the owner and answers with what it comes to in the end.
-func (l *loop) put(ask Ask, answer func(Decision)) {
-	decision := l.owner.Ask(ask, l.nowMs)
+func (l *loop) put(ask Request, answer func(Decision)) {
+	decision := l.owner.RequestGrant(ask, l.nowMs)
 	switch decision.Verdict {
-	case Short:
+	case ReservationNeeded:
 		l.short[ask.Tenant] = append(l.short[ask.Tenant], func() { l.put(ask, answer) })
 		l.reserve(ask.Tenant)
 	case Waiting:
@@ -169,29 +169,29 @@
 	}
 }
 
-func (l *loop) askAgain(ask Ask, answer func(Decision)) {
+func (l *loop) askAgain(ask Request, answer func(Decision)) {
 	if l.held[ask.Ticket] == nil {
 		return
 	}
 	delete(l.held, ask.Ticket)
-	ask.WaitMs -= loopAskAgainMs
+	ask.MaxWaitMs -= loopAskAgainMs
 	ask.WaitedMs += loopAskAgainMs
 	l.put(ask, answer)
 }
 
 // request is one request of a program; done says whether it was served.
-func (l *loop) request(tenant int, ask Ask, serviceMs float64, done func(bool)) {
+func (l *loop) request(tenant int, ask Request, serviceMs float64, done func(bool)) {
 	l.attempt(tenant, ask, serviceMs, loopDeadlineMs, true, done)
 }
 
 // attempt asks for a grant and serves, or comes back once after the time it was told, for at
 // most a third of the time left.
-func (l *loop) attempt(tenant int, ask Ask, serviceMs float64, leftMs int64, mayRetry bool, done func(bool)) {
+func (l *loop) attempt(tenant int, ask Request, serviceMs float64, leftMs int64, mayRetry bool, done func(bool)) {
 	counts := l.tenants[tenant]
 	known := l.owner.tenant(ask.Tenant).underWay(ask.Program)
 	if l.byQueue {
 		l.tickets++
-		ask.Ticket, ask.WaitMs = fmt.Sprint(l.tickets), leftMs-int64(serviceMs)
+		ask.Ticket, ask.MaxWaitMs = fmt.Sprint(l.tickets), leftMs-int64(serviceMs)
 	}
 	askedMs := l.nowMs
 	l.put(ask, func(decision Decision) {
@@ -218,7 +218,7 @@
 }
 
 // turn sends a request and sends it anew where it fails, a few times.
-func (l *loop) turn(tenant int, ask Ask, serviceMs float64, anews int, done func(bool)) {
+func (l *loop) turn(tenant int, ask Request, serviceMs float64, anews int, done func(bool)) {
 	l.request(tenant, ask, serviceMs, func(served bool) {
 		if served || anews == 0 {
 			done(served)
@@ -274,7 +274,7 @@
 }
 
 // run sends the turns of a line one after the other, with what belongs to each.
-func (l *loop) run(tenant int, ask Ask, line []loopTurn, done func(bool)) {
+func (l *loop) run(tenant int, ask Request, line []loopTurn, done func(bool)) {
 	first := line[0]
 	l.turn(tenant, ask, first.serviceMs, loopAnews, func(served bool) {
 		if !served || len(line) == 1 {
@@ -282,7 +282,7 @@
 			return
 		}
 		follow, tool := ask, ask
-		follow.Continues, tool.Continues, tool.Kind = l.byQueue, l.byQueue, ""
+		follow.ContinuesProgram, tool.ContinuesProgram, tool.Kind = l.byQueue, l.byQueue, ""
 		together(len(first.tools)+len(first.agents), func(position int, done func(bool)) {
 			if position < len(first.tools) {
 				l.turn(tenant, tool, first.tools[position], loopAnews, done)
@@ -318,7 +318,7 @@
 	}
 	counts := l.tenants[tenant]
 	name := fmt.Sprint("p", number)
-	ask := Ask{Tenant: fmt.Sprint("t", tenant), Limit: counts.limit, Program: name}
+	ask := Request{Tenant: fmt.Sprint("t", tenant), Limit: counts.limit, Program: name}
 	if l.byQueue {
 		ask.Kind = kind.name
 	}
@@ -351,7 +351,7 @@
 		tolerance = Tolerance{Overage: 0.1, Slack: 20}
 	}
 	l := &loop{
-		seed: seed, owner: NewLearntOwner(NewState(loopWindowMs), 0, admission.NewKinds(), tolerance), byQueue: mode >= loopByProgram,
+		seed: seed, owner: NewOwnerWithAdmission(NewState(loopWindowMs), 0, admission.NewProgramKinds(), tolerance), byQueue: mode >= loopByProgram,
 		held: map[string]func(Decision){}, short: map[string][]func(){}, reserving: map[string]bool{},
 	}
 	limit := Limit{Generation: 1, RatePerSecond: loopLimitFactor * loopStartsPerSecond * loopRequests, Burst: loopBurst}
@@ -364,7 +364,7 @@
 	}
 	var tick func()
 	tick = func() {
-		for _, tenant := range l.owner.Queued() {
+		for _, tenant := range l.owner.QueuedTenants() {
 			l.resume(tenant)
 		}
 		l.after(loopTickMs, tick)
@@ -410,7 +410,7 @@
 }
 
 func (s *loopSum) add(tenant, unlimited *loopTenant) {
-	allowed := tenant.limit.Within(loopWindowMs)
+	allowed := tenant.limit.AllowedRequests(loopWindowMs)
 	for position, program := range tenant.programs {
 		failed := program.ended && !program.completed
 		s.programs++
--- a/internal/quota/overview.go
+++ b/internal/quota/overview.go
@@ -9,14 +9,14 @@
 // its limit again.
 const calmMs = 5000
 
-// TenantView is what the owner of a limit tells an operator.
-type TenantView struct {
+// TenantUsage is what the owner of a limit tells an operator.
+type TenantUsage struct {
 	Tenant string `json:"tenant"`
 	// Used counts in the window; Allowed is the limit there and Most what programs under way
 	// may use.
-	Used    int64 `json:"used"`
-	Allowed int64 `json:"allowed"`
-	Most    int64 `json:"most"`
+	Used              int64 `json:"used"`
+	Allowed           int64 `json:"allowed"`
+	AllowedInProgress int64 `json:"most"`
 	// Waiting are requests that wait for room, Programs those that began within the last half
 	// minute.
 	Waiting  int `json:"waiting"`
@@ -24,9 +24,9 @@
 	// DeniedNew are new programs, DeniedUnderWay requests of others that were denied, both since
 	// this owner began; AtLimitMs is for how long requests have waited or been denied, 0 where
 	// none has lately.
-	DeniedNew      int64 `json:"denied_new"`
-	DeniedUnderWay int64 `json:"denied_under_way"`
-	AtLimitMs      int64 `json:"at_limit_ms"`
+	DeniedNew        int64 `json:"denied_new"`
+	DeniedInProgress int64 `json:"denied_under_way"`
+	AtLimitMs        int64 `json:"at_limit_ms"`
 }
 
 // pressure is since when, and when last, requests of a tenant waited or were denied.
@@ -59,19 +59,19 @@
 	return max(nowMs-p.sinceMs, 1)
 }
 
-// Overview tells of all tenants that this owner knows, those with the most denials first.
-func (o *Owner) Overview(nowMs int64) []TenantView {
-	var views []TenantView
+// Usage tells of all tenants that this owner knows, those with the most denials first.
+func (o *Owner) Usage(nowMs int64) []TenantUsage {
+	var views []TenantUsage
 	for name, tenant := range o.tenants {
 		tenant.expire(nowMs)
-		views = append(views, TenantView{
-			Tenant: name, Used: tenant.used(), Allowed: tenant.allowed(), Most: tenant.most(), Waiting: len(tenant.queue),
-			Programs: tenant.begun.Len(), DeniedNew: tenant.pressure.deniedNew, DeniedUnderWay: tenant.pressure.deniedUnderWay,
+		views = append(views, TenantUsage{
+			Tenant: name, Used: tenant.used(), Allowed: tenant.allowed(), AllowedInProgress: tenant.most(), Waiting: len(tenant.queue),
+			Programs: tenant.begun.Len(), DeniedNew: tenant.pressure.deniedNew, DeniedInProgress: tenant.pressure.deniedUnderWay,
 			AtLimitMs: tenant.pressure.atLimitMs(nowMs),
 		})
 	}
-	slices.SortFunc(views, func(a, b TenantView) int {
-		return cmp.Or(cmp.Compare(b.DeniedNew+b.DeniedUnderWay, a.DeniedNew+a.DeniedUnderWay), cmp.Compare(a.Tenant, b.Tenant))
+	slices.SortFunc(views, func(a, b TenantUsage) int {
+		return cmp.Or(cmp.Compare(b.DeniedNew+b.DeniedInProgress, a.DeniedNew+a.DeniedInProgress), cmp.Compare(a.Tenant, b.Tenant))
 	})
 	return views
 }
--- a/internal/quota/owner.go
+++ b/internal/quota/owner.go
@@ -15,8 +15,8 @@
 	Granted Verdict = iota
 	// Denied says that the tenant has used its limit up.
 	Denied
-	// Short says that more has to be reserved before the owner can decide.
-	Short
+	// ReservationNeeded says that more has to be reserved before the owner can decide.
+	ReservationNeeded
 	// Waiting says that the request has a place in its tenant's queue.
 	Waiting
 )
@@ -31,10 +31,10 @@
 	Allowed int64
 	// GrantedMs is, with Granted, when that was.
 	GrantedMs int64
-	// Place is, with Waiting, where the request stands.
-	Place Place
-	// Program is, where a new program was denied, what it was held against.
-	Program *admission.Fit
+	// QueuePosition is, with Waiting, where the request stands.
+	QueuePosition QueuePosition
+	// ProgramAdmission is, where a new program was denied, what it was held against.
+	ProgramAdmission *admission.AdmissionDecision
 }
 
 const (
@@ -71,7 +71,7 @@
 	beganMs  int64
 	tenants  map[string]*owned
 	sweptMs  int64
-	kinds    *admission.Kinds
+	kinds    *admission.ProgramKinds
 	// tolerance is what programs under way may use beyond a limit.
 	tolerance Tolerance
 	// queued are the tenants with requests that wait for room.
@@ -94,7 +94,7 @@
 	programs map[string]int64
 	// begun are the same programs with what they will ask for, as far as their gateways tell
 	// the kind.
-	begun *admission.Programs
+	begun *admission.TenantPrograms
 	// queue are the requests of programs under way that wait for room, first asked first.
 	queue []*waiter
 	// issued are the grants to tickets lately.
@@ -123,12 +123,12 @@
 // NewOwner returns the owner that follows on a state. The state must hold every reservation
 // that was committed before this owner's term.
 func NewOwner(state *State, nowMs int64) *Owner {
-	return NewLearntOwner(state, nowMs, admission.NewKinds(), Tolerance{})
+	return NewOwnerWithAdmission(state, nowMs, admission.NewProgramKinds(), Tolerance{})
 }
 
-// NewLearntOwner is NewOwner with what is known of the kinds of programs, and with what programs
+// NewOwnerWithAdmission is NewOwner with what is known of the kinds of programs, and with what programs
 // under way may use beyond the limit.
-func NewLearntOwner(state *State, nowMs int64, kinds *admission.Kinds, tolerance Tolerance) *Owner {
+func NewOwnerWithAdmission(state *State, nowMs int64, kinds *admission.ProgramKinds, tolerance Tolerance) *Owner {
 	owner := &Owner{
 		windowMs: state.windowMs, beganMs: nowMs, tenants: map[string]*owned{}, sweptMs: nowMs, kinds: kinds, tolerance: tolerance, queued: map[string]*owned{},
 	}
@@ -139,7 +139,7 @@
 			// A predecessor that is cut off may grant from its last reservation until the
 			// end of it.
 			age := state.clockMs - item.AtMs
-			tenant.inherited.add(nowMs+ReservationMs-age, item.Count)
+			tenant.inherited.add(nowMs+ReservationLifetimeMs-age, item.Count)
 		}
 	}
 	return owner
@@ -150,34 +150,34 @@
 	if known == nil {
 		known = &owned{
 			tolerance: o.tolerance, granted: window{lengthMs: o.windowMs}, inherited: window{lengthMs: o.windowMs},
-			recent: window{lengthMs: ReservationMs}, programs: map[string]int64{}, startShare: 1,
-			begun: admission.NewPrograms(o.kinds, o.windowMs), issued: map[string]*issue{},
+			recent: window{lengthMs: ReservationLifetimeMs}, programs: map[string]int64{}, startShare: 1,
+			begun: admission.NewTenantPrograms(o.kinds, o.windowMs), issued: map[string]*issue{},
 		}
 		o.tenants[name] = known
 	}
 	return known
 }
 
-// Ask decides on one request.
-func (o *Owner) Ask(ask Ask, nowMs int64) Decision {
+// RequestGrant decides on one request.
+func (o *Owner) RequestGrant(ask Request, nowMs int64) Decision {
 	o.sweep(nowMs)
 	tenant := o.tenant(ask.Tenant)
 	if ask.Limit.Generation >= tenant.limit.Generation {
 		tenant.limit = ask.Limit
 	}
 	tenant.expire(nowMs)
-	newProgram := ask.Program != "" && !ask.Continues && !tenant.begun.UnderWay(ask.Program)
+	newProgram := ask.Program != "" && !ask.ContinuesProgram && !tenant.begun.IsInProgress(ask.Program)
 	decision := o.decide(tenant, ask, nowMs)
 	tenant.pressure.note(decision, newProgram, nowMs)
 	return decision
 }
 
 // decide is Ask for a tenant that is up to date.
-func (o *Owner) decide(tenant *owned, ask Ask, nowMs int64) Decision {
+func (o *Owner) decide(tenant *owned, ask Request, nowMs int64) Decision {
 	if ask.Ticket != "" {
 		return o.askWithTicket(tenant, ask, nowMs)
 	}
-	decision := Decision{Used: tenant.used(), Allowed: tenant.limit.Within(o.windowMs)}
+	decision := Decision{Used: tenant.used(), Allowed: tenant.limit.AllowedRequests(o.windowMs)}
 	if len(tenant.queue) > 0 {
 		// What can't wait doesn't pass what waits.
 		decision.Verdict = Denied
@@ -191,37 +191,37 @@
 		return decision
 	}
 	if len(tenant.available) == 0 {
-		decision.Verdict = Short
+		decision.Verdict = ReservationNeeded
 		return decision
 	}
 	tenant.grant(ask.Program, nowMs)
 	if ask.Program != "" {
-		tenant.begun.Granted(ask.Program, ask.Kind, nowMs, nowMs)
+		tenant.begun.RecordGrant(ask.Program, ask.Kind, nowMs, nowMs)
 	}
 	decision.GrantedMs = nowMs
 	return decision
 }
 
-// Return takes back a request that was granted at a time and did not run.
-func (o *Owner) Return(name string, grantedMs int64) {
+// ReturnGrant takes back a request that was granted at a time and did not run.
+func (o *Owner) ReturnGrant(name string, grantedMs int64) {
 	if tenant := o.tenants[name]; tenant != nil {
 		tenant.granted.remove(grantedMs)
 	}
 }
 
-// Size returns how much to reserve of a tenant for which so many requests wait.
-func (o *Owner) Size(name string, waiting int, nowMs int64) Reservation {
+// NextReservation returns how much to reserve of a tenant for which so many requests wait.
+func (o *Owner) NextReservation(name string, waiting int, nowMs int64) Reservation {
 	tenant := o.tenant(name)
 	tenant.expire(nowMs)
-	allowed := tenant.limit.Within(o.windowMs)
+	allowed := tenant.limit.AllowedRequests(o.windowMs)
 	wanted := max(int64(waiting+len(tenant.queue)), tenant.recent.sum, allowed/reserveShare, 1)
 	return Reservation{Tenant: name, Count: min(wanted, max(tenant.most()-tenant.used(), 1)), Limit: tenant.limit, NowMs: nowMs}
 }
 
-// Reserved takes a reservation of this owner that is committed.
-func (o *Owner) Reserved(reservation Reservation) {
+// AddReservation takes a reservation of this owner that is committed.
+func (o *Owner) AddReservation(reservation Reservation) {
 	tenant := o.tenant(reservation.Tenant)
-	tenant.available = append(tenant.available, expiring{untilMs: reservation.NowMs + ReservationMs, count: reservation.Count})
+	tenant.available = append(tenant.available, expiring{untilMs: reservation.NowMs + ReservationLifetimeMs, count: reservation.Count})
 }
 
 // sweep forgets idle programs and the tenants that nothing is known of any more.
@@ -237,7 +237,7 @@
 				delete(tenant.programs, program)
 			}
 		}
-		tenant.begun.Sweep(nowMs)
+		tenant.begun.RemoveIdle(nowMs)
 		tenant.sweepTickets(nowMs)
 		if tenant.used() == 0 && len(tenant.programs) == 0 && tenant.begun.Len() == 0 && len(tenant.available) == 0 && len(tenant.queue) == 0 {
 			delete(o.tenants, name)
--- a/internal/quota/queue.go
+++ b/internal/quota/queue.go
@@ -20,7 +20,7 @@
 
 // waiter is a request of a program under way that waits for room.
 type waiter struct {
-	ask Ask
+	ask Request
 	// askedMs is when it was first asked for, usefulMs until when a grant is of use, and heardMs
 	// when its gateway was last heard.
 	askedMs  int64
@@ -41,7 +41,7 @@
 // Invariants: the requests that wait are granted in the order in which they were first asked
 // for, and nothing that comes later is granted before them; a new program is not begun while
 // one waits, but for the one that is due; each ticket is granted once.
-func (o *Owner) askWithTicket(tenant *owned, ask Ask, nowMs int64) Decision {
+func (o *Owner) askWithTicket(tenant *owned, ask Request, nowMs int64) Decision {
 	if known := tenant.issued[ask.Ticket]; known != nil {
 		known.taken = true
 		return tenant.decision(Granted, known.atMs)
@@ -53,7 +53,7 @@
 	if decision, begins := o.begins(tenant, ask, nowMs); !begins {
 		return decision
 	}
-	waiting := &waiter{ask: ask, askedMs: nowMs - ask.WaitedMs, usefulMs: nowMs + ask.WaitMs, heardMs: nowMs}
+	waiting := &waiter{ask: ask, askedMs: nowMs - ask.WaitedMs, usefulMs: nowMs + ask.MaxWaitMs, heardMs: nowMs}
 	position, _ = slices.BinarySearchFunc(tenant.queue, waiting, func(a, b *waiter) int {
 		// Behind those of the same time.
 		if a.askedMs <= b.askedMs {
@@ -63,7 +63,7 @@
 	})
 	if position == 0 && tenant.used() < tenant.most() {
 		if len(tenant.available) == 0 {
-			return tenant.decision(Short, 0)
+			return tenant.decision(ReservationNeeded, 0)
 		}
 		o.grantTo(tenant, waiting, nowMs).taken = true
 		return tenant.decision(Granted, nowMs)
@@ -77,9 +77,9 @@
 }
 
 // askAgain decides on a request that has a place in the queue.
-func (o *Owner) askAgain(tenant *owned, position int, ask Ask, nowMs int64) Decision {
+func (o *Owner) askAgain(tenant *owned, position int, ask Request, nowMs int64) Decision {
 	waiting := tenant.queue[position]
-	waiting.heardMs, waiting.usefulMs = nowMs, nowMs+ask.WaitMs
+	waiting.heardMs, waiting.usefulMs = nowMs, nowMs+ask.MaxWaitMs
 	decision := tenant.expected(position, waiting, nowMs)
 	if decision.Verdict == Denied {
 		tenant.queue = slices.Delete(tenant.queue, position, position+1)
@@ -89,31 +89,31 @@
 
 // begins reports whether a request is one of a program under way, or of a new one that may
 // begin; else how it is answered.
-func (o *Owner) begins(tenant *owned, ask Ask, nowMs int64) (Decision, bool) {
+func (o *Owner) begins(tenant *owned, ask Request, nowMs int64) (Decision, bool) {
 	if ask.Program == "" {
 		if len(tenant.queue) == 0 && tenant.used() < tenant.allowed() {
 			return Decision{}, true
 		}
 		return tenant.denied(tenant.comeBackMs(tenant.allowed(), nowMs), nowMs), false
 	}
-	if ask.Continues || tenant.begun.UnderWay(ask.Program) {
+	if ask.ContinuesProgram || tenant.begun.IsInProgress(ask.Program) {
 		return Decision{}, true
 	}
 	allowed := tenant.allowed()
 	// What programs under way will ask for may fill what they may use; a new one's own first
 	// request is held to the limit.
-	fit := tenant.begun.Fits(ask.Kind, nowMs, tenant.most(), o.unheard(tenant, nowMs), tenant.countedAt)
+	fit := tenant.begun.DecideAdmission(ask.Kind, nowMs, tenant.most(), o.unheard(tenant, nowMs), tenant.countedAt)
 	// One is due after a window without any, however much those under way ask for.
-	due := nowMs-max(tenant.begun.BegunMs(), tenant.dueMs) >= o.windowMs
+	due := nowMs-max(tenant.begun.LastStartMs(), tenant.dueMs) >= o.windowMs
 	if due {
 		tenant.dueMs = nowMs
 		return Decision{}, true
 	}
-	if fit.Fits && len(tenant.queue) == 0 && tenant.used() < allowed {
+	if fit.Admitted && len(tenant.queue) == 0 && tenant.used() < allowed {
 		return Decision{}, true
 	}
 	decision := tenant.denied(tenant.startAtMs(fit, nowMs), nowMs)
-	decision.Program = &fit
+	decision.ProgramAdmission = &fit
 	return decision, false
 }
 
@@ -135,14 +135,14 @@
 	issued := &issue{program: ask.Program, atMs: nowMs}
 	tenant.issued[ask.Ticket] = issued
 	if ask.Program != "" {
-		tenant.begun.Granted(ask.Program, ask.Kind, waiting.askedMs, nowMs)
+		tenant.begun.RecordGrant(ask.Program, ask.Kind, waiting.askedMs, nowMs)
 	}
 	return issued
 }
 
-// Resume grants what there is room for to the requests of a tenant that wait, and returns
+// GrantQueued grants what there is room for to the requests of a tenant that wait, and returns
 // their tickets; short says that more has to be reserved first.
-func (o *Owner) Resume(name string, nowMs int64) (tickets []string, short bool) {
+func (o *Owner) GrantQueued(name string, nowMs int64) (tickets []string, short bool) {
 	tenant := o.queued[name]
 	if tenant == nil {
 		return nil, false
@@ -169,8 +169,8 @@
 	return tickets, false
 }
 
-// Queued returns the tenants that Resume is to be called for.
-func (o *Owner) Queued() []string {
+// QueuedTenants returns the tenants that Resume is to be called for.
+func (o *Owner) QueuedTenants() []string {
 	names := make([]string, 0, len(o.queued))
 	for name := range o.queued {
 		names = append(names, name)
@@ -192,17 +192,17 @@
 	}
 }
 
-// Unrun notes that a granted request of a program was run by no engine.
-func (o *Owner) Unrun(name, program string) {
+// RecordNotRun notes that a granted request of a program was run by no engine.
+func (o *Owner) RecordNotRun(name, program string) {
 	if tenant := o.tenants[name]; tenant != nil {
-		tenant.begun.Undo(program)
+		tenant.begun.UndoGrant(program)
 	}
 }
 
 // giveBack takes back a grant by which nothing runs.
 func (t *owned) giveBack(ticket string, known *issue) {
 	t.granted.remove(known.atMs)
-	t.begun.Undo(known.program)
+	t.begun.UndoGrant(known.program)
 	delete(t.issued, ticket)
 }
 
@@ -231,7 +231,7 @@
 }
 
 // allowed is what the limit allows in a window, most what programs under way may fill it up to.
-func (t *owned) allowed() int64 { return t.limit.Within(t.granted.lengthMs) }
+func (t *owned) allowed() int64 { return t.limit.AllowedRequests(t.granted.lengthMs) }
 
 func (t *owned) most() int64 { return t.allowed() + t.tolerance.beyond(t.allowed()) }
 
@@ -243,7 +243,7 @@
 		return t.denied(atMs, nowMs)
 	}
 	decision := t.decision(Waiting, 0)
-	decision.Place = Place{Ahead: position, ExpectedMs: atMs - nowMs}
+	decision.QueuePosition = QueuePosition{Ahead: position, ExpectedWaitMs: atMs - nowMs}
 	return decision
 }
 
@@ -270,8 +270,8 @@
 
 // startAtMs returns when a new program that was denied is to come back: those denied together
 // one after the other, at the rate at which programs find room.
-func (t *owned) startAtMs(fit admission.Fit, nowMs int64) int64 {
-	next := max(t.lastStartMs, nowMs) + max(fit.EveryMs, 1)
+func (t *owned) startAtMs(fit admission.AdmissionDecision, nowMs int64) int64 {
+	next := max(t.lastStartMs, nowMs) + max(fit.AdmissionIntervalMs, 1)
 	t.lastStartMs = min(next, nowMs+t.granted.lengthMs)
 	return t.lastStartMs
 }
--- a/internal/quota/queue_test.go
+++ b/internal/quota/queue_test.go
@@ -18,7 +18,7 @@
 	tolerance Tolerance
 	tickets   int
 	// asked holds the tickets that wait, as their gateways know them.
-	asked []Ask
+	asked []Request
 	// granted tells when a ticket was granted, over all owners.
 	tokens map[string]int
 }
@@ -27,7 +27,7 @@
 func (w *queueWorld) elect(host testHost) {
 	w.world.elect(host)
 	newest := w.owners[len(w.owners)-1]
-	newest.owner = NewLearntOwner(w.state(), host.at(w.trueMs), admission.NewKinds(), w.tolerance)
+	newest.owner = NewOwnerWithAdmission(w.state(), host.at(w.trueMs), admission.NewProgramKinds(), w.tolerance)
 }
 
 // allowed is the most that was allowed within the window, tolerance included.
@@ -56,16 +56,16 @@
 }
 
 // put asks an owner for a ticket.
-func (w *queueWorld) put(owner *testOwner, ask Ask) {
+func (w *queueWorld) put(owner *testOwner, ask Request) {
 	nowMs := owner.host.at(w.trueMs)
 	w.resume(owner)
-	decision := owner.owner.Ask(ask, nowMs)
+	decision := owner.owner.RequestGrant(ask, nowMs)
 	switch decision.Verdict {
 	case Granted:
 		w.counts(ask.Ticket)
-	case Short:
+	case ReservationNeeded:
 		if owner.pending == nil {
-			reservation := owner.owner.Size("t", 1, nowMs)
+			reservation := owner.owner.NextReservation("t", 1, nowMs)
 			reservation.Term = owner.term
 			owner.pending = &reservation
 		}
@@ -80,12 +80,12 @@
 
 func (w *queueWorld) resume(owner *testOwner) {
 	nowMs := owner.host.at(w.trueMs)
-	tickets, short := owner.owner.Resume("t", nowMs)
+	tickets, short := owner.owner.GrantQueued("t", nowMs)
 	for _, ticket := range tickets {
 		w.counts(ticket)
 	}
 	if short && owner.pending == nil {
-		reservation := owner.owner.Size("t", 0, nowMs)
+		reservation := owner.owner.NextReservation("t", 0, nowMs)
 		reservation.Term = owner.term
 		owner.pending = &reservation
 	}
@@ -114,9 +114,9 @@
 			case "ask":
 				for range rapid.IntRange(1, 30).Draw(t, "times") {
 					w.tickets++
-					w.put(owner, Ask{
+					w.put(owner, Request{
 						Tenant: "t", Limit: w.limit, Program: fmt.Sprint(rapid.IntRange(0, 9).Draw(t, "program")), Kind: "k",
-						Ticket: fmt.Sprint(w.tickets), Continues: rapid.Bool().Draw(t, "continues"), WaitMs: rapid.Int64Range(0, 3000).Draw(t, "wait"),
+						Ticket: fmt.Sprint(w.tickets), ContinuesProgram: rapid.Bool().Draw(t, "continues"), MaxWaitMs: rapid.Int64Range(0, 3000).Draw(t, "wait"),
 					})
 				}
 			case "again":
@@ -146,7 +146,7 @@
 			case "elect":
 				w.elect(w.hosts[rapid.IntRange(0, testHosts-1).Draw(t, "host")])
 			case "limit":
-				w.highest = append(w.highest, changedLimit{w.trueMs, w.limit.Within(testWindowMs)})
+				w.highest = append(w.highest, changedLimit{w.trueMs, w.limit.AllowedRequests(testWindowMs)})
 				w.limit = Limit{Generation: w.limit.Generation + 1, RatePerSecond: float64(rapid.IntRange(1, 40).Draw(t, "rate"))}
 			}
 		}
@@ -180,23 +180,23 @@
 			delete(waiting, ticket)
 		}
 		resume := func() {
-			got, short := owner.Resume("t", nowMs)
+			got, short := owner.GrantQueued("t", nowMs)
 			for _, ticket := range got {
 				granted(ticket)
 			}
 			if short {
-				owner.Reserved(owner.Size("t", 0, nowMs))
-				got, _ = owner.Resume("t", nowMs)
+				owner.AddReservation(owner.NextReservation("t", 0, nowMs))
+				got, _ = owner.GrantQueued("t", nowMs)
 				for _, ticket := range got {
 					granted(ticket)
 				}
 			}
 		}
-		put := func(ask Ask) Decision {
-			decision := owner.Ask(ask, nowMs)
-			if decision.Verdict == Short {
-				owner.Reserved(owner.Size("t", 1, nowMs))
-				decision = owner.Ask(ask, nowMs)
+		put := func(ask Request) Decision {
+			decision := owner.RequestGrant(ask, nowMs)
+			if decision.Verdict == ReservationNeeded {
+				owner.AddReservation(owner.NextReservation("t", 1, nowMs))
+				decision = owner.RequestGrant(ask, nowMs)
 			}
 			return decision
 		}
@@ -204,22 +204,22 @@
 			nowMs += rapid.Int64Range(0, 60).Draw(t, "ms")
 			resume()
 			for _, ticket := range order {
-				decision := put(Ask{Tenant: "t", Limit: limit, Program: "old", Continues: true, Ticket: ticket, WaitMs: 20_000})
+				decision := put(Request{Tenant: "t", Limit: limit, Program: "old", ContinuesProgram: true, Ticket: ticket, MaxWaitMs: 20_000})
 				if decision.Verdict != Waiting {
 					t.Fatalf("%s: %v with a place in the queue", ticket, decision.Verdict)
 				}
 			}
 			for range rapid.IntRange(0, 6).Draw(t, "times") {
 				tickets++
-				ask := Ask{Tenant: "t", Limit: limit, Program: "old", Kind: "k", Continues: true, Ticket: fmt.Sprint(tickets), WaitMs: 20_000}
+				ask := Request{Tenant: "t", Limit: limit, Program: "old", Kind: "k", ContinuesProgram: true, Ticket: fmt.Sprint(tickets), MaxWaitMs: 20_000}
 				if rapid.Bool().Draw(t, "new") {
-					ask.Program, ask.Continues = "new"+ask.Ticket, false
+					ask.Program, ask.ContinuesProgram = "new"+ask.Ticket, false
 				}
 				decision := put(ask)
 				if decision.Verdict == Denied {
 					continue
 				}
-				if !ask.Continues {
+				if !ask.ContinuesProgram {
 					if len(order) > 0 && begunMs > 0 && nowMs-begunMs < testWindowMs {
 						t.Fatalf("%s begins while %d wait, %d ms after the last", ask.Program, len(order), nowMs-begunMs)
 					}
@@ -228,12 +228,12 @@
 					if len(order) > 0 {
 						t.Fatalf("%s granted at once while %d wait", ask.Ticket, len(order))
 					}
-					if !ask.Continues {
+					if !ask.ContinuesProgram {
 						begunMs = nowMs
 					}
 					continue
 				}
-				waiting[ask.Ticket] = place{nowMs, nowMs + decision.Place.ExpectedMs}
+				waiting[ask.Ticket] = place{nowMs, nowMs + decision.QueuePosition.ExpectedWaitMs}
 				order = append(order, ask.Ticket)
 			}
 		}
@@ -250,14 +250,14 @@
 		lastMs, tickets, held := int64(0), 0, map[string]bool{}
 		ask := func(program string, continues bool, nowMs int64) {
 			tickets++
-			request := Ask{Tenant: "t", Limit: limit, Program: program, Kind: "k", Continues: continues, Ticket: fmt.Sprint(tickets), WaitMs: 60_000}
-			decision := owner.Ask(request, nowMs)
-			if decision.Verdict == Short {
-				owner.Reserved(owner.Size("t", 1, nowMs))
-				decision = owner.Ask(request, nowMs)
+			request := Request{Tenant: "t", Limit: limit, Program: program, Kind: "k", ContinuesProgram: continues, Ticket: fmt.Sprint(tickets), MaxWaitMs: 60_000}
+			decision := owner.RequestGrant(request, nowMs)
+			if decision.Verdict == ReservationNeeded {
+				owner.AddReservation(owner.NextReservation("t", 1, nowMs))
+				decision = owner.RequestGrant(request, nowMs)
 			}
 			if !continues && decision.Verdict != Denied {
-				lastMs = nowMs + decision.Place.ExpectedMs
+				lastMs = nowMs + decision.QueuePosition.ExpectedWaitMs
 			}
 			if decision.Verdict == Waiting {
 				held[request.Ticket] = true
@@ -265,18 +265,18 @@
 		}
 		for nowMs := int64(1); nowMs < 30_000; nowMs += 200 {
 			for {
-				got, short := owner.Resume("t", nowMs)
+				got, short := owner.GrantQueued("t", nowMs)
 				for _, ticket := range got {
 					delete(held, ticket)
 				}
 				if !short {
 					break
 				}
-				owner.Reserved(owner.Size("t", 0, nowMs))
+				owner.AddReservation(owner.NextReservation("t", 0, nowMs))
 			}
 			if nowMs%400 == 1 {
 				for _, ticket := range slices.Sorted(maps.Keys(held)) {
-					owner.Ask(Ask{Tenant: "t", Limit: limit, Program: "loop", Continues: true, Ticket: ticket, WaitMs: 60_000}, nowMs)
+					owner.RequestGrant(Request{Tenant: "t", Limit: limit, Program: "loop", ContinuesProgram: true, Ticket: ticket, MaxWaitMs: 60_000}, nowMs)
 				}
 			}
 			for range loops {
@@ -314,16 +314,16 @@
 				next := all[0]
 				nowMs = max(nowMs, next.atMs)
 				tickets++
-				ask := Ask{
-					Tenant: name, Limit: limit, Program: next.program, Kind: "k", Ticket: fmt.Sprint(tickets), WaitMs: 3000, Continues: next.left < requests,
+				ask := Request{
+					Tenant: name, Limit: limit, Program: next.program, Kind: "k", Ticket: fmt.Sprint(tickets), MaxWaitMs: 3000, ContinuesProgram: next.left < requests,
 				}
-				decision := owner.Ask(ask, nowMs)
-				if decision.Verdict == Short {
-					owner.Reserved(owner.Size(name, 1, nowMs))
-					decision = owner.Ask(ask, nowMs)
+				decision := owner.RequestGrant(ask, nowMs)
+				if decision.Verdict == ReservationNeeded {
+					owner.AddReservation(owner.NextReservation(name, 1, nowMs))
+					decision = owner.RequestGrant(ask, nowMs)
 				}
 				if decision.Verdict != Granted {
-					t.Fatalf("%s: %v at %d of %d, %+v", next.program, decision.Verdict, decision.Used, decision.Allowed, decision.Program)
+					t.Fatalf("%s: %v at %d of %d, %+v", next.program, decision.Verdict, decision.Used, decision.Allowed, decision.ProgramAdmission)
 				}
 				all[0].left--
 				all[0].atMs += gapMs
@@ -345,89 +345,89 @@
 	limit := Limit{Generation: 1, RatePerSecond: 2}
 	filled := func() *Owner {
 		owner := NewOwner(NewState(testWindowMs), 0)
-		owner.Ask(Ask{Tenant: "t", Limit: limit}, 0)
-		owner.Reserved(Reservation{Tenant: "t", Count: 100, Limit: limit, NowMs: 0})
+		owner.RequestGrant(Request{Tenant: "t", Limit: limit}, 0)
+		owner.AddReservation(Reservation{Tenant: "t", Count: 100, Limit: limit, NowMs: 0})
 		for number := range 10 {
-			owner.Ask(Ask{Tenant: "t", Limit: limit, Program: "p", Continues: true, Ticket: fmt.Sprint("first", number)}, 0)
+			owner.RequestGrant(Request{Tenant: "t", Limit: limit, Program: "p", ContinuesProgram: true, Ticket: fmt.Sprint("first", number)}, 0)
 		}
 		return owner
 	}
-	ask := func(ticket string, waitMs, waitedMs int64) Ask {
-		return Ask{Tenant: "t", Limit: limit, Program: "p", Continues: true, Ticket: ticket, WaitMs: waitMs, WaitedMs: waitedMs}
+	ask := func(ticket string, waitMs, waitedMs int64) Request {
+		return Request{Tenant: "t", Limit: limit, Program: "p", ContinuesProgram: true, Ticket: ticket, MaxWaitMs: waitMs, WaitedMs: waitedMs}
 	}
 	Convey("a request for which there will be room too late is denied at once", t, func() {
 		owner := filled()
-		So(owner.Ask(ask("a", 3000, 0), 50).Verdict, ShouldEqual, Denied)
-		So(owner.Ask(ask("b", 6000, 0), 50).Verdict, ShouldEqual, Waiting)
+		So(owner.RequestGrant(ask("a", 3000, 0), 50).Verdict, ShouldEqual, Denied)
+		So(owner.RequestGrant(ask("b", 6000, 0), 50).Verdict, ShouldEqual, Waiting)
 	})
 	Convey("a question whose answer was lost gets the same grant again", t, func() {
 		owner := filled()
-		again := owner.Ask(ask("first3", 0, 0), 400)
+		again := owner.RequestGrant(ask("first3", 0, 0), 400)
 		So(again.Verdict, ShouldEqual, Granted)
 		So(again.GrantedMs, ShouldEqual, 0)
 	})
 	Convey("an owner that is new keeps the order by how long each has waited", t, func() {
 		owner := filled()
-		owner.Ask(ask("young", 20_000, 100), 200)
-		owner.Ask(ask("old", 20_000, 900), 200)
+		owner.RequestGrant(ask("young", 20_000, 100), 200)
+		owner.RequestGrant(ask("old", 20_000, 900), 200)
 		So(owner.tenants["t"].queue[0].ask.Ticket, ShouldEqual, "old")
 	})
 	Convey("a cancelled wait and a cancelled grant give their place back", t, func() {
 		owner := filled()
-		owner.Ask(ask("a", 20_000, 0), 50)
-		owner.Ask(ask("b", 20_000, 0), 50)
+		owner.RequestGrant(ask("a", 20_000, 0), 50)
+		owner.RequestGrant(ask("b", 20_000, 0), 50)
 		owner.Cancel("t", "a")
 		So(owner.tenants["t"].queue, ShouldHaveLength, 1)
 		owner.Cancel("t", "first0")
 		owner.Cancel("t", "first0")
-		tickets, _ := owner.Resume("t", 100)
+		tickets, _ := owner.GrantQueued("t", 100)
 		So(tickets, ShouldResemble, []string{"b"})
 		So(owner.tenants["t"].used(), ShouldEqual, 10)
 	})
 	Convey("a place is lost when its gateway is not heard, and a grant that nobody fetches is taken back", t, func() {
 		owner := filled()
-		owner.Ask(ask("gone", 20_000, 0), 50)
-		owner.Resume("t", 50+placeKeptMs+1)
+		owner.RequestGrant(ask("gone", 20_000, 0), 50)
+		owner.GrantQueued("t", 50+placeKeptMs+1)
 		So(owner.tenants["t"].queue, ShouldBeEmpty)
 		owner = filled()
-		owner.Ask(ask("gone", 20_000, 0), 50)
+		owner.RequestGrant(ask("gone", 20_000, 0), 50)
 		owner.Cancel("t", "first0")
-		tickets, _ := owner.Resume("t", 100)
+		tickets, _ := owner.GrantQueued("t", 100)
 		So(tickets, ShouldResemble, []string{"gone"})
-		owner.Resume("t", 100+placeKeptMs+1)
+		owner.GrantQueued("t", 100+placeKeptMs+1)
 		So(owner.tenants["t"].used(), ShouldEqual, 9)
 	})
 	Convey("with a lower limit those who wait are told when their time has become too late", t, func() {
 		owner := filled()
-		So(owner.Ask(ask("a", 5500, 0), 50).Verdict, ShouldEqual, Waiting)
+		So(owner.RequestGrant(ask("a", 5500, 0), 50).Verdict, ShouldEqual, Waiting)
 		lower := ask("a", 5300, 250)
 		lower.Limit = Limit{Generation: 2, RatePerSecond: 0.1}
-		So(owner.Ask(lower, 300).Verdict, ShouldEqual, Denied)
+		So(owner.RequestGrant(lower, 300).Verdict, ShouldEqual, Denied)
 		So(owner.tenants["t"].queue, ShouldBeEmpty)
 	})
 	Convey("only programs under way use the tolerance", t, func() {
-		owner := NewLearntOwner(NewState(testWindowMs), 0, admission.NewKinds(), Tolerance{Overage: 0.2, Slack: 4})
-		owner.Ask(Ask{Tenant: "t", Limit: limit}, 0)
-		owner.Reserved(Reservation{Tenant: "t", Count: 100, Limit: limit, NowMs: 0})
+		owner := NewOwnerWithAdmission(NewState(testWindowMs), 0, admission.NewProgramKinds(), Tolerance{Overage: 0.2, Slack: 4})
+		owner.RequestGrant(Request{Tenant: "t", Limit: limit}, 0)
+		owner.AddReservation(Reservation{Tenant: "t", Count: 100, Limit: limit, NowMs: 0})
 		granted := 0
 		for number := range 20 {
-			if owner.Ask(ask(fmt.Sprint(number), 0, 0), 0).Verdict == Granted {
+			if owner.RequestGrant(ask(fmt.Sprint(number), 0, 0), 0).Verdict == Granted {
 				granted++
 			}
 		}
 		So(granted, ShouldEqual, 13)
-		fresh := Ask{Tenant: "t", Limit: limit, Program: "new", Kind: "k", Ticket: "n", WaitMs: 3000}
+		fresh := Request{Tenant: "t", Limit: limit, Program: "new", Kind: "k", Ticket: "n", MaxWaitMs: 3000}
 		owner.tenants["t"].granted.remove(0)
-		So(owner.Ask(fresh, 100).Verdict, ShouldEqual, Denied)
+		So(owner.RequestGrant(fresh, 100).Verdict, ShouldEqual, Denied)
 	})
 	Convey("a program of which nothing ran has not begun", t, func() {
 		owner := NewOwner(NewState(testWindowMs), 0)
-		owner.Ask(Ask{Tenant: "t", Limit: limit}, 0)
-		owner.Reserved(Reservation{Tenant: "t", Count: 100, Limit: limit, NowMs: 0})
-		So(owner.Ask(Ask{Tenant: "t", Limit: limit, Program: "new", Kind: "k", Ticket: "n"}, 10).Verdict, ShouldEqual, Granted)
-		So(owner.tenants["t"].begun.UnderWay("new"), ShouldBeTrue)
-		owner.Return("t", 10)
-		owner.Unrun("t", "new")
-		So(owner.tenants["t"].begun.UnderWay("new"), ShouldBeFalse)
+		owner.RequestGrant(Request{Tenant: "t", Limit: limit}, 0)
+		owner.AddReservation(Reservation{Tenant: "t", Count: 100, Limit: limit, NowMs: 0})
+		So(owner.RequestGrant(Request{Tenant: "t", Limit: limit, Program: "new", Kind: "k", Ticket: "n"}, 10).Verdict, ShouldEqual, Granted)
+		So(owner.tenants["t"].begun.IsInProgress("new"), ShouldBeTrue)
+		owner.ReturnGrant("t", 10)
+		owner.RecordNotRun("t", "new")
+		So(owner.tenants["t"].begun.IsInProgress("new"), ShouldBeFalse)
 	})
 }
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -7,11 +7,11 @@
 
 import "math"
 
-// ReservationMs is how long a reservation may be granted from, counted from its proposal by
+// ReservationLifetimeMs is how long a reservation may be granted from, counted from its proposal by
 // the proposer's clock, milliseconds. A longer time means fewer log entries and a successor
 // that counts more as granted than was: at 1 s a tenant of 5 requests a second writes about
 // one entry a second.
-const ReservationMs = 1000
+const ReservationLifetimeMs = 1000
 
 // Limit bounds the requests of one tenant.
 type Limit struct {
@@ -22,8 +22,8 @@
 	Burst         float64 `msgpack:"b,omitempty"`
 }
 
-// Within returns how many requests the limit allows in a window of milliseconds.
-func (l Limit) Within(windowMs int64) int64 {
+// AllowedRequests returns how many requests the limit allows in a window of milliseconds.
+func (l Limit) AllowedRequests(windowMs int64) int64 {
 	const millisecondsPerSecond = 1000
 	return int64(math.Floor(l.RatePerSecond*float64(windowMs)/millisecondsPerSecond + l.Burst))
 }
@@ -50,14 +50,14 @@
 	return int64(toleranceShare * (float64(allowed)*t.Overage + t.Slack))
 }
 
-// Ask asks for one request of a tenant.
-type Ask struct {
+// Request asks for one request of a tenant.
+type Request struct {
 	Tenant string `msgpack:"t"`
 	Limit  Limit  `msgpack:"l"`
 	// Program is what the request belongs to, "" for none.
 	Program string `msgpack:"p,omitempty"`
-	// Return gives back a grant whose request no engine has run and none will.
-	Return *Grant `msgpack:"u,omitempty"`
+	// ReturnedGrant gives back a grant whose request no engine has run and none will.
+	ReturnedGrant *Grant `msgpack:"u,omitempty"`
 	// Ticket names the run that is asked for, the same when the question is put again, so that
 	// it keeps its place in the queue and is granted once. Asks of gateways that don't wait
 	// have none.
@@ -65,22 +65,22 @@
 	// Kind is the route of a turn, "" for another request. Continues says that the caller
 	// shows that the program has begun: the request is a tool's call, or a turn that goes on
 	// from another.
-	Kind      string `msgpack:"n,omitempty"`
-	Continues bool   `msgpack:"c,omitempty"`
-	// WaitMs is how long a grant is still of use, and WaitedMs how long ago it was first asked
+	Kind             string `msgpack:"n,omitempty"`
+	ContinuesProgram bool   `msgpack:"c,omitempty"`
+	// MaxWaitMs is how long a grant is still of use, and WaitedMs how long ago it was first asked
 	// for, milliseconds.
-	WaitMs   int64 `msgpack:"w,omitempty"`
-	WaitedMs int64 `msgpack:"d,omitempty"`
-	// Cancel says that nobody waits for the ticket any more and that no engine runs its request.
-	Cancel bool `msgpack:"x,omitempty"`
+	MaxWaitMs int64 `msgpack:"w,omitempty"`
+	WaitedMs  int64 `msgpack:"d,omitempty"`
+	// Cancelled says that nobody waits for the ticket any more and that no engine runs its request.
+	Cancelled bool `msgpack:"x,omitempty"`
 }
 
-// Place tells a request that waits for room in its tenant's window where it stands; it is
+// QueuePosition tells a request that waits for room in its tenant's window where it stands; it is
 // to be asked for again.
-type Place struct {
+type QueuePosition struct {
 	// Ahead is how many requests go first, ExpectedMs when there will be room, milliseconds.
-	Ahead      int   `msgpack:"a"`
-	ExpectedMs int64 `msgpack:"e"`
+	Ahead          int   `msgpack:"a"`
+	ExpectedWaitMs int64 `msgpack:"e"`
 }
 
 // Grant tells when and in which term of the group's leader a request was granted.
