--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -84,13 +84,13 @@
 // ask has an owner decide and checks what was granted against the limit.
 func (w *world) ask(owner *testOwner, limit Limit, program string) Decision {
 	nowMs := owner.host.at(w.trueMs)
-	decision := owner.owner.Ask(Ask{Tenant: "t", Limit: limit, Program: program}, nowMs)
+	decision := owner.owner.RequestGrant(Request{Tenant: "t", Limit: limit, Program: program}, nowMs)
 	switch {
 	case decision.Verdict == Granted:
 		w.granted = append(w.granted, w.trueMs)
 		w.check()
-	case decision.Verdict == Short && owner.pending == nil:
-		reservation := owner.owner.Size("t", rapid.IntRange(1, 5).Draw(w.t, "waiting"), nowMs)
+	case decision.Verdict == ReservationNeeded && owner.pending == nil:
+		reservation := owner.owner.NextReservation("t", rapid.IntRange(1, 5).Draw(w.t, "waiting"), nowMs)
 		reservation.Term = owner.term
 		owner.pending = &reservation
 	case decision.Verdict == Denied && decision.RetryAfterMs <= 0:
@@ -106,16 +106,16 @@
 		return
 	}
 	w.log = append(w.log, *owner.pending)
-	owner.owner.Reserved(*owner.pending)
+	owner.owner.AddReservation(*owner.pending)
 	owner.pending = nil
 }
 
 // allowed is the most that was allowed at any time within the window.
 func (w *world) allowed() int64 {
-	most := w.limit.Within(testWindowMs)
+	most := w.limit.AllowedRequests(testWindowMs)
 	for _, changed := range w.highest {
 		// An owner that is cut off holds its limit until its reservations end.
-		if changed.atMs > w.trueMs-testWindowMs-2*ReservationMs {
+		if changed.atMs > w.trueMs-testWindowMs-2*ReservationLifetimeMs {
 			most = max(most, changed.allowed)
 		}
 	}
@@ -165,7 +165,7 @@
 			case "elect":
 				w.elect(w.hosts[rapid.IntRange(0, testHosts-1).Draw(t, "host")])
 			case "limit":
-				w.highest = append(w.highest, changedLimit{w.trueMs, w.limit.Within(testWindowMs)})
+				w.highest = append(w.highest, changedLimit{w.trueMs, w.limit.AllowedRequests(testWindowMs)})
 				w.limit = Limit{Generation: w.limit.Generation + 1, RatePerSecond: float64(rapid.IntRange(1, 40).Draw(t, "rate"))}
 			}
 		}
@@ -178,14 +178,14 @@
 	rapid.Check(t, func(t *rapid.T) {
 		w := &world{t: t, limit: Limit{Generation: 1, RatePerSecond: float64(rapid.IntRange(4, 40).Draw(t, "rate")), Burst: 5}}
 		w.elect(testHost{offsetMs: rapid.Int64Range(0, 1000).Draw(t, "offset")})
-		most := w.limit.Within(testWindowMs) * 9 / 10
+		most := w.limit.AllowedRequests(testWindowMs) * 9 / 10
 		var asked []int64
 		for range rapid.IntRange(50, 300).Draw(t, "steps") {
 			w.trueMs += rapid.Int64Range(0, 400).Draw(t, "ms")
 			asked = slices.DeleteFunc(asked, func(at int64) bool { return at <= w.trueMs-testWindowMs-grainMs-rateMarginMs })
 			for range rapid.Int64Range(0, most-int64(len(asked))).Draw(t, "times") {
 				decision := w.ask(w.owners[0], w.limit, "p")
-				if decision.Verdict == Short {
+				if decision.Verdict == ReservationNeeded {
 					w.commit()
 					decision = w.ask(w.owners[0], w.limit, "p")
 				}
@@ -202,28 +202,28 @@
 	limit := Limit{Generation: 1, RatePerSecond: 2}
 	filled := func(count int) *Owner {
 		owner := NewOwner(NewState(testWindowMs), 0)
-		owner.Ask(Ask{Tenant: "t", Limit: limit}, 0)
-		owner.Reserved(Reservation{Tenant: "t", Count: 100, Limit: limit, NowMs: 0})
+		owner.RequestGrant(Request{Tenant: "t", Limit: limit}, 0)
+		owner.AddReservation(Reservation{Tenant: "t", Count: 100, Limit: limit, NowMs: 0})
 		for range count {
-			owner.Ask(Ask{Tenant: "t", Limit: limit, Program: "old"}, 0)
+			owner.RequestGrant(Request{Tenant: "t", Limit: limit, Program: "old"}, 0)
 		}
 		return owner
 	}
 	Convey("what was granted and not run counts no more; what was given back twice counts once", t, func() {
 		owner := filled(10)
-		So(owner.Ask(Ask{Tenant: "t", Limit: limit}, 50).Verdict, ShouldEqual, Denied)
-		owner.Return("t", 0)
-		So(owner.Ask(Ask{Tenant: "t", Limit: limit}, 50).Verdict, ShouldEqual, Granted)
-		So(owner.Ask(Ask{Tenant: "t", Limit: limit}, 50).Verdict, ShouldEqual, Denied)
-		owner.Return("nobody", 0)
-		owner.Return("t", 99_999)
-		So(owner.Ask(Ask{Tenant: "t", Limit: limit}, 50).Verdict, ShouldEqual, Denied)
+		So(owner.RequestGrant(Request{Tenant: "t", Limit: limit}, 50).Verdict, ShouldEqual, Denied)
+		owner.ReturnGrant("t", 0)
+		So(owner.RequestGrant(Request{Tenant: "t", Limit: limit}, 50).Verdict, ShouldEqual, Granted)
+		So(owner.RequestGrant(Request{Tenant: "t", Limit: limit}, 50).Verdict, ShouldEqual, Denied)
+		owner.ReturnGrant("nobody", 0)
+		owner.ReturnGrant("t", 99_999)
+		So(owner.RequestGrant(Request{Tenant: "t", Limit: limit}, 50).Verdict, ShouldEqual, Denied)
 	})
 	Convey("those denied together are told to come back one after the other, at the rate at which room comes", t, func() {
 		owner := filled(10)
 		var times []int64
 		for range 3 {
-			times = append(times, owner.Ask(Ask{Tenant: "t", Limit: limit}, 50).RetryAfterMs)
+			times = append(times, owner.RequestGrant(Request{Tenant: "t", Limit: limit}, 50).RetryAfterMs)
 		}
 		So(times[1]-times[0], ShouldEqual, 500)
 		So(times[2]-times[1], ShouldEqual, 500)
@@ -232,37 +232,37 @@
 	Convey("a predecessor that is cut off may grant to the end of its reservation; its successor counts that", t, func() {
 		reservation := Reservation{Tenant: "t", Count: 10, Limit: limit, Term: 1, NowMs: 0}
 		cutOff := NewOwner(NewState(testWindowMs), 0)
-		cutOff.Ask(Ask{Tenant: "t", Limit: limit}, 0)
-		cutOff.Reserved(reservation)
+		cutOff.RequestGrant(Request{Tenant: "t", Limit: limit}, 0)
+		cutOff.AddReservation(reservation)
 		state := NewState(testWindowMs)
 		state.Apply(reservation)
 		successor := NewOwner(state, 0)
-		last := int64(ReservationMs - 1)
-		So(cutOff.Ask(Ask{Tenant: "t", Limit: limit}, last).Verdict, ShouldEqual, Granted)
-		So(cutOff.Ask(Ask{Tenant: "t", Limit: limit}, last+1).Verdict, ShouldEqual, Short)
-		So(successor.Ask(Ask{Tenant: "t", Limit: limit}, last+testWindowMs).Verdict, ShouldEqual, Denied)
-		So(successor.Ask(Ask{Tenant: "t", Limit: limit}, last+testWindowMs+2*grainMs).Verdict, ShouldEqual, Short)
+		last := int64(ReservationLifetimeMs - 1)
+		So(cutOff.RequestGrant(Request{Tenant: "t", Limit: limit}, last).Verdict, ShouldEqual, Granted)
+		So(cutOff.RequestGrant(Request{Tenant: "t", Limit: limit}, last+1).Verdict, ShouldEqual, ReservationNeeded)
+		So(successor.RequestGrant(Request{Tenant: "t", Limit: limit}, last+testWindowMs).Verdict, ShouldEqual, Denied)
+		So(successor.RequestGrant(Request{Tenant: "t", Limit: limit}, last+testWindowMs+2*grainMs).Verdict, ShouldEqual, ReservationNeeded)
 	})
 	Convey("an older generation's limit does not come back", t, func() {
 		owner := filled(10)
-		So(owner.Ask(Ask{Tenant: "t", Limit: Limit{Generation: 2, RatePerSecond: 3}}, 50).Verdict, ShouldEqual, Granted)
-		So(owner.Ask(Ask{Tenant: "t", Limit: Limit{Generation: 1, RatePerSecond: 99}}, 50).Allowed, ShouldEqual, 15)
+		So(owner.RequestGrant(Request{Tenant: "t", Limit: Limit{Generation: 2, RatePerSecond: 3}}, 50).Verdict, ShouldEqual, Granted)
+		So(owner.RequestGrant(Request{Tenant: "t", Limit: Limit{Generation: 1, RatePerSecond: 99}}, 50).Allowed, ShouldEqual, 15)
 	})
 	Convey("at the limit new programs leave room for those under way, and get it back", t, func() {
 		owner := filled(10)
 		for range 40 {
-			owner.Ask(Ask{Tenant: "t", Limit: limit, Program: "old"}, 50)
+			owner.RequestGrant(Request{Tenant: "t", Limit: limit, Program: "old"}, 50)
 		}
 		for range 6 {
-			owner.Return("t", 0)
+			owner.ReturnGrant("t", 0)
 		}
-		So(owner.Ask(Ask{Tenant: "t", Limit: limit, Program: "new"}, 60).Verdict, ShouldEqual, Granted)
-		So(owner.Ask(Ask{Tenant: "t", Limit: limit, Program: "newer"}, 60).Verdict, ShouldEqual, Denied)
-		So(owner.Ask(Ask{Tenant: "t", Limit: limit, Program: "old"}, 60).Verdict, ShouldEqual, Granted)
+		So(owner.RequestGrant(Request{Tenant: "t", Limit: limit, Program: "new"}, 60).Verdict, ShouldEqual, Granted)
+		So(owner.RequestGrant(Request{Tenant: "t", Limit: limit, Program: "newer"}, 60).Verdict, ShouldEqual, Denied)
+		So(owner.RequestGrant(Request{Tenant: "t", Limit: limit, Program: "old"}, 60).Verdict, ShouldEqual, Granted)
 	})
 	Convey("idle tenants and programs are forgotten", t, func() {
 		owner := filled(3)
-		owner.Ask(Ask{Tenant: "u", Limit: limit}, 2*programIdleMs)
+		owner.RequestGrant(Request{Tenant: "u", Limit: limit}, 2*programIdleMs)
 		So(owner.tenants, ShouldNotContainKey, "t")
 	})
 }
--- a/internal/quota/state.go
+++ b/internal/quota/state.go
@@ -75,7 +75,7 @@
 
 // forget drops what counts in no window any more.
 func (s *State) forget() {
-	oldest := s.clockMs - s.windowMs - ReservationMs
+	oldest := s.clockMs - s.windowMs - ReservationLifetimeMs
 	for name, known := range s.tenants {
 		first := slices.IndexFunc(known.Reserved, func(item reserved) bool { return item.AtMs >= oldest })
 		if first < 0 {
@@ -86,8 +86,8 @@
 	}
 }
 
-// Tenants returns how many tenants have reservations that may still count.
-func (s *State) Tenants() int { return len(s.tenants) }
+// TenantCount returns how many tenants have reservations that may still count.
+func (s *State) TenantCount() int { return len(s.tenants) }
 
 // stateSnapshot is the encoded form, in an order that is the same on every replica.
 type stateSnapshot struct {
--- a/internal/replication/expiry.go
+++ b/internal/replication/expiry.go
@@ -5,9 +5,9 @@
 	"github.com/ochrebay/ochrebay/internal/result"
 )
 
-// Expire gives up on what no quorum confirmed in time or on what this
+// ExpirePending gives up on what no quorum confirmed in time or on what this
 // replica can't see through because it doesn't lead any more.
-func (h *Host) Expire() {
+func (h *Host) ExpirePending() {
 	for _, group := range h.Groups {
 		h.note(h.tendTransfers(group))
 		h.endOverwritten(group)
@@ -27,7 +27,7 @@
 }
 
 func (h *Host) overdue(sinceMs int64, leads bool) bool {
-	return !leads || h.NowMs-sinceMs >= h.options.ProposalWaitMs
+	return !leads || h.NowMs-sinceMs >= h.options.ProposalTimeoutMs
 }
 
 // endOverwritten ends the proposals whose entries the log does not hold any more, since
--- a/internal/replication/group.go
+++ b/internal/replication/group.go
@@ -14,8 +14,8 @@
 	"github.com/ochrebay/ochrebay/internal/storage"
 )
 
-// Machine is the replicated state of one group.
-type Machine interface {
+// StateMachine is the replicated state of one group.
+type StateMachine interface {
 	// Apply carries out an entry; the reply goes to the proposer, the records to
 	// the disk.
 	Apply(index uint64, data []byte) (reply any, records []storage.Record)
@@ -40,12 +40,12 @@
 
 // Group is one replica of one log group with its state machine.
 type Group struct {
-	ID      storage.GroupID
-	Node    *consensus.Node
-	State   Machine
-	waiting map[uint64]proposal
-	reads   map[uint64]pendingRead
-	readID  uint64
+	ID           storage.GroupID
+	Node         *consensus.Node
+	StateMachine StateMachine
+	waiting      map[uint64]proposal
+	reads        map[uint64]pendingRead
+	readID       uint64
 	// checkedTerm is the term in which the waiting proposals were last held against the log.
 	checkedTerm uint64
 	// unsaved are the records of entries applied since the last compaction, nil where
@@ -108,8 +108,8 @@
 	return nil
 }
 
-// Read calls done once this replica's state is linearizable.
-func (h *Host) Read(group *Group, done func(err *result.Error)) {
+// LinearizableRead calls done once this replica's state is linearizable.
+func (h *Host) LinearizableRead(group *Group, done func(err *result.Error)) {
 	group.readID++
 	if err := group.Node.ReadIndex(group.readID); err != nil {
 		done(result.New(result.NotLeader, "%s does not lead group %d", h.options.Name, group.ID))
@@ -118,9 +118,9 @@
 	group.reads[group.readID] = pendingRead{sinceMs: h.NowMs, done: done}
 }
 
-// Flush carries out what the groups have ready: sends, one synced write for all
+// ProcessReady carries out what the groups have ready: sends, one synced write for all
 // groups, and only then acknowledgements and replies.
-func (h *Host) Flush() error {
+func (h *Host) ProcessReady() error {
 	if h.failure != nil {
 		return h.failure
 	}
@@ -167,7 +167,7 @@
 		return false, err
 	}
 	if len(writes) > 0 {
-		h.Synced++
+		h.SyncedWrites++
 	}
 	for position, group := range active {
 		if err := h.afterSync(group, readies[position]); err != nil {
@@ -218,7 +218,7 @@
 	group.wantSnapshot = false
 	group.appliedBytes = 0
 	group.appliedEntries = 0
-	data, err := group.State.Snapshot()
+	data, err := group.StateMachine.Snapshot()
 	if err != nil {
 		return err
 	}
@@ -227,7 +227,7 @@
 	write.Snapshot = &consensus.Snapshot{
 		Index: index, Term: group.Node.TermAt(index), Configuration: group.Node.ConfigurationAt(index), Data: data,
 	}
-	entries, size := h.options.CompactEntries/keptShare, h.options.CompactBytes/keptShare
+	entries, size := h.options.CompactAfterEntries/keptShare, h.options.CompactAfterBytes/keptShare
 	if len(group.outgoing) > 0 {
 		// What comes after a snapshot on its way must still be there when it has arrived.
 		entries, size = entries*keptForTransfer, size*keptForTransfer
@@ -280,7 +280,7 @@
 			return err
 		}
 	}
-	if group.appliedEntries > h.options.CompactEntries || (h.options.CompactBytes > 0 && group.appliedBytes > h.options.CompactBytes) {
+	if group.appliedEntries > h.options.CompactAfterEntries || (h.options.CompactAfterBytes > 0 && group.appliedBytes > h.options.CompactAfterBytes) {
 		group.wantSnapshot = true
 	}
 	return nil
@@ -292,7 +292,7 @@
 	group.appliedBytes += len(entry.Data)
 	if entry.Kind == consensus.EntryCommand {
 		var records []storage.Record
-		reply, records = group.State.Apply(entry.Index, entry.Data)
+		reply, records = group.StateMachine.Apply(entry.Index, entry.Data)
 		for _, record := range records {
 			group.unsaved.put(record)
 		}
--- a/internal/replication/host.go
+++ b/internal/replication/host.go
@@ -27,12 +27,12 @@
 	QuiesceTicks   int
 	MaxAppendBytes int
 	MaxInflight    int
-	// ProposalWaitMs is how long a proposal or a read may wait for a quorum.
-	ProposalWaitMs int64
-	// CompactEntries and CompactBytes bound what a group keeps of applied entries;
+	// ProposalTimeoutMs is how long a proposal or a read may wait for a quorum.
+	ProposalTimeoutMs int64
+	// CompactAfterEntries and CompactBytes bound what a group keeps of applied entries;
 	// zero bytes is no bound.
-	CompactEntries uint64
-	CompactBytes   int
+	CompactAfterEntries uint64
+	CompactAfterBytes   int
 
 	DisablePreVote     bool
 	DisableCheckQuorum bool
@@ -50,8 +50,8 @@
 	NowMs int64
 	// Groups are the replicas hosted, in ascending order of their ids.
 	Groups []*Group
-	// Synced counts the writes that were synced.
-	Synced uint64
+	// SyncedWrites counts the writes that were synced.
+	SyncedWrites uint64
 	// failure is a disk's failure outside a Flush.
 	failure error
 	// OnApplied is called after an entry of a group was applied.
@@ -63,9 +63,9 @@
 	return &Host{options: options, storage: disk, send: send, outgoing: map[string][]protocol.PeerMessage{}}
 }
 
-// Add starts the replica of a group as the disk describes it; bootstrap is the
+// AddGroup starts the replica of a group as the disk describes it; bootstrap is the
 // configuration of a group of which the disk knows nothing.
-func (h *Host) Add(id storage.GroupID, state Machine, bootstrap consensus.Configuration) (*Group, error) {
+func (h *Host) AddGroup(id storage.GroupID, state StateMachine, bootstrap consensus.Configuration) (*Group, error) {
 	restored, err := h.storage.Load(id)
 	if err != nil {
 		return nil, err
@@ -84,7 +84,7 @@
 		DisableReadConfirm: h.options.DisableReadConfirm,
 	}, restored)
 	group := &Group{
-		ID: id, Node: node, State: state, waiting: map[uint64]proposal{}, reads: map[uint64]pendingRead{},
+		ID: id, Node: node, StateMachine: state, waiting: map[uint64]proposal{}, reads: map[uint64]pendingRead{},
 		senders: map[consensus.ReplicaID]string{}, outgoing: map[consensus.ReplicaID]*outgoingTransfer{},
 		unsaved: unsavedRecords{},
 	}
@@ -93,13 +93,13 @@
 	return group, nil
 }
 
-// Remove stops hosting a group; the caller deletes what the disk holds.
-func (h *Host) Remove(id storage.GroupID) {
+// RemoveGroup stops hosting a group; the caller deletes what the disk holds.
+func (h *Host) RemoveGroup(id storage.GroupID) {
 	h.Groups = slices.DeleteFunc(h.Groups, func(group *Group) bool { return group.ID == id })
 }
 
-// Find returns a hosted group, nil where there is none.
-func (h *Host) Find(id storage.GroupID) *Group {
+// FindGroup returns a hosted group, nil where there is none.
+func (h *Host) FindGroup(id storage.GroupID) *Group {
 	for _, group := range h.Groups {
 		if group.ID == id {
 			return group
@@ -108,8 +108,8 @@
 	return nil
 }
 
-// Leads reports whether this process leads the group.
-func (g *Group) Leads() bool { return g.Node.Role() == consensus.Leader }
+// IsLeader reports whether this process leads the group.
+func (g *Group) IsLeader() bool { return g.Node.Role() == consensus.Leader }
 
 // LeaderMember returns the member that leads the group, "" where unknown.
 func (g *Group) LeaderMember() string {
@@ -123,7 +123,7 @@
 // Step takes the consensus messages of a batch that are for this process.
 func (h *Host) Step(batch protocol.PeerBatch) {
 	for _, message := range batch.Messages {
-		group := h.Find(storage.GroupID(message.Group))
+		group := h.FindGroup(storage.GroupID(message.Group))
 		if group == nil {
 			continue
 		}
--- a/internal/replication/terms_test.go
+++ b/internal/replication/terms_test.go
@@ -62,14 +62,14 @@
 func newLoneVoter(t testing.TB) *loneVoter {
 	options := Options{
 		Name: "a", ElectionTicks: 10, HeartbeatTicks: 2, MaxAppendBytes: 1 << 16, MaxInflight: 8,
-		ProposalWaitMs: termsProposalWaitMs, CompactEntries: 1000,
+		ProposalTimeoutMs: termsProposalWaitMs, CompactAfterEntries: 1000,
 	}
 	v := &loneVoter{t: t, machine: &countingMachine{}}
 	v.host = NewHost(options, emptyDisk{}, func(string, []protocol.PeerMessage) {})
 	configuration := consensus.Configuration{Replicas: []consensus.Replica{
 		{ID: emptyDisk{}.Replica(), Member: "a"}, {ID: termsPeerB, Member: "b"}, {ID: termsPeerC, Member: "c"},
 	}}
-	group, err := v.host.Add(termsGroup, v.machine, configuration)
+	group, err := v.host.AddGroup(termsGroup, v.machine, configuration)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -83,7 +83,7 @@
 }
 
 func (v *loneVoter) flush() {
-	if err := v.host.Flush(); err != nil {
+	if err := v.host.ProcessReady(); err != nil {
 		v.t.Fatal(err)
 	}
 }
@@ -92,7 +92,7 @@
 func (v *loneVoter) lead() {
 	v.step(consensus.Message{Kind: consensus.MessageTimeoutNow, From: termsPeerB, Term: v.group.Node.Term()})
 	v.step(consensus.Message{Kind: consensus.MessageVoteResponse, From: termsPeerC, Term: v.group.Node.Term()})
-	if !v.group.Leads() {
+	if !v.group.IsLeader() {
 		v.t.Fatal("the voter does not lead")
 	}
 }
@@ -100,7 +100,7 @@
 // loseLead has peer B lead the next term.
 func (v *loneVoter) loseLead() {
 	v.step(consensus.Message{Kind: consensus.MessageHeartbeat, From: termsPeerB, Term: v.group.Node.Term() + 1})
-	if v.group.Leads() {
+	if v.group.IsLeader() {
 		v.t.Fatal("the voter still leads")
 	}
 }
@@ -140,7 +140,7 @@
 				voter.confirm()
 			}
 			var answers []*result.Error
-			voter.host.Read(voter.group, func(failure *result.Error) { answers = append(answers, failure) })
+			voter.host.LinearizableRead(voter.group, func(failure *result.Error) { answers = append(answers, failure) })
 			voter.flush()
 			So(answers, ShouldBeEmpty)
 			voter.loseLead()
@@ -151,11 +151,11 @@
 			Convey("and is answered once", func() {
 				voter.confirm()
 				voter.host.NowMs += 2 * termsProposalWaitMs
-				voter.host.Expire()
+				voter.host.ExpirePending()
 				So(answers, ShouldHaveLength, 1)
 			})
 			Convey("and the next one of the new term is confirmed", func() {
-				voter.host.Read(voter.group, func(failure *result.Error) { answers = append(answers, failure) })
+				voter.host.LinearizableRead(voter.group, func(failure *result.Error) { answers = append(answers, failure) })
 				voter.confirm()
 				So(answers, ShouldHaveLength, 2)
 				So(answers[1], ShouldBeNil)
@@ -167,7 +167,7 @@
 		voter.lead()
 		voter.confirm()
 		var answers []*result.Error
-		voter.host.Read(voter.group, func(failure *result.Error) { answers = append(answers, failure) })
+		voter.host.LinearizableRead(voter.group, func(failure *result.Error) { answers = append(answers, failure) })
 		voter.step(consensus.Message{Kind: consensus.MessageHeartbeatResponse, From: termsPeerB, Term: voter.group.Node.Term(), Context: 1 << 40})
 		voter.loseLead()
 		voter.flush()
@@ -260,11 +260,11 @@
 		}
 		steps := rapid.SliceOfN(rapid.IntRange(0, 7), 1, 40).Draw(run, "steps")
 		for _, step := range steps {
-			leads := voter.group.Leads()
+			leads := voter.group.IsLeader()
 			switch {
 			case step == 0:
 				done := next()
-				voter.host.Read(voter.group, func(*result.Error) { done() })
+				voter.host.LinearizableRead(voter.group, func(*result.Error) { done() })
 			case step <= 3 && leads:
 				done := next()
 				voter.propose("x", func(any) { done() })
@@ -279,12 +279,12 @@
 				voter.confirm()
 			case step == 7:
 				voter.host.NowMs += 50
-				voter.host.Expire()
+				voter.host.ExpirePending()
 			}
 		}
 		voter.flush()
 		voter.host.NowMs += 2 * termsProposalWaitMs
-		voter.host.Expire()
+		voter.host.ExpirePending()
 		for number := 1; number <= asked; number++ {
 			if answered[number] != 1 {
 				run.Fatalf("of %d that waited number %d was answered %d times", asked, number, answered[number])
--- a/internal/replication/transfer.go
+++ b/internal/replication/transfer.go
@@ -76,7 +76,7 @@
 			return err
 		}
 	}
-	state, err := group.State.Snapshot()
+	state, err := group.StateMachine.Snapshot()
 	if err != nil {
 		return err
 	}
@@ -149,7 +149,7 @@
 // what it had asks for the first part: then the transfer starts over.
 func (h *Host) partAnswered(group *Group, answer *protocol.SnapshotPart) error {
 	transfer, known := group.outgoing[answer.From]
-	if !known || !group.Leads() || answer.Term != group.Node.Term() || answer.Index != transfer.snapshot.Index {
+	if !known || !group.IsLeader() || answer.Term != group.Node.Term() || answer.Index != transfer.snapshot.Index {
 		return nil
 	}
 	switch {
@@ -227,7 +227,7 @@
 	if err := msgpack.Unmarshal(snapshot.Data, &received); err != nil {
 		return err
 	}
-	if err := group.State.Restore(received.State); err != nil {
+	if err := group.StateMachine.Restore(received.State); err != nil {
 		return err
 	}
 	stored := *snapshot
@@ -249,7 +249,7 @@
 	for _, to := range SortedKeys(group.outgoing) {
 		transfer := group.outgoing[to]
 		_, counts := group.Node.Configuration().Find(to)
-		if !group.Leads() || !counts || group.Node.Match(to) >= transfer.snapshot.Index {
+		if !group.IsLeader() || !counts || group.Node.Match(to) >= transfer.snapshot.Index {
 			delete(group.outgoing, to)
 			continue
 		}
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -9,15 +9,15 @@
 
 // Settings are what an operator may choose.
 type Settings struct {
-	// Share is how many second tries there may be for each success, 0 to 1. Higher, and more
+	// RetriesPerSuccess is how many second tries there may be for each success, 0 to 1. Higher, and more
 	// requests survive an engine that fails; lower, and engines that fail because they are
 	// overloaded get less on top of it.
-	Share float64 `yaml:"share" validate:"min=0,max=1"`
+	RetriesPerSuccess float64 `yaml:"share" validate:"min=0,max=1"`
 }
 
 // DefaultSettings bound second tries to a fifth of the successes: a back end of which a sixth
 // of the engines fails all that it is sent is got by with that.
-func DefaultSettings() Settings { return Settings{Share: 0.2} }
+func DefaultSettings() Settings { return Settings{RetriesPerSuccess: 0.2} }
 
 // mostSaved is how many second tries may be saved up while nothing fails: as many as an
 // engine that ends while it is full breaks off.
@@ -33,11 +33,11 @@
 // NewBudget returns a budget of which nothing has been taken.
 func NewBudget(settings Settings) *Budget { return &Budget{settings: settings, saved: mostSaved} }
 
-// Succeeded notes a request that was answered.
-func (b *Budget) Succeeded() { b.saved = math.Min(b.saved+b.settings.Share, mostSaved) }
+// RecordSuccess notes a request that was answered.
+func (b *Budget) RecordSuccess() { b.saved = math.Min(b.saved+b.settings.RetriesPerSuccess, mostSaved) }
 
-// Take takes one try from the budget; false where there is none left.
-func (b *Budget) Take() bool {
+// TryTake takes one try from the budget; false where there is none left.
+func (b *Budget) TryTake() bool {
 	if b.saved < 1 {
 		return false
 	}
@@ -64,16 +64,16 @@
 	mostKinds = 512
 )
 
-// Times is the distribution of how long the tries of one kind of request take to be answered,
+// LatencyHistogram is the distribution of how long the tries of one kind of request take to be answered,
 // or to begin to be: a histogram of equal steps of the logarithm, in which samples count less
 // as they age.
-type Times struct {
+type LatencyHistogram struct {
 	weights [buckets]float64
 	atMs    int64
 }
 
-// Add takes the time of a try that was answered.
-func (t *Times) Add(nowMs int64, tookMs float64) {
+// Record takes the time of a try that was answered.
+func (t *LatencyHistogram) Record(nowMs int64, tookMs float64) {
 	t.ageTo(nowMs)
 	t.weights[bucketOf(tookMs)]++
 }
@@ -86,7 +86,7 @@
 }
 
 // ageTo lets the samples lose weight; a clock that steps back changes nothing.
-func (t *Times) ageTo(nowMs int64) {
+func (t *LatencyHistogram) ageTo(nowMs int64) {
 	if nowMs <= t.atMs {
 		return
 	}
@@ -97,8 +97,8 @@
 	t.atMs = nowMs
 }
 
-// BoundMs is how long a try may be silent; false where too little is known.
-func (t *Times) BoundMs(nowMs int64) (float64, bool) {
+// TimeoutMs is how long a try may be silent; false where too little is known.
+func (t *LatencyHistogram) TimeoutMs(nowMs int64) (float64, bool) {
 	t.ageTo(nowMs)
 	total := 0.0
 	for _, weight := range t.weights {
@@ -117,28 +117,28 @@
 	return 0, false
 }
 
-// Kinds holds the times of each kind of request.
-type Kinds struct {
-	times map[string]*Times
+// LatencyHistograms holds the times of each kind of request.
+type LatencyHistograms struct {
+	times map[string]*LatencyHistogram
 }
 
-// Of returns the times of a kind of request.
-func (k *Kinds) Of(kind string) *Times {
+// ForKind returns the times of a kind of request.
+func (k *LatencyHistograms) ForKind(kind string) *LatencyHistogram {
 	times, known := k.times[kind]
 	if !known {
 		if k.times == nil || len(k.times) >= mostKinds {
-			k.times = map[string]*Times{}
+			k.times = map[string]*LatencyHistogram{}
 		}
-		times = &Times{}
+		times = &LatencyHistogram{}
 		k.times[kind] = times
 	}
 	return times
 }
 
-// TimedOut notes a try that was given up after its bound. What it would have taken is not
+// RecordTimeout notes a try that was given up after its bound. What it would have taken is not
 // known, only that it is longer: it counts as twice that, so that the bound rises where many
 // tries reach it because all engines have become slower.
-func (t *Times) TimedOut(nowMs int64, boundMs float64) {
+func (t *LatencyHistogram) RecordTimeout(nowMs int64, boundMs float64) {
 	const longer = 2
-	t.Add(nowMs, longer*boundMs)
+	t.Record(nowMs, longer*boundMs)
 }
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -10,17 +10,17 @@
 
 func TestBudgetProperty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		settings := Settings{Share: rapid.Float64Range(0, 1).Draw(t, "share")}
+		settings := Settings{RetriesPerSuccess: rapid.Float64Range(0, 1).Draw(t, "share")}
 		budget := NewBudget(settings)
 		successes, taken := 0, 0
 		for _, success := range rapid.SliceOfN(rapid.Bool(), 0, 400).Draw(t, "steps") {
 			if success {
-				budget.Succeeded()
+				budget.RecordSuccess()
 				successes++
-			} else if budget.Take() {
+			} else if budget.TryTake() {
 				taken++
 			}
-			if bound := settings.Share*float64(successes) + mostSaved; float64(taken) > bound+1e-9 {
+			if bound := settings.RetriesPerSuccess*float64(successes) + mostSaved; float64(taken) > bound+1e-9 {
 				t.Fatalf("%d second tries of %d successes, at most %.2f", taken, successes, bound)
 			}
 		}
@@ -29,16 +29,16 @@
 
 func TestTimes(t *testing.T) {
 	Convey("times of 30 ms on the mean, as 500 requests a second to 24 engines take", t, func() {
-		times := &Times{}
+		times := &LatencyHistogram{}
 		random := rand.New(rand.NewPCG(1, 1))
-		_, known := times.BoundMs(0)
+		_, known := times.TimeoutMs(0)
 		So(known, ShouldBeFalse)
 		nowMs := int64(0)
 		for range 2000 {
 			nowMs += 2
-			times.Add(nowMs, 30*random.ExpFloat64())
+			times.Record(nowMs, 30*random.ExpFloat64())
 		}
-		bound, known := times.BoundMs(nowMs)
+		bound, known := times.TimeoutMs(nowMs)
 		So(known, ShouldBeTrue)
 		Convey("one in some hundred is longer than the bound", func() {
 			longer := 0
@@ -54,17 +54,17 @@
 			for range 10_000 {
 				nowMs += 2
 				took := 240 * random.ExpFloat64()
-				if bound, known := times.BoundMs(nowMs); known && took > bound {
-					times.TimedOut(nowMs, bound)
+				if bound, known := times.TimeoutMs(nowMs); known && took > bound {
+					times.RecordTimeout(nowMs, bound)
 				} else {
-					times.Add(nowMs, took)
+					times.Record(nowMs, took)
 				}
 			}
-			risen, _ := times.BoundMs(nowMs)
+			risen, _ := times.TimeoutMs(nowMs)
 			So(risen, ShouldBeGreaterThan, 3*bound)
 		})
 		Convey("it is forgotten after some minutes", func() {
-			_, known := times.BoundMs(nowMs + 300_000)
+			_, known := times.TimeoutMs(nowMs + 300_000)
 			So(known, ShouldBeFalse)
 		})
 	})
--- a/internal/routing/capacity_test.go
+++ b/internal/routing/capacity_test.go
@@ -11,7 +11,7 @@
 func BenchmarkTenants(b *testing.B) {
 	const tenants = 48_000
 	build := func() *Table {
-		table := &Table{Generation: 1, Keyed: true}
+		table := &Table{Generation: 1, RequiresKey: true}
 		for number := range tenants {
 			name := fmt.Sprint("tenant-", number)
 			table.Tenants = append(table.Tenants, Tenant{
--- a/internal/routing/delta.go
+++ b/internal/routing/delta.go
@@ -5,14 +5,14 @@
 // Delta is what changed from one table to a later one: fan-out sends it in place
 // of whole tables.
 type Delta struct {
-	// From is the generation that the delta builds on; zero carries a whole table.
-	From       uint64    `msgpack:"f,omitempty"`
-	Generation uint64    `msgpack:"g"`
-	Put        []Route   `msgpack:"p,omitempty"`
-	Removed    []string  `msgpack:"r,omitempty"`
-	Backends   []Backend `msgpack:"b,omitempty"`
-	Limits     Limits    `msgpack:"l"`
-	Keyed      bool      `msgpack:"y,omitempty"`
+	// BaseGeneration is the generation that the delta builds on; zero carries a whole table.
+	BaseGeneration uint64    `msgpack:"f,omitempty"`
+	Generation     uint64    `msgpack:"g"`
+	PutRoutes      []Route   `msgpack:"p,omitempty"`
+	RemovedRoutes  []string  `msgpack:"r,omitempty"`
+	Backends       []Backend `msgpack:"b,omitempty"`
+	Limits         Limits    `msgpack:"l"`
+	RequiresKey    bool      `msgpack:"y,omitempty"`
 	// PutTenants are new or changed, RemovedTenants gone, by name.
 	PutTenants     []Tenant `msgpack:"t,omitempty"`
 	RemovedTenants []string `msgpack:"d,omitempty"`
@@ -24,12 +24,12 @@
 
 // NewDelta returns what leads from a table, nil for none, to a later one.
 func NewDelta(from, to *Table) *Delta {
-	delta := &Delta{Generation: to.Generation, Backends: to.Backends, Limits: to.Limits, Keyed: to.Keyed}
+	delta := &Delta{Generation: to.Generation, Backends: to.Backends, Limits: to.Limits, RequiresKey: to.RequiresKey}
 	if from == nil {
 		from = &Table{}
 	}
-	delta.From = from.Generation
-	delta.Put, delta.Removed = difference(from.Routes, to.Routes, routeKey)
+	delta.BaseGeneration = from.Generation
+	delta.PutRoutes, delta.RemovedRoutes = difference(from.Routes, to.Routes, routeKey)
 	delta.PutTenants, delta.RemovedTenants = difference(from.Tenants, to.Tenants, tenantKey)
 	return delta
 }
@@ -61,16 +61,16 @@
 	if current != nil && d.Generation <= current.Generation {
 		return current, false
 	}
-	if d.From != 0 && (current == nil || current.Generation != d.From) {
+	if d.BaseGeneration != 0 && (current == nil || current.Generation != d.BaseGeneration) {
 		return current, false
 	}
 	base := &Table{}
-	if d.From != 0 {
+	if d.BaseGeneration != 0 {
 		base = current
 	}
 	return &Table{
-		Generation: d.Generation, Backends: d.Backends, Limits: d.Limits, Keyed: d.Keyed,
-		Routes:  applied(base.Routes, d.Put, d.Removed, routeKey),
+		Generation: d.Generation, Backends: d.Backends, Limits: d.Limits, RequiresKey: d.RequiresKey,
+		Routes:  applied(base.Routes, d.PutRoutes, d.RemovedRoutes, routeKey),
 		Tenants: applied(base.Tenants, d.PutTenants, d.RemovedTenants, tenantKey),
 	}, true
 }
--- a/internal/routing/index.go
+++ b/internal/routing/index.go
@@ -21,7 +21,9 @@
 // rank orders requests: by the tenant's priority, then by the route's, 0 first.
 type rank struct{ first, second int }
 
-func rankOf(tenant *Tenant, route *Route) rank { return rank{tenant.Rank(route), route.Priority} }
+func rankOf(tenant *Tenant, route *Route) rank {
+	return rank{tenant.EffectivePriority(route), route.Priority}
+}
 
 // lessUrgent orders ranks, the least urgent first.
 func lessUrgent(a, b rank) int {
@@ -52,9 +54,9 @@
 	return index
 }
 
-// Find returns the route with the longest prefix of path on host, nil where there
+// FindRoute returns the route with the longest prefix of path on host, nil where there
 // is none. A port in host does not count.
-func (i *Index) Find(host, path string) *Route {
+func (i *Index) FindRoute(host, path string) *Route {
 	name, _, _ := strings.Cut(strings.ToLower(host), ":")
 	for _, route := range i.byHost[name] {
 		if strings.HasPrefix(path, route.PathPrefix) {
@@ -87,23 +89,23 @@
 	}
 }
 
-// Position returns how many of the ranks in use at a back end are less urgent than a
+// PriorityPosition returns how many of the ranks in use at a back end are less urgent than a
 // request's, and how many are in use.
-func (i *Index) Position(backend string, tenant *Tenant, route *Route) (position, ranks int) {
+func (i *Index) PriorityPosition(backend string, tenant *Tenant, route *Route) (position, ranks int) {
 	known := i.ranks[backend]
 	place, _ := slices.BinarySearchFunc(known, rankOf(tenant, route), lessUrgent)
 	return place, len(known)
 }
 
-// Holder returns the tenant that holds a key, nil where there is none. Look-ups go by digest:
+// TenantByKey returns the tenant that holds a key, nil where there is none. Look-ups go by digest:
 // how long one takes tells nothing of the keys that exist.
-func (i *Index) Holder(key string) *Tenant { return i.holders[DigestKey(key)] }
+func (i *Index) TenantByKey(key string) *Tenant { return i.holders[DigestKey(key)] }
 
 // Backend returns a back end of the table.
 func (i *Index) Backend(name string) Backend { return i.backends[name] }
 
-// Choose returns the back end of a route for a draw within 0..1.
-func (r *Route) Choose(draw float64) string {
+// SelectBackend returns the back end of a route for a draw within 0..1.
+func (r *Route) SelectBackend(draw float64) string {
 	total := 0.0
 	for _, share := range r.Shares {
 		total += share.Weight
@@ -127,7 +129,7 @@
 func meanRate(tenants []Tenant) float64 {
 	sum, bounded := 0.0, 0
 	for position := range tenants {
-		if tenants[position].Limited() {
+		if tenants[position].HasRateLimit() {
 			sum += tenants[position].RatePerSecond
 			bounded++
 		}
@@ -138,10 +140,10 @@
 	return sum / float64(bounded)
 }
 
-// Weight returns a tenant's part in what is shared while it is short: its rate, and for one
+// TenantWeight returns a tenant's part in what is shared while it is short: its rate, and for one
 // without a bound the mean of the others.
-func (i *Index) Weight(tenant *Tenant) float64 {
-	if tenant == nil || !tenant.Limited() {
+func (i *Index) TenantWeight(tenant *Tenant) float64 {
+	if tenant == nil || !tenant.HasRateLimit() {
 		return i.meanRate
 	}
 	return tenant.RatePerSecond
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -18,11 +18,11 @@
 	return &Table{
 		Generation: 3,
 		Routes: []Route{
-			{Name: "wide", Host: "a.example", PathPrefix: "/x/", Kind: KindSafe, TimeoutMs: 100, Shares: []Share{{"one", 1}}},
-			{Name: "narrow", Host: "a.example", PathPrefix: "/x/y/", Kind: KindStream, TimeoutMs: 100, Shares: []Share{{"one", 9}, {"two", 1}}},
+			{Name: "wide", Host: "a.example", PathPrefix: "/x/", Kind: KindSafe, TimeoutMs: 100, Shares: []BackendShare{{"one", 1}}},
+			{Name: "narrow", Host: "a.example", PathPrefix: "/x/y/", Kind: KindStream, TimeoutMs: 100, Shares: []BackendShare{{"one", 9}, {"two", 1}}},
 		},
-		Backends: []Backend{{Name: "one"}, {Name: "two"}},
-		Keyed:    true,
+		Backends:    []Backend{{Name: "one"}, {Name: "two"}},
+		RequiresKey: true,
 		Tenants: []Tenant{
 			{Name: "t", Keys: []KeyDigest{DigestKey("k1"), DigestKey("k2")}},
 			{Name: "u", Keys: []KeyDigest{DigestKey("k3")}, RatePerSecond: 2},
@@ -33,10 +33,10 @@
 func TestTable(t *testing.T) {
 	Convey("the longest prefix on the host wins; host names are matched without case and port", t, func() {
 		index := NewIndex(table())
-		So(index.Find("a.example", "/x/y/z").Name, ShouldEqual, "narrow")
-		So(index.Find("A.example:80", "/x/z").Name, ShouldEqual, "wide")
-		So(index.Find("a.example", "/xy/"), ShouldBeNil)
-		So(index.Find("b.example", "/x/y/z"), ShouldBeNil)
+		So(index.FindRoute("a.example", "/x/y/z").Name, ShouldEqual, "narrow")
+		So(index.FindRoute("A.example:80", "/x/z").Name, ShouldEqual, "wide")
+		So(index.FindRoute("a.example", "/xy/"), ShouldBeNil)
+		So(index.FindRoute("b.example", "/x/y/z"), ShouldBeNil)
 	})
 	Convey("a table with a fault is refused whole", t, func() {
 		faults := map[string]func(*Table){
@@ -69,29 +69,29 @@
 	})
 	Convey("a key leads to the tenant that holds it, and a tenant's rank replaces the route's", t, func() {
 		index := NewIndex(table())
-		So(index.Holder("k2").Name, ShouldEqual, "t")
-		So(index.Holder("k3").Name, ShouldEqual, "u")
-		So(index.Holder("k4"), ShouldBeNil)
-		So(index.Holder(""), ShouldBeNil)
+		So(index.TenantByKey("k2").Name, ShouldEqual, "t")
+		So(index.TenantByKey("k3").Name, ShouldEqual, "u")
+		So(index.TenantByKey("k4"), ShouldBeNil)
+		So(index.TenantByKey(""), ShouldBeNil)
 		rank := 3
 		route := &Route{Priority: 1}
-		So((*Tenant)(nil).Rank(route), ShouldEqual, 1)
-		So((&Tenant{}).Rank(route), ShouldEqual, 1)
-		So((&Tenant{Priority: &rank}).Rank(route), ShouldEqual, 3)
+		So((*Tenant)(nil).EffectivePriority(route), ShouldEqual, 1)
+		So((&Tenant{}).EffectivePriority(route), ShouldEqual, 1)
+		So((&Tenant{Priority: &rank}).EffectivePriority(route), ShouldEqual, 3)
 	})
 	Convey("shares are drawn by their weights, and one of weight 0 never", t, func() {
-		route := Route{Shares: []Share{{"none", 0}, {"most", 90}, {"few", 10}, {"nobody", 0}}}
+		route := Route{Shares: []BackendShare{{"none", 0}, {"most", 90}, {"few", 10}, {"nobody", 0}}}
 		counts := map[string]int{}
 		for step := range 1000 {
-			counts[route.Choose(float64(step)/1000)]++
+			counts[route.SelectBackend(float64(step)/1000)]++
 		}
 		So(counts, ShouldResemble, map[string]int{"most": 900, "few": 100})
 	})
 	Convey("only safe requests and streams that can be taken up are repeatable", t, func() {
-		So((&Route{Kind: KindSafe}).Repeatable(), ShouldBeTrue)
-		So((&Route{Kind: KindUnsafe}).Repeatable(), ShouldBeFalse)
-		So((&Route{Kind: KindStream}).Repeatable(), ShouldBeFalse)
-		So((&Route{Kind: KindStream, Resumable: true}).Repeatable(), ShouldBeTrue)
+		So((&Route{Kind: KindSafe}).IsRepeatable(), ShouldBeTrue)
+		So((&Route{Kind: KindUnsafe}).IsRepeatable(), ShouldBeFalse)
+		So((&Route{Kind: KindStream}).IsRepeatable(), ShouldBeFalse)
+		So((&Route{Kind: KindStream, Resumable: true}).IsRepeatable(), ShouldBeTrue)
 	})
 }
 
@@ -99,7 +99,7 @@
 // that was sent, and that none makes it step back.
 func TestDeltaProperty(t *testing.T) {
 	draw := rapid.Custom(func(t *rapid.T) *Table {
-		drawn := &Table{Backends: []Backend{{Name: "one"}}, Keyed: rapid.Bool().Draw(t, "keyed")}
+		drawn := &Table{Backends: []Backend{{Name: "one"}}, RequiresKey: rapid.Bool().Draw(t, "keyed")}
 		for number := range 4 {
 			if rapid.Bool().Draw(t, "tenant") {
 				key := DigestKey(fmt.Sprint(rapid.IntRange(0, 2).Draw(t, "key")))
@@ -134,7 +134,7 @@
 		}
 		next, ok := NewDelta(first, second).Apply(held)
 		if !ok || next.Generation != 9 || !reflect.DeepEqual(sorted(next.Routes), sorted(second.Routes)) ||
-			next.Keyed != second.Keyed || !reflect.DeepEqual(byName(next.Tenants), byName(second.Tenants)) {
+			next.RequiresKey != second.RequiresKey || !reflect.DeepEqual(byName(next.Tenants), byName(second.Tenants)) {
 			t.Fatalf("%+v became %+v for %+v", held, next, second)
 		}
 		if back, ok := NewDelta(nil, first).Apply(next); ok || back != next {
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -12,21 +12,21 @@
 	"github.com/ochrebay/ochrebay/internal/result"
 )
 
-// Kind says how the requests of a route may be treated.
-type Kind string
+// RouteKind says how the requests of a route may be treated.
+type RouteKind string
 
 // The kinds of routes.
 const (
 	// KindSafe requests may run more than once.
-	KindSafe Kind = "safe"
+	KindSafe RouteKind = "safe"
 	// KindUnsafe requests run at most once.
-	KindUnsafe Kind = "unsafe"
+	KindUnsafe RouteKind = "unsafe"
 	// KindStream answers are events with rising ids.
-	KindStream Kind = "stream"
+	KindStream RouteKind = "stream"
 )
 
-// Share is one back end's part of a route.
-type Share struct {
+// BackendShare is one back end's part of a route.
+type BackendShare struct {
 	Backend string  `msgpack:"b" json:"backend"`
 	Weight  float64 `msgpack:"w" json:"weight"`
 }
@@ -34,12 +34,12 @@
 // Route sends the requests of one host and path prefix to back ends. Times are in
 // milliseconds.
 type Route struct {
-	Name       string  `msgpack:"n" json:"name"`
-	Host       string  `msgpack:"h" json:"host"`
-	PathPrefix string  `msgpack:"p" json:"path_prefix"`
-	Kind       Kind    `msgpack:"k" json:"kind"`
-	Shares     []Share `msgpack:"s" json:"shares"`
-	TimeoutMs  int64   `msgpack:"t" json:"timeout_ms"`
+	Name       string         `msgpack:"n" json:"name"`
+	Host       string         `msgpack:"h" json:"host"`
+	PathPrefix string         `msgpack:"p" json:"path_prefix"`
+	Kind       RouteKind      `msgpack:"k" json:"kind"`
+	Shares     []BackendShare `msgpack:"s" json:"shares"`
+	TimeoutMs  int64          `msgpack:"t" json:"timeout_ms"`
 	// TargetLatencyMs is the time within which an answer is worth most, and
 	// TargetGapMs the longest pause between events that keeps it so.
 	TargetLatencyMs int64 `msgpack:"l" json:"target_latency_ms"`
@@ -52,17 +52,17 @@
 	// MaxAttempts bounds the engines to which one request may be sent.
 	MaxAttempts int  `msgpack:"a" json:"max_attempts"`
 	Resumable   bool `msgpack:"e,omitempty" json:"resumable,omitempty"`
-	// Retain keeps the turns of this route, RetentionMs long.
-	Retain      bool  `msgpack:"v,omitempty" json:"retain,omitempty"`
+	// RetainTurns keeps the turns of this route, RetentionMs long.
+	RetainTurns bool  `msgpack:"v,omitempty" json:"retain,omitempty"`
 	RetentionMs int64 `msgpack:"m,omitempty" json:"retention_ms,omitempty"`
 	// Affinity says that an engine which saw the same object lately works faster.
 	Affinity bool `msgpack:"f,omitempty" json:"affinity,omitempty"`
-	// Anonymous requests need no key where the table has tenants.
-	Anonymous bool `msgpack:"o,omitempty" json:"anonymous,omitempty"`
+	// AllowsAnonymous requests need no key where the table has tenants.
+	AllowsAnonymous bool `msgpack:"o,omitempty" json:"anonymous,omitempty"`
 }
 
-// Repeatable reports whether a request of the route may run more than once.
-func (r *Route) Repeatable() bool {
+// IsRepeatable reports whether a request of the route may run more than once.
+func (r *Route) IsRepeatable() bool {
 	return r.Kind == KindSafe || (r.Kind == KindStream && r.Resumable)
 }
 
@@ -74,11 +74,11 @@
 	// Slots is how many requests an engine works on at once; zero where the back
 	// end does not say.
 	Slots int `msgpack:"s,omitempty" json:"slots,omitempty"`
-	// MemoryTokens is how many tokens an engine's memory holds, of running requests and of what
+	// KVCacheCapacityTokens is how many tokens an engine's memory holds, of running requests and of what
 	// is kept of prompts; zero where the back end does not say.
-	MemoryTokens int64 `msgpack:"m,omitempty" json:"memory_tokens,omitempty"`
-	// EventTokens is how many tokens one event of a stream holds.
-	EventTokens int64 `msgpack:"e,omitempty" json:"event_tokens,omitempty"`
+	KVCacheCapacityTokens int64 `msgpack:"m,omitempty" json:"memory_tokens,omitempty"`
+	// TokensPerEvent is how many tokens one event of a stream holds.
+	TokensPerEvent int64 `msgpack:"e,omitempty" json:"event_tokens,omitempty"`
 }
 
 // Limits bound what callers may send.
@@ -96,12 +96,12 @@
 	Routes     []Route   `msgpack:"r" json:"routes"`
 	Backends   []Backend `msgpack:"b" json:"backends"`
 	Limits     Limits    `msgpack:"l" json:"limits"`
-	// Keyed says that a request needs the key of one of Tenants, which may be none.
-	Keyed   bool     `msgpack:"y,omitempty" json:"keyed,omitempty"`
-	Tenants []Tenant `msgpack:"t,omitempty" json:"tenants,omitempty"`
-	// Document is the table in the form in which its operator sent it; it is given
+	// RequiresKey says that a request needs the key of one of Tenants, which may be none.
+	RequiresKey bool     `msgpack:"y,omitempty" json:"keyed,omitempty"`
+	Tenants     []Tenant `msgpack:"t,omitempty" json:"tenants,omitempty"`
+	// SourceDocument is the table in the form in which its operator sent it; it is given
 	// back unchanged and never looked into.
-	Document []byte `msgpack:"d,omitempty" json:"-"`
+	SourceDocument []byte `msgpack:"d,omitempty" json:"-"`
 }
 
 // Validate returns the first fault of a table.
@@ -132,7 +132,7 @@
 	if r.Host == "" || !strings.HasPrefix(r.PathPrefix, "/") || !strings.HasSuffix(r.PathPrefix, "/") {
 		return invalid("route %q: needs a host, and a prefix that begins and ends with a slash", r.Name)
 	}
-	if !slices.Contains([]Kind{KindSafe, KindUnsafe, KindStream}, r.Kind) {
+	if !slices.Contains([]RouteKind{KindSafe, KindUnsafe, KindStream}, r.Kind) {
 		return invalid("route %q: kind %q is none of safe, unsafe, stream", r.Name, r.Kind)
 	}
 	if r.TimeoutMs <= 0 {
@@ -158,10 +158,10 @@
 	return result.New(result.SettingsInvalid, "%s", fmt.Sprintf(format, arguments...))
 }
 
-// WithoutDocument returns the table as gateways need it.
-func (t *Table) WithoutDocument() *Table {
+// WithoutSourceDocument returns the table as gateways need it.
+func (t *Table) WithoutSourceDocument() *Table {
 	stripped := *t
-	stripped.Document = nil
+	stripped.SourceDocument = nil
 	return &stripped
 }
 
--- a/internal/routing/tenants.go
+++ b/internal/routing/tenants.go
@@ -29,11 +29,11 @@
 	Burst         float64 `msgpack:"b,omitempty" json:"burst,omitempty"`
 }
 
-// Limited reports whether the tenant's requests are bounded.
-func (t *Tenant) Limited() bool { return t.RatePerSecond > 0 }
+// HasRateLimit reports whether the tenant's requests are bounded.
+func (t *Tenant) HasRateLimit() bool { return t.RatePerSecond > 0 }
 
-// Rank returns the rank of the tenant's requests on a route, 0 first; t may be nil.
-func (t *Tenant) Rank(route *Route) int {
+// EffectivePriority returns the rank of the tenant's requests on a route, 0 first; t may be nil.
+func (t *Tenant) EffectivePriority(route *Route) int {
 	if t == nil || t.Priority == nil {
 		return route.Priority
 	}
--- a/internal/scheduler/calls.go
+++ b/internal/scheduler/calls.go
@@ -153,8 +153,8 @@
 		return refusal
 	}
 	tenant := c.fields("/tenants/" + tenantName(request.Tenant))
-	limits := scheduling.TenantLimits{InFlight: *tenant.TenantInFlight, TokensPerSecond: *tenant.TokensPerSecond}
-	return c.tenants.Take(request.Tenant, limits, probe.PromptTokens+probe.OutputTokens, len(c.roster.List()), c.nowMs)
+	limits := scheduling.TenantLimits{MaxInFlight: *tenant.TenantInFlight, TokensPerSecond: *tenant.TokensPerSecond}
+	return c.tenants.Acquire(request.Tenant, limits, probe.PromptTokens+probe.OutputTokens, len(c.roster.List()), c.nowMs)
 }
 
 func tenantName(tenant string) string {
@@ -179,7 +179,7 @@
 // advance opens the turn of a program's next call. Invariant: one call of a
 // program at a time; the ledger holds the same across schedulers.
 func (c *Core) advance(local *localProgram) {
-	if (local.active != nil && !c.options.DisableOrder) || len(local.queue) == 0 {
+	if (local.active != nil && !c.options.DisableTurnOrder) || len(local.queue) == 0 {
 		return
 	}
 	next := local.queue[0]
@@ -201,16 +201,16 @@
 		Program: request.Program, Tenant: request.Tenant, Service: request.Service,
 		Thread: request.Thread, Parent: request.Parent, Request: request.Request, Create: request.Create,
 		Limits: program.Limits{
-			BudgetTokens: *fields.BudgetTokens, MaxTurns: *fields.MaxTurns, WallMs: *fields.WallMs, IdleMs: *fields.IdleMs,
+			BudgetTokens: *fields.BudgetTokens, MaxTurns: *fields.MaxTurns, WallTimeMs: *fields.WallMs, IdleTimeoutMs: *fields.IdleMs,
 		},
-		Digest: current.digest, Once: request.Once, NewTokens: current.newTokens, MaxTokens: current.maxTokens,
+		Digest: current.digest, AtMostOnce: request.Once, NewTokens: current.newTokens, MaxTokens: current.maxTokens,
 		Scheduler: c.options.Name, TakeOver: current.takeOver, RetryOf: current.retryOf, LostTokens: current.lost,
-		Nonce: current.nonce, Start: c.options.Start, DeadlineMs: max(0, current.deadlineMs-c.nowMs),
+		Nonce: current.nonce, Incarnation: c.options.Start, TimeoutMs: max(0, current.deadlineMs-c.nowMs),
 	}
 	if request.Budget > 0 {
 		begin.Limits.BudgetTokens = min(begin.Limits.BudgetTokens, request.Budget)
 	}
-	if program.IsWholeHistory(request.Messages) {
+	if program.IncludesHistory(request.Messages) {
 		begin.PrefixDigests = program.PrefixDigests(request.Messages)
 	}
 	message := &protocol.LedgerRequest{
@@ -237,7 +237,7 @@
 		c.waitForTurn(current, typed)
 	case failure != nil:
 		c.endCall(current, failure)
-	case typed.Reply.Answered > 0:
+	case typed.Reply.ClosedTurn > 0:
 		c.answerRecorded(current, typed)
 	default:
 		c.granted(current, typed)
@@ -258,7 +258,7 @@
 	holder := reply.Reply.Holder
 	// The holder may be this scheduler before its last start: nothing here has
 	// the turn, since a program has one active call.
-	current.takeOver = holder == c.options.Name || (holder != "" && !c.alive(holder, reply.Reply.HolderStart))
+	current.takeOver = holder == c.options.Name || (holder != "" && !c.alive(holder, reply.Reply.HolderIncarnation))
 	if current.takeOver {
 		c.counters.TakenOver++
 	}
@@ -290,7 +290,7 @@
 func (c *Core) answerRecorded(current *call, reply *protocol.LedgerReply) {
 	var record program.TurnRecord
 	if len(reply.Records) != 1 || protocol.Decode(reply.Records[0], &record) != nil {
-		c.endCall(current, result.New(result.Internal, "no record of turn %d", reply.Reply.Answered))
+		c.endCall(current, result.New(result.Internal, "no record of turn %d", reply.Reply.ClosedTurn))
 		return
 	}
 	if record.Code != result.OK {
@@ -299,7 +299,7 @@
 	}
 	c.endWith(current, &protocol.Answer{
 		Content: record.Answer.Content, Usage: record.Usage, Turn: record.Turn, Engine: record.Engine,
-		Ended: reply.Reply.Ended, Remaining: reply.Reply.Remaining,
+		Ended: reply.Reply.Ended, Remaining: reply.Reply.RemainingTokens,
 	})
 }
 
@@ -319,7 +319,7 @@
 	current.fence = reply.Reply.Fence
 	current.retryOf = 0
 	current.takeOver = false
-	current.newOnes = request.Messages[reply.Reply.Skip:]
+	current.newOnes = request.Messages[reply.Reply.SkipMessages:]
 	current.newTokens = engine.CountMessages(current.newOnes)
 	history := program.Conversation(reply.Reply.Lineage, local.records)
 	current.prompt = append(history, current.newOnes...)
@@ -327,14 +327,14 @@
 	c.nextCall++
 	excluded := map[string]bool{}
 	if current.schedule != nil {
-		excluded = current.schedule.Excluded
+		excluded = current.schedule.ExcludedEngines
 	}
 	current.schedule = &scheduling.Call{
 		ID: c.nextCall, Program: request.Program, Pool: *fields.Pool, Rank: int(*fields.Rank),
-		AttainedMs: local.attainedMs, ArrivedMs: current.arrivedMs, DeadlineMs: current.deadlineMs,
+		AttainedServiceMs: local.attainedMs, ArrivedMs: current.arrivedMs, DeadlineMs: current.deadlineMs,
 		PromptTokens: engine.CountMessages(current.prompt),
 		OutputTokens: expectedOutput(request, *fields.MaxOutputTokens),
-		Warm:         local.warm, Excluded: excluded,
+		CachedTokens: local.warm, ExcludedEngines: excluded,
 	}
 	c.waiting[current.schedule.ID] = current
 	c.cell.Waiting = append(c.cell.Waiting, current.schedule)
--- a/internal/scheduler/control.go
+++ b/internal/scheduler/control.go
@@ -160,23 +160,23 @@
 	report := membership.Heartbeat{
 		Scheduler: membership.Scheduler{
 			Name: c.options.Name, Zone: c.options.Zone, Address: c.options.Address,
-			Start: c.options.Start, Draining: c.draining,
+			Incarnation: c.options.Start, Draining: c.draining,
 		},
-		Revision: c.tree.Revision(), Ready: map[string]int{},
-		Queue: len(c.waiting), InFlight: len(c.attempts),
+		Revision: c.tree.Revision(), ReadyEngines: map[string]int{},
+		QueueLength: len(c.waiting), InFlight: len(c.attempts),
 	}
 	for _, owned := range c.engines {
 		if owned.schedule.Ready && !owned.info.Leaving {
-			report.Ready[owned.info.Pool]++
+			report.ReadyEngines[owned.info.Pool]++
 		}
 	}
 	report.SidecarRevision = report.Revision
 	for _, name := range sortedNames(c.follows) {
 		known := c.follows[name]
-		report.Sidecars++
+		report.SidecarCount++
 		report.SidecarRevision = min(report.SidecarRevision, known.revision)
-		if known.revision < report.Revision && len(report.Lagging) < maxLagging {
-			report.Lagging = append(report.Lagging, name)
+		if known.revision < report.Revision && len(report.LaggingSidecars) < maxLagging {
+			report.LaggingSidecars = append(report.LaggingSidecars, name)
 		}
 	}
 	return report
@@ -234,7 +234,7 @@
 			}
 			continue
 		}
-		news := c.tree.Revision() > known.request.Revision || c.roster.Changed() > known.request.Directory
+		news := c.tree.Revision() > known.request.Revision || c.roster.ChangeVersion() > known.request.Directory
 		if !c.synced || (!news && c.nowMs < known.untilMs && !c.draining) {
 			continue
 		}
@@ -250,7 +250,7 @@
 	if c.options.DisableRevision && c.tree.Revision() != request.Revision {
 		feed.Snapshot, _ = c.tree.FollowerState()
 	}
-	feed.Roster = c.roster.Since(request.Directory)
+	feed.Roster = c.roster.DeltaSince(request.Directory)
 	feed.Groups = c.groups
 	return feed
 }
--- a/internal/scheduler/core.go
+++ b/internal/scheduler/core.go
@@ -36,8 +36,8 @@
 	Request engine.CompletionRequest
 }
 
-// Outlet takes what the core sends. Its methods must not call back.
-type Outlet interface {
+// Transport takes what the core sends. Its methods must not call back.
+type Transport interface {
 	// Control sends a request to a control process; the answer, or its absence,
 	// comes back as ControlReply.
 	Control(member string, id ControlID, kind protocol.Kind, request any)
@@ -68,11 +68,11 @@
 	Policy     scheduling.Policy
 
 	// The rest turn mechanisms off, for runs that show what they are for.
-	DisableOrder       bool
+	DisableTurnOrder   bool
 	DisableAudit       bool
 	DisableLeavingStop bool
 	DisableRevision    bool
-	DisableOnce        bool
+	DisableAtMostOnce  bool
 }
 
 // DefaultOptions returns the timings in use.
@@ -118,7 +118,7 @@
 // Core is the control state of one scheduler.
 type Core struct {
 	options Options
-	outlet  Outlet
+	outlet  Transport
 	nowMs   int64
 
 	tree      *settings.Tree
@@ -128,8 +128,8 @@
 	engines   map[string]*ownedEngine
 	// readyMs is when the cell last had an open engine of a pool.
 	readyMs map[string]int64
-	cell    scheduling.Cell
-	tenants *scheduling.Tenants
+	cell    scheduling.CellScheduler
+	tenants *scheduling.TenantLimiter
 
 	programs map[string]*localProgram
 	// busy are the programs with a call under way.
@@ -212,12 +212,12 @@
 }
 
 // NewCore returns a scheduler that knows nothing yet.
-func NewCore(options Options, outlet Outlet, nowMs int64) *Core {
+func NewCore(options Options, outlet Transport, nowMs int64) *Core {
 	return &Core{
 		options: options, outlet: outlet, nowMs: nowMs,
 		tree: settings.NewTree(), roster: membership.NewRoster(), effective: map[string]settings.Fields{},
-		engines: map[string]*ownedEngine{}, readyMs: map[string]int64{}, tenants: scheduling.NewTenants(),
-		cell:     scheduling.Cell{Policy: options.Policy},
+		engines: map[string]*ownedEngine{}, readyMs: map[string]int64{}, tenants: scheduling.NewTenantLimiter(),
+		cell:     scheduling.CellScheduler{Policy: options.Policy},
 		programs: map[string]*localProgram{}, busy: map[string]*localProgram{}, waiting: map[uint64]*call{}, attempts: map[AttemptID]*call{},
 		sinks: map[SinkID]*call{}, control: map[ControlID]*controlRequest{}, leaders: map[uint32]string{},
 		follows: map[string]*follower{}, nonceBase: xxhash.Sum64String(fmt.Sprint(options.Name, options.Start)),
@@ -313,7 +313,7 @@
 	if feed.Groups > 0 {
 		c.groups = feed.Groups
 	}
-	if c.roster.Take(feed.Roster) {
+	if c.roster.ApplyDelta(feed.Roster) {
 		c.listed = c.listed || c.alive(c.options.Name, c.options.Start)
 		c.noteDrainListed()
 	}
@@ -336,7 +336,7 @@
 // alive reports whether the directory lists a scheduler and no later start of it.
 func (c *Core) alive(name string, start uint64) bool {
 	peer, ok := c.roster.Find(name)
-	return ok && peer.Start <= start
+	return ok && peer.Incarnation <= start
 }
 
 // target returns what the settings ask of a pool's engines.
--- a/internal/scheduler/engines.go
+++ b/internal/scheduler/engines.go
@@ -54,9 +54,9 @@
 	leaving := owned.info.Leaving && !c.options.DisableLeavingStop
 	owned.schedule.Closed = leaving || owned.draining
 	owned.schedule.Slots = int(*c.fields("/pools/" + owned.info.Pool).EngineConcurrent)
-	owned.schedule.PrefillPerSecond = hardware.PrefillTokensPerSecond
+	owned.schedule.PrefillTokensPerSecond = hardware.PrefillTokensPerSecond
 	owned.schedule.StepMicros = hardware.StepMicros
-	owned.schedule.SequenceMicros = hardware.SequenceMicros
+	owned.schedule.StepMicrosPerSequence = hardware.SequenceMicros
 }
 
 // EngineReport takes an engine's state; ok is false where it didn't answer.
--- a/internal/scheduler/runs.go
+++ b/internal/scheduler/runs.go
@@ -24,7 +24,7 @@
 		c.counters.Refused++
 		c.abortCall(current, refusal.Error, true, 0)
 	}
-	for _, start := range decision.Starts {
+	for _, start := range decision.Dispatches {
 		current := c.waiting[start.Call.ID]
 		delete(c.waiting, start.Call.ID)
 		c.start(current, start.Engine.Name)
@@ -92,7 +92,7 @@
 
 func (c *Core) freeSlot(current *call) {
 	if owned, ok := c.engines[current.engine]; ok {
-		owned.schedule.Give(current.schedule)
+		owned.schedule.RemoveCall(current.schedule)
 	}
 	current.local.attainedMs += c.nowMs - current.startedMs
 }
@@ -117,7 +117,7 @@
 // attemptFailed decides what becomes of a call whose engine failed.
 func (c *Core) attemptFailed(current *call, outcome engine.Outcome) {
 	delete(current.local.warm, current.engine)
-	current.schedule.Excluded[current.engine] = true
+	current.schedule.ExcludedEngines[current.engine] = true
 	c.counters.Retried++
 	if !outcome.Started {
 		// The engine did not start the call: the same attempt goes elsewhere.
@@ -130,7 +130,7 @@
 	}
 	current.ran = true
 	limit := *c.fields("/services/" + current.request.Service).RetryAttempts
-	once := current.request.Once && !c.options.DisableOnce
+	once := current.request.Once && !c.options.DisableAtMostOnce
 	if once || current.retries >= limit {
 		failure := result.New(result.EngineFailed, "engine %s: %v", current.engine, outcome.Err)
 		if once {
@@ -163,7 +163,7 @@
 	commit := &program.Commit{
 		Program: request.Program, Fence: current.fence, Messages: current.newOnes,
 		Answer: program.Message{Role: "assistant", Content: content},
-		Usage:  usage, NewTokens: current.newTokens, Engine: current.engine, End: request.End,
+		Usage:  usage, NewTokens: current.newTokens, Engine: current.engine, EndsProgram: request.End,
 	}
 	message := &protocol.LedgerRequest{Group: c.groupOf(request.Program), Command: program.Command{Commit: commit}}
 	c.askControl(message.Group, protocol.KindLedger, message, commitPatienceMs, func(reply any) {
@@ -192,7 +192,7 @@
 	c.counters.Answered++
 	c.endWith(current, &protocol.Answer{
 		Content: commit.Answer.Content, Usage: commit.Usage, Turn: typed.Reply.Turn, Engine: current.engine,
-		Ended: typed.Reply.Ended, Remaining: typed.Reply.Remaining,
+		Ended: typed.Reply.Ended, Remaining: typed.Reply.RemainingTokens,
 	})
 	if typed.Reply.Ended {
 		c.releaseNow(local)
@@ -228,7 +228,7 @@
 }
 
 func (c *Core) abort(id string, fence uint64, code result.Code, notRun bool, tokens int64, done func()) {
-	abort := &program.Abort{Program: id, Fence: fence, Code: code, NotRun: notRun, Tokens: tokens}
+	abort := &program.Abort{Program: id, Fence: fence, Code: code, NotRun: notRun, UsedTokens: tokens}
 	message := &protocol.LedgerRequest{Group: c.groupOf(id), Command: program.Command{Abort: abort}}
 	c.askControl(message.Group, protocol.KindLedger, message, commitPatienceMs, func(any) { done() })
 }
@@ -253,7 +253,7 @@
 	if answer.Error != nil && answer.Error.Outcome == result.NotRun && current.ran {
 		answer.Error = answer.Error.WithOutcome(result.Ran)
 	}
-	c.tenants.Give(current.request.Tenant)
+	c.tenants.Release(current.request.Tenant)
 	for _, sink := range current.sinks {
 		delete(c.sinks, sink)
 		c.outlet.Reply(sink, protocol.KindAnswer, answer, true)
--- a/internal/scheduling/admission.go
+++ b/internal/scheduling/admission.go
@@ -42,7 +42,7 @@
 	returnWithinMs = 1000
 )
 
-// Admission decides which programs may begin at the engines of one back end. Once engines
+// AdmissionController decides which programs may begin at the engines of one back end. Once engines
 // are asked for more than they can do, every program is late and what they keep of prompts
 // is pushed out, so that they do less and less: then it is better for callers that some are
 // rejected at once, before anything was done for them, and the others served in time.
@@ -54,10 +54,10 @@
 // What one gateway sees of a large fleet is little, and chance would have it learn limits
 // that no other has: the late share is that of all gateways' streams, as control adds it up,
 // and the gateway's own only where nothing has been heard lately.
-type Admission struct {
-	own    Evidence
-	news   Evidence
-	shared Evidence
+type AdmissionController struct {
+	own    DecayedMean
+	news   DecayedMean
+	shared DecayedMean
 	// sharedMs is when the shared evidence came.
 	sharedMs int64
 	// limit is in requests an engine, 0 for none.
@@ -69,8 +69,8 @@
 	inTime float64
 }
 
-// Began notes a stream that began, late or in time.
-func (a *Admission) Began(nowMs int64, late bool) {
+// ObserveStreamStart notes a stream that began, late or in time.
+func (a *AdmissionController) ObserveStreamStart(nowMs int64, late bool) {
 	sample := 0.0
 	if late {
 		sample = 1
@@ -79,24 +79,24 @@
 	a.news.Add(nowMs, sample, 1)
 }
 
-// TakeNews returns what this gateway has seen since the last call.
-func (a *Admission) TakeNews(nowMs int64) Samples {
+// CollectStreamLateness returns what this gateway has seen since the last call.
+func (a *AdmissionController) CollectStreamLateness(nowMs int64) WeightedSum {
 	news := a.news.samples(nowMs)
-	a.news = Evidence{}
+	a.news = DecayedMean{}
 	return news
 }
 
-// TakeShared takes what all gateways together have seen.
-func (a *Admission) TakeShared(samples Samples, nowMs int64) {
+// ApplySharedLateness takes what all gateways together have seen.
+func (a *AdmissionController) ApplySharedLateness(samples WeightedSum, nowMs int64) {
 	a.shared = samples.evidence(nowMs)
 	a.sharedMs = nowMs
 }
 
-// Learn brings the limit up to nowMs, from the mean concurrency over the engines. Lateness
+// UpdateLimit brings the limit up to nowMs, from the mean concurrency over the engines. Lateness
 // above the limit comes of what is under way and will pass: only lateness at or below it
 // shows that the limit is too high. Slots is how many requests an engine works on at once, 0
 // where that is not known.
-func (a *Admission) Learn(nowMs int64, concurrency float64, slots int) {
+func (a *AdmissionController) UpdateLimit(nowMs int64, concurrency float64, slots int) {
 	least := max(float64(slots)/leastShare, leastLimit)
 	const millisecondsPerSecond = 1000
 	elapsed := min(float64(nowMs-a.lastMs)/millisecondsPerSecond, 1)
@@ -128,7 +128,7 @@
 }
 
 // lateShare is the share of streams that began late lately.
-func (a *Admission) lateShare(nowMs int64) float64 {
+func (a *AdmissionController) lateShare(nowMs int64) float64 {
 	counted := a.own.At(nowMs)
 	if a.sharedMs > 0 && nowMs-a.sharedMs <= loadForgottenMs {
 		counted = a.shared.At(nowMs)
@@ -140,8 +140,8 @@
 // come back, milliseconds. Position is how many ranks in use are less urgent than its own, of
 // ranks in all; draw is within 0..1 and the same for each try of a program, at every gateway:
 // who comes back more often is not let in more often.
-func (a *Admission) Admit(concurrency float64, position, ranks int, draw float64) (retryAfterMs int64, admitted bool) {
-	rejected := a.Rejected(concurrency, position, ranks)
+func (a *AdmissionController) Admit(concurrency float64, position, ranks int, draw float64) (retryAfterMs int64, admitted bool) {
+	rejected := a.RejectedFraction(concurrency, position, ranks)
 	if rejected > 0 {
 		a.boundMs = a.lastMs
 	}
@@ -152,8 +152,8 @@
 	return int64(math.Ceil(above * returnWithinMs)), false
 }
 
-// Rejected returns the share of new programs that is rejected at a concurrency.
-func (a *Admission) Rejected(concurrency float64, position, ranks int) float64 {
+// RejectedFraction returns the share of new programs that is rejected at a concurrency.
+func (a *AdmissionController) RejectedFraction(concurrency float64, position, ranks int) float64 {
 	if a.limit == 0 {
 		return 0
 	}
@@ -166,8 +166,8 @@
 }
 
 // Limit returns the learnt concurrency, requests an engine; 0 for no limit.
-func (a *Admission) Limit() float64 { return a.limit }
+func (a *AdmissionController) Limit() float64 { return a.limit }
 
-// Room returns up to which concurrency the least urgent programs all begin, requests an engine; 0
+// UnrestrictedConcurrency returns up to which concurrency the least urgent programs all begin, requests an engine; 0
 // for no limit.
-func (a *Admission) Room() float64 { return a.limit * fullShare }
+func (a *AdmissionController) UnrestrictedConcurrency() float64 { return a.limit * fullShare }
--- a/internal/scheduling/admission_test.go
+++ b/internal/scheduling/admission_test.go
@@ -12,22 +12,22 @@
 // let in at one draw is let in at any higher one.
 func TestAdmissionProperty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var admission Admission
+		var admission AdmissionController
 		nowMs := int64(0)
 		slots := rapid.IntRange(0, 64).Draw(t, "slots")
 		for range rapid.IntRange(0, 200).Draw(t, "steps") {
 			nowMs += rapid.Int64Range(0, 400).Draw(t, "ms")
 			for range rapid.IntRange(0, 20).Draw(t, "streams") {
-				admission.Began(nowMs, rapid.Bool().Draw(t, "late"))
+				admission.ObserveStreamStart(nowMs, rapid.Bool().Draw(t, "late"))
 			}
-			admission.Learn(nowMs, rapid.Float64Range(0, 200).Draw(t, "concurrency"), slots)
+			admission.UpdateLimit(nowMs, rapid.Float64Range(0, 200).Draw(t, "concurrency"), slots)
 		}
 		concurrency := rapid.Float64Range(0, 200).Draw(t, "now")
 		ranks := rapid.IntRange(1, 5).Draw(t, "ranks")
 		least := max(float64(slots)/leastShare, leastLimit)
 		last := 1.0
 		for position := range ranks {
-			share := admission.Rejected(concurrency, position, ranks)
+			share := admission.RejectedFraction(concurrency, position, ranks)
 			if share < 0 || share > mostRejected || share > last {
 				t.Fatalf("rank %d of %d: %v rejected, the rank before %v", position, ranks, share, last)
 			}
@@ -46,28 +46,28 @@
 
 func TestAdmission(t *testing.T) {
 	Convey("no stream late, no limit, whatever the concurrency", t, func() {
-		var admission Admission
+		var admission AdmissionController
 		for second := range int64(60) {
 			for range 20 {
-				admission.Began(second*1000, false)
+				admission.ObserveStreamStart(second*1000, false)
 			}
-			admission.Learn(second*1000, 500, 12)
+			admission.UpdateLimit(second*1000, 500, 12)
 		}
 		So(admission.Limit(), ShouldEqual, 0)
 	})
 	Convey("one late stream of two rejects nobody", t, func() {
-		var admission Admission
-		admission.Began(0, true)
-		admission.Began(0, false)
-		admission.Learn(100, 50, 12)
+		var admission AdmissionController
+		admission.ObserveStreamStart(0, true)
+		admission.ObserveStreamStart(0, false)
+		admission.UpdateLimit(100, 50, 12)
 		So(admission.Limit(), ShouldEqual, 0)
 	})
 	Convey("a burst that has a third of the streams late begins no limit; one that rejects nobody any more ends", t, func() {
-		var admission Admission
+		var admission AdmissionController
 		third := func(fromS, toS int64, of int, concurrency float64) {
 			for ms := fromS * 1000; ms < toS*1000; ms += 50 {
-				admission.Began(ms, of > 0 && ms/50%int64(of) == 0)
-				admission.Learn(ms, concurrency, 12)
+				admission.ObserveStreamStart(ms, of > 0 && ms/50%int64(of) == 0)
+				admission.UpdateLimit(ms, concurrency, 12)
 			}
 		}
 		third(0, 10, 3, 15)
@@ -78,11 +78,11 @@
 		So(admission.Limit(), ShouldEqual, 0)
 	})
 	Convey("late streams above the limit lower nothing; streams in time at it raise it again", t, func() {
-		var admission Admission
+		var admission AdmissionController
 		late := func(fromS, toS int64, late bool, concurrency float64) {
 			for ms := fromS * 1000; ms < toS*1000; ms += 50 {
-				admission.Began(ms, late)
-				admission.Learn(ms, concurrency, 12)
+				admission.ObserveStreamStart(ms, late)
+				admission.UpdateLimit(ms, concurrency, 12)
 			}
 		}
 		late(0, 2, true, 10)
--- a/internal/scheduling/board_test.go
+++ b/internal/scheduling/board_test.go
@@ -12,7 +12,7 @@
 // lately, whatever they say and whenever they fall silent.
 func TestBoardProperty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		board := NewBoard()
+		board := NewLoadAggregator()
 		type said struct {
 			inFlight float64
 			atMs     int64
@@ -23,7 +23,7 @@
 			nowMs += rapid.Int64Range(0, 900).Draw(t, "pause")
 			gateway := fmt.Sprint("g", rapid.IntRange(0, 5).Draw(t, "gateway"))
 			inFlight := float64(rapid.IntRange(0, 4).Draw(t, "in flight")) / 3
-			board.Report(gateway, []Load{{Engine: "e", InFlight: float32(inFlight)}}, nowMs)
+			board.ReportLoads(gateway, []EngineLoad{{Engine: "e", InFlight: float32(inFlight)}}, nowMs)
 			all[gateway] = said{inFlight, nowMs}
 			// What is about to be forgotten may count or not until it is looked for.
 			least, most := 0.0, 0.0
@@ -48,12 +48,12 @@
 func BenchmarkLoads(b *testing.B) {
 	for _, gateways := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprint(gateways), func(b *testing.B) {
-			board := NewBoard()
+			board := NewLoadAggregator()
 			var names []string
 			for number := range 50 {
 				names = append(names, fmt.Sprint("e", number))
 				for gateway := range gateways {
-					board.Report(fmt.Sprint("g", gateway), []Load{{Engine: names[number], InFlight: 1}}, 1000)
+					board.ReportLoads(fmt.Sprint("g", gateway), []EngineLoad{{Engine: names[number], InFlight: 1}}, 1000)
 				}
 			}
 			for b.Loop() {
--- a/internal/scheduling/choice.go
+++ b/internal/scheduling/choice.go
@@ -10,47 +10,47 @@
 	ID    string
 	Zone  string
 	Slots int
-	// MemoryTokens is how many tokens the engine's memory holds, 0 where that is not known.
-	MemoryTokens int64
-	Health       *EngineHealth
+	// KVCacheCapacityTokens is how many tokens the engine's memory holds, 0 where that is not known.
+	KVCacheCapacityTokens int64
+	Health                *EngineHealth
 	// order is the engine's place in the order of one request, and slowness how many times
 	// longer than usual a token takes there.
 	order    uint64
 	slowness float64
 }
 
-// Demand is what decides where a request goes.
-type Demand struct {
-	// Stream says that the request generates events; the choice then goes by the
+// SelectionInput is what decides where a request goes.
+type SelectionInput struct {
+	// IsStream says that the request generates events; the choice then goes by the
 	// expected time, else by the requests under way.
-	Stream bool
-	// Kind names the kind of request; those of one kind take about as long.
-	Kind string
-	// Home is the engine that most likely holds what the request's session has read.
-	Home string
-	// HoldTokens is what the request takes of an engine's memory while it runs.
-	HoldTokens int64
+	IsStream bool
+	// RequestKind names the kind of request; those of one kind take about as long.
+	RequestKind string
+	// AffineEngine is the engine that most likely holds what the request's session has read.
+	AffineEngine string
+	// RequiredKVCacheTokens is what the request takes of an engine's memory while it runs.
+	RequiredKVCacheTokens int64
 	// Prompt are the parts of the prompt, and Events how many events there may be at most.
-	Prompt []PromptPart
-	Events int64
-	// Key is what requests have in common that an engine should see together; empty for
+	Prompt    []PromptPart
+	MaxEvents int64
+	// AffinityKey is what requests have in common that an engine should see together; empty for
 	// none. It counts for requests that are no streams.
-	Key string
+	AffinityKey string
 	// Zone is where the request is.
 	Zone string
-	// Distances are what engines of other zones cost; nil takes the usual penalty.
-	Distances *Distances
-	// Draw is drawn at random for each request: it decides which engines are compared.
-	Draw uint64
-	// Avoid lists engines that were tried already.
-	Avoid []string
+	// ZoneCosts are what engines of other zones cost; nil takes the usual penalty.
+	ZoneCosts *ZoneCosts
+	// ShuffleSeed is drawn at random for each request: it decides which engines are compared.
+	ShuffleSeed uint64
+	// ExcludedEngines lists engines that were tried already.
+	ExcludedEngines []string
 	// Disabled are the mechanisms that are turned off.
-	Disabled Disabled
+	Disabled DisabledMechanisms
 	NowMs    int64
 
-	// Turns is how many turns the request's session is expected to have yet, this one
+	// RemainingTurns is how many turns the request's session is expected to have yet, this one
 	// included; 0 where that is not known.
-	Turns float64
+	RemainingTurns float64
 
 	// slowFrom is the factor from which an engine counts as slow, and quickest the least
 	// slowness of the engines compared that have room, 0 where none has.
@@ -61,50 +61,50 @@
 }
 
 // keyed reports whether an engine should see the requests of a key together.
-func (d Demand) keyed() bool { return !d.Stream && d.Key != "" }
+func (d SelectionInput) keyed() bool { return !d.IsStream && d.AffinityKey != "" }
 
-// Choice is the engine for a request and what decided for it.
-type Choice struct {
+// Selection is the engine for a request and what decided for it.
+type Selection struct {
 	Candidate Candidate
-	// Missing is what the engine is expected to have to read, tokens.
-	Missing int64
-	// Cost is what the request is expected to cost there, milliseconds, and NextCost
+	// PrefillTokens is what the engine is expected to have to read, tokens.
+	PrefillTokens int64
+	// CostMs is what the request is expected to cost there, milliseconds, and NextCost
 	// what it would at the next best engine, 0 where there is none.
-	Cost     float64
-	NextCost float64
-	// HomeCost is what it would cost at the session's home, 0 where there is none.
-	HomeCost float64
-	// Pushed is how many tokens of running requests are expected to have to make way there.
-	Pushed int64
-	// Slowness is how many times longer than usual a token is expected to take there, and
+	CostMs         float64
+	NextBestCostMs float64
+	// AffineEngineCostMs is what it would cost at the session's home, 0 where there is none.
+	AffineEngineCostMs float64
+	// PreemptedTokens is how many tokens of running requests are expected to have to make way there.
+	PreemptedTokens int64
+	// Slowdown is how many times longer than usual a token is expected to take there, and
 	// HomeSlowness the same at the session's home, 0 where there is none.
-	Slowness     float64
-	HomeSlowness float64
-	// Moved says why the session leaves its home.
-	Moved Reason
+	Slowdown             float64
+	AffineEngineSlowdown float64
+	// MoveReason says why the session leaves its home.
+	MoveReason MoveReason
 
 	unsound, slow, full, far int
 }
 
-// Choose returns the engine for a request; false where there is none. Requests with a
+// SelectEngine returns the engine for a request; false where there is none. Requests with a
 // key go to one engine of the zone (rendezvous hashing, Thaler and Ravishankar, 1998)
 // while it has room. Of the others each compares its session's home and a few engines
 // drawn at random, and goes where it is expected to cost least, with what reading it anew
 // costs those that run beside it. Invariant: gateways that share one view, which is
 // always late, do not all choose the engine that looked best in it (Mitzenmacher, How
 // Useful Is Old Information, 2000).
-func Choose(pool *Pool, candidates []Candidate, demand Demand) (Choice, bool) {
-	var best, next Choice
+func SelectEngine(pool *LatencyModel, candidates []Candidate, demand SelectionInput) (Selection, bool) {
+	var best, next Selection
 	found, second := false, false
-	var home Choice
+	var home Selection
 	demand.slowFrom = slowFrom(candidates, demand.NowMs)
-	if demand.Disabled.Has(MechanismSlow) {
+	if demand.Disabled.Has(MechanismSlowDetection) {
 		demand.slowFrom = math.Inf(1)
 	}
-	if demand.Disabled.Has(MechanismHome) {
-		demand.Home = ""
+	if demand.Disabled.Has(MechanismSessionAffinity) {
+		demand.AffineEngine = ""
 	}
-	if demand.Stream && !demand.Disabled.Has(MechanismSpeed) {
+	if demand.IsStream && !demand.Disabled.Has(MechanismEngineSpeed) {
 		pool.learnSpeeds(candidates, demand.NowMs)
 	}
 	demand.meanInFlight = meanInFlight(candidates, demand.NowMs)
@@ -112,7 +112,7 @@
 	demand.quickest = quickest(chosen, demand.NowMs)
 	for _, candidate := range chosen {
 		choice := pool.weigh(candidate, demand)
-		if candidate.ID == demand.Home {
+		if candidate.ID == demand.AffineEngine {
 			home = choice
 		}
 		switch {
@@ -123,37 +123,37 @@
 			next, second = choice, true
 		}
 	}
-	best.NextCost = next.Cost
-	best.HomeCost = home.Cost
-	best.HomeSlowness = home.Candidate.slowness
-	best.Slowness = best.Candidate.slowness
-	best.Moved = moved(best, home, demand)
+	best.NextBestCostMs = next.CostMs
+	best.AffineEngineCostMs = home.CostMs
+	best.AffineEngineSlowdown = home.Candidate.slowness
+	best.Slowdown = best.Candidate.slowness
+	best.MoveReason = moved(best, home, demand)
 	return best, found
 }
 
-// Reason says why a session leaves the engine that holds what it has read.
-type Reason string
+// MoveReason says why a session leaves the engine that holds what it has read.
+type MoveReason string
 
 // The reasons.
 const (
-	// MovedNot is that of sessions that stay, or have no such engine.
-	MovedNot Reason = ""
-	// MovedGone says that the engine has left, drains or was tried already.
-	MovedGone Reason = "gone"
+	// NotMoved is that of sessions that stay, or have no such engine.
+	NotMoved MoveReason = ""
+	// MovedUnavailable says that the engine has left, drains or was tried already.
+	MovedUnavailable MoveReason = "gone"
 	// MovedSuspect says that requests have just failed there.
-	MovedSuspect Reason = "suspect"
+	MovedSuspect MoveReason = "suspect"
 	// MovedSlow says that the engine is slower than the one chosen.
-	MovedSlow Reason = "slow"
+	MovedSlow MoveReason = "slow"
 	// MovedCost says that it is dearer for another cause: more requests than slots, or distance.
-	MovedCost Reason = "cost"
+	MovedCost MoveReason = "cost"
 )
 
-func moved(best, home Choice, demand Demand) Reason {
+func moved(best, home Selection, demand SelectionInput) MoveReason {
 	switch {
-	case demand.Home == "" || best.Candidate.ID == demand.Home:
-		return MovedNot
+	case demand.AffineEngine == "" || best.Candidate.ID == demand.AffineEngine:
+		return NotMoved
 	case home.Candidate.ID == "":
-		return MovedGone
+		return MovedUnavailable
 	case home.unsound > best.unsound:
 		return MovedSuspect
 	case home.Candidate.slowness > best.Candidate.slowness:
@@ -163,61 +163,61 @@
 }
 
 // less orders choices; the first that differs decides.
-func (c Choice) less(other Choice) bool {
+func (c Selection) less(other Selection) bool {
 	return cmp.Or(
 		cmp.Compare(c.unsound, other.unsound),
 		cmp.Compare(c.slow, other.slow),
 		cmp.Compare(c.full, other.full),
 		cmp.Compare(c.far, other.far),
-		cmp.Compare(c.Cost, other.Cost),
+		cmp.Compare(c.CostMs, other.CostMs),
 		cmp.Compare(c.Candidate.order, other.Candidate.order),
 	) < 0
 }
 
 // weigh says what a request costs at an engine.
-func (p *Pool) weigh(candidate Candidate, demand Demand) Choice {
-	choice := Choice{Candidate: candidate, unsound: unsound(candidate, demand)}
+func (p *LatencyModel) weigh(candidate Candidate, demand SelectionInput) Selection {
+	choice := Selection{Candidate: candidate, unsound: unsound(candidate, demand)}
 	switch {
-	case demand.Stream:
-		choice.Missing = missingTokens(candidate, demand)
-		if !demand.Disabled.Has(MechanismMemory) {
-			choice.Pushed = pushedTokens(candidate, demand)
+	case demand.IsStream:
+		choice.PrefillTokens = missingTokens(candidate, demand)
+		if !demand.Disabled.Has(MechanismKVCacheCost) {
+			choice.PreemptedTokens = pushedTokens(candidate, demand)
 		}
-		choice.Cost = p.streamCost(candidate, demand, choice.Missing, choice.Pushed)
+		choice.CostMs = p.streamCost(candidate, demand, choice.PrefillTokens, choice.PreemptedTokens)
 	case demand.keyed():
 		choice.far = far(candidate, demand)
-		if candidate.Health.Factor(demand.NowMs) >= demand.slowFrom {
+		if candidate.Health.LatencyRatio(demand.NowMs) >= demand.slowFrom {
 			choice.slow = 1
 		}
-		if queueing(candidate, candidate.Health.Company(demand.NowMs)) > 0 {
+		if queueing(candidate, candidate.Health.EstimatedInFlight(demand.NowMs)) > 0 {
 			choice.full = 1
 		}
 	default:
-		choice.Cost = p.answerCost(candidate, demand)
+		choice.CostMs = p.answerCost(candidate, demand)
 	}
 	return choice
 }
 
-func unsound(candidate Candidate, demand Demand) int {
-	if !demand.Disabled.Has(MechanismSuspicion) && candidate.Health.Suspect(demand.NowMs) {
+func unsound(candidate Candidate, demand SelectionInput) int {
+	if !demand.Disabled.Has(MechanismSuspicion) && candidate.Health.IsSuspect(demand.NowMs) {
 		return 1
 	}
 	return 0
 }
 
-func far(candidate Candidate, demand Demand) int {
-	if !demand.Disabled.Has(MechanismZone) && candidate.Zone != demand.Zone {
+func far(candidate Candidate, demand SelectionInput) int {
+	if !demand.Disabled.Has(MechanismZonePreference) && candidate.Zone != demand.Zone {
 		return 1
 	}
 	return 0
 }
 
 // distanceMs is what it costs that an engine is in another zone.
-func distanceMs(candidate Candidate, demand Demand) float64 {
+func distanceMs(candidate Candidate, demand SelectionInput) float64 {
 	if far(candidate, demand) == 0 {
 		return 0
 	}
-	return demand.Distances.Ms(demand.Zone, candidate.Zone)
+	return demand.ZoneCosts.CostMs(demand.Zone, candidate.Zone)
 }
 
 // streamCost is the time that a stream is expected to take at an engine, with what it
@@ -230,15 +230,15 @@
 //
 // What running requests lose of the engine's memory to this one is read again, with as much
 // company: where all are short of memory, the fewest tokens are pushed out.
-func (p *Pool) streamCost(candidate Candidate, demand Demand, missing, pushed int64) float64 {
+func (p *LatencyModel) streamCost(candidate Candidate, demand SelectionInput, missing, pushed int64) float64 {
 	slowness := candidate.slowness
-	events := p.expectedEvents(demand.NowMs, demand.Events)
+	events := p.expectedEvents(demand.NowMs, demand.MaxEvents)
 	usual := p.streamMs(demand.NowMs, events)
-	company := candidate.Health.Company(demand.NowMs)
+	company := candidate.Health.EstimatedInFlight(demand.NowMs)
 	met, _ := p.company.At(demand.NowMs).own()
 	met = min(met, demand.meanInFlight)
 	tokenMs := p.tokenMs()
-	if demand.Disabled.Has(MechanismReading) {
+	if demand.Disabled.Has(MechanismPrefillCost) {
 		tokenMs = unknownTokenMs
 	}
 	readMs := tokenMs * (1 + met)
@@ -247,7 +247,7 @@
 	cost := slowness*(alone+float64(missing)*readAloneMs) + float64(missing)*(readMs-readAloneMs)
 	cost += demand.later(slowness, alone, readMs)
 	cost += slowness * float64(pushed) * readMs
-	switch demand.Home {
+	switch demand.AffineEngine {
 	case "":
 	case candidate.ID:
 		company = min(company, met)
@@ -255,7 +255,7 @@
 		company = max(company, met)
 	}
 	cost += slowness * queueing(candidate, company) * usual
-	if !demand.Disabled.Has(MechanismCompany) {
+	if !demand.Disabled.Has(MechanismBatchInterference) {
 		cost += slowness * sharedCost * company * p.companyMs(events, usual, candidate.Slots)
 	}
 	return cost + distanceMs(candidate, demand)
@@ -264,18 +264,18 @@
 // later is what the further turns of a session cost more than at the quickest engine with
 // room, where it goes on at one of some slowness. It is bounded by what moving the session at
 // its next turn would cost: one that can move cheaply need not care now.
-func (d Demand) later(slowness, usualMs, readMs float64) float64 {
-	if d.Turns <= 1 || d.quickest <= 0 || slowness <= d.quickest {
+func (d SelectionInput) later(slowness, usualMs, readMs float64) float64 {
+	if d.RemainingTurns <= 1 || d.quickest <= 0 || slowness <= d.quickest {
 		return 0
 	}
-	return min((d.Turns-1)*(slowness-d.quickest)*usualMs, d.quickest*float64(PromptTokens(d.Prompt))*readMs)
+	return min((d.RemainingTurns-1)*(slowness-d.quickest)*usualMs, d.quickest*float64(PromptTokens(d.Prompt))*readMs)
 }
 
 // meanInFlight returns the mean of the requests that are expected under way at engines.
 func meanInFlight(candidates []Candidate, nowMs int64) float64 {
 	total := 0.0
 	for _, candidate := range candidates {
-		total += candidate.Health.Company(nowMs)
+		total += candidate.Health.EstimatedInFlight(nowMs)
 	}
 	return total / float64(max(len(candidates), 1))
 }
@@ -284,7 +284,7 @@
 func quickest(candidates []Candidate, nowMs int64) float64 {
 	least := 0.0
 	for _, candidate := range candidates {
-		if queueing(candidate, candidate.Health.Company(nowMs)) == 0 && (least == 0 || candidate.slowness < least) {
+		if queueing(candidate, candidate.Health.EstimatedInFlight(nowMs)) == 0 && (least == 0 || candidate.slowness < least) {
 			least = candidate.slowness
 		}
 	}
@@ -295,13 +295,13 @@
 const sharedCost = 2
 
 // answerCost is the time until a whole answer is expected.
-func (p *Pool) answerCost(candidate Candidate, demand Demand) float64 {
-	usual := p.usual(demand.Kind, demand.NowMs)
-	factor := candidate.Health.Factor(demand.NowMs)
-	if demand.Disabled.Has(MechanismSlow) {
+func (p *LatencyModel) answerCost(candidate Candidate, demand SelectionInput) float64 {
+	usual := p.usual(demand.RequestKind, demand.NowMs)
+	factor := candidate.Health.LatencyRatio(demand.NowMs)
+	if demand.Disabled.Has(MechanismSlowDetection) {
 		factor = 1
 	}
-	company := candidate.Health.Company(demand.NowMs)
+	company := candidate.Health.EstimatedInFlight(demand.NowMs)
 	taken := 0.0
 	if candidate.Slots > 0 {
 		taken = min(company/float64(candidate.Slots), 1)
@@ -321,22 +321,22 @@
 // memory. What waits for a slot holds nothing yet. Memory is evened out as load is, by where
 // new sessions go: a session that leaves its engine is read anew elsewhere, which takes as much
 // memory there.
-func pushedTokens(candidate Candidate, demand Demand) int64 {
-	if candidate.MemoryTokens <= 0 || candidate.ID == demand.Home {
+func pushedTokens(candidate Candidate, demand SelectionInput) int64 {
+	if candidate.KVCacheCapacityTokens <= 0 || candidate.ID == demand.AffineEngine {
 		return 0
 	}
-	held := int64(candidate.Health.RunningTokens(demand.NowMs, candidate.Slots))
-	return max(min(held+demand.HoldTokens-candidate.MemoryTokens, demand.HoldTokens), 0)
+	held := int64(candidate.Health.RunningKVCacheTokens(demand.NowMs, candidate.Slots))
+	return max(min(held+demand.RequiredKVCacheTokens-candidate.KVCacheCapacityTokens, demand.RequiredKVCacheTokens), 0)
 }
 
 // missingTokens is what an engine must read of the prompt: at the session's home only the
 // last part, elsewhere all of it. What others have had an engine read of the shared first
 // parts is not known; it does not tell the engines apart.
-func missingTokens(candidate Candidate, demand Demand) int64 {
+func missingTokens(candidate Candidate, demand SelectionInput) int64 {
 	if len(demand.Prompt) == 0 {
 		return 0
 	}
-	if candidate.ID == demand.Home {
+	if candidate.ID == demand.AffineEngine {
 		return demand.Prompt[len(demand.Prompt)-1].Tokens
 	}
 	return PromptTokens(demand.Prompt)
--- a/internal/scheduling/closedloop_speed_test.go
+++ b/internal/scheduling/closedloop_speed_test.go
@@ -76,7 +76,7 @@
 				best, bestMs = number, cost
 			}
 		}
-		gateway.health[best].Sent(nowMs)
+		gateway.health[best].RecordStart(nowMs)
 		return best
 	}
 }
@@ -122,7 +122,7 @@
 	})
 	Convey("and less without the speeds, where there is room to choose", t, func() {
 		blind := func(*loop) decide {
-			return presentWithout(rand.New(rand.NewPCG(1, 4)), scheduling.Disabled{scheduling.MechanismSpeed})
+			return presentWithout(rand.New(rand.NewPCG(1, 4)), scheduling.DisabledMechanisms{scheduling.MechanismEngineSpeed})
 		}
 		for _, population := range []int{108, 176} {
 			learnt, _ := work(1, population, false, learning(1))
--- a/internal/scheduling/closedloop_test.go
+++ b/internal/scheduling/closedloop_test.go
@@ -45,12 +45,12 @@
 type loopGateway struct {
 	name   string
 	zone   int
-	pool   *scheduling.Pool
+	pool   *scheduling.LatencyModel
 	health []*scheduling.EngineHealth
 	// inFlight, wait and pace are what the earlier policy went by.
 	inFlight   []int
 	wait, pace []float64
-	admission  scheduling.Admission
+	admission  scheduling.AdmissionController
 }
 
 type loopProgram struct {
@@ -82,7 +82,7 @@
 	draw     *rand.Rand
 	models   []*emulator.Model
 	gateways []*loopGateway
-	board    *scheduling.Board
+	board    *scheduling.LoadAggregator
 	decide   decide
 	turns    map[string]*loopTurn
 	due      map[int64][]*loopProgram
@@ -117,7 +117,7 @@
 
 func newLoop(seed uint64, hardware engine.Hardware, policy decide) *loop {
 	l := &loop{
-		draw: rand.New(rand.NewPCG(seed, 3)), board: scheduling.NewBoard(), decide: policy,
+		draw: rand.New(rand.NewPCG(seed, 3)), board: scheduling.NewLoadAggregator(), decide: policy,
 		turns: map[string]*loopTurn{}, due: map[int64][]*loopProgram{}, first: map[int64][]float64{},
 		slots: hardware.MaxSequences, clocks: make([]float64, loopEngines),
 	}
@@ -126,7 +126,7 @@
 	}
 	for number := range loopGateways {
 		gateway := &loopGateway{
-			name: fmt.Sprint("g", number), zone: number % loopZones, pool: &scheduling.Pool{},
+			name: fmt.Sprint("g", number), zone: number % loopZones, pool: &scheduling.LatencyModel{},
 			inFlight: make([]int, loopEngines), wait: make([]float64, loopEngines), pace: make([]float64, loopEngines),
 		}
 		for range loopEngines {
@@ -188,9 +188,9 @@
 	gateway := l.gateways[l.draw.IntN(loopGateways)]
 	concurrency := 0.0
 	for _, health := range gateway.health {
-		concurrency += health.Company(nowMs) / loopEngines
+		concurrency += health.EstimatedInFlight(nowMs) / loopEngines
 	}
-	gateway.admission.Learn(nowMs, concurrency, loopSlots)
+	gateway.admission.UpdateLimit(nowMs, concurrency, loopSlots)
 	_, admitted := gateway.admission.Admit(concurrency, 0, 1, float64(program.id%97)/97)
 	return admitted
 }
@@ -226,14 +226,14 @@
 			if l.began != nil {
 				l.began(turn, took)
 			}
-			turn.gateway.pool.FirstEvent(health, nowMs, turn.missing, took)
-			turn.gateway.admission.Began(nowMs, took > loopTargetMs)
+			turn.gateway.pool.ObserveFirstEvent(health, nowMs, turn.missing, took)
+			turn.gateway.admission.ObserveStreamStart(nowMs, took > loopTargetMs)
 			turn.program.late = turn.program.late || took > loopTargetMs
 			turn.gateway.wait[number] += 0.1 * (took - turn.gateway.wait[number])
 			turn.lastMs = nowMs
 		case step.Generated%eventTokens == 0:
 			gap := float64(nowMs - turn.lastMs)
-			turn.gateway.pool.NextEvent(health, nowMs, gap)
+			turn.gateway.pool.ObserveEventGap(health, nowMs, gap)
 			turn.gateway.pace[number] += 0.015 * (gap - turn.gateway.pace[number])
 			if turn.pauses == 0 || gap < turn.shortest {
 				turn.shortest = gap
@@ -252,9 +252,9 @@
 	if l.onEnd != nil {
 		l.onEnd(turn, nowMs)
 	}
-	turn.gateway.health[number].Ended(nowMs)
-	turn.gateway.pool.StreamEnded(nowMs, outputTokens/eventTokens)
-	turn.gateway.pool.StreamPaced(turn.gateway.health[number], nowMs, turn.pauses, turn.shortest)
+	turn.gateway.health[number].RecordEnd(nowMs)
+	turn.gateway.pool.ObserveStreamLength(nowMs, outputTokens/eventTokens)
+	turn.gateway.pool.ObserveStreamPace(turn.gateway.health[number], nowMs, turn.pauses, turn.shortest)
 	if nowMs >= learntMs {
 		l.ended++
 	}
@@ -278,27 +278,27 @@
 
 // share is a gateway's heartbeat.
 func (l *loop) share(gateway *loopGateway, nowMs int64) {
-	var loads []scheduling.Load
-	var usages []scheduling.Usage
+	var loads []scheduling.EngineLoad
+	var usages []scheduling.EngineUsage
 	var names []string
 	for number, health := range gateway.health {
 		names = append(names, fmt.Sprintf("e%02d", number))
-		if usage, said := health.TakeUsage(names[number], nowMs); said {
+		if usage, said := health.CollectUsage(names[number], nowMs); said {
 			usages = append(usages, usage)
 		}
-		if load, said := health.TakeLoad(names[number], nowMs); said {
+		if load, said := health.CollectLoad(names[number], nowMs); said {
 			loads = append(loads, load)
 		}
 	}
-	l.board.Report(gateway.name, loads, nowMs)
+	l.board.ReportLoads(gateway.name, loads, nowMs)
 	l.board.ReportUsage(gateway.name, usages, nowMs)
 	for _, usage := range l.board.Usages(names, nowMs) {
-		gateway.health[slices.Index(names, usage.Engine)].TakeSharedUsage(usage, nowMs)
+		gateway.health[slices.Index(names, usage.Engine)].ApplySharedUsage(usage, nowMs)
 	}
 	for _, load := range l.board.Loads(names, nowMs) {
 		var number int
 		if _, err := fmt.Sscanf(load.Engine, "e%02d", &number); err == nil {
-			gateway.health[number].TakeShared(load, nowMs)
+			gateway.health[number].ApplySharedLoad(load, nowMs)
 		}
 	}
 }
@@ -323,9 +323,9 @@
 func present(draw *rand.Rand) decide { return presentWithout(draw, nil) }
 
 // presentWithout is the policy in force without some mechanisms.
-func presentWithout(draw *rand.Rand, disabled scheduling.Disabled) decide {
+func presentWithout(draw *rand.Rand, disabled scheduling.DisabledMechanisms) decide {
 	return func(gateway *loopGateway, turn *loopTurn, nowMs int64) int {
-		demand := scheduling.Demand{Stream: true, Zone: zoneName(gateway.zone), Events: 2 * outputTokens / eventTokens, Draw: draw.Uint64(), NowMs: nowMs, Disabled: disabled}
+		demand := scheduling.SelectionInput{IsStream: true, Zone: zoneName(gateway.zone), MaxEvents: 2 * outputTokens / eventTokens, ShuffleSeed: draw.Uint64(), NowMs: nowMs, Disabled: disabled}
 		for number, segment := range turn.program.history {
 			part := scheduling.PromptPart{ID: fmt.Sprint(segment.Chain), Tokens: segment.Tokens}
 			if number == 0 {
@@ -333,18 +333,18 @@
 			}
 			demand.Prompt = append(demand.Prompt, part)
 		}
-		demand.Turns = gateway.pool.RemainingTurns("", len(demand.Prompt))
-		gateway.pool.TurnSent("", len(demand.Prompt))
+		demand.RemainingTurns = gateway.pool.RemainingTurns("", len(demand.Prompt))
+		gateway.pool.ObserveTurn("", len(demand.Prompt))
 		if turn.program.home >= 0 {
-			demand.Home = fmt.Sprintf("e%02d", turn.program.home)
+			demand.AffineEngine = fmt.Sprintf("e%02d", turn.program.home)
 		}
 		var candidates []scheduling.Candidate
 		for number, health := range gateway.health {
 			candidates = append(candidates, scheduling.Candidate{ID: fmt.Sprintf("e%02d", number), Zone: zoneName(number % loopZones), Slots: turn.slots, Health: health})
 		}
-		choice, _ := scheduling.Choose(gateway.pool, candidates, demand)
-		choice.Candidate.Health.Sent(nowMs)
-		turn.missing = choice.Missing
+		choice, _ := scheduling.SelectEngine(gateway.pool, candidates, demand)
+		choice.Candidate.Health.RecordStart(nowMs)
+		turn.missing = choice.PrefillTokens
 		return slices.IndexFunc(candidates, func(c scheduling.Candidate) bool { return c.ID == choice.Candidate.ID })
 	}
 }
--- a/internal/scheduling/compared.go
+++ b/internal/scheduling/compared.go
@@ -17,21 +17,21 @@
 
 // compared returns the engines that a request compares: those that were not tried, and
 // where it has no key, its home and the first of each zone in an order of its own.
-func compared(candidates []Candidate, demand Demand) []Candidate {
+func compared(candidates []Candidate, demand SelectionInput) []Candidate {
 	left := make([]Candidate, 0, len(candidates))
 	for _, candidate := range candidates {
-		if slices.Contains(demand.Avoid, candidate.ID) {
+		if slices.Contains(demand.ExcludedEngines, candidate.ID) {
 			continue
 		}
 		candidate.slowness = demand.slownessOf(candidate.Health)
 		if demand.keyed() {
-			candidate.order = xxhash.Sum64String(candidate.ID + "\x00" + demand.Key)
+			candidate.order = xxhash.Sum64String(candidate.ID + "\x00" + demand.AffinityKey)
 		} else {
-			candidate.order = shuffled(candidate.ID, demand.Draw)
+			candidate.order = shuffled(candidate.ID, demand.ShuffleSeed)
 		}
 		left = append(left, candidate)
 	}
-	if demand.keyed() || demand.Disabled.Has(MechanismDrawing) {
+	if demand.keyed() || demand.Disabled.Has(MechanismCandidateSampling) {
 		return left
 	}
 	return firstOf(left, demand)
@@ -40,15 +40,15 @@
 // slownessOf returns how many times longer than usual a token of a stream is expected to take
 // at an engine: by what its streams have shown over some time, or where it is slow beyond what its
 // own speed explains, by the last of them.
-func (d Demand) slownessOf(health *EngineHealth) float64 {
-	if !d.Stream {
+func (d SelectionInput) slownessOf(health *EngineHealth) float64 {
+	if !d.IsStream {
 		return 1
 	}
 	slowness := 1.0
-	if !d.Disabled.Has(MechanismSpeed) {
-		slowness = health.Slowness()
+	if !d.Disabled.Has(MechanismEngineSpeed) {
+		slowness = health.Slowdown()
 	}
-	if factor := health.Factor(d.NowMs); factor >= d.slowFrom {
+	if factor := health.LatencyRatio(d.NowMs); factor >= d.slowFrom {
 		slowness = max(slowness, factor)
 	}
 	return slowness
@@ -64,7 +64,7 @@
 
 // firstOf returns the home and the first engines of the request's zone and of others,
 // sound ones before others, in the order of the request.
-func firstOf(candidates []Candidate, demand Demand) []Candidate {
+func firstOf(candidates []Candidate, demand SelectionInput) []Candidate {
 	slices.SortFunc(candidates, func(a, b Candidate) int {
 		return cmp.Or(cmp.Compare(unsound(a, demand), unsound(b, demand)), cmp.Compare(a.order, b.order))
 	})
@@ -76,7 +76,7 @@
 			left = &distant
 		}
 		switch {
-		case candidate.ID == demand.Home:
+		case candidate.ID == demand.AffineEngine:
 			chosen = append(chosen, candidate)
 		case *left > 0:
 			*left--
@@ -92,7 +92,7 @@
 func slowFrom(candidates []Candidate, nowMs int64) float64 {
 	factors := make([]float64, 0, len(candidates))
 	for _, candidate := range candidates {
-		factors = append(factors, candidate.Health.Factor(nowMs))
+		factors = append(factors, candidate.Health.LatencyRatio(nowMs))
 	}
 	middle := median(factors)
 	for position, factor := range factors {
--- a/internal/scheduling/distance.go
+++ b/internal/scheduling/distance.go
@@ -11,17 +11,17 @@
 	roundTripRise = 1.0 / 32
 )
 
-// Distances is what it costs to send to engines of other zones, as one gateway has learnt it.
-type Distances struct {
-	// PenaltyMs is what another zone costs however near it is, milliseconds.
-	PenaltyMs float64
+// ZoneCosts is what it costs to send to engines of other zones, as one gateway has learnt it.
+type ZoneCosts struct {
+	// CrossZonePenaltyMs is what another zone costs however near it is, milliseconds.
+	CrossZonePenaltyMs float64
 
 	// roundTrips are the round trips to engines by their zones, milliseconds.
 	roundTrips map[string]float64
 }
 
-// Note takes a measured round trip to an engine of a zone.
-func (d *Distances) Note(zone string, tookMs float64) {
+// ObserveRoundTrip takes a measured round trip to an engine of a zone.
+func (d *ZoneCosts) ObserveRoundTrip(zone string, tookMs float64) {
 	if d.roundTrips == nil {
 		d.roundTrips = map[string]float64{}
 	}
@@ -35,16 +35,16 @@
 	}
 }
 
-// Ms returns what an engine of another zone costs a request, beside one of its own: the penalty,
+// CostMs returns what an engine of another zone costs a request, beside one of its own: the penalty,
 // and what the way there and back takes longer where both ways have been measured.
-func (d *Distances) Ms(from, to string) float64 {
+func (d *ZoneCosts) CostMs(from, to string) float64 {
 	if d == nil {
 		return DefaultCrossZonePenaltyMs
 	}
 	near, nearKnown := d.roundTrips[from]
 	distant, distantKnown := d.roundTrips[to]
 	if !nearKnown || !distantKnown {
-		return d.PenaltyMs
+		return d.CrossZonePenaltyMs
 	}
-	return d.PenaltyMs + max(distant-near, 0)
+	return d.CrossZonePenaltyMs + max(distant-near, 0)
 }
--- a/internal/scheduling/distance_test.go
+++ b/internal/scheduling/distance_test.go
@@ -13,37 +13,37 @@
 func TestDistancesFollowTheWay(t *testing.T) {
 	Convey("two zones, 0.4 ms and 2.8 ms there and back, at busy processors", t, func() {
 		random := rand.New(rand.NewPCG(1, 2))
-		distances := &Distances{PenaltyMs: 20}
-		So(distances.Ms("a", "b"), ShouldEqual, 20)
+		distances := &ZoneCosts{CrossZonePenaltyMs: 20}
+		So(distances.CostMs("a", "b"), ShouldEqual, 20)
 		for range 200 {
-			distances.Note("a", 0.4+random.ExpFloat64()*3)
-			distances.Note("b", 2.8+random.ExpFloat64()*3)
+			distances.ObserveRoundTrip("a", 0.4+random.ExpFloat64()*3)
+			distances.ObserveRoundTrip("b", 2.8+random.ExpFloat64()*3)
 		}
-		So(distances.Ms("a", "b"), ShouldAlmostEqual, 22.4, 1)
-		So(distances.Ms("b", "a"), ShouldEqual, 20)
+		So(distances.CostMs("a", "b"), ShouldAlmostEqual, 22.4, 1)
+		So(distances.CostMs("b", "a"), ShouldEqual, 20)
 		Convey("a way that has become longer is known after some dozens of samples", func() {
 			for range 200 {
-				distances.Note("b", 16)
+				distances.ObserveRoundTrip("b", 16)
 			}
-			So(distances.Ms("a", "b"), ShouldAlmostEqual, 35.6, 1)
+			So(distances.CostMs("a", "b"), ShouldAlmostEqual, 35.6, 1)
 		})
 	})
 	Convey("whoever knows no distances takes the usual penalty", t, func() {
-		var unknown *Distances
-		So(unknown.Ms("a", "b"), ShouldEqual, DefaultCrossZonePenaltyMs)
+		var unknown *ZoneCosts
+		So(unknown.CostMs("a", "b"), ShouldEqual, DefaultCrossZonePenaltyMs)
 	})
 	Convey("the price is never below the penalty, nor above it by more than the longest way", t, func() {
 		rapid.Check(t, func(t *rapid.T) {
-			distances := &Distances{PenaltyMs: rapid.Float64Range(0, 100).Draw(t, "penalty")}
+			distances := &ZoneCosts{CrossZonePenaltyMs: rapid.Float64Range(0, 100).Draw(t, "penalty")}
 			longest := 0.0
 			for range rapid.IntRange(0, 50).Draw(t, "samples") {
 				took := rapid.Float64Range(0, 500).Draw(t, "took")
 				longest = max(longest, took)
-				distances.Note(rapid.SampledFrom([]string{"a", "b"}).Draw(t, "zone"), took)
+				distances.ObserveRoundTrip(rapid.SampledFrom([]string{"a", "b"}).Draw(t, "zone"), took)
 			}
-			price := distances.Ms("a", "b")
-			if price < distances.PenaltyMs || price > distances.PenaltyMs+longest+1e-6 {
-				t.Fatalf("price %g, penalty %g, longest way %g", price, distances.PenaltyMs, longest)
+			price := distances.CostMs("a", "b")
+			if price < distances.CrossZonePenaltyMs || price > distances.CrossZonePenaltyMs+longest+1e-6 {
+				t.Fatalf("price %g, penalty %g, longest way %g", price, distances.CrossZonePenaltyMs, longest)
 			}
 		})
 	})
--- a/internal/scheduling/evidence.go
+++ b/internal/scheduling/evidence.go
@@ -10,9 +10,9 @@
 	priorSamples = 2
 )
 
-// Evidence is a mean over samples that count less as they age. Sums of several
+// DecayedMean is a mean over samples that count less as they age. Sums of several
 // observers may be added up, which gives the mean over all their samples.
-type Evidence struct {
+type DecayedMean struct {
 	Sum    float64 `msgpack:"s"`
 	Weight float64 `msgpack:"w"`
 	// AtMs is when the sums were last brought up to date.
@@ -22,14 +22,14 @@
 }
 
 // Add takes a sample that counts for a weight.
-func (e *Evidence) Add(nowMs int64, sample, weight float64) {
+func (e *DecayedMean) Add(nowMs int64, sample, weight float64) {
 	e.ageTo(nowMs)
 	e.Sum += sample * weight
 	e.Weight += weight
 }
 
 // Merge adds another observer's samples, as they counted at nowMs.
-func (e *Evidence) Merge(nowMs int64, other Evidence) {
+func (e *DecayedMean) Merge(nowMs int64, other DecayedMean) {
 	e.ageTo(nowMs)
 	e.Sum += other.Sum
 	e.Weight += other.Weight
@@ -37,7 +37,7 @@
 
 // ageTo lets the samples lose weight up to nowMs; a clock that steps back changes
 // nothing.
-func (e *Evidence) ageTo(nowMs int64) {
+func (e *DecayedMean) ageTo(nowMs int64) {
 	if e.Weight > 0 && nowMs > e.AtMs {
 		halfLifeMs := e.HalfLifeMs
 		if halfLifeMs == 0 {
@@ -51,18 +51,18 @@
 }
 
 // At returns the evidence as it counts at nowMs.
-func (e Evidence) At(nowMs int64) Evidence {
+func (e DecayedMean) At(nowMs int64) DecayedMean {
 	e.ageTo(nowMs)
 	return e
 }
 
-// Mean returns the mean, drawn towards what is expected where the samples are few.
-func (e Evidence) Mean(expected float64) float64 {
+// ShrunkMean returns the mean, drawn towards what is expected where the samples are few.
+func (e DecayedMean) ShrunkMean(expected float64) float64 {
 	return (e.Sum + priorSamples*expected) / (e.Weight + priorSamples)
 }
 
 // own returns the mean of the samples alone; false where they count for nothing.
-func (e Evidence) own() (float64, bool) {
+func (e DecayedMean) own() (float64, bool) {
 	if e.Weight < minimumWeight {
 		return 0, false
 	}
@@ -82,15 +82,15 @@
 	clipDeviations = 2.5
 )
 
-// Line is a straight line fitted to samples by least squares; samples count less as
+// LinearFit is a straight line fitted to samples by least squares; samples count less as
 // they age and outliers are clipped.
-type Line struct {
+type LinearFit struct {
 	weight, sumX, sumY, sumXX, sumXY, sumYY float64
 	atMs                                    int64
 }
 
 // Add takes the sample y at x.
-func (l *Line) Add(nowMs int64, x, y float64) {
+func (l *LinearFit) Add(nowMs int64, x, y float64) {
 	if l.weight > 0 && nowMs > l.atMs {
 		factor := math.Exp2(-float64(nowMs-l.atMs) / lineHalfLifeMs)
 		l.weight *= factor
@@ -113,7 +113,7 @@
 }
 
 // clipped bounds a sample to what the line and the spread around it make likely.
-func (l *Line) clipped(x, y float64) float64 {
+func (l *LinearFit) clipped(x, y float64) float64 {
 	slope, residual, _ := l.fit()
 	expected := l.sumY/l.weight + slope*(x-l.sumX/l.weight)
 	reach := clipDeviations * math.Sqrt(residual)
@@ -122,7 +122,7 @@
 
 // fit returns the slope, the variance around the line and that of x; a slope of 0 where
 // x does not vary.
-func (l *Line) fit() (slope, residual, varianceX float64) {
+func (l *LinearFit) fit() (slope, residual, varianceX float64) {
 	meanX := l.sumX / l.weight
 	meanY := l.sumY / l.weight
 	varianceX = max(l.sumXX/l.weight-meanX*meanX, 0)
@@ -144,7 +144,7 @@
 
 // Slope returns the slope where the samples show one above zero beyond chance, false
 // where they do not.
-func (l *Line) Slope() (float64, bool) {
+func (l *LinearFit) Slope() (float64, bool) {
 	if l.weight < lineSamples {
 		return 0, false
 	}
@@ -160,7 +160,7 @@
 
 // Intercept returns what the line gives at zero, at least 0, or the mean of the samples where
 // they show no slope; false where there are none.
-func (l *Line) Intercept() (float64, bool) {
+func (l *LinearFit) Intercept() (float64, bool) {
 	if l.weight < minimumWeight {
 		return 0, false
 	}
--- a/internal/scheduling/fairshare_test.go
+++ b/internal/scheduling/fairshare_test.go
@@ -38,9 +38,9 @@
 type fairLoop struct {
 	*loop
 	hot, shares bool
-	uses        *admission.UseBoard
-	meters      []*admission.Meter
-	held        []*admission.Shares
+	uses        *admission.UsageAggregator
+	meters      []*admission.UsageMeter
+	held        []*admission.FairShares
 	tenantOf    map[int]int
 	// times are first events of turns of all tenants but the large one, sent while the burst
 	// lasts, settled those of them sent once what was begun before the shares were known is over.
@@ -54,11 +54,11 @@
 func newFairLoop(seed uint64, hot, shares bool) *fairLoop {
 	f := &fairLoop{
 		loop: newLoop(seed, fairHardware, present(rand.New(rand.NewPCG(seed, 4)))), hot: hot, shares: shares,
-		uses: admission.NewUseBoard(), tenantOf: map[int]int{}, rejectedOf: map[int]int{}, begun: map[int]int{},
+		uses: admission.NewUsageAggregator(), tenantOf: map[int]int{}, rejectedOf: map[int]int{}, begun: map[int]int{},
 	}
 	for range f.gateways {
-		f.meters = append(f.meters, admission.NewMeter(0))
-		f.held = append(f.held, &admission.Shares{})
+		f.meters = append(f.meters, admission.NewUsageMeter(0))
+		f.held = append(f.held, &admission.FairShares{})
 	}
 	f.began = func(turn *loopTurn, tookMs float64) {
 		if turn.sentMs < fairFromMs || turn.sentMs >= fairToMs || f.tenantOf[turn.program.id] == 0 {
@@ -84,7 +84,7 @@
 func (f *fairLoop) change(turn *loopTurn, change int, nowMs int64) {
 	tenant := f.tenantOf[turn.program.id]
 	number := slices.Index(f.gateways, turn.gateway)
-	f.meters[number].Change("b", fmt.Sprint(tenant), f.weight(tenant), change, nowMs)
+	f.meters[number].AdjustInFlight("b", fmt.Sprint(tenant), f.weight(tenant), change, nowMs)
 }
 
 // counted is the policy with the use of tenants counted.
@@ -115,7 +115,7 @@
 	}
 	f.loop.begun++
 	f.begun[tenant]++
-	f.meters[number].Begun("b", fmt.Sprint(tenant), f.weight(tenant), nowMs)
+	f.meters[number].RecordProgramStart("b", fmt.Sprint(tenant), f.weight(tenant), nowMs)
 	f.send(program, nowMs)
 }
 
@@ -123,15 +123,15 @@
 	gateway := f.gateways[number]
 	concurrency := 0.0
 	for _, health := range gateway.health {
-		concurrency += health.Company(nowMs) / loopEngines
+		concurrency += health.EstimatedInFlight(nowMs) / loopEngines
 	}
-	gateway.admission.Learn(nowMs, concurrency, fairSlots)
+	gateway.admission.UpdateLimit(nowMs, concurrency, fairSlots)
 	draw := float64(program.id%97) / 97
-	position := admission.Position{}
+	position := admission.ShareStatus{}
 	if f.shares {
-		position = f.held[number].Of("b", fmt.Sprint(tenant), admission.Room(fairSlots, gateway.admission.Room())*loopEngines, nowMs)
+		position = f.held[number].Status("b", fmt.Sprint(tenant), admission.UsableConcurrency(fairSlots, gateway.admission.UnrestrictedConcurrency())*loopEngines, nowMs)
 	}
-	if position.Above {
+	if position.AboveFairShare {
 		_, admitted := position.Admit(draw)
 		return admitted
 	}
@@ -145,8 +145,8 @@
 // heartbeat is a gateway's, with the use of its tenants.
 func (f *fairLoop) heartbeat(number int, nowMs int64) {
 	f.share(f.gateways[number], nowMs)
-	f.uses.Report(f.gateways[number].name, f.meters[number].Read(nowMs, func(string) bool { return true }), nowMs)
-	f.held[number].Take(f.uses.Sums(nowMs), nowMs)
+	f.uses.ReportUsage(f.gateways[number].name, f.meters[number].CollectUsage(nowMs, func(string) bool { return true }), nowMs)
+	f.held[number].ApplyUsage(f.uses.Totals(nowMs), nowMs)
 }
 
 func (f *fairLoop) play() {
--- a/internal/scheduling/health.go
+++ b/internal/scheduling/health.go
@@ -16,9 +16,9 @@
 	// own is what this gateway's requests have shown of the time that things take at the
 	// engine, as a multiple of what is usual; news is what of it was not reported yet, and
 	// shared what all gateways together have said.
-	own    Evidence
-	news   Evidence
-	shared Evidence
+	own    DecayedMean
+	news   DecayedMean
+	shared DecayedMean
 	// pace is what is known of the engine's speed over a longer time.
 	pace enginePace
 	// held is what requests under way take of the engine's memory.
@@ -75,14 +75,14 @@
 	return shortest, true
 }
 
-// Sent notes a request that goes to the engine.
-func (h *EngineHealth) Sent(nowMs int64) {
+// RecordStart notes a request that goes to the engine.
+func (h *EngineHealth) RecordStart(nowMs int64) {
 	h.count(nowMs)
 	h.InFlight++
 }
 
-// Ended takes a request off the engine.
-func (h *EngineHealth) Ended(nowMs int64) {
+// RecordEnd takes a request off the engine.
+func (h *EngineHealth) RecordEnd(nowMs int64) {
 	h.count(nowMs)
 	h.InFlight = max(h.InFlight-1, 0)
 }
@@ -93,35 +93,35 @@
 	h.busyMs = max(h.busyMs, nowMs)
 }
 
-// Failed notes a request that the engine broke off or did not take.
-func (h *EngineHealth) Failed(nowMs int64) {
+// RecordFailure notes a request that the engine broke off or did not take.
+func (h *EngineHealth) RecordFailure(nowMs int64) {
 	h.failures++
 	pause := int64(firstSuspicionMs) << min(h.failures-1, 8)
 	h.suspectUntilMs = nowMs + min(pause, longestSuspicionMs)
 	h.failedMs = nowMs
 }
 
-// Succeeded notes a whole answer.
-func (h *EngineHealth) Succeeded() {
+// RecordSuccess notes a whole answer.
+func (h *EngineHealth) RecordSuccess() {
 	h.failures = 0
 	h.suspectUntilMs = 0
 	h.sharedSuspectUntilMs = 0
 }
 
-// Suspect reports whether the engine is passed over for its failures.
-func (h *EngineHealth) Suspect(nowMs int64) bool {
+// IsSuspect reports whether the engine is passed over for its failures.
+func (h *EngineHealth) IsSuspect(nowMs int64) bool {
 	return nowMs < max(h.suspectUntilMs, h.sharedSuspectUntilMs)
 }
 
-// Failing reports whether this gateway's own requests failed since its last report or two,
+// IsFailing reports whether this gateway's own requests failed since its last report or two,
 // and none has succeeded since.
-func (h *EngineHealth) Failing(nowMs int64) bool {
+func (h *EngineHealth) IsFailing(nowMs int64) bool {
 	return h.failures > 0 && nowMs-h.failedMs <= failingMs
 }
 
-// TakeSharedSuspicion passes the engine over for a time, because requests of several others
+// ApplySharedSuspicion passes the engine over for a time, because requests of several others
 // failed there.
-func (h *EngineHealth) TakeSharedSuspicion(nowMs int64) {
+func (h *EngineHealth) ApplySharedSuspicion(nowMs int64) {
 	h.sharedSuspectUntilMs = nowMs + sharedSuspicionMs
 }
 
@@ -131,53 +131,53 @@
 	h.news.Add(nowMs, factor, 1)
 }
 
-// Factor is how many times longer than at the other engines things take at this one, as
+// LatencyRatio is how many times longer than at the other engines things take at this one, as
 // far as this gateway and all together have seen.
-func (h *EngineHealth) Factor(nowMs int64) float64 {
+func (h *EngineHealth) LatencyRatio(nowMs int64) float64 {
 	known := h.own
 	known.Merge(nowMs, h.shared.At(nowMs))
-	return known.Mean(1)
+	return known.ShrunkMean(1)
 }
 
-// Company is how many requests of all gateways are expected to be at the engine.
-func (h *EngineHealth) Company(nowMs int64) float64 {
-	if !h.SharedLately(nowMs) {
+// EstimatedInFlight is how many requests of all gateways are expected to be at the engine.
+func (h *EngineHealth) EstimatedInFlight(nowMs int64) float64 {
+	if !h.HasRecentSharedLoad(nowMs) {
 		return float64(h.InFlight)
 	}
 	return max(h.sharedInFlight-h.reportedInFlight, 0) + float64(h.InFlight)
 }
 
-// SharedLately reports whether other gateways have spoken of the engine lately.
-func (h *EngineHealth) SharedLately(nowMs int64) bool {
+// HasRecentSharedLoad reports whether other gateways have spoken of the engine lately.
+func (h *EngineHealth) HasRecentSharedLoad(nowMs int64) bool {
 	return h.sharedMs > 0 && nowMs-h.sharedMs <= loadForgottenMs
 }
 
-// SharedAgeMs is how old what other gateways have said is, -1 where nothing is known.
-func (h *EngineHealth) SharedAgeMs(nowMs int64) int64 {
+// SharedLoadAgeMs is how old what other gateways have said is, -1 where nothing is known.
+func (h *EngineHealth) SharedLoadAgeMs(nowMs int64) int64 {
 	if h.sharedMs == 0 {
 		return -1
 	}
 	return nowMs - h.sharedMs
 }
 
-// TakeLoad returns what is new since the last call, for the report to all; false where
+// CollectLoad returns what is new since the last call, for the report to all; false where
 // there is nothing to say.
-func (h *EngineHealth) TakeLoad(engine string, nowMs int64) (Load, bool) {
+func (h *EngineHealth) CollectLoad(engine string, nowMs int64) (EngineLoad, bool) {
 	h.count(nowMs)
 	elapsed := max(nowMs-h.reportedMs, 1)
 	mean := h.busy / float64(elapsed)
-	load := Load{Engine: engine, InFlight: float32(mean), Factor: h.news.samples(nowMs)}
-	said := mean > 0 || h.reportedInFlight > 0 || load.Factor.Weight > minimumWeight
+	load := EngineLoad{Engine: engine, InFlight: float32(mean), LatencyRatios: h.news.samples(nowMs)}
+	said := mean > 0 || h.reportedInFlight > 0 || load.LatencyRatios.Weight > minimumWeight
 	h.busy = 0
 	h.reportedMs = nowMs
 	h.reportedInFlight = mean
-	h.news = Evidence{}
+	h.news = DecayedMean{}
 	return load, said
 }
 
-// TakeShared takes what all gateways together know.
-func (h *EngineHealth) TakeShared(load Load, nowMs int64) {
-	h.shared = load.Factor.evidence(nowMs)
+// ApplySharedLoad takes what all gateways together know.
+func (h *EngineHealth) ApplySharedLoad(load EngineLoad, nowMs int64) {
+	h.shared = load.LatencyRatios.evidence(nowMs)
 	h.sharedInFlight = max(float64(load.InFlight), 0)
 	h.sharedMs = nowMs
 }
--- a/internal/scheduling/limits.go
+++ b/internal/scheduling/limits.go
@@ -13,7 +13,7 @@
 }
 
 // drainMs estimates how long the pool needs for the calls that wait now.
-func (c *Cell) drainMs(pool string) int64 {
+func (c *CellScheduler) drainMs(pool string) int64 {
 	var total int64
 	for _, call := range c.Waiting {
 		if call.Pool == pool {
@@ -24,7 +24,7 @@
 }
 
 // aheadMs estimates how long the calls take that would go before this one.
-func (c *Cell) aheadMs(call *Call, nowMs int64) int64 {
+func (c *CellScheduler) aheadMs(call *Call, nowMs int64) int64 {
 	var total int64
 	own := c.effectiveRank(call, nowMs)
 	for _, other := range c.Waiting {
@@ -35,7 +35,7 @@
 	return total / 1000 / int64(max(1, c.slots(call.Pool)))
 }
 
-func (c *Cell) slots(pool string) int {
+func (c *CellScheduler) slots(pool string) int {
 	slots := 0
 	for _, engine := range c.Engines {
 		if engine.Pool == pool && engine.Ready && !engine.Closed {
@@ -46,11 +46,11 @@
 }
 
 // costMicros is the time a call takes on the pool's first engine in a full batch.
-func (c *Cell) costMicros(call *Call) int64 {
+func (c *CellScheduler) costMicros(call *Call) int64 {
 	for _, engine := range c.Engines {
 		if engine.Pool == call.Pool && engine.Ready {
-			step := engine.StepMicros + int64(engine.Slots)*engine.SequenceMicros
-			return call.OutputTokens*step + call.PromptTokens*1_000_000/max(1, engine.PrefillPerSecond)
+			step := engine.StepMicros + int64(engine.Slots)*engine.StepMicrosPerSequence
+			return call.OutputTokens*step + call.PromptTokens*1_000_000/max(1, engine.PrefillTokensPerSecond)
 		}
 	}
 	return 0
@@ -58,7 +58,7 @@
 
 // TenantLimits are a tenant's limits for the whole fleet; zero is no limit.
 type TenantLimits struct {
-	InFlight        int64
+	MaxInFlight     int64
 	TokensPerSecond int64
 }
 
@@ -68,28 +68,28 @@
 	perSec   int64
 }
 
-// Tenants counts what tenants use at one scheduler. Each of n schedulers allows
+// TenantLimiter counts what tenants use at one scheduler. Each of n schedulers allows
 // its n-th part of a limit, at least one call, so that the sum holds without a
 // message between schedulers.
-type Tenants struct {
+type TenantLimiter struct {
 	states map[string]*tenantState
 }
 
-// NewTenants returns counts of zero.
-func NewTenants() *Tenants {
-	return &Tenants{states: map[string]*tenantState{}}
+// NewTenantLimiter returns counts of zero.
+func NewTenantLimiter() *TenantLimiter {
+	return &TenantLimiter{states: map[string]*tenantState{}}
 }
 
-// Take counts a call of a tenant, or refuses it. Calls without a limit count as
+// Acquire counts a call of a tenant, or refuses it. Calls without a limit count as
 // well, since a limit may be set while they run.
-func (t *Tenants) Take(tenant string, limits TenantLimits, tokens int64, schedulers int, nowMs int64) *result.Error {
+func (t *TenantLimiter) Acquire(tenant string, limits TenantLimits, tokens int64, schedulers int, nowMs int64) *result.Error {
 	state, ok := t.states[tenant]
 	if !ok {
 		state = &tenantState{}
 		t.states[tenant] = state
 	}
 	share := func(limit int64) int64 { return max(1, limit/int64(max(1, schedulers))) }
-	if limits.InFlight > 0 && state.inFlight >= share(limits.InFlight) {
+	if limits.MaxInFlight > 0 && state.inFlight >= share(limits.MaxInFlight) {
 		return result.New(result.TenantLimit, "tenant %q has %d calls in flight here", tenant, state.inFlight)
 	}
 	if limits.TokensPerSecond > 0 {
@@ -112,8 +112,8 @@
 	return nil
 }
 
-// Give counts the end of a call that Take allowed.
-func (t *Tenants) Give(tenant string) {
+// Release counts the end of a call that Take allowed.
+func (t *TenantLimiter) Release(tenant string) {
 	state, ok := t.states[tenant]
 	if !ok {
 		return
--- a/internal/scheduling/load.go
+++ b/internal/scheduling/load.go
@@ -2,29 +2,29 @@
 
 import "math"
 
-// Load is what observers know of one engine: one gateway since its last report, or all
+// EngineLoad is what observers know of one engine: one gateway since its last report, or all
 // gateways together.
-type Load struct {
+type EngineLoad struct {
 	//lint:ignore U1000 It tells the codec to leave the fields' names out.
 	_msgpack struct{} `msgpack:",as_array"`
 	Engine   string
 	// InFlight is how many requests were under way, on the mean since the last report.
 	InFlight float32
-	// Factor are samples of how many times longer than usual things took there.
-	Factor Samples
+	// LatencyRatios are samples of how many times longer than usual things took there.
+	LatencyRatios WeightedSum
 }
 
-// LateShare is what observers know of the streams of one back end: how many began, and how
+// StreamLateness is what observers know of the streams of one back end: how many began, and how
 // many of these later than their target.
-type LateShare struct {
+type StreamLateness struct {
 	//lint:ignore U1000 As above.
 	_msgpack struct{} `msgpack:",as_array"`
 	Backend  string
-	Streams  Samples
+	Streams  WeightedSum
 }
 
-// Samples are the sums of some evidence without its time.
-type Samples struct {
+// WeightedSum are the sums of some evidence without its time.
+type WeightedSum struct {
 	//lint:ignore U1000 As above.
 	_msgpack struct{} `msgpack:",as_array"`
 	Sum      float32
@@ -33,13 +33,13 @@
 
 // sound reports whether the sums can be counted: whatever comes over the network must
 // not make a mean of nothing.
-func (s Samples) sound() bool {
+func (s WeightedSum) sound() bool {
 	sum, weight := float64(s.Sum), float64(s.Weight)
 	return weight > 0 && sum >= 0 && !math.IsInf(sum, 0) && !math.IsInf(weight, 0) && !math.IsNaN(sum) && !math.IsNaN(weight)
 }
 
 // Mean returns the mean of the samples, 0 where there are none.
-func (s Samples) Mean() float64 {
+func (s WeightedSum) Mean() float64 {
 	if !s.sound() {
 		return 0
 	}
@@ -47,17 +47,17 @@
 }
 
 // evidence returns the samples as they count at nowMs.
-func (s Samples) evidence(nowMs int64) Evidence {
+func (s WeightedSum) evidence(nowMs int64) DecayedMean {
 	if !s.sound() {
-		return Evidence{AtMs: nowMs}
+		return DecayedMean{AtMs: nowMs}
 	}
-	return Evidence{Sum: float64(s.Sum), Weight: float64(s.Weight), AtMs: nowMs}
+	return DecayedMean{Sum: float64(s.Sum), Weight: float64(s.Weight), AtMs: nowMs}
 }
 
 // samples returns evidence as it counts at nowMs without its time.
-func (e Evidence) samples(nowMs int64) Samples {
+func (e DecayedMean) samples(nowMs int64) WeightedSum {
 	aged := e.At(nowMs)
-	return Samples{Sum: float32(aged.Sum), Weight: float32(aged.Weight)}
+	return WeightedSum{Sum: float32(aged.Sum), Weight: float32(aged.Weight)}
 }
 
 const (
@@ -71,7 +71,7 @@
 
 // boardEntry is what a board knows of one engine.
 type boardEntry struct {
-	factor Evidence
+	factor DecayedMean
 	// inFlight is what each gateway said last, and total their sum, kept as they report: to add
 	// them up for each answer would cost as many steps as there are pairs of gateway and engine.
 	inFlight map[string]boardCount
@@ -112,13 +112,13 @@
 	atMs     int64
 }
 
-// Board adds up what gateways report of engines, so that each learns from the requests
+// LoadAggregator adds up what gateways report of engines, so that each learns from the requests
 // of all. It is soft state: one that is empty says nothing, and what it says is only
 // ever a hint. Times are in milliseconds.
-type Board struct {
+type LoadAggregator struct {
 	engines map[string]*boardEntry
 	// late holds the streams of each back end.
-	late map[string]*Evidence
+	late map[string]*DecayedMean
 	// failing are the gateways whose requests fail at an engine, with when they last said so.
 	failing map[string]map[string]witness
 	// usages holds what is known of engines over a longer time than their loads.
@@ -128,20 +128,20 @@
 	expiredMs int64
 }
 
-// NewBoard returns a board that has heard nothing.
-func NewBoard() *Board {
-	return &Board{engines: map[string]*boardEntry{}, late: map[string]*Evidence{}, failing: map[string]map[string]witness{}, usages: map[string]*usageEntry{}}
+// NewLoadAggregator returns a board that has heard nothing.
+func NewLoadAggregator() *LoadAggregator {
+	return &LoadAggregator{engines: map[string]*boardEntry{}, late: map[string]*DecayedMean{}, failing: map[string]map[string]witness{}, usages: map[string]*usageEntry{}}
 }
 
 // maxLateShares bounds the back ends of one report.
 const maxLateShares = 64
 
-// ReportLate takes what a gateway has seen of streams since its last report.
-func (b *Board) ReportLate(shares []LateShare, nowMs int64) {
+// ReportStreamLateness takes what a gateway has seen of streams since its last report.
+func (b *LoadAggregator) ReportStreamLateness(shares []StreamLateness, nowMs int64) {
 	for _, share := range shares[:min(len(shares), maxLateShares)] {
 		known := b.late[share.Backend]
 		if known == nil {
-			known = &Evidence{}
+			known = &DecayedMean{}
 			b.late[share.Backend] = known
 		}
 		known.Merge(nowMs, share.Streams.evidence(nowMs))
@@ -153,18 +153,18 @@
 	}
 }
 
-// Late returns what all gateways together have seen of streams.
-func (b *Board) Late(nowMs int64) []LateShare {
-	var shares []LateShare
+// StreamLateness returns what all gateways together have seen of streams.
+func (b *LoadAggregator) StreamLateness(nowMs int64) []StreamLateness {
+	var shares []StreamLateness
 	for backend, known := range b.late {
-		shares = append(shares, LateShare{Backend: backend, Streams: known.samples(nowMs)})
+		shares = append(shares, StreamLateness{Backend: backend, Streams: known.samples(nowMs)})
 	}
 	return shares
 }
 
-// Report takes what a gateway says of engines that there are: the caller leaves others out,
+// ReportLoads takes what a gateway says of engines that there are: the caller leaves others out,
 // so that a board never holds more than the fleet.
-func (b *Board) Report(gateway string, loads []Load, nowMs int64) {
+func (b *LoadAggregator) ReportLoads(gateway string, loads []EngineLoad, nowMs int64) {
 	for _, load := range loads {
 		entry, known := b.engines[load.Engine]
 		if !known {
@@ -172,7 +172,7 @@
 			b.engines[load.Engine] = entry
 		}
 		entry.heardMs = nowMs
-		entry.factor.Merge(nowMs, load.Factor.evidence(nowMs))
+		entry.factor.Merge(nowMs, load.LatencyRatios.evidence(nowMs))
 		if inFlight := float64(load.InFlight); inFlight >= 0 && !math.IsInf(inFlight, 0) {
 			entry.count(gateway, inFlight, nowMs)
 		}
@@ -183,15 +183,15 @@
 	}
 }
 
-// Forget drops what is known of an engine, which has started again.
-func (b *Board) Forget(engine string) {
+// ForgetEngine drops what is known of an engine, which has started again.
+func (b *LoadAggregator) ForgetEngine(engine string) {
 	delete(b.usages, engine)
 	delete(b.engines, engine)
 	delete(b.failing, engine)
 }
 
 // sweep forgets engines that nobody speaks of any more and gateways that fell silent.
-func (b *Board) sweep(nowMs int64) {
+func (b *LoadAggregator) sweep(nowMs int64) {
 	b.sweepFailing(nowMs)
 	b.sweepUsages(nowMs)
 	for engine, entry := range b.engines {
@@ -203,7 +203,7 @@
 
 // expire takes out what gateways said too long ago, so often at the most that it costs little
 // beside their reports.
-func (b *Board) expire(nowMs int64) {
+func (b *LoadAggregator) expire(nowMs int64) {
 	if nowMs-b.expiredMs < loadExpireMs {
 		return
 	}
@@ -215,9 +215,9 @@
 
 // Loads returns what all gateways together know of the engines named; those of which nobody
 // has spoken lately are left out.
-func (b *Board) Loads(engines []string, nowMs int64) []Load {
+func (b *LoadAggregator) Loads(engines []string, nowMs int64) []EngineLoad {
 	b.expire(nowMs)
-	var loads []Load
+	var loads []EngineLoad
 	for _, engine := range engines {
 		if entry, known := b.engines[engine]; known {
 			loads = append(loads, entry.load(engine, nowMs))
@@ -227,7 +227,7 @@
 }
 
 // InFlight returns how many requests all gateways together have under way at an engine.
-func (b *Board) InFlight(engine string, nowMs int64) float64 {
+func (b *LoadAggregator) InFlight(engine string, nowMs int64) float64 {
 	b.expire(nowMs)
 	entry, known := b.engines[engine]
 	if !known {
@@ -236,6 +236,6 @@
 	return max(entry.total, 0)
 }
 
-func (e *boardEntry) load(engine string, nowMs int64) Load {
-	return Load{Engine: engine, InFlight: float32(max(e.total, 0)), Factor: e.factor.samples(nowMs)}
+func (e *boardEntry) load(engine string, nowMs int64) EngineLoad {
+	return EngineLoad{Engine: engine, InFlight: float32(max(e.total, 0)), LatencyRatios: e.factor.samples(nowMs)}
 }
--- a/internal/scheduling/mechanism_test.go
+++ b/internal/scheduling/mechanism_test.go
@@ -8,43 +8,43 @@
 
 func TestDisabled(t *testing.T) {
 	// share is how many of 200 requests go to engine e0.
-	share := func(pool *Pool, all []Candidate, demand Demand, disabled ...Mechanism) int {
+	share := func(pool *LatencyModel, all []Candidate, demand SelectionInput, disabled ...Mechanism) int {
 		demand.Disabled = disabled
 		count := 0
 		for number := range 200 {
-			demand.Draw = draw(number)
+			demand.ShuffleSeed = draw(number)
 			if choose(pool, all, demand).ID == "e0" {
 				count++
 			}
 		}
 		return count
 	}
-	stream := Demand{Stream: true, Zone: "near", Events: 10, NowMs: 1000, Prompt: []PromptPart{{"shared", 2000}, {"own", 3000}, {"new", 300}}}
+	stream := SelectionInput{IsStream: true, Zone: "near", MaxEvents: 10, NowMs: 1000, Prompt: []PromptPart{{"shared", 2000}, {"own", 3000}, {"new", 300}}}
 	Convey("each mechanism moves requests, and does not once it is turned off", t, func() {
 		for mechanism, row := range map[Mechanism]struct {
-			prepare func(pool *Pool, all []Candidate, demand *Demand)
+			prepare func(pool *LatencyModel, all []Candidate, demand *SelectionInput)
 			on, off [2]int
 		}{
-			MechanismHome: {func(_ *Pool, _ []Candidate, demand *Demand) { demand.Home = "e0" }, [2]int{200, 200}, [2]int{0, 120}},
-			MechanismReading: {func(pool *Pool, all []Candidate, demand *Demand) {
-				demand.Home = "e0"
+			MechanismSessionAffinity: {func(_ *LatencyModel, _ []Candidate, demand *SelectionInput) { demand.AffineEngine = "e0" }, [2]int{200, 200}, [2]int{0, 120}},
+			MechanismPrefillCost: {func(pool *LatencyModel, all []Candidate, demand *SelectionInput) {
+				demand.AffineEngine = "e0"
 				streams(pool, all, 30, 60, map[int][2]float64{0: {120, 120}})
 			}, [2]int{0, 0}, [2]int{200, 200}},
-			MechanismSlow: {func(pool *Pool, all []Candidate, demand *Demand) {
+			MechanismSlowDetection: {func(pool *LatencyModel, all []Candidate, demand *SelectionInput) {
 				streams(pool, all, 30, 60, map[int][2]float64{0: {300, 300}})
 			}, [2]int{0, 0}, [2]int{20, 120}},
-			MechanismSuspicion: {func(_ *Pool, all []Candidate, _ *Demand) { all[0].Health.Failed(1000) }, [2]int{0, 0}, [2]int{20, 120}},
-			MechanismDrawing: {func(_ *Pool, all []Candidate, _ *Demand) {
+			MechanismSuspicion: {func(_ *LatencyModel, all []Candidate, _ *SelectionInput) { all[0].Health.RecordFailure(1000) }, [2]int{0, 0}, [2]int{20, 120}},
+			MechanismCandidateSampling: {func(_ *LatencyModel, all []Candidate, _ *SelectionInput) {
 				for _, candidate := range all[1:] {
 					candidate.Health.InFlight = 3
 				}
 			}, [2]int{20, 140}, [2]int{200, 200}},
-			MechanismZone: {func(_ *Pool, all []Candidate, _ *Demand) {
+			MechanismZonePreference: {func(_ *LatencyModel, all []Candidate, _ *SelectionInput) {
 				for number := range all[1:] {
 					all[number+1].Zone = "far"
 				}
 			}, [2]int{200, 200}, [2]int{20, 190}},
-			MechanismCompany: {func(pool *Pool, all []Candidate, _ *Demand) {
+			MechanismBatchInterference: {func(pool *LatencyModel, all []Candidate, _ *SelectionInput) {
 				streams(pool, all, 30, 60, nil)
 				all[0].Health.InFlight = 6
 			}, [2]int{0, 0}, [2]int{20, 120}},
--- a/internal/scheduling/pool_test.go
+++ b/internal/scheduling/pool_test.go
@@ -12,17 +12,17 @@
 
 func TestEvidence(t *testing.T) {
 	Convey("what nobody has seen lately is forgotten", t, func() {
-		var pace Evidence
+		var pace DecayedMean
 		for range 20 {
 			pace.Add(1000, 200, 1)
 		}
-		So(pace.At(1000).Mean(30), ShouldBeGreaterThan, 150)
-		So(pace.At(1000+10*evidenceHalfLifeMs).Mean(30), ShouldBeLessThan, 35)
+		So(pace.At(1000).ShrunkMean(30), ShouldBeGreaterThan, 150)
+		So(pace.At(1000+10*evidenceHalfLifeMs).ShrunkMean(30), ShouldBeLessThan, 35)
 		_, known := pace.At(1000 + 20*evidenceHalfLifeMs).own()
 		So(known, ShouldBeFalse)
 	})
 	Convey("observers' samples add up, and a clock that steps back changes nothing", t, func() {
-		var one, other, both Evidence
+		var one, other, both DecayedMean
 		one.Add(1000, 10, 1)
 		other.Add(1000, 30, 3)
 		both.Add(1000, 10, 1)
@@ -39,7 +39,7 @@
 		rapid.Check(t, func(t *rapid.T) {
 			tokenMs := math.Exp(rapid.Float64Range(math.Log(0.002), math.Log(0.4)).Draw(t, "token ms"))
 			first := rapid.Float64Range(0, 200*tokenMs).Draw(t, "first ms")
-			pool := &Pool{}
+			pool := &LatencyModel{}
 			draw := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 			for turn := range 300 {
 				tokens := 200 + draw.Int64N(7800)
@@ -48,7 +48,7 @@
 					// A send that was held up says nothing of reading.
 					noise += 20_000 * tokenMs
 				}
-				pool.FirstEvent(&EngineHealth{}, int64(turn*10), tokens, first+float64(tokens)*tokenMs+noise)
+				pool.ObserveFirstEvent(&EngineHealth{}, int64(turn*10), tokens, first+float64(tokens)*tokenMs+noise)
 			}
 			if found := pool.tokenMs(); math.Abs(found-tokenMs) > 0.1*tokenMs {
 				t.Fatalf("%f ms a token found, %f true", found, tokenMs)
@@ -56,13 +56,13 @@
 		})
 	})
 	Convey("until it is found, a token costs at most what the whole wait allows, and before any sample so much that nothing moves", t, func() {
-		pool := &Pool{}
+		pool := &LatencyModel{}
 		So(pool.tokenMs(), ShouldEqual, unknownTokenMs)
-		pool.FirstEvent(&EngineHealth{}, 0, 1000, 50)
+		pool.ObserveFirstEvent(&EngineHealth{}, 0, 1000, 50)
 		So(pool.tokenMs(), ShouldAlmostEqual, 0.05, 1e-9)
 	})
 	Convey("samples without a slope show none", t, func() {
-		line := Line{}
+		line := LinearFit{}
 		for number := range 100 {
 			line.Add(0, float64(number%7), 30+float64(number%3))
 		}
@@ -71,25 +71,25 @@
 	})
 	Convey("no input makes a cost that is no number", t, func() {
 		rapid.Check(t, func(t *rapid.T) {
-			pool := &Pool{}
+			pool := &LatencyModel{}
 			health := &EngineHealth{}
 			for range rapid.IntRange(0, 60).Draw(t, "samples") {
 				now := rapid.Int64Range(-1e12, 1e12).Draw(t, "now")
-				pool.FirstEvent(health, now, rapid.Int64Range(0, 1e9).Draw(t, "tokens"), rapid.Float64Range(0, 1e9).Draw(t, "took"))
-				pool.NextEvent(health, now, rapid.Float64Range(0, 1e9).Draw(t, "gap"))
-				pool.StreamEnded(now, rapid.Int64Range(0, 1e9).Draw(t, "count"))
-				pool.StreamPaced(health, now, rapid.IntRange(-1, 20).Draw(t, "pauses"), rapid.Float64Range(0, 1e9).Draw(t, "shortest"))
-				pool.TurnSent("", rapid.IntRange(-1, 1000).Draw(t, "parts"))
-				health.Hold(now, rapid.Int64Range(-1e9, 1e9).Draw(t, "tokens"))
+				pool.ObserveFirstEvent(health, now, rapid.Int64Range(0, 1e9).Draw(t, "tokens"), rapid.Float64Range(0, 1e9).Draw(t, "took"))
+				pool.ObserveEventGap(health, now, rapid.Float64Range(0, 1e9).Draw(t, "gap"))
+				pool.ObserveStreamLength(now, rapid.Int64Range(0, 1e9).Draw(t, "count"))
+				pool.ObserveStreamPace(health, now, rapid.IntRange(-1, 20).Draw(t, "pauses"), rapid.Float64Range(0, 1e9).Draw(t, "shortest"))
+				pool.ObserveTurn("", rapid.IntRange(-1, 1000).Draw(t, "parts"))
+				health.ReserveKVCache(now, rapid.Int64Range(-1e9, 1e9).Draw(t, "tokens"))
 			}
-			demand := Demand{
-				Stream: true, Events: rapid.Int64Range(0, 1e9).Draw(t, "events"), NowMs: rapid.Int64Range(-1e12, 1e12).Draw(t, "now"),
-				Prompt: []PromptPart{{"a", rapid.Int64Range(0, 1e9).Draw(t, "part")}}, HoldTokens: rapid.Int64Range(0, 1e9).Draw(t, "holds"),
-				Turns: rapid.Float64Range(0, 1e3).Draw(t, "turns"),
+			demand := SelectionInput{
+				IsStream: true, MaxEvents: rapid.Int64Range(0, 1e9).Draw(t, "events"), NowMs: rapid.Int64Range(-1e12, 1e12).Draw(t, "now"),
+				Prompt: []PromptPart{{"a", rapid.Int64Range(0, 1e9).Draw(t, "part")}}, RequiredKVCacheTokens: rapid.Int64Range(0, 1e9).Draw(t, "holds"),
+				RemainingTurns: rapid.Float64Range(0, 1e3).Draw(t, "turns"),
 			}
-			choice, found := Choose(pool, []Candidate{{ID: "e", Health: health, Slots: 4, MemoryTokens: rapid.Int64Range(0, 1e9).Draw(t, "memory")}}, demand)
-			if !found || math.IsNaN(choice.Cost) || choice.Cost < 0 {
-				t.Fatalf("found %v, cost %f", found, choice.Cost)
+			choice, found := SelectEngine(pool, []Candidate{{ID: "e", Health: health, Slots: 4, KVCacheCapacityTokens: rapid.Int64Range(0, 1e9).Draw(t, "memory")}}, demand)
+			if !found || math.IsNaN(choice.CostMs) || choice.CostMs < 0 {
+				t.Fatalf("found %v, cost %f", found, choice.CostMs)
 			}
 		})
 	})
@@ -97,66 +97,66 @@
 
 func TestBoard(t *testing.T) {
 	// report has a gateway send requests to an engine for a second and report them.
-	report := func(board *Board, gateway string, inFlight int, gap float64) {
+	report := func(board *LoadAggregator, gateway string, inFlight int, gap float64) {
 		health := &EngineHealth{}
-		pool := &Pool{}
+		pool := &LatencyModel{}
 		for range 50 {
-			pool.Answered(&EngineHealth{}, 0, "k", 30)
+			pool.ObserveResponse(&EngineHealth{}, 0, "k", 30)
 		}
-		health.TakeLoad("e1", 0)
+		health.CollectLoad("e1", 0)
 		for range inFlight {
-			health.Sent(0)
-			pool.Answered(health, 0, "k", gap)
+			health.RecordStart(0)
+			pool.ObserveResponse(health, 0, "k", gap)
 		}
-		load, said := health.TakeLoad("e1", 1000)
+		load, said := health.CollectLoad("e1", 1000)
 		So(said, ShouldBeTrue)
-		board.Report(gateway, []Load{load}, 1000)
+		board.ReportLoads(gateway, []EngineLoad{load}, 1000)
 	}
 	Convey("a gateway that has seen nothing learns from all others", t, func() {
-		board := NewBoard()
+		board := NewLoadAggregator()
 		for number := range 8 {
 			report(board, fmt.Sprint("g", number), 3, 90)
 		}
 		loads := board.Loads([]string{"e1"}, 1000)
 		So(loads, ShouldHaveLength, 1)
 		newcomer := &EngineHealth{}
-		newcomer.TakeShared(loads[0], 1000)
-		So(newcomer.Company(1000), ShouldAlmostEqual, 24, 0.01)
-		So(newcomer.Factor(1000), ShouldBeGreaterThan, 1.5)
-		So(newcomer.SharedAgeMs(1400), ShouldEqual, 400)
+		newcomer.ApplySharedLoad(loads[0], 1000)
+		So(newcomer.EstimatedInFlight(1000), ShouldAlmostEqual, 24, 0.01)
+		So(newcomer.LatencyRatio(1000), ShouldBeGreaterThan, 1.5)
+		So(newcomer.SharedLoadAgeMs(1400), ShouldEqual, 400)
 	})
 	Convey("its own requests count once, as they are now", t, func() {
-		board := NewBoard()
+		board := NewLoadAggregator()
 		report(board, "other", 4, 30)
 		own := &EngineHealth{}
-		own.TakeLoad("e1", 0)
-		own.Sent(0)
-		own.Sent(0)
-		load, _ := own.TakeLoad("e1", 1000)
-		board.Report("own", []Load{load}, 1000)
-		own.TakeShared(board.Loads([]string{"e1"}, 1000)[0], 1000)
-		So(own.Company(1000), ShouldAlmostEqual, 6, 0.01)
-		own.Ended(1100)
-		So(own.Company(1100), ShouldAlmostEqual, 5, 0.01)
+		own.CollectLoad("e1", 0)
+		own.RecordStart(0)
+		own.RecordStart(0)
+		load, _ := own.CollectLoad("e1", 1000)
+		board.ReportLoads("own", []EngineLoad{load}, 1000)
+		own.ApplySharedLoad(board.Loads([]string{"e1"}, 1000)[0], 1000)
+		So(own.EstimatedInFlight(1000), ShouldAlmostEqual, 6, 0.01)
+		own.RecordEnd(1100)
+		So(own.EstimatedInFlight(1100), ShouldAlmostEqual, 5, 0.01)
 	})
 	Convey("what is old is forgotten, on the board and by its readers", t, func() {
-		board := NewBoard()
+		board := NewLoadAggregator()
 		report(board, "g", 3, 90)
 		later := int64(1000 + loadForgottenMs + 1)
 		So(board.Loads([]string{"e1"}, later)[0].InFlight, ShouldEqual, 0)
 		reader := &EngineHealth{}
-		reader.TakeShared(board.Loads([]string{"e1"}, 1000)[0], 1000)
-		So(reader.Company(later), ShouldEqual, 0)
-		board.Report("other", nil, 1000+2*loadSweepMs)
+		reader.ApplySharedLoad(board.Loads([]string{"e1"}, 1000)[0], 1000)
+		So(reader.EstimatedInFlight(later), ShouldEqual, 0)
+		board.ReportLoads("other", nil, 1000+2*loadSweepMs)
 		So(board.Loads([]string{"e1"}, 1000+2*loadSweepMs), ShouldBeEmpty)
 	})
 	Convey("an answer holds each engine that it is asked for, however many others there are", t, func() {
 		for _, engines := range []int{1000, 10_000} {
-			board := NewBoard()
+			board := NewLoadAggregator()
 			var wanted []string
 			for number := range engines {
 				name := fmt.Sprintf("e%05d", number)
-				board.Report("g", []Load{{Engine: name, InFlight: 1}}, 0)
+				board.ReportLoads("g", []EngineLoad{{Engine: name, InFlight: 1}}, 0)
 				if number%100 == 0 && len(wanted) < 10 {
 					wanted = append(wanted, name)
 				}
@@ -170,22 +170,22 @@
 		}
 	})
 	Convey("a report that lies makes no mean of nothing", t, func() {
-		board := NewBoard()
+		board := NewLoadAggregator()
 		wrong := float32(math.NaN())
 		for _, sum := range []float32{wrong, float32(math.Inf(1)), -5} {
-			board.Report("g", []Load{{Engine: "e", InFlight: sum, Factor: Samples{Sum: sum, Weight: 1}}, {Engine: "e", Factor: Samples{Sum: 1, Weight: sum}}}, 0)
+			board.ReportLoads("g", []EngineLoad{{Engine: "e", InFlight: sum, LatencyRatios: WeightedSum{Sum: sum, Weight: 1}}, {Engine: "e", LatencyRatios: WeightedSum{Sum: 1, Weight: sum}}}, 0)
 		}
 		health := &EngineHealth{}
-		health.TakeShared(board.Loads([]string{"e"}, 0)[0], 0)
-		So(health.Factor(0), ShouldEqual, 1)
-		So(health.Company(0), ShouldEqual, 0)
+		health.ApplySharedLoad(board.Loads([]string{"e"}, 0)[0], 0)
+		So(health.LatencyRatio(0), ShouldEqual, 1)
+		So(health.EstimatedInFlight(0), ShouldEqual, 0)
 	})
 }
 
 // streams has every engine run streams side by side whose events come in gap ms, but for
 // now and then a pause of longest ms while it reads what others sent; other holds the
 // numbers of engines that are different.
-func streams(pool *Pool, all []Candidate, gap, longest float64, other map[int][2]float64) {
+func streams(pool *LatencyModel, all []Candidate, gap, longest float64, other map[int][2]float64) {
 	for event := range 120 {
 		for number, candidate := range all {
 			pauses := [2]float64{gap, longest}
@@ -196,10 +196,10 @@
 			if event%3 == 0 {
 				pause = pauses[1]
 			}
-			pool.NextEvent(candidate.Health, 1000, pause)
+			pool.ObserveEventGap(candidate.Health, 1000, pause)
 		}
 	}
-	pool.StreamEnded(1000, 10)
+	pool.ObserveStreamLength(1000, 10)
 }
 
 func TestSlowOrBusy(t *testing.T) {
@@ -214,8 +214,8 @@
 			pool := reader(row.tokenMs, 1000)
 			all := candidates(6)
 			streams(pool, all, 30, 60, map[int][2]float64{2: {row.gap, row.longest}})
-			demand := Demand{
-				Stream: true, Zone: "near", Events: 10, NowMs: 1000, Home: "e2",
+			demand := SelectionInput{
+				IsStream: true, Zone: "near", MaxEvents: 10, NowMs: 1000, AffineEngine: "e2",
 				Prompt: []PromptPart{{"shared", 12000}, {"own", 3000}, {"new", 800}},
 			}
 			So(fmt.Sprint(row, choose(pool, all, demand).ID == "e2"), ShouldEqual, fmt.Sprint(row, row.stays))
--- a/internal/scheduling/scheduling.go
+++ b/internal/scheduling/scheduling.go
@@ -21,14 +21,14 @@
 	// Slots is how many calls the engine is sent at once.
 	Slots    int
 	InFlight int
-	// BacklogTokens are prompt tokens sent and not yet answered, and
+	// PendingPromptTokens are prompt tokens sent and not yet answered, and
 	// OutputTokens the answer tokens expected of calls in flight.
-	BacklogTokens int64
-	OutputTokens  int64
-	// PrefillPerSecond and StepMicros describe its speed.
-	PrefillPerSecond int64
-	StepMicros       int64
-	SequenceMicros   int64
+	PendingPromptTokens int64
+	PendingOutputTokens int64
+	// PrefillTokensPerSecond and StepMicros describe its speed.
+	PrefillTokensPerSecond int64
+	StepMicros             int64
+	StepMicrosPerSequence  int64
 }
 
 // Call is one call that waits for an engine.
@@ -38,18 +38,18 @@
 	Pool    string
 	// Rank is the service's rank; lower is more urgent.
 	Rank int
-	// AttainedMs is the engine time that the program has had.
-	AttainedMs int64
-	ArrivedMs  int64
-	DeadlineMs int64
+	// AttainedServiceMs is the engine time that the program has had.
+	AttainedServiceMs int64
+	ArrivedMs         int64
+	DeadlineMs        int64
 	// PromptTokens is the length of the whole prompt, OutputTokens what the
 	// answer is expected to need.
 	PromptTokens int64
 	OutputTokens int64
-	// Warm tells how many tokens of the prompt each engine holds.
-	Warm map[string]int64
-	// Excluded engines failed this call before.
-	Excluded map[string]bool
+	// CachedTokens tells how many tokens of the prompt each engine holds.
+	CachedTokens map[string]int64
+	// ExcludedEngines engines failed this call before.
+	ExcludedEngines map[string]bool
 }
 
 // Policy holds the parameters of the decision. The zero value of a switch means
@@ -63,12 +63,12 @@
 	// before a call leaves the engine that holds its prefix.
 	MoveFactor float64
 
-	IgnoreRank      bool
-	IgnoreAttained  bool
-	IgnorePrefix    bool
-	IgnoreDeadline  bool
-	IgnoreBacklog   bool
-	FirstComeServed bool
+	IgnoreRank            bool
+	IgnoreAttainedService bool
+	IgnorePrefix          bool
+	IgnoreDeadline        bool
+	IgnoreBacklog         bool
+	FirstComeFirstServed  bool
 }
 
 // DefaultPolicy returns the parameters in use; they were chosen before any
@@ -77,8 +77,8 @@
 	return Policy{AgeingMs: 10_000, QueueLimit: 2000, MoveFactor: 1.25}
 }
 
-// Start sends a call to an engine.
-type Start struct {
+// Dispatch sends a call to an engine.
+type Dispatch struct {
 	Call   *Call
 	Engine *Engine
 }
@@ -91,12 +91,12 @@
 
 // Decision is what Decide returns.
 type Decision struct {
-	Starts   []Start
-	Refusals []Refusal
+	Dispatches []Dispatch
+	Refusals   []Refusal
 }
 
-// Cell is one scheduler's engines and waiting calls.
-type Cell struct {
+// CellScheduler is one scheduler's engines and waiting calls.
+type CellScheduler struct {
 	Policy  Policy
 	Engines []*Engine
 	Waiting []*Call
@@ -105,7 +105,7 @@
 // Decide goes through the waiting calls in order of urgency and starts those for
 // which an engine should be used now. Started and refused calls leave Waiting;
 // the engines' counts are updated.
-func (c *Cell) Decide(nowMs int64) Decision {
+func (c *CellScheduler) Decide(nowMs int64) Decision {
 	var decision Decision
 	c.order(nowMs)
 	var still []*Call
@@ -122,43 +122,43 @@
 		engine, open := c.place(call)
 		if engine == nil {
 			// A call that has excluded the engines with room says nothing of the others.
-			full[call.Pool] = !open && len(call.Excluded) == 0
+			full[call.Pool] = !open && len(call.ExcludedEngines) == 0
 			still = append(still, call)
 			continue
 		}
-		engine.Take(call)
-		decision.Starts = append(decision.Starts, Start{call, engine})
+		engine.AddCall(call)
+		decision.Dispatches = append(decision.Dispatches, Dispatch{call, engine})
 	}
 	c.Waiting = still
 	return decision
 }
 
-// Take counts a call that the engine is sent.
-func (e *Engine) Take(call *Call) {
+// AddCall counts a call that the engine is sent.
+func (e *Engine) AddCall(call *Call) {
 	e.InFlight++
-	e.BacklogTokens += call.PromptTokens - call.Warm[e.Name]
-	e.OutputTokens += call.OutputTokens
+	e.PendingPromptTokens += call.PromptTokens - call.CachedTokens[e.Name]
+	e.PendingOutputTokens += call.OutputTokens
 }
 
-// Give counts a call that the engine is rid of.
-func (e *Engine) Give(call *Call) {
+// RemoveCall counts a call that the engine is rid of.
+func (e *Engine) RemoveCall(call *Call) {
 	e.InFlight = max(0, e.InFlight-1)
-	e.BacklogTokens = max(0, e.BacklogTokens-(call.PromptTokens-call.Warm[e.Name]))
-	e.OutputTokens = max(0, e.OutputTokens-call.OutputTokens)
+	e.PendingPromptTokens = max(0, e.PendingPromptTokens-(call.PromptTokens-call.CachedTokens[e.Name]))
+	e.PendingOutputTokens = max(0, e.PendingOutputTokens-call.OutputTokens)
 }
 
 // order sorts the waiting calls: by rank, which waiting improves so that the
 // lowest rank still ends; inside a rank by least attained service; then by
 // arrival.
-func (c *Cell) order(nowMs int64) {
+func (c *CellScheduler) order(nowMs int64) {
 	slices.SortStableFunc(c.Waiting, func(a, b *Call) int {
-		if c.Policy.FirstComeServed {
+		if c.Policy.FirstComeFirstServed {
 			return int(a.ArrivedMs - b.ArrivedMs)
 		}
 		if ranks := c.effectiveRank(a, nowMs) - c.effectiveRank(b, nowMs); ranks != 0 {
 			return ranks
 		}
-		if service := a.AttainedMs - b.AttainedMs; service != 0 && !c.Policy.IgnoreAttained {
+		if service := a.AttainedServiceMs - b.AttainedServiceMs; service != 0 && !c.Policy.IgnoreAttainedService {
 			return int(min(max(service, math.MinInt32), math.MaxInt32))
 		}
 		if arrival := a.ArrivedMs - b.ArrivedMs; arrival != 0 {
@@ -168,7 +168,7 @@
 	})
 }
 
-func (c *Cell) effectiveRank(call *Call, nowMs int64) int {
+func (c *CellScheduler) effectiveRank(call *Call, nowMs int64) int {
 	if c.Policy.IgnoreRank {
 		return 0
 	}
@@ -178,7 +178,7 @@
 	return call.Rank - int((nowMs-call.ArrivedMs)/c.Policy.AgeingMs)
 }
 
-func (c *Cell) overdue(call *Call, nowMs int64) *result.Error {
+func (c *CellScheduler) overdue(call *Call, nowMs int64) *result.Error {
 	if c.Policy.IgnoreDeadline || call.DeadlineMs == 0 || nowMs < call.DeadlineMs {
 		return nil
 	}
@@ -187,9 +187,9 @@
 
 // place returns the engine that should run the call now, nil where it should
 // wait; open reports whether any engine of the pool has a free slot.
-func (c *Cell) place(call *Call) (best *Engine, open bool) {
+func (c *CellScheduler) place(call *Call) (best *Engine, open bool) {
 	best, open, usable := c.placeAmong(call, false)
-	if usable || len(call.Excluded) == 0 {
+	if usable || len(call.ExcludedEngines) == 0 {
 		return best, open
 	}
 	// Every open engine has failed the call once: all may be tried again.
@@ -197,15 +197,15 @@
 	return best, open
 }
 
-func (c *Cell) placeAmong(call *Call, excluded bool) (best *Engine, open, usable bool) {
+func (c *CellScheduler) placeAmong(call *Call, excluded bool) (best *Engine, open, usable bool) {
 	var bestFree, bestAny *Engine
 	var freeMicros, anyMicros int64
 	for _, engine := range c.Engines {
-		if engine.Pool != call.Pool || !engine.Ready || engine.Closed || call.Excluded[engine.Name] != excluded {
+		if engine.Pool != call.Pool || !engine.Ready || engine.Closed || call.ExcludedEngines[engine.Name] != excluded {
 			continue
 		}
 		usable = true
-		micros := c.FinishMicros(engine, call)
+		micros := c.EstimateCompletionMicros(engine, call)
 		if bestAny == nil || micros < anyMicros {
 			bestAny, anyMicros = engine, micros
 		}
@@ -227,38 +227,38 @@
 	return bestFree, open, usable
 }
 
-// FinishMicros estimates how long a call would take on an engine: the backlog
+// EstimateCompletionMicros estimates how long a call would take on an engine: the backlog
 // before it, the prompt tokens the engine lacks, and the answer at the batch it
 // would run in.
-func (c *Cell) FinishMicros(engine *Engine, call *Call) int64 {
+func (c *CellScheduler) EstimateCompletionMicros(engine *Engine, call *Call) int64 {
 	missing := call.PromptTokens
 	if !c.Policy.IgnorePrefix {
-		missing -= call.Warm[engine.Name]
+		missing -= call.CachedTokens[engine.Name]
 	}
-	backlog := engine.BacklogTokens
+	backlog := engine.PendingPromptTokens
 	if c.Policy.IgnoreBacklog {
 		backlog = 0
 	}
-	rate := max(1, engine.PrefillPerSecond)
+	rate := max(1, engine.PrefillTokensPerSecond)
 	prefill := (backlog + missing) * 1_000_000 / rate
-	step := engine.StepMicros + int64(engine.InFlight+1)*engine.SequenceMicros
+	step := engine.StepMicros + int64(engine.InFlight+1)*engine.StepMicrosPerSequence
 	queue := int64(0)
 	if engine.InFlight >= engine.Slots && engine.Slots > 0 {
 		// The call waits for one of the calls in flight to end.
-		queue = engine.OutputTokens / int64(engine.InFlight) * step / 2
+		queue = engine.PendingOutputTokens / int64(engine.InFlight) * step / 2
 	}
 	return queue + prefill + call.OutputTokens*step
 }
 
 // Admit decides whether a new call may join the queue: a refusal is final and at
 // once, with the time after which the queue will have drained.
-func (c *Cell) Admit(call *Call, nowMs int64) *result.Error {
+func (c *CellScheduler) Admit(call *Call, nowMs int64) *result.Error {
 	ready := 0
 	var best int64 = math.MaxInt64
 	for _, engine := range c.Engines {
 		if engine.Pool == call.Pool && engine.Ready && !engine.Closed {
 			ready++
-			best = min(best, c.FinishMicros(engine, call))
+			best = min(best, c.EstimateCompletionMicros(engine, call))
 		}
 	}
 	drain := c.drainMs(call.Pool)
--- a/internal/scheduling/scheduling_test.go
+++ b/internal/scheduling/scheduling_test.go
@@ -10,25 +10,25 @@
 	"github.com/ochrebay/ochrebay/internal/result"
 )
 
-func drawCell(t *rapid.T) *Cell {
-	cell := &Cell{Policy: DefaultPolicy()}
+func drawCell(t *rapid.T) *CellScheduler {
+	cell := &CellScheduler{Policy: DefaultPolicy()}
 	for number := range rapid.IntRange(0, 6).Draw(t, "engines") {
 		cell.Engines = append(cell.Engines, &Engine{
 			Name: fmt.Sprint("e", number), Pool: rapid.SampledFrom([]string{"p", "q"}).Draw(t, "pool"),
 			Ready: rapid.Bool().Draw(t, "ready"), Closed: rapid.Bool().Draw(t, "closed"), Slots: rapid.IntRange(1, 3).Draw(t, "slots"),
-			PrefillPerSecond: 10_000, StepMicros: 5000, SequenceMicros: 50,
+			PrefillTokensPerSecond: 10_000, StepMicros: 5000, StepMicrosPerSequence: 50,
 		})
 	}
 	for id := range rapid.IntRange(0, 20).Draw(t, "calls") {
 		call := &Call{
 			ID: uint64(id), Program: fmt.Sprint("c", id), Pool: rapid.SampledFrom([]string{"p", "q"}).Draw(t, "pool"),
 			Rank: rapid.IntRange(0, 9).Draw(t, "rank"), ArrivedMs: rapid.Int64Range(0, 50_000).Draw(t, "arrived"),
-			DeadlineMs: rapid.Int64Range(0, 120_000).Draw(t, "deadline"), AttainedMs: rapid.Int64Range(0, 9000).Draw(t, "attained"),
-			PromptTokens: 1000, OutputTokens: 100, Warm: map[string]int64{}, Excluded: map[string]bool{},
+			DeadlineMs: rapid.Int64Range(0, 120_000).Draw(t, "deadline"), AttainedServiceMs: rapid.Int64Range(0, 9000).Draw(t, "attained"),
+			PromptTokens: 1000, OutputTokens: 100, CachedTokens: map[string]int64{}, ExcludedEngines: map[string]bool{},
 		}
 		for _, engine := range cell.Engines {
 			if rapid.IntRange(0, 4).Draw(t, "excluded") == 0 {
-				call.Excluded[engine.Name] = true
+				call.ExcludedEngines[engine.Name] = true
 			}
 		}
 		cell.Waiting = append(cell.Waiting, call)
@@ -45,10 +45,10 @@
 		before := len(cell.Waiting)
 		const nowMs = 60_000
 		decision := cell.Decide(nowMs)
-		if len(decision.Starts)+len(decision.Refusals)+len(cell.Waiting) != before {
-			t.Fatalf("%d calls became %d, %d and %d", before, len(decision.Starts), len(decision.Refusals), len(cell.Waiting))
+		if len(decision.Dispatches)+len(decision.Refusals)+len(cell.Waiting) != before {
+			t.Fatalf("%d calls became %d, %d and %d", before, len(decision.Dispatches), len(decision.Refusals), len(cell.Waiting))
 		}
-		for _, start := range decision.Starts {
+		for _, start := range decision.Dispatches {
 			engine := start.Engine
 			if !engine.Ready || engine.Closed || engine.Pool != start.Call.Pool {
 				t.Fatalf("call of %s started on %+v", start.Call.Pool, engine)
@@ -66,7 +66,7 @@
 		}
 		for _, waiting := range cell.Waiting {
 			for _, engine := range cell.Engines {
-				isOpen := engine.Pool == waiting.Pool && engine.Ready && !engine.Closed && !waiting.Excluded[engine.Name]
+				isOpen := engine.Pool == waiting.Pool && engine.Ready && !engine.Closed && !waiting.ExcludedEngines[engine.Name]
 				if isOpen && engine.InFlight == 0 {
 					t.Fatalf("call %d waits while %s is idle", waiting.ID, engine.Name)
 				}
@@ -79,8 +79,8 @@
 // lowest rank is started after a bounded wait.
 func TestLowestRankStillEnds(t *testing.T) {
 	Convey("ageing bounds the wait of the lowest rank", t, func() {
-		cell := &Cell{Policy: DefaultPolicy()}
-		engine := &Engine{Name: "e", Pool: "p", Ready: true, Slots: 1, PrefillPerSecond: 10_000, StepMicros: 5000}
+		cell := &CellScheduler{Policy: DefaultPolicy()}
+		engine := &Engine{Name: "e", Pool: "p", Ready: true, Slots: 1, PrefillTokensPerSecond: 10_000, StepMicros: 5000}
 		cell.Engines = []*Engine{engine}
 		low := &Call{ID: 1, Program: "low", Pool: "p", Rank: 9, PromptTokens: 100, OutputTokens: 10}
 		cell.Waiting = append(cell.Waiting, low)
@@ -89,11 +89,11 @@
 		for nowMs := int64(0); startedMs < 0 && nowMs < 300_000; nowMs += 500 {
 			id++
 			cell.Waiting = append(cell.Waiting, &Call{ID: id, Program: fmt.Sprint(id), Pool: "p", Rank: 0, ArrivedMs: nowMs, PromptTokens: 100, OutputTokens: 10})
-			for _, start := range cell.Decide(nowMs).Starts {
+			for _, start := range cell.Decide(nowMs).Dispatches {
 				if start.Call == low {
 					startedMs = nowMs
 				}
-				engine.Give(start.Call)
+				engine.RemoveCall(start.Call)
 			}
 		}
 		So(startedMs, ShouldBeGreaterThanOrEqualTo, 0)
@@ -105,24 +105,24 @@
 // call starts over its limit, and refusals say when to come back.
 func TestTenantLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		tenants := NewTenants()
+		tenants := NewTenantLimiter()
 		running := 0
 		var nowMs, admitted int64
 		const rate, schedulers = 700, 3
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
-			limits := TenantLimits{InFlight: rapid.Int64Range(0, 12).Draw(t, "in flight"), TokensPerSecond: rate}
+			limits := TenantLimits{MaxInFlight: rapid.Int64Range(0, 12).Draw(t, "in flight"), TokensPerSecond: rate}
 			nowMs += rapid.Int64Range(0, 900).Draw(t, "pause")
 			if running > 0 && rapid.Bool().Draw(t, "end") {
-				tenants.Give("t")
+				tenants.Release("t")
 				running--
 				continue
 			}
 			tokens := rapid.Int64Range(1, 400).Draw(t, "tokens")
-			refusal := tenants.Take("t", limits, tokens, schedulers, nowMs)
-			share := int(max(1, limits.InFlight/schedulers))
+			refusal := tenants.Acquire("t", limits, tokens, schedulers, nowMs)
+			share := int(max(1, limits.MaxInFlight/schedulers))
 			switch {
 			case refusal == nil:
-				if limits.InFlight > 0 && running >= share {
+				if limits.MaxInFlight > 0 && running >= share {
 					t.Fatalf("a call started beside %d, the share is %d", running, share)
 				}
 				running++
@@ -139,9 +139,9 @@
 
 // BenchmarkDecide is one decision of a cell of 20 engines with 2,000 waiting calls.
 func BenchmarkDecide(b *testing.B) {
-	cell := &Cell{Policy: DefaultPolicy()}
+	cell := &CellScheduler{Policy: DefaultPolicy()}
 	for number := range 20 {
-		cell.Engines = append(cell.Engines, &Engine{Name: fmt.Sprint("e", number), Pool: "p", Ready: true, Slots: 16, InFlight: 16, PrefillPerSecond: 10_000, StepMicros: 5000})
+		cell.Engines = append(cell.Engines, &Engine{Name: fmt.Sprint("e", number), Pool: "p", Ready: true, Slots: 16, InFlight: 16, PrefillTokensPerSecond: 10_000, StepMicros: 5000})
 	}
 	for id := range 2000 {
 		cell.Waiting = append(cell.Waiting, &Call{ID: uint64(id), Program: fmt.Sprint(id), Pool: "p", Rank: id % 5, ArrivedMs: int64(id), PromptTokens: 2000, OutputTokens: 100})
@@ -149,7 +149,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		cell.Engines[7].InFlight--
-		for _, start := range cell.Decide(4000).Starts {
+		for _, start := range cell.Decide(4000).Dispatches {
 			cell.Waiting = append(cell.Waiting, start.Call)
 		}
 	}
@@ -158,16 +158,16 @@
 // TestExcludedEngineIsNotFull answers a call that waits for one engine while another is idle,
 // because that call has excluded the other: calls behind it that have not must not wait too.
 func TestExcludedEngineIsNotFull(t *testing.T) {
-	cell := &Cell{Policy: DefaultPolicy(), Engines: []*Engine{
+	cell := &CellScheduler{Policy: DefaultPolicy(), Engines: []*Engine{
 		{Name: "full", Pool: "p", Ready: true, Slots: 1, InFlight: 1},
 		{Name: "idle", Pool: "p", Ready: true, Slots: 1},
 	}}
 	cell.Waiting = []*Call{
-		{ID: 1, Pool: "p", Rank: 0, Excluded: map[string]bool{"idle": true}},
+		{ID: 1, Pool: "p", Rank: 0, ExcludedEngines: map[string]bool{"idle": true}},
 		{ID: 2, Pool: "p", Rank: 1},
 	}
 	decision := cell.Decide(0)
-	if len(decision.Starts) != 1 || decision.Starts[0].Call.ID != 2 {
-		t.Fatalf("started %+v", decision.Starts)
+	if len(decision.Dispatches) != 1 || decision.Dispatches[0].Call.ID != 2 {
+		t.Fatalf("started %+v", decision.Dispatches)
 	}
 }
--- a/internal/scheduling/speed.go
+++ b/internal/scheduling/speed.go
@@ -34,23 +34,23 @@
 type paced struct {
 	// shortest are the means of the shortest pause of streams by how many pauses they have,
 	// at an engine whose slowness is 1: the shortest of many is shorter than that of a few.
-	shortest [longestPaced + 1]Evidence
+	shortest [longestPaced + 1]DecayedMean
 	// spread is the mean squared deviation of one sample from its engine's mean, as a share
 	// of the mean.
-	spread Evidence
+	spread DecayedMean
 	// crowding is a sample over the other requests at its engine: what more company makes of a
 	// pause is no speed of the engine.
-	crowding Line
+	crowding LinearFit
 	// learntMs is when the slowness of engines was last worked out, and learntOf of how many.
 	learntMs int64
 	learntOf int
 }
 
-// StreamPaced learns from the pauses of a stream that ended, broke off or was cancelled: how
+// ObserveStreamPace learns from the pauses of a stream that ended, broke off or was cancelled: how
 // many it had and the shortest. The shortest tells a slow engine from a busy one, and streams
 // with as many pauses are compared with each other, so that one stream is enough for a
 // sample however few of them a gateway sends to an engine.
-func (p *Pool) StreamPaced(health *EngineHealth, nowMs int64, pauses int, shortest float64) {
+func (p *LatencyModel) ObserveStreamPace(health *EngineHealth, nowMs int64, pauses int, shortest float64) {
 	if pauses < 1 || shortest <= 0 {
 		return
 	}
@@ -58,7 +58,7 @@
 	usual.HalfLifeMs = usualPaceHalfLifeMs
 	expected, known := usual.At(nowMs).own()
 	if !known {
-		expected = shortest / health.Slowness()
+		expected = shortest / health.Slowdown()
 	}
 	ratio := p.paced.alone(health, nowMs, shortest/expected)
 	before, weight := health.paceMean(nowMs)
@@ -68,15 +68,15 @@
 		p.paced.spread.HalfLifeMs = usualPaceHalfLifeMs
 		p.paced.spread.Add(nowMs, deviation*deviation, 1)
 	}
-	usual.Add(nowMs, ratio*expected/health.Slowness(), 1)
+	usual.Add(nowMs, ratio*expected/health.Slowdown(), 1)
 	health.sawPace(nowMs, ratio)
 }
 
 // alone returns a sample as it would be with as many requests at its engine as at others on
 // the mean.
 func (p *paced) alone(health *EngineHealth, nowMs int64, ratio float64) float64 {
-	others := max(health.Company(nowMs)-1, 0)
-	p.crowding.Add(nowMs, others, ratio/health.Slowness())
+	others := max(health.EstimatedInFlight(nowMs)-1, 0)
+	p.crowding.Add(nowMs, others, ratio/health.Slowdown())
 	slope, known := p.crowding.Slope()
 	if !known {
 		return ratio
@@ -90,7 +90,7 @@
 // towards that of all by as much as chance explains of their differences (James and Stein,
 // Estimation with Quadratic Loss, 1961): engines that are alike stay alike, and one that is
 // new starts where the others are on the mean.
-func (p *Pool) learnSpeeds(candidates []Candidate, nowMs int64) {
+func (p *LatencyModel) learnSpeeds(candidates []Candidate, nowMs int64) {
 	if since := nowMs - p.paced.learntMs; since >= 0 && since < learnEveryMs && p.paced.learntOf == len(candidates) {
 		return
 	}
@@ -128,9 +128,9 @@
 // is usual over the engines of its back end.
 type enginePace struct {
 	// own, news and shared are as for the quick samples of EngineHealth.
-	own    Evidence
-	news   Evidence
-	shared Evidence
+	own    DecayedMean
+	news   DecayedMean
+	shared DecayedMean
 	// mean, weight and slowness are as of the last choice.
 	mean     float64
 	weight   float64
@@ -156,9 +156,9 @@
 	return 1, 0
 }
 
-// Slowness is how many times longer than at the usual engine of its back end a token takes at
+// Slowdown is how many times longer than at the usual engine of its back end a token takes at
 // this one, as of the last choice.
-func (h *EngineHealth) Slowness() float64 {
+func (h *EngineHealth) Slowdown() float64 {
 	if h.pace.slowness <= 0 {
 		return 1
 	}
--- a/internal/scheduling/suspicion.go
+++ b/internal/scheduling/suspicion.go
@@ -15,8 +15,8 @@
 	atMs int64
 }
 
-// ReportFailing takes the engines at which a gateway's requests fail.
-func (b *Board) ReportFailing(gateway, zone string, engines []string, nowMs int64) {
+// ReportFailingEngines takes the engines at which a gateway's requests fail.
+func (b *LoadAggregator) ReportFailingEngines(gateway, zone string, engines []string, nowMs int64) {
 	for _, engine := range engines {
 		if b.failing[engine] == nil {
 			b.failing[engine] = map[string]witness{}
@@ -25,11 +25,11 @@
 	}
 }
 
-// Failing returns those of the engines named at which requests of several gateways of a zone
+// FailingEngines returns those of the engines named at which requests of several gateways of a zone
 // fail. In a large fleet each gateway sends so few requests that it would learn of an engine
 // that is gone only by losing one of its own. Gateways of other zones are no witnesses: the way
 // between zones may be cut.
-func (b *Board) Failing(engines []string, zone string, nowMs int64) []string {
+func (b *LoadAggregator) FailingEngines(engines []string, zone string, nowMs int64) []string {
 	var failing []string
 	for _, engine := range engines {
 		witnesses := 0
@@ -46,7 +46,7 @@
 }
 
 // sweepFailing forgets what was reported long ago.
-func (b *Board) sweepFailing(nowMs int64) {
+func (b *LoadAggregator) sweepFailing(nowMs int64) {
 	for engine, witnesses := range b.failing {
 		maps.DeleteFunc(witnesses, func(_ string, seen witness) bool { return nowMs-seen.atMs > loadForgottenMs })
 		if len(witnesses) == 0 {
@@ -55,11 +55,11 @@
 	}
 }
 
-// Failing returns the engines at which this gateway's requests fail, in ascending order.
-func Failing(engines map[string]*EngineHealth, nowMs int64) []string {
+// FailingEngines returns the engines at which this gateway's requests fail, in ascending order.
+func FailingEngines(engines map[string]*EngineHealth, nowMs int64) []string {
 	var failing []string
 	for id, health := range engines {
-		if health.Failing(nowMs) {
+		if health.IsFailing(nowMs) {
 			failing = append(failing, id)
 		}
 	}
--- a/internal/scheduling/turns.go
+++ b/internal/scheduling/turns.go
@@ -14,8 +14,8 @@
 	total   float64
 }
 
-// TurnSent learns from a turn that is sent.
-func (p *Pool) TurnSent(kind string, parts int) {
+// ObserveTurn learns from a turn that is sent.
+func (p *LatencyModel) ObserveTurn(kind string, parts int) {
 	if parts <= 0 {
 		return
 	}
@@ -36,7 +36,7 @@
 // whose prompt has some number of parts. Prompts of a session only grow, so that each of its
 // turns is counted under another number of parts: over many sessions the turns with more
 // parts, divided by those with as many, are those that follow one of these on the mean.
-func (p *Pool) RemainingTurns(kind string, parts int) float64 {
+func (p *LatencyModel) RemainingTurns(kind string, parts int) float64 {
 	counts, known := p.turns[kind]
 	if !known || parts <= 0 {
 		return 1
--- a/internal/scheduling/usage.go
+++ b/internal/scheduling/usage.go
@@ -2,16 +2,16 @@
 
 import "math"
 
-// Usage is what observers know of one engine besides its Load: one gateway since its last
+// EngineUsage is what observers know of one engine besides its Load: one gateway since its last
 // report, or all gateways together. It goes as a map, so that processes of an older or newer
 // release read what they know of it.
-type Usage struct {
+type EngineUsage struct {
 	Engine string `msgpack:"e"`
 	// Pace are samples of how many times longer than usual a token took there.
-	Pace Samples `msgpack:"p"`
-	// HeldTokens is what requests under way took of the engine's memory, on the mean since the
+	Pace WeightedSum `msgpack:"p"`
+	// ReservedKVCacheTokens is what requests under way took of the engine's memory, on the mean since the
 	// last report.
-	HeldTokens float32 `msgpack:"h,omitempty"`
+	ReservedKVCacheTokens float32 `msgpack:"h,omitempty"`
 }
 
 // heldTokens is what requests under way take of an engine's memory, as far as one gateway
@@ -50,41 +50,41 @@
 	return mean
 }
 
-// Hold notes what a request that goes to the engine takes of its memory, and Release that it
+// ReserveKVCache notes what a request that goes to the engine takes of its memory, and Release that it
 // does not any more.
-func (h *EngineHealth) Hold(nowMs, tokens int64) { h.held.add(nowMs, tokens) }
+func (h *EngineHealth) ReserveKVCache(nowMs, tokens int64) { h.held.add(nowMs, tokens) }
 
-// Release undoes a Hold of as many tokens.
-func (h *EngineHealth) Release(nowMs, tokens int64) { h.held.add(nowMs, -tokens) }
+// ReleaseKVCache undoes a Hold of as many tokens.
+func (h *EngineHealth) ReleaseKVCache(nowMs, tokens int64) { h.held.add(nowMs, -tokens) }
 
-// HeldTokens is what the requests of all gateways are expected to take of the engine's memory.
-func (h *EngineHealth) HeldTokens(nowMs int64) float64 {
+// ReservedKVCacheTokens is what the requests of all gateways are expected to take of the engine's memory.
+func (h *EngineHealth) ReservedKVCacheTokens(nowMs int64) float64 {
 	if h.held.sharedMs == 0 || nowMs-h.held.sharedMs > loadForgottenMs {
 		return float64(h.held.own)
 	}
 	return max(h.held.shared-h.held.reported, 0) + float64(h.held.own)
 }
 
-// TakeUsage returns what is new since the last call, for the report to all; false where
+// CollectUsage returns what is new since the last call, for the report to all; false where
 // there is nothing to say.
-func (h *EngineHealth) TakeUsage(engine string, nowMs int64) (Usage, bool) {
+func (h *EngineHealth) CollectUsage(engine string, nowMs int64) (EngineUsage, bool) {
 	before := h.held.reported
-	usage := Usage{Engine: engine, Pace: h.pace.news.samples(nowMs), HeldTokens: float32(h.held.take(nowMs))}
-	h.pace.news = Evidence{HalfLifeMs: paceHalfLifeMs}
-	return usage, usage.Pace.Weight > minimumWeight || usage.HeldTokens > 0 || before > 0
+	usage := EngineUsage{Engine: engine, Pace: h.pace.news.samples(nowMs), ReservedKVCacheTokens: float32(h.held.take(nowMs))}
+	h.pace.news = DecayedMean{HalfLifeMs: paceHalfLifeMs}
+	return usage, usage.Pace.Weight > minimumWeight || usage.ReservedKVCacheTokens > 0 || before > 0
 }
 
-// TakeSharedUsage takes what all gateways together know.
-func (h *EngineHealth) TakeSharedUsage(usage Usage, nowMs int64) {
+// ApplySharedUsage takes what all gateways together know.
+func (h *EngineHealth) ApplySharedUsage(usage EngineUsage, nowMs int64) {
 	h.pace.shared = usage.Pace.evidence(nowMs)
 	h.pace.shared.HalfLifeMs = paceHalfLifeMs
-	h.held.shared = max(float64(usage.HeldTokens), 0)
+	h.held.shared = max(float64(usage.ReservedKVCacheTokens), 0)
 	h.held.sharedMs = nowMs
 }
 
-// RunningTokens is what of HeldTokens those requests take that have one of the slots.
-func (h *EngineHealth) RunningTokens(nowMs int64, slots int) float64 {
-	held, inFlight := h.HeldTokens(nowMs), h.Company(nowMs)
+// RunningKVCacheTokens is what of HeldTokens those requests take that have one of the slots.
+func (h *EngineHealth) RunningKVCacheTokens(nowMs int64, slots int) float64 {
+	held, inFlight := h.ReservedKVCacheTokens(nowMs), h.EstimatedInFlight(nowMs)
 	if slots <= 0 || inFlight <= float64(slots) {
 		return held
 	}
@@ -93,7 +93,7 @@
 
 // usageEntry is what a board knows of one engine's use.
 type usageEntry struct {
-	pace    Evidence
+	pace    DecayedMean
 	heardMs int64
 	// held is what each gateway said last of the memory that its requests take.
 	held map[string]boardCount
@@ -117,16 +117,16 @@
 const usageForgottenMs = 6 * paceHalfLifeMs
 
 // ReportUsage takes what a gateway says of engines that there are, as Report does.
-func (b *Board) ReportUsage(gateway string, usages []Usage, nowMs int64) {
+func (b *LoadAggregator) ReportUsage(gateway string, usages []EngineUsage, nowMs int64) {
 	for _, usage := range usages {
 		entry, known := b.usages[usage.Engine]
 		if !known {
-			entry = &usageEntry{pace: Evidence{HalfLifeMs: paceHalfLifeMs}, held: map[string]boardCount{}}
+			entry = &usageEntry{pace: DecayedMean{HalfLifeMs: paceHalfLifeMs}, held: map[string]boardCount{}}
 			b.usages[usage.Engine] = entry
 		}
 		entry.heardMs = nowMs
 		entry.pace.Merge(nowMs, usage.Pace.evidence(nowMs))
-		switch held := float64(usage.HeldTokens); {
+		switch held := float64(usage.ReservedKVCacheTokens); {
 		case held > 0 && !math.IsInf(held, 0):
 			entry.held[gateway] = boardCount{inFlight: held, atMs: nowMs}
 		default:
@@ -136,15 +136,15 @@
 }
 
 // Usages returns what all gateways together know of the use of the engines named.
-func (b *Board) Usages(engines []string, nowMs int64) []Usage {
-	var usages []Usage
+func (b *LoadAggregator) Usages(engines []string, nowMs int64) []EngineUsage {
+	var usages []EngineUsage
 	for _, engine := range engines {
 		entry, known := b.usages[engine]
 		if !known {
 			continue
 		}
-		usage := Usage{Engine: engine, Pace: entry.pace.samples(nowMs), HeldTokens: float32(entry.heldTokens(nowMs))}
-		if usage.Pace.Weight > minimumWeight || usage.HeldTokens > 0 {
+		usage := EngineUsage{Engine: engine, Pace: entry.pace.samples(nowMs), ReservedKVCacheTokens: float32(entry.heldTokens(nowMs))}
+		if usage.Pace.Weight > minimumWeight || usage.ReservedKVCacheTokens > 0 {
 			usages = append(usages, usage)
 		}
 	}
@@ -152,7 +152,7 @@
 }
 
 // sweepUsages forgets engines of which nobody has spoken for long.
-func (b *Board) sweepUsages(nowMs int64) {
+func (b *LoadAggregator) sweepUsages(nowMs int64) {
 	for engine, entry := range b.usages {
 		if nowMs-entry.heardMs > usageForgottenMs {
 			delete(b.usages, engine)
--- a/internal/sidecar/core.go
+++ b/internal/sidecar/core.go
@@ -23,8 +23,8 @@
 // SendID names one request sent to a scheduler.
 type SendID uint64
 
-// Outlet takes what the core sends. Its methods must not call back.
-type Outlet interface {
+// Transport takes what the core sends. Its methods must not call back.
+type Transport interface {
 	// Send sends a request to a scheduler; its frames come back as Piece, Answer
 	// and Lost.
 	Send(address string, id SendID, kind protocol.Kind, request any)
@@ -68,7 +68,7 @@
 // Core is the control state of one sidecar.
 type Core struct {
 	options  Options
-	outlet   Outlet
+	outlet   Transport
 	nowMs    int64
 	tree     *settings.Tree
 	roster   *membership.Roster
@@ -128,7 +128,7 @@
 }
 
 // NewCore returns a sidecar that knows only its seeds.
-func NewCore(options Options, outlet Outlet, nowMs int64) *Core {
+func NewCore(options Options, outlet Transport, nowMs int64) *Core {
 	return &Core{
 		options: options, outlet: outlet, nowMs: nowMs, tree: settings.NewTree(), roster: membership.NewRoster(), peers: options.Seeds,
 		calls: map[CallerID]*call{}, sends: map[SendID]*send{}, retries: retryReserve,
@@ -188,7 +188,7 @@
 	current.attempts++
 	current.nextMs = 0
 	c.nextSend++
-	current.sent = &send{id: c.nextSend, address: target.Address, name: target.Name, start: target.Start, call: current}
+	current.sent = &send{id: c.nextSend, address: target.Address, name: target.Name, start: target.Incarnation, call: current}
 	c.sends[c.nextSend] = current.sent
 	c.outlet.Send(target.Address, c.nextSend, protocol.KindCall, &request)
 }
--- a/internal/sidecar/follow.go
+++ b/internal/sidecar/follow.go
@@ -64,7 +64,7 @@
 	}
 	feed := reply.Feed
 	c.tree = feed.ApplyTo(c.tree, c.options.DisableRevision)
-	if c.roster.Take(feed.Roster) {
+	if c.roster.ApplyDelta(feed.Roster) {
 		c.peers = c.roster.List()
 		c.loseDelisted()
 	}
@@ -78,7 +78,7 @@
 func (c *Core) loseDelisted() {
 	listed := map[string]uint64{}
 	for _, peer := range c.peers {
-		listed[peer.Name] = peer.Start
+		listed[peer.Name] = peer.Incarnation
 	}
 	for _, id := range sortedIDs(c.sends) {
 		sent := c.sends[id]
--- a/internal/simulation/checks.go
+++ b/internal/simulation/checks.go
@@ -216,7 +216,7 @@
 
 func (c *checks) observeControl(n *controlNode) {
 	if n.alive && n.core.Formed() {
-		c.observe(n.name, n.life, settingsView{n.core.Tree()})
+		c.observe(n.name, n.life, settingsView{n.core.SettingsTree()})
 	}
 }
 
--- a/internal/simulation/controls.go
+++ b/internal/simulation/controls.go
@@ -80,7 +80,7 @@
 	n.core = core
 	n.every(controlTickUs, n.name, func() { n.act(func() { n.core.Tick(n.nowMs()) }) })
 	n.every(platformPollUs, n.name+" list", func() {
-		n.act(func() { n.core.Listed(n.world.platform.list()) })
+		n.act(func() { n.core.SetInstances(n.world.platform.list()) })
 	})
 }
 
@@ -114,12 +114,12 @@
 	if kind == protocol.KindHello {
 		var hello protocol.Hello
 		mustDecode(raw, &hello)
-		n.act(func() { n.core.Hello(hello, n.nowMs()) })
+		n.act(func() { n.core.HandleHello(hello, n.nowMs()) })
 		return
 	}
 	var batch protocol.PeerBatch
 	mustDecode(raw, &batch)
-	n.act(func() { n.core.Peer(batch, n.nowMs()) })
+	n.act(func() { n.core.HandlePeerBatch(batch, n.nowMs()) })
 }
 
 // Reply is the core's outlet to whoever asked.
@@ -157,6 +157,6 @@
 				}
 			})
 		}
-		n.act(func() { n.core.Request(n.next, request, n.nowMs()) })
+		n.act(func() { n.core.HandleRequest(n.next, request, n.nowMs()) })
 	}, func() { reply(nil) })
 }
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -230,7 +230,7 @@
 // leaderOf returns the control process that leads a group, or else the first.
 func (w *world) leaderOf(number int64) *process {
 	for _, node := range w.controls {
-		if node.alive && node.core.Formed() && node.core.Leads(storage.GroupID(number%int64(node.core.Groups()))) {
+		if node.alive && node.core.Formed() && node.core.Leads(storage.GroupID(number%int64(node.core.GroupCount()))) {
 			return node.process
 		}
 	}
@@ -299,7 +299,7 @@
 		if !node.alive || node.frozen || !node.core.Formed() {
 			return false
 		}
-		for group := range node.core.Groups() {
+		for group := range node.core.GroupCount() {
 			id := storage.GroupID(group)
 			if !node.core.Leads(id) {
 				continue
@@ -312,7 +312,7 @@
 			}
 		}
 	}
-	return len(leaders) == w.controls[0].core.Groups()
+	return len(leaders) == w.controls[0].core.GroupCount()
 }
 
 // healAll ends every failure that is still going on.
--- a/internal/simulation/run.go
+++ b/internal/simulation/run.go
@@ -307,19 +307,19 @@
 func (w *world) disableControl(options *control.Options) {
 	options.DisableFence = w.isDisabled("fence")
 	options.DisableBudget = w.isDisabled("budget")
-	options.DisableOnce = w.isDisabled("once")
+	options.DisableAtMostOnce = w.isDisabled("once")
 	options.DisableVersionCheck = w.isDisabled("version")
 	options.DisableCheckQuorum = w.isDisabled("read-confirm")
 	options.DisableReadConfirm = w.isDisabled("read-confirm")
-	options.DisableOrder = w.isDisabled("order")
+	options.DisableTurnOrder = w.isDisabled("order")
 }
 
 func (w *world) disableScheduler(options *scheduler.Options) {
-	options.DisableOrder = w.isDisabled("order")
+	options.DisableTurnOrder = w.isDisabled("order")
 	options.DisableAudit = w.isDisabled("audit")
 	options.DisableLeavingStop = w.isDisabled("leaving")
 	options.DisableRevision = w.isDisabled("revision")
-	options.DisableOnce = w.isDisabled("once")
+	options.DisableAtMostOnce = w.isDisabled("once")
 }
 
 func (w *world) disableSidecar(options *sidecar.Options) {
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -27,8 +27,8 @@
 var (
 	// ErrNotSent means that no byte of the request reached the engine.
 	ErrNotSent = errors.New("upstream: not sent")
-	// ErrBroken means that the engine may have seen the request, and no answer came.
-	ErrBroken = errors.New("upstream: broken off")
+	// ErrNoResponse means that the engine may have seen the request, and no answer came.
+	ErrNoResponse = errors.New("upstream: broken off")
 )
 
 // Request is one request as the engine is to get it.
@@ -65,9 +65,9 @@
 type Pool struct {
 	mutex sync.Mutex
 	idle  map[string][]*connection
-	// Dialed counts new connections, Reused requests on kept ones.
-	Dialed atomic.Int64
-	Reused atomic.Int64
+	// ConnectionsOpened counts new connections, Reused requests on kept ones.
+	ConnectionsOpened atomic.Int64
+	ConnectionsReused atomic.Int64
 	// OnDial is told how long a new connection took; nil where nobody asks.
 	OnDial func(address string, took time.Duration)
 }
@@ -83,7 +83,7 @@
 			return p.dial(ctx, address)
 		}
 		if time.Now().Before(kept.usableUntil) && kept.quiet() {
-			p.Reused.Add(1)
+			p.ConnectionsReused.Add(1)
 			return kept, nil
 		}
 		_ = kept.socket.Close()
@@ -110,7 +110,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p.Dialed.Add(1)
+	p.ConnectionsOpened.Add(1)
 	if p.OnDial != nil {
 		p.OnDial(address, time.Since(began))
 	}
@@ -123,8 +123,8 @@
 	p.idle[address] = append(p.idle[address], kept)
 }
 
-// Forget closes the idle connections to an engine that is gone.
-func (p *Pool) Forget(address string) {
+// CloseIdle closes the idle connections to an engine that is gone.
+func (p *Pool) CloseIdle(address string) {
 	p.mutex.Lock()
 	kept := p.idle[address]
 	delete(p.idle, address)
@@ -134,8 +134,8 @@
 	}
 }
 
-// Sweep closes idle connections that have rested too long.
-func (p *Pool) Sweep(now time.Time) {
+// CloseExpired closes idle connections that have rested too long.
+func (p *Pool) CloseExpired(now time.Time) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	for address, kept := range p.idle {
@@ -168,7 +168,7 @@
 	exchange.send(request)
 	if err := exchange.readHead(request); err != nil {
 		exchange.Close()
-		return nil, fmt.Errorf("%w: %w", ErrBroken, err)
+		return nil, fmt.Errorf("%w: %w", ErrNoResponse, err)
 	}
 	return exchange, nil
 }
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -92,8 +92,8 @@
 			So(body, ShouldEqual, "out")
 			So(<-seen, ShouldEqual, "POST /a?b=c h 1 in")
 		}
-		So(pool.Dialed.Load(), ShouldEqual, 1)
-		So(pool.Reused.Load(), ShouldEqual, 1)
+		So(pool.ConnectionsOpened.Load(), ShouldEqual, 1)
+		So(pool.ConnectionsReused.Load(), ShouldEqual, 1)
 	})
 	Convey("an answer to another request is passed over", t, func() {
 		stand := newEngine(t, func(connection net.Conn, _ *http.Request, _ int) bool {
@@ -115,7 +115,7 @@
 			So(err, ShouldBeNil)
 			So(body, ShouldEqual, "own")
 		}
-		So(pool.Dialed.Load(), ShouldEqual, 3)
+		So(pool.ConnectionsOpened.Load(), ShouldEqual, 3)
 	})
 	Convey("a connection that the engine closed meanwhile is not used again", t, func() {
 		stand := newEngine(t, func(connection net.Conn, _ *http.Request, _ int) bool {
@@ -131,7 +131,7 @@
 		})
 		_, err = fetch(pool, stand.address(), "1")
 		So(err, ShouldBeNil)
-		So(pool.Dialed.Load(), ShouldEqual, 2)
+		So(pool.ConnectionsOpened.Load(), ShouldEqual, 2)
 	})
 	Convey("an answer without length is whole at the end of its connection, and not when that is reset", t, func() {
 		stand := newEngine(t, func(connection net.Conn, r *http.Request, _ int) bool {
@@ -169,7 +169,7 @@
 			return false
 		})
 		_, err := fetch(NewPool(), stand.address(), "1")
-		So(errors.Is(err, ErrBroken), ShouldBeTrue)
+		So(errors.Is(err, ErrNoResponse), ShouldBeTrue)
 	})
 	Convey("an engine that answers before it has read a long body is heard, and its connection is not used again", t, func() {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -219,7 +219,7 @@
 			cancel()
 		}()
 		_, err := NewPool().Do(ctx, stand.address(), request("1"))
-		So(errors.Is(err, ErrBroken), ShouldBeTrue)
+		So(errors.Is(err, ErrNoResponse), ShouldBeTrue)
 		select {
 		case <-closed:
 		case <-time.After(20 * time.Second):
--- a/internal/waiting/closedloop_test.go
+++ b/internal/waiting/closedloop_test.go
@@ -63,7 +63,7 @@
 	urgent bool
 	begun  bool
 	came   int
-	place  *Place
+	place  *Entry
 	asked  int
 	// avoid has a bit for each engine that is not asked again.
 	avoid   uint64
@@ -112,13 +112,13 @@
 	nowMs   float64
 	engines []*loadEngine
 	queues  []*Queue
-	byPlace map[*Place]*loadCall
+	byPlace map[*Entry]*loadCall
 	queued  bool
 	result  loadResult
 }
 
 func playLoad(queued bool, settings Settings, seed uint64) *loadResult {
-	run := &loadRun{random: rand.New(rand.NewPCG(seed, 1)), queued: queued, byPlace: map[*Place]*loadCall{}}
+	run := &loadRun{random: rand.New(rand.NewPCG(seed, 1)), queued: queued, byPlace: map[*Entry]*loadCall{}}
 	for range loadEngines {
 		run.engines = append(run.engines, &loadEngine{})
 	}
@@ -132,9 +132,9 @@
 		event.do()
 	}
 	for _, queue := range run.queues {
-		mistakes := queue.Mistakes()
-		run.result.wronged += mistakes.Wronged
-		run.result.inVain += mistakes.InVain
+		mistakes := queue.AdmissionErrors()
+		run.result.wronged += mistakes.FalseRejections
+		run.result.inVain += mistakes.FutileWaits
 	}
 	return &run.result
 }
@@ -170,7 +170,7 @@
 	if c.urgent {
 		rank = 0
 	}
-	return Call{Rank: rank, Begun: c.begun, DueMs: int64(c.endMs()), LatestMs: int64(c.endMs()) - 2*loadServiceMs}
+	return Call{Priority: rank, ProgramInProgress: c.begun, DueTimeMs: int64(c.endMs()), LatestStartMs: int64(c.endMs()) - 2*loadServiceMs}
 }
 
 // come brings a caller to a gateway drawn at random.
@@ -239,7 +239,7 @@
 			}
 		}
 		if r.queued {
-			r.tell(call.gateway, r.queues[call.gateway].Ended(int64(r.nowMs)), engine)
+			r.tell(call.gateway, r.queues[call.gateway].RecordCompletion(int64(r.nowMs)), engine)
 		}
 	})
 }
@@ -284,7 +284,7 @@
 			r.byPlace[call.place] = call
 		}
 	} else {
-		rejection = queue.Again(int64(r.nowMs), call.place)
+		rejection = queue.Requeue(int64(r.nowMs), call.place)
 	}
 	if rejection != nil {
 		call.place = nil
@@ -295,16 +295,16 @@
 }
 
 // look has a call that nobody tells of room look for some.
-func (r *loadRun) look(call *loadCall, place *Place) {
+func (r *loadRun) look(call *loadCall, place *Entry) {
 	queue := r.queues[call.gateway]
-	r.after(float64(queue.LookAfterMs(int64(r.nowMs), place)), func() {
+	r.after(float64(queue.ProbeDelayMs(int64(r.nowMs), place)), func() {
 		if call.place != place || place.trying {
 			return
 		}
 		switch {
-		case int64(r.nowMs) >= place.call.LatestMs:
+		case int64(r.nowMs) >= place.call.LatestStartMs:
 			r.lineUp(call)
-		case queue.Look(place):
+		case queue.StartProbe(place):
 			call.avoid = 0
 			r.ask(call, 3)
 		default:
@@ -314,7 +314,7 @@
 }
 
 // tell passes the word of room on; engine is -1 where it is not known which has some.
-func (r *loadRun) tell(gateway int, place *Place, engine int) {
+func (r *loadRun) tell(gateway int, place *Entry, engine int) {
 	if place == nil {
 		return
 	}
@@ -364,9 +364,9 @@
 		queue := NewQueue(DefaultSettings())
 		nowMs := int64(0)
 		for ; nowMs < 5000; nowMs += 10 {
-			queue.Ended(nowMs)
+			queue.RecordCompletion(nowMs)
 		}
-		call := Call{Begun: true, DueMs: nowMs + 300, LatestMs: nowMs + 200}
+		call := Call{ProgramInProgress: true, DueTimeMs: nowMs + 300, LatestStartMs: nowMs + 200}
 		last := int64(0)
 		waiting := 0
 		for range 400 {
@@ -386,9 +386,9 @@
 				queue.Leave(nowMs, queue.places[0], true)
 			}
 			later := nowMs + 400
-			_, rejection := queue.Join(later, Call{DueMs: later + 2100, LatestMs: later + 2000})
+			_, rejection := queue.Join(later, Call{DueTimeMs: later + 2100, LatestStartMs: later + 2000})
 			So(rejection, ShouldNotBeNil)
-			place, _ := queue.Join(later, Call{Begun: true, DueMs: later + 2100, LatestMs: later + 2000})
+			place, _ := queue.Join(later, Call{ProgramInProgress: true, DueTimeMs: later + 2100, LatestStartMs: later + 2000})
 			So(place, ShouldNotBeNil)
 		})
 	})
