--- a/internal/waiting/waiting.go
+++ b/internal/waiting/waiting.go
@@ -11,17 +11,17 @@
 
 // Settings are what an operator may choose.
 type Settings struct {
-	// LeastChance is how likely a call must be to get room in time, 0 to 1, for it to wait;
+	// MinProbability is how likely a call must be to get room in time, 0 to 1, for it to wait;
 	// it is rejected below. Higher, and more are rejected for whom room would have come
 	// (counted as wronged); lower, and more hold their caller, and lengthen the way of
 	// those behind them, for nothing (counted as held in vain).
-	LeastChance float64 `yaml:"least_chance" validate:"min=0,max=1"`
+	MinProbability float64 `yaml:"least_chance" validate:"min=0,max=1"`
 }
 
 // DefaultSettings reject only what is nearly sure not to be served: a call that has waited in
 // vain costs its caller the time in which it could have come back, a call that was rejected
 // in error costs all the work that its program has had done so far.
-func DefaultSettings() Settings { return Settings{LeastChance: 0.05} }
+func DefaultSettings() Settings { return Settings{MinProbability: 0.05} }
 
 const (
 	// rankMs is by how much a rank goes before the next one. Ranks are no absolute order: a
@@ -43,25 +43,25 @@
 
 // Call is what the order depends on.
 type Call struct {
-	// Rank is 0 for the most urgent.
-	Rank int
-	// Begun says that work has been done for the call's program already.
-	Begun bool
-	// AboveShare says that the tenant uses more than its fair share.
-	AboveShare bool
-	// DueMs is when the call, or its program, should be over.
-	DueMs int64
-	// LatestMs is until when it is worth starting.
-	LatestMs int64
+	// Priority is 0 for the most urgent.
+	Priority int
+	// ProgramInProgress says that work has been done for the call's program already.
+	ProgramInProgress bool
+	// AboveFairShare says that the tenant uses more than its fair share.
+	AboveFairShare bool
+	// DueTimeMs is when the call, or its program, should be over.
+	DueTimeMs int64
+	// LatestStartMs is until when it is worth starting.
+	LatestStartMs int64
 }
 
 // before reports whether a call goes before another. A program that has begun goes before
 // all that have not: what it has cost would be lost with it.
 func (c Call) before(other Call) int {
 	return cmp.Or(
-		-compareBool(c.Begun, other.Begun),
-		compareBool(c.AboveShare, other.AboveShare),
-		cmp.Compare(c.DueMs+rankMs*int64(c.Rank), other.DueMs+rankMs*int64(other.Rank)),
+		-compareBool(c.ProgramInProgress, other.ProgramInProgress),
+		compareBool(c.AboveFairShare, other.AboveFairShare),
+		cmp.Compare(c.DueTimeMs+rankMs*int64(c.Priority), other.DueTimeMs+rankMs*int64(other.Priority)),
 	)
 }
 
@@ -75,8 +75,8 @@
 	return -1
 }
 
-// Place is a call's place in the queue.
-type Place struct {
+// Entry is a call's place in the queue.
+type Entry struct {
 	call Call
 	// joinedMs is when it came, and turn its number by which equals are ordered.
 	joinedMs int64
@@ -86,28 +86,28 @@
 }
 
 // WaitedMs is how long the call has waited.
-func (p *Place) WaitedMs(nowMs int64) int64 { return nowMs - p.joinedMs }
+func (p *Entry) WaitedMs(nowMs int64) int64 { return nowMs - p.joinedMs }
 
 // Rejection says why a call does not wait and when it is to come back.
 type Rejection struct {
 	// Ahead is how many calls go before it, callers included that were asked to come back
 	// earlier.
 	Ahead int
-	// PerSecond is the rate at which room comes, 0 where it is not known.
-	PerSecond float64
-	// Chance is how likely it is to get room in time.
-	Chance float64
+	// CompletionsPerSecond is the rate at which room comes, 0 where it is not known.
+	CompletionsPerSecond float64
+	// Probability is how likely it is to get room in time.
+	Probability float64
 	// RetryAfterMs is when room is expected for it.
 	RetryAfterMs int64
 }
 
-// Mistakes count decisions that turned out wrong.
-type Mistakes struct {
-	// Wronged are calls that were rejected and for whom room would have come in time.
-	Wronged int
-	// InVain are calls that waited and were not served, and InVainMs how long in all.
-	InVain   int
-	InVainMs int64
+// AdmissionErrors count decisions that turned out wrong.
+type AdmissionErrors struct {
+	// FalseRejections are calls that were rejected and for whom room would have come in time.
+	FalseRejections int
+	// FutileWaits are calls that waited and were not served, and InVainMs how long in all.
+	FutileWaits  int
+	FutileWaitMs int64
 }
 
 // rejected is a call that was rejected, with how many must get room before it would have.
@@ -122,13 +122,13 @@
 // Queue holds the calls of one back end that wait, in order.
 type Queue struct {
 	settings Settings
-	places   []*Place
+	places   []*Entry
 	turns    uint64
 	drain    drain
 	// returns are when callers that were rejected are to come back, ascending.
 	returns  []int64
 	rejected []rejected
-	mistakes Mistakes
+	mistakes AdmissionErrors
 }
 
 // NewQueue returns an empty queue.
@@ -137,8 +137,8 @@
 // Len is how many calls wait.
 func (q *Queue) Len() int { return len(q.places) }
 
-// Mistakes returns what has turned out wrong since the start.
-func (q *Queue) Mistakes() Mistakes { return q.mistakes }
+// AdmissionErrors returns what has turned out wrong since the start.
+func (q *Queue) AdmissionErrors() AdmissionErrors { return q.mistakes }
 
 // MustWait reports whether a call that has not asked any engine yet has to queue behind
 // those that wait for room.
@@ -147,10 +147,10 @@
 }
 
 // Join queues a call, unless it is unlikely to get room in time.
-func (q *Queue) Join(nowMs int64, call Call) (*Place, *Rejection) {
+func (q *Queue) Join(nowMs int64, call Call) (*Entry, *Rejection) {
 	q.turns++
-	place := &Place{call: call, joinedMs: nowMs, turn: q.turns}
-	position, _ := slices.BinarySearchFunc(q.places, place, func(a, b *Place) int {
+	place := &Entry{call: call, joinedMs: nowMs, turn: q.turns}
+	position, _ := slices.BinarySearchFunc(q.places, place, func(a, b *Entry) int {
 		return cmp.Or(a.call.before(b.call), cmp.Compare(a.turn, b.turn))
 	})
 	if rejection := q.judge(nowMs, call, position); rejection != nil {
@@ -164,20 +164,20 @@
 // judge returns why a call that has a number of others before it should not wait, nil where
 // it should.
 func (q *Queue) judge(nowMs int64, call Call, ahead int) *Rejection {
-	if !call.Begun {
-		ahead += q.expected(nowMs, call.LatestMs)
+	if !call.ProgramInProgress {
+		ahead += q.expected(nowMs, call.LatestStartMs)
 	}
-	rejection := &Rejection{Ahead: ahead, Chance: 1}
+	rejection := &Rejection{Ahead: ahead, Probability: 1}
 	perMs, known := q.drain.perMs(nowMs)
 	const millisecondsPerSecond = 1000
-	rejection.PerSecond = perMs * millisecondsPerSecond
+	rejection.CompletionsPerSecond = perMs * millisecondsPerSecond
 	switch {
-	case call.LatestMs <= nowMs:
-		rejection.Chance = 0
+	case call.LatestStartMs <= nowMs:
+		rejection.Probability = 0
 	case known:
-		rejection.Chance = chance(ahead+1, perMs, call.LatestMs-nowMs)
+		rejection.Probability = chance(ahead+1, perMs, call.LatestStartMs-nowMs)
 	}
-	if rejection.Chance > 0 && rejection.Chance >= q.settings.LeastChance {
+	if rejection.Probability > 0 && rejection.Probability >= q.settings.MinProbability {
 		return nil
 	}
 	return rejection
@@ -193,8 +193,8 @@
 // reject arranges the return of a call that does not wait.
 func (q *Queue) reject(nowMs int64, call Call, rejection *Rejection) {
 	rejection.RetryAfterMs = q.returnAt(nowMs, rejection.Ahead) - nowMs
-	if len(q.rejected) < longestRejected && call.LatestMs > nowMs {
-		q.rejected = append(q.rejected, rejected{latestMs: call.LatestMs, ahead: rejection.Ahead})
+	if len(q.rejected) < longestRejected && call.LatestStartMs > nowMs {
+		q.rejected = append(q.rejected, rejected{latestMs: call.LatestStartMs, ahead: rejection.Ahead})
 	}
 }
 
@@ -221,9 +221,9 @@
 // blindSteps is over how many steps returns are spread where the rate of room is not known.
 const blindSteps = 8
 
-// Ended notes that a request ended at an engine of the back end, so that there is room for
+// RecordCompletion notes that a request ended at an engine of the back end, so that there is room for
 // another, and returns the call to be told of it, nil where nobody waits.
-func (q *Queue) Ended(nowMs int64) *Place {
+func (q *Queue) RecordCompletion(nowMs int64) *Entry {
 	q.drain.note(nowMs)
 	q.follow(nowMs)
 	return q.next()
@@ -235,7 +235,7 @@
 	kept := q.rejected[:0]
 	for _, call := range q.rejected {
 		if call.ahead == 0 {
-			q.mistakes.Wronged++
+			q.mistakes.FalseRejections++
 			continue
 		}
 		call.ahead--
@@ -245,7 +245,7 @@
 }
 
 // next returns the first that is not looking for an engine already.
-func (q *Queue) next() *Place {
+func (q *Queue) next() *Entry {
 	for _, place := range q.places {
 		if !place.trying {
 			place.trying = true
@@ -255,9 +255,9 @@
 	return nil
 }
 
-// LookAfterMs is after how long a call that nobody told of room is to look for some itself: only
+// ProbeDelayMs is after how long a call that nobody told of room is to look for some itself: only
 // the first in the queue does, at the pace at which room comes.
-func (q *Queue) LookAfterMs(nowMs int64, place *Place) int64 {
+func (q *Queue) ProbeDelayMs(nowMs int64, place *Entry) int64 {
 	if len(q.places) == 0 || q.places[0] != place {
 		return longestLookMs
 	}
@@ -268,8 +268,8 @@
 	return min(max(int64(1/perMs), firstLookMs), longestLookMs)
 }
 
-// Look reports whether a call that nobody told of room may look for some: only the first.
-func (q *Queue) Look(place *Place) bool {
+// StartProbe reports whether a call that nobody told of room may look for some: only the first.
+func (q *Queue) StartProbe(place *Entry) bool {
 	if len(q.places) == 0 || q.places[0] != place || place.trying {
 		return false
 	}
@@ -277,9 +277,9 @@
 	return true
 }
 
-// Again queues a call once more, in its old place, after it found no room; it is rejected where
+// Requeue queues a call once more, in its old place, after it found no room; it is rejected where
 // it has become unlikely that it gets some in time.
-func (q *Queue) Again(nowMs int64, place *Place) *Rejection {
+func (q *Queue) Requeue(nowMs int64, place *Entry) *Rejection {
 	place.trying = false
 	position := slices.Index(q.places, place)
 	rejection := q.judge(nowMs, place.call, max(position, 0))
@@ -293,15 +293,15 @@
 
 // Leave takes a call out of the queue: served says that an engine took it. It returns the
 // call that is to be told of room in its place, nil for none.
-func (q *Queue) Leave(nowMs int64, place *Place, served bool) *Place {
+func (q *Queue) Leave(nowMs int64, place *Entry, served bool) *Entry {
 	position := slices.Index(q.places, place)
 	if position < 0 {
 		return nil
 	}
 	q.places = slices.Delete(q.places, position, position+1)
 	if !served {
-		q.mistakes.InVain++
-		q.mistakes.InVainMs += place.WaitedMs(nowMs)
+		q.mistakes.FutileWaits++
+		q.mistakes.FutileWaitMs += place.WaitedMs(nowMs)
 	}
 	if !place.trying {
 		return nil
--- a/internal/waiting/waiting_test.go
+++ b/internal/waiting/waiting_test.go
@@ -12,10 +12,10 @@
 // joined is in it until it leaves.
 func TestOrderProperty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		queue := NewQueue(Settings{LeastChance: rapid.Float64Range(0, 1).Draw(t, "least")})
+		queue := NewQueue(Settings{MinProbability: rapid.Float64Range(0, 1).Draw(t, "least")})
 		nowMs := int64(0)
-		present := map[*Place]bool{}
-		told := func(place *Place) {
+		present := map[*Entry]bool{}
+		told := func(place *Entry) {
 			if place == nil {
 				return
 			}
@@ -31,7 +31,7 @@
 				}
 			}
 		}
-		anyone := func() *Place {
+		anyone := func() *Entry {
 			if len(queue.places) == 0 {
 				return nil
 			}
@@ -42,8 +42,8 @@
 			switch rapid.IntRange(0, 4).Draw(t, "step") {
 			case 0, 1:
 				call := Call{
-					Rank: rapid.IntRange(0, 9).Draw(t, "rank"), Begun: rapid.Bool().Draw(t, "begun"), AboveShare: rapid.Bool().Draw(t, "above"),
-					DueMs: nowMs + rapid.Int64Range(0, 3000).Draw(t, "due"), LatestMs: nowMs + rapid.Int64Range(-10, 3000).Draw(t, "latest"),
+					Priority: rapid.IntRange(0, 9).Draw(t, "rank"), ProgramInProgress: rapid.Bool().Draw(t, "begun"), AboveFairShare: rapid.Bool().Draw(t, "above"),
+					DueTimeMs: nowMs + rapid.Int64Range(0, 3000).Draw(t, "due"), LatestStartMs: nowMs + rapid.Int64Range(-10, 3000).Draw(t, "latest"),
 				}
 				place, rejection := queue.Join(nowMs, call)
 				if (place == nil) == (rejection == nil) {
@@ -55,10 +55,10 @@
 					t.Fatalf("asked back after %d ms", rejection.RetryAfterMs)
 				}
 			case 2:
-				told(queue.Ended(nowMs))
+				told(queue.RecordCompletion(nowMs))
 			case 3:
 				if place := anyone(); place != nil {
-					if queue.Again(nowMs, place) != nil {
+					if queue.Requeue(nowMs, place) != nil {
 						delete(present, place)
 					}
 				}
@@ -71,7 +71,7 @@
 			if len(present) != queue.Len() {
 				t.Fatalf("%d calls joined and did not leave, %d wait", len(present), queue.Len())
 			}
-			if !slices.IsSortedFunc(queue.places, func(a, b *Place) int { return a.call.before(b.call) }) {
+			if !slices.IsSortedFunc(queue.places, func(a, b *Entry) int { return a.call.before(b.call) }) {
 				t.Fatal("out of order")
 			}
 		}
@@ -85,13 +85,13 @@
 	nowMs := int64(0)
 	for range 20 {
 		nowMs += 50
-		queue.Ended(nowMs)
+		queue.RecordCompletion(nowMs)
 	}
 	nowMs += 60_000
-	if _, rejection := queue.Join(nowMs, Call{Begun: true, DueMs: nowMs + 20_000, LatestMs: nowMs + 20_000}); rejection != nil {
+	if _, rejection := queue.Join(nowMs, Call{ProgramInProgress: true, DueTimeMs: nowMs + 20_000, LatestStartMs: nowMs + 20_000}); rejection != nil {
 		t.Fatalf("rejected: %+v", *rejection)
 	}
-	if _, rejection := queue.Join(nowMs, Call{DueMs: nowMs, LatestMs: nowMs}); rejection == nil || rejection.RetryAfterMs <= 0 {
+	if _, rejection := queue.Join(nowMs, Call{DueTimeMs: nowMs, LatestStartMs: nowMs}); rejection == nil || rejection.RetryAfterMs <= 0 {
 		t.Fatalf("a call whose time is over: %+v", rejection)
 	}
 }
