--- a/internal/compat/compat.go
+++ b/internal/compat/compat.go
@@ -79,7 +79,7 @@
 		if err != nil {
 			return fmt.Errorf("%s: %w", name, err)
 		}
-		encoded, err := encode(sampleOf(reflect.TypeOf(zero).Elem()).Interface())
+		encoded, err := encode(sampleOf(reflect.TypeOf(zero).Elem(), nil).Interface())
 		if err != nil {
 			return fmt.Errorf("%s: %w", name, err)
 		}
@@ -136,7 +136,7 @@
 // oldReads holds that the old release reads what the present type writes, with the same values
 // in what it knows.
 func oldReads(old golden, present reflect.Type) error {
-	encoded, err := encode(sampleOf(present).Interface())
+	encoded, err := encode(sampleOf(present, &old.Shape).Interface())
 	if err != nil {
 		return err
 	}
--- a/internal/compat/shape.go
+++ b/internal/compat/shape.go
@@ -137,18 +137,23 @@
 const sampleElements = 2
 
 // sampleOf returns a pointer to a value of a type with no field at zero. A field's value
-// depends on the way to it alone, so that a field that is added changes no other.
-func sampleOf(of reflect.Type) reflect.Value {
+// depends on its path alone, so that a field that is added changes no other. Where earlier is
+// the shape of the type in an earlier release, a field that was renamed in Go and kept its key
+// has the value that the earlier release gives it; nil stands for no earlier release.
+func sampleOf(of reflect.Type, earlier *shape) reflect.Value {
 	value := reflect.New(of)
-	fill(value.Elem(), "")
+	fill(value.Elem(), "", earlier)
 	return value
 }
 
-func fill(value reflect.Value, path string) {
+func fill(value reflect.Value, path string, earlier *shape) {
 	if _, shared := sharedValue(value.Type()); shared {
-		fill(value.FieldByName("Value"), path)
+		fill(value.FieldByName("Value"), path, earlier)
 		return
 	}
+	if earlier == nil || earlier.Kind != value.Kind().String() {
+		earlier = &shape{}
+	}
 	// number is between 1 and 100: it fits all kinds of numbers.
 	digest := fnv.New32a()
 	_, _ = digest.Write([]byte(path))
@@ -162,20 +167,20 @@
 		value.SetFloat(float64(number) + 0.5)
 	case reflect.Pointer:
 		value.Set(reflect.New(value.Type().Elem()))
-		fill(value.Elem(), path)
+		fill(value.Elem(), path, earlier.Element)
 	case reflect.Slice:
 		value.Set(reflect.MakeSlice(value.Type(), sampleElements, sampleElements))
-		fillElements(value, path)
+		fillElements(value, path, earlier.Element)
 	case reflect.Array:
-		fillElements(value, path)
+		fillElements(value, path, earlier.Element)
 	case reflect.Map:
 		key, element := reflect.New(value.Type().Key()).Elem(), reflect.New(value.Type().Elem()).Elem()
-		fill(key, path+"/key")
-		fill(element, path+"/value")
+		fill(key, path+"/key", earlier.Key)
+		fill(element, path+"/value", earlier.Element)
 		value.Set(reflect.MakeMap(value.Type()))
 		value.SetMapIndex(key, element)
 	case reflect.Struct:
-		fillFields(value, path)
+		fillFields(value, path, earlier)
 	default:
 		if value.CanInt() {
 			value.SetInt(number)
@@ -185,17 +190,52 @@
 	}
 }
 
-func fillElements(value reflect.Value, path string) {
+func fillElements(value reflect.Value, path string, earlier *shape) {
 	for position := range value.Len() {
-		fill(value.Index(position), fmt.Sprintf("%s/%d", path, position))
+		fill(value.Index(position), fmt.Sprintf("%s/%d", path, position), earlier)
 	}
 }
 
-func fillFields(value reflect.Value, path string) {
+func fillFields(value reflect.Value, path string, earlier *shape) {
+	encoded := 0
 	for position := range value.NumField() {
 		field := value.Type().Field(position)
 		if field.IsExported() && field.Tag.Get("msgpack") != "-" {
-			fill(value.Field(position), path+"/"+field.Name)
+			name, of := earlier.earlierField(value.Type(), field, encoded)
+			fill(value.Field(position), path+"/"+name, of)
+			encoded++
+		}
+	}
+}
+
+// earlierField returns the name in Go and the shape that a field of a struct had in the earlier
+// release that s describes; position counts the encoded fields of the struct. A field whose name
+// is new there is the earlier one of the same key (of the same position in an array struct),
+// unless the struct still has a field of that one's name.
+func (s *shape) earlierField(in reflect.Type, field reflect.StructField, position int) (string, *shape) {
+	for index := range s.Fields {
+		if s.Fields[index].Name == field.Name {
+			return field.Name, &s.Fields[index].Shape
+		}
+	}
+	for index, candidate := range s.Fields {
+		same := candidate.key() == encodedKey(field.Name, field.Tag.Get("msgpack"))
+		if s.Array {
+			same = index == position
+		}
+		if _, kept := in.FieldByName(candidate.Name); same && !kept {
+			return candidate.Name, &s.Fields[index].Shape
 		}
 	}
+	return field.Name, nil
+}
+
+func (f fieldShape) key() string { return encodedKey(f.Name, f.Tag) }
+
+// encodedKey returns the key under which the codec writes a field.
+func encodedKey(name, tag string) string {
+	if key, _, _ := strings.Cut(tag, ","); key != "" {
+		return key
+	}
+	return name
 }
