--- a/internal/control/core.go
+++ b/internal/control/core.go
@@ -1,8 +1,8 @@
-// Package control is the process that holds ochrebay's durable state: replicas
-// of the settings group and of the program ledger groups (design sections 2, 4
-// and 5). Core is its control state as a state machine without goroutine, clock
-// or socket; Daemon runs it over TCP and a real disk, the simulator over virtual
-// ones.
+// Package control implements the control process, which stores ochrebay's durable
+// state: replicas of the settings group and of the program ledger groups (design
+// sections 2, 4 and 5). Core is the control state as a state machine without
+// goroutines, clock or sockets; Daemon runs it on TCP and a real disk, the
+// simulator on virtual ones.
 package control
 
 import (
@@ -22,16 +22,17 @@
 	"github.com/ochrebay/ochrebay/internal/storage"
 )
 
-// RequestID names a request whose reply the shell will route.
+// RequestID identifies a request, so that the caller of the core can route the reply.
 type RequestID uint64
 
-// Transport takes what the core sends. Its methods must not call back.
+// Transport sends the core's messages to other members and its replies to requesters.
+// Its methods must not call back into the core.
 type Transport interface {
 	Send(member string, kind protocol.Kind, message any)
 	Reply(request RequestID, reply any)
 }
 
-// Storage is the disk as the core sees it. Write returns after the sync.
+// Storage is the disk interface of the core. Write returns after the sync.
 type Storage interface {
 	Replica() consensus.ReplicaID
 	Bootstrap() (consensus.Configuration, bool, error)
@@ -54,27 +55,30 @@
 	Name         string
 	Members      []Member
 	LedgerGroups int
-	// Discovered says that Members are only the processes to ask first: more may
-	// join, and members that are gone for good are replaced.
+	// Discovered says that Members lists only the processes to contact first: others
+	// may join, and members that are permanently gone are replaced.
 	Discovered bool
-	// MayBootstrap says that this process may take part in making the first
-	// configuration; without it, it waits to be let in.
+	// MayBootstrap says that this process may take part in creating the first
+	// configuration. Without it, the process waits until a cluster admits it.
 	MayBootstrap bool
-	// MinVoters is how many voters the settings group keeps, whoever is silent.
+	// MinVoters is the number of voters that the settings group keeps even when
+	// members are silent.
 	MinVoters int
-	// Fleet configures the leader's care for gateways, engines and ledger hosts.
+	// Fleet configures how the leader tracks gateways, engines and ledger hosts.
 	Fleet membership.FleetOptions
-	// TickMs is the length of a consensus tick.
+	// TickMs is the interval between consensus ticks, in milliseconds.
 	TickMs         int64
 	ElectionTicks  int
 	HeartbeatTicks int
 	QuiesceTicks   int
-	// LeaseMs is how long a scheduler may be silent before it is taken over.
+	// LeaseMs is how long a scheduler may be silent before its engines are reassigned,
+	// in milliseconds.
 	LeaseMs int64
-	// CompactEntries is how many applied entries a group keeps at most.
+	// CompactEntries is the maximum number of applied entries that a group keeps.
 	CompactEntries uint64
 
-	// The rest turn mechanisms off, for runs that show what they are for.
+	// The remaining options each turn off one mechanism, for runs that demonstrate
+	// which failures the mechanism prevents.
 	DisablePreVote      bool
 	DisableCheckQuorum  bool
 	DisableReadConfirm  bool
@@ -85,7 +89,7 @@
 	DisableTurnOrder    bool
 }
 
-// DefaultOptions returns the timings of a fleet whose zones are a few
+// DefaultOptions returns options with timings for a fleet whose zones are a few
 // milliseconds apart.
 func DefaultOptions(name string, members []Member, ledgerGroups int) Options {
 	return Options{
@@ -96,155 +100,165 @@
 }
 
 const (
-	// helloEveryMs is how often a process that is not let in yet introduces itself, and
-	// candidateHellos how often it must have done so before the leader lets it in.
-	helloEveryMs    = 200
-	candidateHellos = 3
-	// presenceEveryMs is how often processes tell each other that they are there, and
-	// suspectAfterMs the silence, four of these, after which quiet groups wake.
-	presenceEveryMs = 200
-	suspectAfterMs  = 800
-	// planEveryMs, sweepEveryMs and balanceEveryMs are how often the leader looks after
-	// schedulers, idle programs and where groups are led.
-	planEveryMs    = 200
-	sweepEveryMs   = 2000
-	balanceEveryMs = 3000
-	// proposalWaitMs is how long a proposal may stay undecided: as long as the longest wait
-	// of a caller (askTimeout).
-	proposalWaitMs = 5000
-	// maxAppendBytes and maxInflight bound what is on its way to one follower, bytes of one
-	// message and messages.
-	maxAppendBytes = 1 << 20
-	maxInflight    = 64
-	// compactBytes is how much of a group's log stays.
+	// helloIntervalMs is how often a process that is not admitted yet sends hello messages,
+	// and minCandidateHellos how many of them the leader must receive before it admits the
+	// process.
+	helloIntervalMs    = 200
+	minCandidateHellos = 3
+	// presenceIntervalMs is how often processes send each other presence messages, and
+	// suspectTimeoutMs the silence, four of these intervals, after which quiescent groups
+	// wake.
+	presenceIntervalMs = 200
+	suspectTimeoutMs   = 800
+	// planIntervalMs, sweepIntervalMs and balanceIntervalMs are how often the leader checks
+	// the schedulers, the idle programs and the distribution of group leaders.
+	planIntervalMs    = 200
+	sweepIntervalMs   = 2000
+	balanceIntervalMs = 3000
+	// proposalTimeoutMs is how long a proposal may stay undecided: as long as the longest
+	// wait of a caller (requestTimeout).
+	proposalTimeoutMs = 5000
+	// maxAppendBytes and maxInflightAppends bound what is in flight to one follower: the
+	// bytes of one message and the number of messages.
+	maxAppendBytes     = 1 << 20
+	maxInflightAppends = 64
+	// compactBytes is how many bytes of applied entries a group's log keeps.
 	compactBytes = 2 << 20
-	// startTicks is the shortest election timeout of a replica that has known no leader since
-	// its start.
-	startTicks = 3
-	// keptTables is how many routing tables are kept to tell followers the difference.
-	keptTables = 4
-	// pauseTicks is from how many ticks on a gap between two counts as a pause: well
-	// below what gateways may be silent for, above what a busy loop is late by.
-	pauseTicks = 4
+	// startElectionTicks is the shortest election timeout of a replica that has known no
+	// leader since its start.
+	startElectionTicks = 3
+	// maxRecentTables is how many routing tables are kept to compute deltas for followers.
+	maxRecentTables = 4
+	// pauseThresholdTicks is the time between two ticks, in tick intervals, above which the
+	// process counts as having been paused: well below the silence allowed to gateways,
+	// above the delay of a busy event loop.
+	pauseThresholdTicks = 4
 )
 
 // Core is the control state of one control process.
 type Core struct {
-	options Options
-	storage Storage
-	outlet  Transport
-	nowMs   int64
-	formed  bool
-	host    *replication.Host
-	system  *systemMachine
-
-	startMs        int64
-	lastTickMs     int64
-	lastHelloMs    int64
-	lastPresenceMs int64
-	lastPlanMs     int64
-	lastSweepMs    int64
-	lastBalanceMs  int64
-	heardMs        map[string]int64
-	revisions      map[string]uint64
-	// knowIncarnations are the other processes whose replicas know incarnations of engines.
-	knowIncarnations map[string]bool
-	unformed         map[string]consensus.ReplicaID
-	candidates       map[string]*candidate
-
-	tracker *membership.Tracker
-	permits *reconcile.Permits
-	syncs   []pendingSync
-	// fleetTracker is the leader's soft state of the fleet, nil elsewhere.
+	options   Options
+	storage   Storage
+	transport Transport
+	nowMs     int64
+	formed    bool
+	host      *replication.Host
+	system    *systemStateMachine
+
+	startMs         int64
+	lastTickMs      int64
+	lastHelloMs     int64
+	lastPresenceMs  int64
+	lastPlanMs      int64
+	lastSweepMs     int64
+	lastBalanceMs   int64
+	lastReceivedMs  map[string]int64
+	memberRevisions map[string]uint64
+	// supportsIncarnations holds, by member name, whether the replicas of another process
+	// support engine incarnations.
+	supportsIncarnations map[string]bool
+	unformedReplicas     map[string]consensus.ReplicaID
+	candidates           map[string]*candidate
+
+	schedulerTracker *membership.Tracker
+	permits          *reconcile.Permits
+	pendingSyncs     []pendingSync
+	// fleetTracker is the leader's soft state about the fleet, nil on other members.
 	fleetTracker *membership.FleetTracker
-	// loads is what gateways have said of engines to this leader, nil elsewhere.
-	loads *scheduling.LoadAggregator
-	// uses is what gateways have said of tenants to this leader, nil elsewhere.
-	uses       *admission.UsageAggregator
-	fleetSyncs []pendingFleetSync
-	// reports are those of engines that the leader is told of in lists.
-	reports engineReports
-	// unproved are heartbeats that wait for the next round of confirmation; proving says
-	// that one is under way.
-	unproved []pendingFleetSync
-	// fleetNewsVersion is the version of the fleet that heartbeats were last answered with for
-	// its changes, since fleetNewsMs.
-	fleetNewsVersion uint64
-	fleetNewsMs      int64
-	proving          bool
-	fleetPlanning    bool
-	// tables are the routing tables that were in force lately, the newest last.
-	tables []*routing.Table
-	// news are the latest answers to heartbeats, for those that ask for the same.
-	news        newsCache
-	lastFleetMs int64
-	lastSizesMs int64
-	planning    uint64
-	draining    bool
-	// leaderSeenMs is when the settings group was last known to have a leader.
+	// loadAggregator aggregates what gateways have reported about engines to this leader, nil on
+	// other members.
+	loadAggregator *scheduling.LoadAggregator
+	// usageAggregator aggregates what gateways have reported about tenants to this leader, nil on
+	// other members.
+	usageAggregator   *admission.UsageAggregator
+	pendingFleetSyncs []pendingFleetSync
+	// engineReports holds the engine reports that this process passes on to the leader in
+	// lists.
+	engineReports engineReports
+	// unconfirmedFleetSyncs are heartbeats that wait for the next round in which a quorum
+	// confirms this leader; confirmationInProgress says that a round is in progress.
+	unconfirmedFleetSyncs []pendingFleetSync
+	// notifiedFleetVersion is the fleet version whose changes held heartbeats were last
+	// answered for, and fleetNotifiedMs when that round of answers began.
+	notifiedFleetVersion   uint64
+	fleetNotifiedMs        int64
+	confirmationInProgress bool
+	fleetUpdatePending     bool
+	// recentTables are the routing tables that were in force recently, the newest last.
+	recentTables []*routing.Table
+	// deltas caches the content of recent heartbeat answers, for other senders with the same
+	// version.
+	deltas           deltaCache
+	lastFleetPlanMs  int64
+	lastSubsetPlanMs int64
+	// pendingUpdateIndex is the log index of the directory update that is being committed, 0 for
+	// none.
+	pendingUpdateIndex uint64
+	draining           bool
+	// leaderSeenMs is when this process last knew a leader of the settings group.
 	leaderSeenMs int64
 	// leadingTerm is the term in which this process last led the settings group, and
-	// leadingSinceMs when that began.
+	// leadingSinceMs when that leadership began.
 	leadingTerm    uint64
 	leadingSinceMs int64
 }
 
-// candidate is a replica on a new disk that asks to be let in.
+// candidate is a replica on a new disk that asks to be admitted to the groups.
 type candidate struct {
-	replica consensus.ReplicaID
-	hellos  int
-	lastMs  int64
+	replica     consensus.ReplicaID
+	helloCount  int
+	lastHelloMs int64
 }
 
-// NewCore returns the core as its disk describes it.
-func NewCore(options Options, disk Storage, outlet Transport, nowMs int64) (*Core, error) {
+// NewCore returns a core with the state that its disk holds.
+func NewCore(options Options, disk Storage, transport Transport, nowMs int64) (*Core, error) {
 	core := &Core{
-		options: options, storage: disk, outlet: outlet, nowMs: nowMs, startMs: nowMs, lastTickMs: nowMs,
-		heardMs: map[string]int64{}, revisions: map[string]uint64{}, knowIncarnations: map[string]bool{}, unformed: map[string]consensus.ReplicaID{},
-		candidates: map[string]*candidate{}, reports: newEngineReports(),
+		options: options, storage: disk, transport: transport, nowMs: nowMs, startMs: nowMs, lastTickMs: nowMs,
+		lastReceivedMs: map[string]int64{}, memberRevisions: map[string]uint64{}, supportsIncarnations: map[string]bool{}, unformedReplicas: map[string]consensus.ReplicaID{},
+		candidates: map[string]*candidate{}, engineReports: newEngineReports(),
 	}
 	core.host = replication.NewHost(hostOptions(options), disk, core.sendBatch)
-	core.host.OnApplied = core.applied
+	core.host.OnApplied = core.handleApplied
 	core.setNow(nowMs)
 	for _, member := range options.Members {
-		core.heardMs[member.Name] = nowMs
+		core.lastReceivedMs[member.Name] = nowMs
 	}
 	bootstrap, formed, err := disk.Bootstrap()
 	if err != nil {
 		return nil, err
 	}
 	if formed {
-		return core, core.form(bootstrap)
+		return core, core.createGroups(bootstrap)
 	}
 	return core, nil
 }
 
 func hostOptions(options Options) replication.Options {
 	return replication.Options{
-		Name: options.Name, StartTicks: startTicks, ElectionTicks: options.ElectionTicks, HeartbeatTicks: options.HeartbeatTicks,
-		QuiesceTicks: options.QuiesceTicks, MaxAppendBytes: maxAppendBytes, MaxInflight: maxInflight,
-		ProposalTimeoutMs: proposalWaitMs, CompactAfterEntries: options.CompactEntries, CompactAfterBytes: compactBytes,
+		Name: options.Name, StartTicks: startElectionTicks, ElectionTicks: options.ElectionTicks, HeartbeatTicks: options.HeartbeatTicks,
+		QuiesceTicks: options.QuiesceTicks, MaxAppendBytes: maxAppendBytes, MaxInflight: maxInflightAppends,
+		ProposalTimeoutMs: proposalTimeoutMs, CompactAfterEntries: options.CompactEntries, CompactAfterBytes: compactBytes,
 		DisablePreVote: options.DisablePreVote, DisableCheckQuorum: options.DisableCheckQuorum,
 		DisableReadConfirm: options.DisableReadConfirm,
 	}
 }
 
-// setNow advances the clock that the core and its host share.
+// setNow advances the clock of the core and of its replication host.
 func (c *Core) setNow(nowMs int64) {
 	c.nowMs = nowMs
 	c.host.NowMs = nowMs
 }
 
-// form builds the groups; an empty bootstrap configuration makes a replica that
-// waits to be let in.
-func (c *Core) form(bootstrap consensus.Configuration) error {
-	c.system = newSystemMachine(c.options)
+// createGroups creates the replicas of all groups. With an empty bootstrap
+// configuration they are no members of their groups and wait until they are admitted.
+func (c *Core) createGroups(bootstrap consensus.Configuration) error {
+	c.system = newSystemStateMachine(c.options)
 	for id := 0; id <= c.options.LedgerGroups; id++ {
-		var state replication.StateMachine = c.system
+		var stateMachine replication.StateMachine = c.system
 		if id > 0 {
-			state = newLedgerMachine(c.options)
+			stateMachine = newLedgerStateMachine(c.options)
 		}
-		if _, err := c.host.AddGroup(storage.GroupID(id), state, bootstrap); err != nil {
+		if _, err := c.host.AddGroup(storage.GroupID(id), stateMachine, bootstrap); err != nil {
 			return err
 		}
 	}
@@ -252,15 +266,16 @@
 	return nil
 }
 
-// Formed reports whether the process takes part in a cluster.
+// Formed reports whether the process has created its replicas, for the first
+// configuration or to be admitted to an existing cluster.
 func (c *Core) Formed() bool { return c.formed }
 
-// Leads reports whether this process leads a group.
+// Leads reports whether this process leads the group.
 func (c *Core) Leads(id storage.GroupID) bool {
 	return c.formed && int(id) < len(c.host.Groups) && c.host.Groups[id].Node.Role() == consensus.Leader
 }
 
-// Ready reports whether every group has a leader that this process knows.
+// Ready reports whether this process knows a leader of every group.
 func (c *Core) Ready() bool {
 	if !c.formed {
 		return false
@@ -273,7 +288,7 @@
 	return true
 }
 
-// Revision returns the settings revision in force here.
+// Revision returns the settings revision that this process has applied, 0 before it has formed.
 func (c *Core) Revision() uint64 {
 	if !c.formed {
 		return 0
@@ -281,30 +296,31 @@
 	return c.system.tree.Revision()
 }
 
-// Fleet returns the fleet for reading.
+// Fleet returns the fleet; callers must not change it.
 func (c *Core) Fleet() *membership.Fleet { return c.system.fleet }
 
-// SettingsTree returns the settings tree for reading.
+// SettingsTree returns the settings tree; callers must not change it.
 func (c *Core) SettingsTree() *settings.Tree { return c.system.tree }
 
-// Directory returns the directory for reading.
+// Directory returns the directory of schedulers and their engines; callers must not change it.
 func (c *Core) Directory() *membership.Directory { return c.system.directory }
 
-// Ledger returns a ledger group's state for reading.
+// Ledger returns the state of a ledger group; callers must not change it.
 func (c *Core) Ledger(id storage.GroupID) *program.Ledger {
-	return c.host.Groups[id].StateMachine.(*ledgerMachine).ledger
+	return c.host.Groups[id].StateMachine.(*ledgerStateMachine).ledger
 }
 
-// SyncCount counts the writes that were synced since the start.
+// SyncCount returns the number of writes synced to disk since the process started.
 func (c *Core) SyncCount() uint64 { return c.host.SyncedWrites }
 
-// GroupCount returns how many groups the process holds, the settings group included.
+// GroupCount returns the number of groups of which the process holds a replica, including
+// the settings group.
 func (c *Core) GroupCount() int { return len(c.host.Groups) }
 
-// Node returns a group's consensus replica for reading.
+// Node returns the consensus replica of a group; callers must not change it.
 func (c *Core) Node(id storage.GroupID) *consensus.Node { return c.host.Groups[id].Node }
 
-// leaderName returns the member that leads a group, "" where unknown.
+// leaderName returns the member that leads a group, "" if it is unknown.
 func (c *Core) leaderName(group *replication.Group) string {
 	replica, ok := group.Node.Configuration().Find(group.Node.Leader())
 	if !ok {
@@ -313,16 +329,16 @@
 	return replica.Member
 }
 
-// Tick advances the core's clock.
+// Tick advances the core's clock and runs the timers that are due.
 func (c *Core) Tick(nowMs int64) {
 	c.setNow(nowMs)
-	c.notePause(nowMs - c.lastTickMs)
+	c.detectPause(nowMs - c.lastTickMs)
 	c.sendHellos()
 	if !c.formed {
 		return
 	}
-	// A process that was frozen ticks once, not once for each tick it missed:
-	// it must hear what has happened before it acts on its timers.
+	// A process that was frozen ticks once, not once for each tick it missed: it
+	// must receive the messages sent meanwhile before its consensus timers expire.
 	if nowMs-c.lastTickMs >= c.options.TickMs {
 		c.lastTickMs = nowMs
 		for _, group := range c.host.Groups {
@@ -330,38 +346,39 @@
 		}
 	}
 	c.checkPeers()
-	c.noteLeader()
-	c.followTerm()
+	c.recordLeader()
+	c.updateLeaderState()
 	c.tickLeader()
 	c.expireSyncs()
 	c.expireFleetSyncs()
 	c.host.ExpirePending()
 }
 
-// notePause takes a long time between ticks for a pause of this process, as when its
-// machine is frozen or slow.
-func (c *Core) notePause(sinceTickMs int64) {
-	if sinceTickMs > pauseTicks*c.options.TickMs && c.fleetTracker != nil {
+// detectPause treats a long time between ticks as a pause of this process, as when its
+// machine is frozen or slow, so that the leader does not count it as silence of gateways.
+func (c *Core) detectPause(sinceTickMs int64) {
+	if sinceTickMs > pauseThresholdTicks*c.options.TickMs && c.fleetTracker != nil {
 		c.fleetTracker.RecordPause(sinceTickMs)
 	}
 }
 
-// checkPeers wakes quiet groups when a peer process falls silent: a group that
-// has gone quiet relies on the process's presence messages.
+// checkPeers sends presence messages when they are due, and wakes quiescent groups
+// when a peer process falls silent: a quiescent group sends no heartbeats of its own
+// and relies on the presence messages.
 func (c *Core) checkPeers() {
-	if c.nowMs-c.lastPresenceMs >= presenceEveryMs {
+	if c.nowMs-c.lastPresenceMs >= presenceIntervalMs {
 		c.lastPresenceMs = c.nowMs
-		c.reports.follow(c.leaderName(c.host.Groups[0]))
+		c.engineReports.setLeader(c.leaderName(c.host.Groups[0]))
 		for _, member := range c.memberNames() {
 			if member != c.options.Name {
-				c.outlet.Send(member, protocol.KindPeer, protocol.PeerBatch{
+				c.transport.Send(member, protocol.KindPeer, protocol.PeerBatch{
 					From: c.options.Name, Revision: c.Revision(), Engines: c.engineList(member), Incarnations: true,
 				})
 			}
 		}
 	}
 	for _, member := range c.memberNames() {
-		if member == c.options.Name || c.silentMs(member) <= suspectAfterMs {
+		if member == c.options.Name || c.silenceMs(member) <= suspectTimeoutMs {
 			continue
 		}
 		for _, group := range c.host.Groups {
@@ -371,8 +388,8 @@
 	}
 }
 
-// memberNames returns the control processes: the ones configured, or the ones of
-// the settings group where members are discovered.
+// memberNames returns the names of the control processes: the configured ones, or the
+// replicas of the settings group if members are discovered.
 func (c *Core) memberNames() []string {
 	var names []string
 	if !c.options.Discovered {
@@ -387,58 +404,59 @@
 	return names
 }
 
-// silentMs returns how long another control process has not been heard.
-func (c *Core) silentMs(member string) int64 {
-	heard, ok := c.heardMs[member]
+// silenceMs returns the time since the last message from another control process,
+// counted from this process's start if none has come.
+func (c *Core) silenceMs(member string) int64 {
+	lastMs, ok := c.lastReceivedMs[member]
 	if !ok {
-		heard = c.startMs
+		lastMs = c.startMs
 	}
-	return c.nowMs - heard
+	return c.nowMs - lastMs
 }
 
-// HandlePeerBatch takes a batch of consensus messages from another control process.
+// HandlePeerBatch processes a batch of consensus messages from another control process.
 func (c *Core) HandlePeerBatch(batch protocol.PeerBatch, nowMs int64) {
 	c.setNow(nowMs)
-	c.heardMs[batch.From] = nowMs
-	c.revisions[batch.From] = batch.Revision
-	c.knowIncarnations[batch.From] = batch.Incarnations
+	c.lastReceivedMs[batch.From] = nowMs
+	c.memberRevisions[batch.From] = batch.Revision
+	c.supportsIncarnations[batch.From] = batch.Incarnations
 	if !c.formed {
 		return
 	}
 	c.host.Step(batch)
-	c.followTerm()
-	c.takeEngineList(batch.From, batch.Engines)
+	c.updateLeaderState()
+	c.handleEngineList(batch.From, batch.Engines)
 }
 
-// sendBatch is the host's way to another control process.
+// sendBatch sends the replication host's messages to another control process.
 func (c *Core) sendBatch(member string, messages []protocol.PeerMessage) {
-	c.outlet.Send(member, protocol.KindPeer, protocol.PeerBatch{
+	c.transport.Send(member, protocol.KindPeer, protocol.PeerBatch{
 		From: c.options.Name, Revision: c.Revision(), Messages: messages, Incarnations: true,
 	})
 }
 
-// Flush carries out what the groups have ready: sends, one synced write for all
+// Flush performs the pending output of the groups: sends, one synced write for all
 // groups, and only then acknowledgements and replies.
 func (c *Core) Flush() error {
 	return c.host.ProcessReady()
 }
 
-// SetInstances takes the platform's list of engines.
+// SetInstances sets the platform's list of instances that run engines.
 func (c *Core) SetInstances(instances []membership.Instance) {
-	if c.tracker != nil {
-		c.tracker.SetInstances(instances)
+	if c.schedulerTracker != nil {
+		c.schedulerTracker.SetInstances(instances)
 	}
 }
 
-// Drain hands leadership over, as a planned stop begins.
+// Drain transfers the leadership of all groups at the start of a planned stop.
 func (c *Core) Drain() {
 	c.draining = true
 	for _, group := range c.host.Groups {
-		c.handOver(group)
+		c.transferLeadership(group)
 	}
 }
 
-// Drained reports whether this process leads nothing any more.
+// Drained reports whether this process leads no group.
 func (c *Core) Drained() bool {
 	for _, group := range c.host.Groups {
 		if group.Node.Role() == consensus.Leader {
@@ -448,22 +466,22 @@
 	return true
 }
 
-func (c *Core) handOver(group *replication.Group) {
+func (c *Core) transferLeadership(group *replication.Group) {
 	if group.Node.Role() != consensus.Leader {
 		return
 	}
 	for _, replica := range group.Node.Configuration().Replicas {
-		alive := c.silentMs(replica.Member) < suspectAfterMs
+		alive := c.silenceMs(replica.Member) < suspectTimeoutMs
 		if replica.ID != group.Node.ID() && alive && group.Node.TransferLeadership(replica.ID) {
 			return
 		}
 	}
 }
 
-// balance hands groups to the member whose turn it is by the group's number, so
-// that no process leads them all.
-func (c *Core) balance() {
-	if c.nowMs-c.lastBalanceMs < balanceEveryMs {
+// balanceLeaders transfers each group to the voter that its number selects from the
+// sorted member names, so that no process leads all groups.
+func (c *Core) balanceLeaders() {
+	if c.nowMs-c.lastBalanceMs < balanceIntervalMs {
 		return
 	}
 	c.lastBalanceMs = c.nowMs
@@ -471,10 +489,10 @@
 		if group.Node.Role() != consensus.Leader {
 			continue
 		}
-		voters := group.Node.Configuration()
+		configuration := group.Node.Configuration()
 		var names []string
 		ids := map[string]consensus.ReplicaID{}
-		for _, replica := range voters.Replicas {
+		for _, replica := range configuration.Replicas {
 			if !replica.Learner {
 				names = append(names, replica.Member)
 				ids[replica.Member] = replica.ID
@@ -482,7 +500,7 @@
 		}
 		slices.SortFunc(names, strings.Compare)
 		preferred := names[int(group.ID)%len(names)]
-		if preferred != c.options.Name && c.silentMs(preferred) < suspectAfterMs {
+		if preferred != c.options.Name && c.silenceMs(preferred) < suspectTimeoutMs {
 			group.Node.TransferLeadership(ids[preferred])
 		}
 	}
--- a/internal/control/daemon.go
+++ b/internal/control/daemon.go
@@ -24,126 +24,131 @@
 const (
 	drainTimeout = 5 * time.Second
 
-	// How long engines, gateways and ledger hosts may be silent at the least, and how long the
-	// first placement waits for further ledger hosts, milliseconds.
-	engineSilentMs  = 10_000
-	gatewaySilentMs = 2_500
-	// engineSilentReports is how many reports an engine may leave out: one may be lost with the
-	// process that took it, and another may be on its way.
-	engineSilentReports = 3
-	// gatewayReturnMs is twice the 200 ms after which a lost packet is sent again. Measured
-	// at 500 and 400 on days with frozen machines only (docs/measurements/large.md).
-	gatewayReturnMs = 400
-	// gatewayLightReturnMs covers one lost packet and the way there and back. A false alarm costs
-	// little: the gateway is listed again with its next heartbeat.
-	gatewayLightReturnMs = 250
-	ledgerSilentMs       = 2_000
-	ledgerForgottenMs    = 60_000
-	formationMs          = 1_500
+	// The minimum silence, in milliseconds, after which engines, gateways and ledger hosts count
+	// as lost, the time after which a silent ledger host without groups is removed, and how long
+	// the first placement waits for further ledger hosts.
+	engineTimeoutMs  = 10_000
+	gatewayTimeoutMs = 2_500
+	// engineTimeoutReports is how many report intervals of an engine its silence may last: one
+	// report may be lost with the process that took it, and another may be in flight.
+	engineTimeoutReports = 3
+	// gatewayRepollTimeoutMs is twice the 200 ms after which a lost packet is retransmitted. The
+	// comparison of 500 and 400 ms in docs/measurements/large.md covers only frozen machines.
+	gatewayRepollTimeoutMs = 400
+	// gatewaySmallDeltaRepollTimeoutMs covers one lost packet and a network round trip. A false
+	// positive costs little: the gateway is listed again with its next heartbeat.
+	gatewaySmallDeltaRepollTimeoutMs = 250
+	ledgerTimeoutMs                  = 2_000
+	ledgerRetentionMs                = 60_000
+	initialPlacementDelayMs          = 1_500
 
-	// discoveredElectionTicks is shorter than that of a listed cluster: callers wait
-	// for the leader of a platform's fleet.
+	// discoveredElectionTicks is shorter than the election timeout of a cluster with
+	// listed members, since callers wait for the leader of a platform's fleet.
 	discoveredElectionTicks = 7
 
-	// fleetLogEvery is how often a process writes the fleet's version at the most: at a start
-	// each engine, gateway and ledger host makes one.
-	fleetLogEvery = time.Second
-	// refusalLogEvery is how often a process writes that it takes no reports: while there is no
-	// leader all engines are refused.
-	refusalLogEvery = time.Second
-	// voidLogEvery is how often a process writes that reports of engines changed nothing: who
-	// writes such reports writes many.
-	voidLogEvery = time.Second
-	// directoryEvery is how often the directory is made anew at the most: its cost grows with the
-	// gateways, and so does the number of changes when all come back at once.
-	directoryEvery = 50 * time.Millisecond
+	// fleetLogInterval is the minimum time between two log lines about the fleet's version: at a
+	// start each engine, gateway and ledger host causes a new version.
+	fleetLogInterval = time.Second
+	// refusalLogInterval is the minimum time between two log lines about refused engine reports:
+	// while there is no leader, the reports of all engines are refused.
+	refusalLogInterval = time.Second
+	// ignoredLogInterval is the minimum time between two log lines about engine reports that
+	// changed nothing: a sender of such reports usually sends many.
+	ignoredLogInterval = time.Second
+	// gatewaySelectorInterval is the minimum time between two rebuilds of the gateway selector:
+	// the cost of a rebuild grows with the number of gateways, and so does the number of changes
+	// when all gateways come back at once.
+	gatewaySelectorInterval = 50 * time.Millisecond
 )
 
-// status is the snapshot that traffic goroutines read.
+// status is the snapshot of the core's state that other goroutines read.
 type status struct {
-	syncs    uint64
-	formed   bool
-	ready    bool
-	revision uint64
-	drained  bool
-	leading  int
-	programs int
-	applied  uint64
-	// memberSilent says that another control process has not been heard lately.
-	memberSilent bool
-	// spread is the directory for callers, gatewaysVersion the fleet's version at which it
-	// last changed, and fleetLogged what the last line about the fleet told.
-	spread          *membership.GatewaySelector
+	syncCount      uint64
+	formed         bool
+	isReady        bool
+	revision       uint64
+	isDrained      bool
+	groupsLed      int
+	programCount   int
+	entriesApplied uint64
+	// hasSilentMember says that another control process has been silent for too long.
+	hasSilentMember bool
+	// gatewaySelector selects gateways for callers, gatewaysVersion is the version of the fleet's
+	// gateways that it was built from, selectorBuiltAt the time of the last rebuild, and
+	// lastFleetLog the last log line about the fleet.
+	gatewaySelector *membership.GatewaySelector
 	gatewaysVersion uint64
-	gatewaysAt      time.Time
-	fleetLogged     loggedFleet
+	selectorBuiltAt time.Time
+	lastFleetLog    fleetLog
 }
 
-// loggedFleet is the fleet version that a line told of, and when.
-type loggedFleet struct {
+// fleetLog is the fleet version in a log line, and the time of the line.
+type fleetLog struct {
 	version uint64
 	at      time.Time
 }
 
-// Daemon runs a Core over TCP and a disk.
+// Daemon runs a Core on TCP and a disk.
 type Daemon struct {
-	// Frontends are served besides the daemon's own interface.
+	// Frontends are HTTP interfaces served in addition to the daemon's own.
 	Frontends []daemon.Frontend
 
-	process config.Process
-	logger  log.Logger
-	store   *storage.Store
-	core    *Core
-	monitor *telemetry.Monitor
-	server  *protocol.Server
-	web     *fasthttp.Server
-	loop    *daemon.Loop
-	status  atomic.Pointer[status]
-	links   *daemon.Links
-	caller  *daemon.Caller
-	// reportsRefused counts the reports of engines that were not taken since the last line
-	// about them, of which refusalLog writes one a refusalLogEvery.
-	reportsRefused atomic.Int64
+	process    config.Process
+	logger     log.Logger
+	store      *storage.Store
+	core       *Core
+	monitor    *telemetry.Monitor
+	server     *protocol.Server
+	httpServer *fasthttp.Server
+	loop       *daemon.Loop
+	status     atomic.Pointer[status]
+	links      *daemon.Links
+	caller     *daemon.Caller
+	// refusedReports counts the engine reports that were refused since the last log line about
+	// them; refusalLog limits these lines to one per refusalLogInterval.
+	refusedReports atomic.Int64
 	refusalLog     rate.Sometimes
-	// reportsVoid counts the reports that changed nothing, by reason, and voidCount those since
-	// the last line about them, of which voidLog writes one a voidLogEvery.
-	reportsVoid *prometheus.CounterVec
-	voidCount   atomic.Int64
-	voidLog     rate.Sometimes
-	// listLog bounds the lines about entries of the platform's list in the same way.
-	listLog rate.Sometimes
+	// ignoredReports counts the engine reports that changed nothing, by reason, and
+	// unloggedIgnoredReports those since the last log line about them; ignoredLog limits these
+	// lines to one per ignoredLogInterval.
+	ignoredReports         *prometheus.CounterVec
+	unloggedIgnoredReports atomic.Int64
+	ignoredLog             rate.Sometimes
+	// instanceListLog limits the log lines about entries of the platform's list in the same way.
+	instanceListLog rate.Sometimes
 
 	replies daemon.Replies[RequestID, any]
-	// lookUps counts the callers that ask this process where to go.
-	lookUpsMutex sync.Mutex
-	lookUps      membership.LookupTTL
+	// lookupTTL tracks the rate at which callers look up gateways at this process.
+	lookupTTLMutex sync.Mutex
+	lookupTTL      membership.LookupTTL
 }
 
-// NewDaemon opens the data folder; it returns storage.ErrInUse where another
-// process has it.
+// NewDaemon opens the data folder and returns a daemon that is not running yet. It
+// returns storage.ErrInUse if another process has the folder open.
 func NewDaemon(process config.Process, logger log.Logger) (*Daemon, error) {
 	store, err := storage.Open(process.Data.Path)
 	if err != nil {
 		return nil, err
 	}
-	control := &Daemon{process: process, logger: logger, store: store, refusalLog: rate.Sometimes{First: 1, Interval: refusalLogEvery},
-		voidLog: rate.Sometimes{First: 1, Interval: voidLogEvery}, listLog: rate.Sometimes{First: 1, Interval: voidLogEvery}}
-	control.status.Store(&status{spread: membership.NewGatewaySelector(nil)})
-	control.links = daemon.NewLinks(control.addressOf, control.delayOf)
-	control.caller = daemon.NewCaller()
-	control.core, err = NewCore(coreOptions(process), store, control, clock.NowMs())
+	d := &Daemon{process: process, logger: logger, store: store, refusalLog: rate.Sometimes{First: 1, Interval: refusalLogInterval},
+		ignoredLog: rate.Sometimes{First: 1, Interval: ignoredLogInterval}, instanceListLog: rate.Sometimes{First: 1, Interval: ignoredLogInterval}}
+	d.status.Store(&status{gatewaySelector: membership.NewGatewaySelector(nil)})
+	d.links = daemon.NewLinks(d.addressOf, d.delayOf)
+	d.caller = daemon.NewCaller()
+	d.core, err = NewCore(coreOptions(process), store, d, clock.NowMs())
 	if err != nil {
 		_ = store.Close()
 		return nil, err
 	}
-	control.loop = control.newLoop()
-	control.monitor = telemetry.NewMonitor(func() bool { return control.status.Load().ready })
-	control.registerMetrics()
-	return control, nil
+	d.loop = d.newLoop()
+	d.monitor = telemetry.NewMonitor(func() bool { return d.status.Load().isReady })
+	d.registerMetrics()
+	return d, nil
 }
 
-// coreOptions returns the options of a fleet whose members are listed, or of one
-// that is discovered from seeds, whose members are named by their inner addresses.
+// coreOptions returns the options of the core for a cluster whose members are listed, or
+// for one that is discovered from seeds, where members are named by their internal
+// addresses.
 func coreOptions(process config.Process) Options {
 	var members []Member
 	if !process.Cluster.Discovered() {
@@ -165,20 +170,20 @@
 	options.MinVoters = 2*process.Cluster.ToleratedMachines + 1
 	options.Fleet = membership.FleetOptions{
 		Groups: process.Cluster.LedgerGroups, Replicas: options.MinVoters,
-		EngineTimeoutMs:  max(engineSilentMs, engineSilentReports*process.Cluster.EngineHeartbeatMs),
-		GatewayTimeoutMs: gatewaySilentMs, GatewayRepollTimeoutMs: gatewayReturnMs, GatewaySmallDeltaRepollTimeoutMs: gatewayLightReturnMs, LedgerTimeoutMs: ledgerSilentMs, LedgerRetentionMs: ledgerForgottenMs,
-		InitialPlacementDelayMs: formationMs,
+		EngineTimeoutMs:  max(engineTimeoutMs, engineTimeoutReports*process.Cluster.EngineHeartbeatMs),
+		GatewayTimeoutMs: gatewayTimeoutMs, GatewayRepollTimeoutMs: gatewayRepollTimeoutMs, GatewaySmallDeltaRepollTimeoutMs: gatewaySmallDeltaRepollTimeoutMs, LedgerTimeoutMs: ledgerTimeoutMs, LedgerRetentionMs: ledgerRetentionMs,
+		InitialPlacementDelayMs: initialPlacementDelayMs,
 	}
 	return options
 }
 
-// SetSeeds takes the seeds of a settings file that has changed.
+// SetSeeds sets the seeds from a settings file that has changed.
 func (d *Daemon) SetSeeds(seeds []string) {
 	d.loop.Post(func() { d.core.SetSeeds(seeds) })
 }
 
-// addressOf returns the inner address of another control process, "" where it is
-// unknown; discovered members are named by their addresses.
+// addressOf returns the internal address of another control process, "" if it is
+// unknown. Discovered members are named by their addresses.
 func (d *Daemon) addressOf(member string) string {
 	if d.process.Cluster.Discovered() {
 		return member
@@ -191,12 +196,12 @@
 	return ""
 }
 
-// delayOf returns the delay that stands in for the distance to another control
+// delayOf returns the delay that simulates the network distance to another control
 // process.
 func (d *Daemon) delayOf(member string) time.Duration {
 	for _, peer := range d.process.Cluster.Members {
 		if peer.Name == member {
-			return d.delayTo(peer.Zone)
+			return d.zoneDelay(peer.Zone)
 		}
 	}
 	return 0
@@ -204,35 +209,35 @@
 
 func (d *Daemon) registerMetrics() {
 	d.monitor.JSON("/v1/shares", d.shares)
-	d.reportsVoid = d.monitor.Counters("control_engine_reports_void_total", "Reports of engines that changed nothing, by reason.", "reason")
+	d.ignoredReports = d.monitor.Counters("control_engine_reports_void_total", "Reports of engines that changed nothing, by reason.", "reason")
 	d.monitor.Gauge("settings_revision", "Settings revision in force.", func() float64 { return float64(d.status.Load().revision) })
-	d.monitor.Gauge("groups_led", "Log groups that this process leads.", func() float64 { return float64(d.status.Load().leading) })
-	d.monitor.Gauge("programs", "Program headers held.", func() float64 { return float64(d.status.Load().programs) })
-	d.monitor.Gauge("entries_applied", "Log entries applied over all groups.", func() float64 { return float64(d.status.Load().applied) })
-	d.monitor.Gauge("store_syncs", "Synced writes to the data folder.", func() float64 { return float64(d.status.Load().syncs) })
+	d.monitor.Gauge("groups_led", "Log groups that this process leads.", func() float64 { return float64(d.status.Load().groupsLed) })
+	d.monitor.Gauge("programs", "Program headers held.", func() float64 { return float64(d.status.Load().programCount) })
+	d.monitor.Gauge("entries_applied", "Log entries applied over all groups.", func() float64 { return float64(d.status.Load().entriesApplied) })
+	d.monitor.Gauge("store_syncs", "Synced writes to the data folder.", func() float64 { return float64(d.status.Load().syncCount) })
 }
 
-func (d *Daemon) delayTo(zone string) time.Duration {
+func (d *Daemon) zoneDelay(zone string) time.Duration {
 	if zone == d.process.Zone {
 		return 0
 	}
 	return time.Duration(d.process.Network.ZoneDelayMs * float64(time.Millisecond))
 }
 
-// Run serves until ctx ends, then drains: leadership is handed over first.
+// Run serves until ctx ends, then drains: it transfers leadership before it stops.
 func (d *Daemon) Run(ctx context.Context) error {
 	defer d.store.Close()
-	server, err := protocol.Listen(d.process.Listen.Address, d.handle)
+	server, err := protocol.Listen(d.process.Listen.Address, d.handleFrame)
 	if err != nil {
 		return errorx.Decorate(err, "listening")
 	}
 	d.server = server
 	defer server.Close()
-	web, address, err := d.listenWeb()
+	closeHTTP, address, err := d.listenHTTP()
 	if err != nil {
 		return err
 	}
-	defer web()
+	defer closeHTTP()
 	telemetry.Info(d.logger, "listening", "address", server.Address(), "http", address, "replica", uint64(d.store.Replica()))
 	tasks := daemon.NewGroup()
 	tasks.Go(d.loop.Run)
@@ -244,20 +249,21 @@
 	return err
 }
 
-// drain waits until this process leads nothing, bounded in time.
+// drain transfers leadership and waits until this process leads no group, for
+// drainTimeout at most.
 func (d *Daemon) drain(ctx context.Context) {
 	telemetry.Info(d.logger, "draining")
 	d.loop.Post(d.core.Drain)
 	deadline := time.Now().Add(drainTimeout)
 	for time.Now().Before(deadline) && ctx.Err() == nil {
-		if current := d.status.Load(); !current.formed || current.drained {
+		if current := d.status.Load(); !current.formed || current.isDrained {
 			return
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
-// newLoop returns the one goroutine that owns the core.
+// newLoop returns the event loop, whose goroutine alone uses the core.
 func (d *Daemon) newLoop() *daemon.Loop {
 	loop := daemon.NewLoop(time.Duration(d.core.options.TickMs) * time.Millisecond)
 	wasFormed := d.core.Formed()
@@ -266,67 +272,69 @@
 	loop.Publish = func() {
 		if formed := d.core.Formed(); formed != wasFormed {
 			wasFormed = formed
-			telemetry.Info(d.logger, "cluster joined", "admitted", d.core.admitted())
+			telemetry.Info(d.logger, "replicas created", "admitted", d.core.isAdmitted())
 		}
 		d.publish()
 	}
 	return loop
 }
 
-// request hands a request to the core; reply is called from the loop.
-func (d *Daemon) request(request any, reply func(reply any)) {
+// submit passes a request to the core on the event loop, which also calls reply.
+func (d *Daemon) submit(request any, reply func(reply any)) {
 	d.loop.Post(func() {
 		d.core.HandleRequest(d.replies.Expect(reply), request, clock.NowMs())
 	})
 }
 
 func (d *Daemon) publish() {
-	current := &status{formed: d.core.Formed(), syncs: d.core.SyncCount(), ready: d.core.Ready(), revision: d.core.Revision(), spread: d.status.Load().spread}
+	current := &status{formed: d.core.Formed(), syncCount: d.core.SyncCount(), isReady: d.core.Ready(), revision: d.core.Revision(), gatewaySelector: d.status.Load().gatewaySelector}
 	if current.formed {
 		d.publishFleet(current)
-		current.drained = d.core.Drained()
-		current.memberSilent = d.core.HasSilentMember()
+		current.isDrained = d.core.Drained()
+		current.hasSilentMember = d.core.HasSilentMember()
 		for id := range d.core.host.Groups {
 			if d.core.Leads(storage.GroupID(id)) {
-				current.leading++
+				current.groupsLed++
 			}
-			current.applied += d.core.host.Groups[id].Node.Applied()
+			current.entriesApplied += d.core.host.Groups[id].Node.Applied()
 			if id > 0 {
-				current.programs += d.core.Ledger(storage.GroupID(id)).Len()
+				current.programCount += d.core.Ledger(storage.GroupID(id)).Len()
 			}
 		}
 	}
 	d.status.Store(current)
 }
 
-// publishFleet adds the directory; it is made anew only when the gateways have changed.
+// publishFleet adds the gateway selector, rebuilt only when the gateways have changed, and logs new
+// fleet versions.
 func (d *Daemon) publishFleet(current *status) {
 	previous := d.status.Load()
 	fleet := d.core.Fleet()
-	current.gatewaysVersion, current.gatewaysAt = previous.gatewaysVersion, previous.gatewaysAt
-	current.fleetLogged = previous.fleetLogged
-	if fleet.GatewaysVersion() != previous.gatewaysVersion && time.Since(previous.gatewaysAt) >= directoryEvery {
-		current.spread, current.gatewaysVersion, current.gatewaysAt = membership.NewGatewaySelector(fleet.Gateways()), fleet.GatewaysVersion(), time.Now()
+	current.gatewaysVersion, current.selectorBuiltAt = previous.gatewaysVersion, previous.selectorBuiltAt
+	current.lastFleetLog = previous.lastFleetLog
+	if fleet.GatewaysVersion() != previous.gatewaysVersion && time.Since(previous.selectorBuiltAt) >= gatewaySelectorInterval {
+		current.gatewaySelector, current.gatewaysVersion, current.selectorBuiltAt = membership.NewGatewaySelector(fleet.Gateways()), fleet.GatewaysVersion(), time.Now()
 	}
-	if fleet.Version() == previous.fleetLogged.version || time.Since(previous.fleetLogged.at) < fleetLogEvery {
+	if fleet.Version() == previous.lastFleetLog.version || time.Since(previous.lastFleetLog.at) < fleetLogInterval {
 		return
 	}
-	current.fleetLogged = loggedFleet{version: fleet.Version(), at: time.Now()}
+	current.lastFleetLog = fleetLog{version: fleet.Version(), at: time.Now()}
 	telemetry.Info(d.logger, "fleet in force", "version", fleet.Version(), "engines", fleet.EngineCount(), "advertised", fleet.AdvertisedCount(),
-		"gateways", current.spread.ReadyCount(), "ledgers", fleet.LedgerCount(), "leads", d.core.Leads(0))
+		"gateways", current.gatewaySelector.ReadyCount(), "ledgers", fleet.LedgerCount(), "leads", d.core.Leads(0))
 }
 
-// Send is the core's outlet to other control processes.
+// Send sends a message of the core to another control process.
 func (d *Daemon) Send(member string, kind protocol.Kind, message any) {
 	d.links.Send(member, kind, message)
 }
 
-// Reply is the core's outlet to whoever asked. The reply is encoded before it
+// Reply sends a reply of the core to the requester. The reply is encoded before Reply
 // returns, since it may share memory with the core's state.
 func (d *Daemon) Reply(request RequestID, reply any) { d.replies.Take(request, reply) }
 
-// handle takes a frame from another process.
-func (d *Daemon) handle(connection *protocol.Connection, frame protocol.Frame) {
+// handleFrame handles a frame from another process. It closes the connection on a frame
+// that cannot be decoded.
+func (d *Daemon) handleFrame(connection *protocol.Connection, frame protocol.Frame) {
 	switch frame.Kind {
 	case protocol.KindPeer:
 		var batch protocol.PeerBatch
@@ -343,7 +351,7 @@
 	default:
 		request := protocol.NewRequest(frame.Kind)
 		if request != nil && protocol.Decode(frame.Body, request) == nil {
-			d.request(request, func(reply any) { _ = connection.Reply(frame.Call, protocol.KindResponse, reply, true) })
+			d.submit(request, func(reply any) { _ = connection.Reply(frame.Call, protocol.KindResponse, reply, true) })
 			return
 		}
 	}
--- a/internal/control/fleetnews_test.go
+++ b/internal/control/fleetnews_test.go
@@ -10,18 +10,18 @@
 	"github.com/ochrebay/ochrebay/internal/protocol"
 )
 
-// TestFleetNewsComeTogether holds that what the leader sends does not grow with gateways
-// times changes: engines that register one after the other are told of together.
-func TestFleetNewsComeTogether(t *testing.T) {
-	Convey("a gateway hears of many changes in one answer, and of a single one soon", t, func() {
-		outlet := &encodingOutlet{test: t}
-		core := leadingCore(t, outlet)
-		h := &heartbeats{core: core, nowMs: core.nowMs, senders: map[RequestID]string{}, holdMs: testHoldMs}
+// TestFleetChangesAreBatched checks that the number of answers does not grow with the product of
+// gateways and changes: engines that register one after the other are announced together.
+func TestFleetChangesAreBatched(t *testing.T) {
+	Convey("a gateway receives many changes in one answer, and a single change soon", t, func() {
+		transport := &encodingTransport{t: t}
+		core := leadingCore(t, transport)
+		h := &heartbeatDriver{core: core, nowMs: core.nowMs, senders: map[RequestID]string{}, holdMs: testHoldMs}
 		answers := 0
-		outlet.onReply = func(id RequestID) {
+		transport.onReply = func(id RequestID) {
 			if h.senders[id] != "" {
 				answers++
-				h.reply(id)
+				h.handleReply(id)
 			}
 		}
 		const gateways, engines, stepMs = 20, 100, 10
@@ -32,30 +32,30 @@
 			engine := membership.ServingEngine{ID: fmt.Sprint("e", number), Backend: fmt.Sprint("b", number), Slots: 1, Sequence: 1}
 			h.core.HandleRequest(RequestID(1_000_000+number), &protocol.FleetOrder{Report: &engine}, h.nowMs)
 		}
-		h.run(t, 1000, stepMs)
+		h.advance(t, 1000, stepMs)
 		answers = 0
 		for number := range engines {
 			report(number)
-			h.run(t, stepMs, stepMs)
+			h.advance(t, stepMs, stepMs)
 		}
-		const rounds = engines * stepMs / fleetNewsEveryMs
+		const rounds = engines * stepMs / fleetNotifyIntervalMs
 		So(answers, ShouldBeBetweenOrEqual, gateways*(rounds-1), gateways*(rounds+2))
-		h.run(t, 1000, stepMs)
+		h.advance(t, 1000, stepMs)
 		answers = 0
 		report(engines)
-		h.run(t, 2*stepMs, stepMs)
+		h.advance(t, 2*stepMs, stepMs)
 		So(answers, ShouldBeGreaterThanOrEqualTo, gateways)
 	})
 }
 
-// TestReturnOfAllGateways holds that what a leader asks its quorum does not grow with the
-// number of gateways that come back at once.
+// TestReturnOfAllGateways checks that the number of consensus messages for confirmations does not
+// grow with the number of gateways that come back at once.
 func TestReturnOfAllGateways(t *testing.T) {
 	Convey("gateways that come back together are confirmed together", t, func() {
 		messages := map[int]int{}
 		for _, gateways := range []int{10, 1000} {
-			c := newProofCluster(t, 1)
-			c.sound = true
+			c := newTestCluster(t, 1)
+			c.lossless = true
 			c.run(5000)
 			leader := c.leader()
 			confirmed := 0
@@ -76,24 +76,24 @@
 	})
 }
 
-// TestControlsAreToldOnce holds that an answer without news does not repeat what its receiver
-// knows.
-func TestControlsAreToldOnce(t *testing.T) {
-	Convey("a follower is told of the control processes where it knows others", t, func() {
-		c := newProofCluster(t, 1)
-		c.sound = true
+// TestControlsAreSentOnce checks that an answer does not repeat the list of control processes that
+// its receiver already has.
+func TestControlsAreSentOnce(t *testing.T) {
+	Convey("a follower receives the control processes only if its own list differs", t, func() {
+		c := newTestCluster(t, 1)
+		c.lossless = true
 		c.run(5000)
 		leader := c.leader()
-		told := func(known uint64) []string {
+		receivedControls := func(knownDigest uint64) []string {
 			var controls []string
-			request := &protocol.FleetSync{Gateway: &membership.Gateway{Name: "g"}, Controls: known}
+			request := &protocol.FleetSync{Gateway: &membership.Gateway{Name: "g"}, Controls: knownDigest}
 			leader.ask(request, func(answer any) { controls = answer.(*protocol.FleetSyncReply).Controls })
 			c.run(200)
 			return controls
 		}
-		controls := told(0)
+		controls := receivedControls(0)
 		So(len(controls), ShouldEqual, 3)
-		So(told(protocol.ControlsDigest(controls)), ShouldBeEmpty)
-		So(told(protocol.ControlsDigest(controls[:2])), ShouldResemble, controls)
+		So(receivedControls(protocol.ControlsDigest(controls)), ShouldBeEmpty)
+		So(receivedControls(protocol.ControlsDigest(controls[:2])), ShouldResemble, controls)
 	})
 }
--- a/internal/control/formation.go
+++ b/internal/control/formation.go
@@ -10,32 +10,33 @@
 )
 
 const (
-	// forsakenAfterMs is how long a member waits for a leader before it asks to be
-	// let in again, and lostMemberAfterMs how long one is silent that is taken out.
-	forsakenAfterMs   = 3000
-	lostMemberAfterMs = 6000
-	minVoters         = 3
+	// orphanTimeoutMs is how long a member waits for a leader before it asks to be
+	// admitted again, and lostMemberTimeoutMs the silence after which a member may be
+	// removed.
+	orphanTimeoutMs     = 3000
+	lostMemberTimeoutMs = 6000
+	minVoters           = 3
 )
 
-// sendHellos introduces a process that isn't part of a cluster yet, or whose
-// groups have not let its replica in.
+// sendHellos sends hello messages while this process has not formed, its groups have not
+// admitted its replica, or it has known no leader for orphanTimeoutMs.
 func (c *Core) sendHellos() {
-	if c.nowMs-c.lastHelloMs < helloEveryMs || (c.formed && c.admitted() && !c.forsaken()) {
+	if c.nowMs-c.lastHelloMs < helloIntervalMs || (c.formed && c.isAdmitted() && !c.isOrphaned()) {
 		return
 	}
 	c.lastHelloMs = c.nowMs
 	for _, member := range c.knownMembers() {
 		if member != c.options.Name {
-			c.outlet.Send(member, protocol.KindHello, c.hello())
+			c.transport.Send(member, protocol.KindHello, c.newHello())
 		}
 	}
 	if !c.formed {
-		c.formFirst()
+		c.formCluster()
 	}
 }
 
-// SetSeeds replaces the processes to ask first. Invariant: the processes that make
-// the first configuration never change; a process that has not formed keeps them.
+// SetSeeds replaces the processes to contact first. Invariant: the processes that create
+// the first configuration never change; a process that has not formed keeps its seeds.
 func (c *Core) SetSeeds(seeds []string) {
 	if !c.options.Discovered || !c.formed {
 		return
@@ -46,7 +47,7 @@
 	}
 }
 
-// knownMembers are all processes that may know of the cluster: the configured ones
+// knownMembers returns all processes that may belong to the cluster: the configured ones
 // and those of the configuration that the disk holds.
 func (c *Core) knownMembers() []string {
 	var names []string
@@ -63,30 +64,30 @@
 	return names
 }
 
-// forsaken reports whether no leader has been known for so long that the others
-// may have gone on without this process.
-func (c *Core) forsaken() bool {
-	return c.options.Discovered && c.nowMs-c.leaderSeenMs > forsakenAfterMs
+// isOrphaned reports whether this process has known no leader for so long that the
+// other members may have continued without it.
+func (c *Core) isOrphaned() bool {
+	return c.options.Discovered && c.nowMs-c.leaderSeenMs > orphanTimeoutMs
 }
 
-// noteLeader remembers when the settings group last had a leader.
-func (c *Core) noteLeader() {
+// recordLeader records that the settings group has a leader now.
+func (c *Core) recordLeader() {
 	if c.host.Groups[0].Node.Leader() != consensus.None {
 		c.leaderSeenMs = c.nowMs
 	}
 }
 
-func (c *Core) hello() protocol.Hello {
+func (c *Core) newHello() protocol.Hello {
 	hello := protocol.Hello{From: c.options.Name, Replica: c.storage.Replica(), Formed: c.formed}
 	if c.formed {
 		hello.Bootstrap, _, _ = c.storage.Bootstrap()
-		hello.Joining = !c.admitted() || c.forsaken()
+		hello.Joining = !c.isAdmitted() || c.isOrphaned()
 	}
 	return hello
 }
 
-// admitted reports whether every group counts this replica as a voter.
-func (c *Core) admitted() bool {
+// isAdmitted reports whether this replica is a voter of every group.
+func (c *Core) isAdmitted() bool {
 	for _, group := range c.host.Groups {
 		if !group.Node.Configuration().IsVoter(c.storage.Replica()) {
 			return false
@@ -95,73 +96,74 @@
 	return true
 }
 
-// HandleHello takes another process's introduction.
+// HandleHello handles the hello message of another process.
 func (c *Core) HandleHello(hello protocol.Hello, nowMs int64) {
 	c.setNow(nowMs)
 	if !hello.Forwarded {
-		c.heardMs[hello.From] = nowMs
+		c.lastReceivedMs[hello.From] = nowMs
 	}
 	if c.formed {
-		c.helloWhenFormed(hello)
+		c.handleHelloWhenFormed(hello)
 		return
 	}
 	if !hello.Formed {
-		c.unformed[hello.From] = hello.Replica
-		c.formFirst()
+		c.unformedReplicas[hello.From] = hello.Replica
+		c.formCluster()
 		return
 	}
-	if _, own := hello.Bootstrap.Find(c.storage.Replica()); own {
-		c.adopt(hello.Bootstrap)
+	if _, isNamed := hello.Bootstrap.Find(c.storage.Replica()); isNamed {
+		c.applyBootstrap(hello.Bootstrap)
 		return
 	}
-	// Invariant: a disk that the first configuration doesn't name has promised
-	// nothing, so it must not vote before the groups let it in. A sender that was
-	// let in itself knows no first configuration; that there is a cluster is
-	// enough, or a third repair would wait for a disk that is long gone.
-	c.adopt(consensus.Configuration{})
+	// Invariant: a replica that the first configuration does not name must not vote
+	// before the groups admit it, since its disk holds no earlier votes. A sender that
+	// was itself admitted later does not have the first configuration. It is enough
+	// that a cluster exists; otherwise a third repair would wait for a disk that is
+	// permanently gone.
+	c.applyBootstrap(consensus.Configuration{})
 }
 
-func (c *Core) helloWhenFormed(hello protocol.Hello) {
+func (c *Core) handleHelloWhenFormed(hello protocol.Hello) {
 	if !hello.Formed {
-		c.outlet.Send(hello.From, protocol.KindHello, c.hello())
+		c.transport.Send(hello.From, protocol.KindHello, c.newHello())
 	}
 	if !hello.Joining {
 		return
 	}
 	c.forwardHello(hello)
-	known := c.candidates[hello.From]
-	if known == nil || known.replica != hello.Replica {
-		known = &candidate{replica: hello.Replica}
-		c.candidates[hello.From] = known
+	joining := c.candidates[hello.From]
+	if joining == nil || joining.replica != hello.Replica {
+		joining = &candidate{replica: hello.Replica}
+		c.candidates[hello.From] = joining
 	}
-	known.hellos++
+	joining.helloCount++
 	for _, group := range c.host.Groups {
 		group.Node.Wake()
 	}
-	known.lastMs = c.nowMs
+	joining.lastHelloMs = c.nowMs
 }
 
-// forwardHello hands a joining process's introduction to the leader, which may not
-// be among the processes that the joining one knows.
+// forwardHello passes the hello message of a joining process on to the leader, which may
+// not be among the processes that the joining one contacts.
 func (c *Core) forwardHello(hello protocol.Hello) {
 	leader := c.host.Groups[0].LeaderMember()
 	if !c.options.Discovered || hello.Forwarded || leader == "" || leader == c.options.Name {
 		return
 	}
 	hello.Forwarded = true
-	c.outlet.Send(leader, protocol.KindHello, hello)
+	c.transport.Send(leader, protocol.KindHello, hello)
 }
 
-// formFirst makes the first configuration once every member has said that its
-// disk is new. Invariant: while one disk remembers a cluster, no second one is
-// formed beside it.
-func (c *Core) formFirst() {
-	if !c.options.MayBootstrap || !c.isConfigured() {
+// formCluster creates the first configuration once every member has reported that its
+// disk is new. Invariant: no second cluster is formed while any of the disks belongs to
+// a cluster.
+func (c *Core) formCluster() {
+	if !c.options.MayBootstrap || !c.isBootstrapMember() {
 		return
 	}
 	configuration := consensus.Configuration{}
 	for _, member := range c.options.Members {
-		replica, ok := c.unformed[member.Name]
+		replica, ok := c.unformedReplicas[member.Name]
 		if member.Name == c.options.Name {
 			replica, ok = c.storage.Replica(), true
 		}
@@ -171,52 +173,53 @@
 		configuration.Replicas = append(configuration.Replicas, consensus.Replica{ID: replica, Member: member.Name})
 	}
 	slices.SortFunc(configuration.Replicas, func(a, b consensus.Replica) int { return strings.Compare(a.Member, b.Member) })
-	c.adopt(configuration)
+	c.applyBootstrap(configuration)
 }
 
-// isConfigured reports whether this process is one of those that make the first
+// isBootstrapMember reports whether this process is one of those that create the first
 // configuration.
-func (c *Core) isConfigured() bool {
+func (c *Core) isBootstrapMember() bool {
 	return slices.ContainsFunc(c.options.Members, func(member Member) bool { return member.Name == c.options.Name })
 }
 
-func (c *Core) adopt(configuration consensus.Configuration) {
+func (c *Core) applyBootstrap(configuration consensus.Configuration) {
 	if err := c.storage.SetBootstrap(configuration); err != nil {
 		return
 	}
-	if err := c.form(configuration); err != nil {
+	if err := c.createGroups(configuration); err != nil {
 		c.host.Groups = nil
 		c.formed = false
 	}
 }
 
-// admitCandidates brings replicas on new disks into the groups led here: the old
-// incarnation is voted out, the new one learns, and then votes.
+// admitCandidates admits replicas on new disks to the groups that this process leads: the
+// member's previous replica is removed, the new one becomes a learner and, once it has
+// caught up, a voter.
 func (c *Core) admitCandidates() {
 	for _, name := range replication.SortedKeys(c.candidates) {
-		known := c.candidates[name]
-		if c.nowMs-known.lastMs > 5*helloEveryMs {
+		joining := c.candidates[name]
+		if c.nowMs-joining.lastHelloMs > 5*helloIntervalMs {
 			delete(c.candidates, name)
 			continue
 		}
-		if known.hellos < candidateHellos {
+		if joining.helloCount < minCandidateHellos {
 			continue
 		}
 		for _, group := range c.host.Groups {
 			if group.Node.Role() == consensus.Leader {
-				c.admit(group, name, known.replica)
+				c.admit(group, name, joining.replica)
 			}
 		}
 	}
 }
 
-// replaceLost takes a voter out of the settings group that has been silent for
-// long, where enough voters stay. Invariant: the group never shrinks below the
-// number of voters that the machines to be borne need, so that members that are
-// merely down keep their place.
-func (c *Core) replaceLost() {
+// removeLostVoter removes a voter from the settings group that has been silent for
+// lostMemberTimeoutMs, if enough voters remain. Invariant: the group never shrinks below
+// the number of voters needed for the machine failures that it must tolerate, so that
+// members that are only down temporarily remain members.
+func (c *Core) removeLostVoter() {
 	group := c.host.Groups[0]
-	if !c.options.Discovered || !group.IsLeader() || c.nowMs-c.leadingSinceMs < lostMemberAfterMs {
+	if !c.options.Discovered || !group.IsLeader() || c.nowMs-c.leadingSinceMs < lostMemberTimeoutMs {
 		return
 	}
 	configuration := group.Node.Configuration()
@@ -224,7 +227,7 @@
 		return
 	}
 	for _, replica := range configuration.Replicas {
-		if replica.ID != group.Node.ID() && c.silentMs(replica.Member) > lostMemberAfterMs {
+		if replica.ID != group.Node.ID() && c.silenceMs(replica.Member) > lostMemberTimeoutMs {
 			_ = group.Node.ProposeConfiguration(configuration.Without(replica.ID))
 			return
 		}
@@ -237,7 +240,8 @@
 		if other.Member != name || other.ID == replica {
 			continue
 		}
-		// Invariant: a replica that still answers has not lost its disk.
+		// Invariant: a replica that still answers is not removed, since its disk
+		// is not lost.
 		if !group.Node.RecentlyActive(other.ID) {
 			_ = group.Node.ProposeConfiguration(configuration.Without(other.ID))
 		}
@@ -252,9 +256,10 @@
 	}
 }
 
-// HasSilentMember reports whether another control process has not been heard lately.
+// HasSilentMember reports whether any other control process has been silent for longer than
+// suspectTimeoutMs.
 func (c *Core) HasSilentMember() bool {
 	return slices.ContainsFunc(c.memberNames(), func(member string) bool {
-		return member != c.options.Name && c.silentMs(member) > suspectAfterMs
+		return member != c.options.Name && c.silenceMs(member) > suspectTimeoutMs
 	})
 }
--- a/internal/control/heartbeats.go
+++ b/internal/control/heartbeats.go
@@ -11,125 +11,129 @@
 	"github.com/ochrebay/ochrebay/internal/scheduling"
 )
 
-// loadsSummedMs is how long a leader gathers what gateways have seen before it tells the sums:
+// loadWarmupMs is how long a new leader collects the gateways' reports before it sends aggregates:
 // a little more than the time between two heartbeats of a gateway (0.7 s).
-const loadsSummedMs = 1000
+const loadWarmupMs = 1000
 
-// fleetNewsEveryMs is how often held heartbeats are answered for changes of the fleet at the
-// most: while many engines or hosts come and go at once, followers hear of them together (a
-// tenth of the answers while 100 engines register in a second). An engine that drains is told of
-// this much later, against the seconds for which it may get work.
-const fleetNewsEveryMs = 100
+// fleetNotifyIntervalMs is the minimum time between two rounds of answers to held heartbeats for
+// changes of the fleet. While many engines or hosts come and go at once, followers receive the
+// changes together (a tenth of the answers while 100 engines register in a second). The drain of an
+// engine is announced later by up to this time, which is short compared to the seconds for which
+// the engine may still get work.
+const fleetNotifyIntervalMs = 100
 
 const (
-	// leastHoldMs is how long a gateway's heartbeat without news is held at the least: a gateway
-	// that stands still is noticed when its next heartbeat is overdue, so that its callers lose
-	// what they send it for half of this time more on the mean.
-	leastHoldMs = 250
-	// heldEndsPerSecond bounds the heartbeats of gateways that end for want of news, so that what
-	// they cost the leader does not grow with the gateways.
-	heldEndsPerSecond = 300
-	// lightEntries is how many engines, hosts, routes and tenants a gateway puts in force in some
-	// milliseconds, also with a tenth of a core: 48,000 tenants take 16 ms of a whole one
+	// minHoldMs is the shortest time for which a gateway's heartbeat is held while nothing has
+	// changed. A gateway that freezes is detected when its next heartbeat is overdue, so on average
+	// callers lose the requests that they send it for half of this time longer.
+	minHoldMs = 250
+	// maxHoldExpiriesPerSecond bounds the rate at which held heartbeats of gateways end without any
+	// change, so that their cost to the leader does not grow with the number of gateways.
+	maxHoldExpiriesPerSecond = 300
+	// maxSmallUpdateEntries is how many engines, hosts, routes and tenants a gateway applies within
+	// some milliseconds, even with a tenth of a core: 48,000 tenants take 16 ms of a whole core
 	// (docs/design/0007-tenants.md).
-	lightEntries = 1000
+	maxSmallUpdateEntries = 1000
 )
 
-// pendingFleetSync is a heartbeat of a gateway or ledger host that waits for news.
+// pendingFleetSync is a heartbeat of a gateway or ledger host that waits for its answer.
 type pendingFleetSync struct {
 	id      RequestID
 	request *protocol.FleetSync
-	// number tells a gateway's heartbeats apart, 0 for ledger hosts.
-	number     uint64
-	deadlineMs int64
-	// proved says that a quorum has confirmed this leader since the heartbeat came.
-	proved bool
+	// heartbeatNumber distinguishes the heartbeats of a gateway, 0 for ledger hosts.
+	heartbeatNumber uint64
+	deadlineMs      int64
+	// confirmed says that a quorum has confirmed this leader since the heartbeat arrived.
+	confirmed bool
 }
 
-// fleetSync takes the heartbeat of a gateway or ledger host.
-func (c *Core) fleetSync(id RequestID, request *protocol.FleetSync) {
-	group, leader, failure := c.leading(0)
+// handleFleetSync handles the heartbeat of a gateway or ledger host.
+func (c *Core) handleFleetSync(id RequestID, request *protocol.FleetSync) {
+	group, leader, failure := c.ledGroup(0)
 	if failure != nil || c.fleetTracker == nil {
-		c.outlet.Reply(id, &protocol.FleetSyncReply{Error: result.New(result.NotLeader, "not the leader"), Leader: leader})
+		c.transport.Reply(id, &protocol.FleetSyncReply{Error: result.New(result.NotLeader, "not the leader"), Leader: leader})
 		return
 	}
 	pending := pendingFleetSync{id: id, request: request, deadlineMs: c.nowMs + c.holdMs(request)}
 	if request.Gateway != nil {
-		pending.number = c.fleetTracker.RecordGatewayHeartbeat(request.Gateway.Name, c.nowMs)
+		pending.heartbeatNumber = c.fleetTracker.RecordGatewayHeartbeat(request.Gateway.Name, c.nowMs)
 	}
-	c.noteSender(group, request)
+	c.recordSender(group, request)
 	if !request.Fresh && !request.Prove {
-		c.holdFleetSync(pending)
+		c.answerOrHoldFleetSync(pending)
 		return
 	}
-	c.unproved = append(c.unproved, pending)
-	c.proveFleetSyncs()
+	c.unconfirmedFleetSyncs = append(c.unconfirmedFleetSyncs, pending)
+	c.confirmFleetSyncs()
 }
 
-// holdMs returns how long a heartbeat without news is held: as long as its sender allows, and a
-// gateway's no longer than the leader can afford to hear it again.
+// holdMs returns how long a heartbeat is held while nothing has changed: as long as its sender
+// allows, but for a gateway no longer than the leader needs to keep the rate of expiring heartbeats
+// within maxHoldExpiriesPerSecond.
 func (c *Core) holdMs(request *protocol.FleetSync) int64 {
 	if request.Gateway == nil {
 		return request.HoldMs
 	}
-	affordedMs := int64(c.system.fleet.GatewayCount()) * 1000 / heldEndsPerSecond
-	return min(request.HoldMs, max(leastHoldMs, affordedMs))
+	affordableMs := int64(c.system.fleet.GatewayCount()) * 1000 / maxHoldExpiriesPerSecond
+	return min(request.HoldMs, max(minHoldMs, affordableMs))
 }
 
-// holdFleetSync answers a heartbeat for which there is news and holds any other.
-func (c *Core) holdFleetSync(pending pendingFleetSync) {
-	if pending.request.HoldMs == 0 || c.hasFleetNews(pending.request) {
+// answerOrHoldFleetSync answers a heartbeat that allows no hold or whose sender lacks a change, and
+// holds any other.
+func (c *Core) answerOrHoldFleetSync(pending pendingFleetSync) {
+	if pending.request.HoldMs == 0 || c.hasFleetChanges(pending.request) {
 		c.answerFleetSync(pending, c.fleetReply(pending.request))
 		return
 	}
-	c.fleetSyncs = append(c.fleetSyncs, pending)
+	c.pendingFleetSyncs = append(c.pendingFleetSyncs, pending)
 }
 
-// proveFleetSyncs has a quorum confirm this leader for all heartbeats that have come since
-// the last round began. Invariant: one round at a time is under way, so that the rounds a
-// second are bounded by the way to the quorum and not by the number of gateways: a round for
-// each would cost as many steps as their number squared when all come back at once.
-func (c *Core) proveFleetSyncs() {
-	if c.proving || len(c.unproved) == 0 {
+// confirmFleetSyncs has a quorum confirm this leader for all heartbeats that have arrived since
+// the last round began. Invariant: at most one round is in progress, so that the rounds per second
+// are bounded by the round trip to the quorum and not by the number of gateways. One round for each
+// heartbeat would cost quadratic work in the number of gateways when all return at once.
+func (c *Core) confirmFleetSyncs() {
+	if c.confirmationInProgress || len(c.unconfirmedFleetSyncs) == 0 {
 		return
 	}
-	batch := c.unproved
-	c.unproved = nil
-	c.proving = true
-	tracker := c.fleetTracker
+	batch := c.unconfirmedFleetSyncs
+	c.unconfirmedFleetSyncs = nil
+	c.confirmationInProgress = true
+	trackerAtStart := c.fleetTracker
 	c.host.LinearizableRead(c.host.Groups[0], func(failure *result.Error) {
-		c.proving = false
-		if failure == nil && c.fleetTracker != tracker {
-			failure = result.New(result.NotLeader, "leadership moved on")
+		c.confirmationInProgress = false
+		if failure == nil && c.fleetTracker != trackerAtStart {
+			failure = result.New(result.NotLeader, "leadership changed during the confirmation")
 		}
 		for _, pending := range batch {
 			if failure != nil {
 				c.answerFleetSync(pending, &protocol.FleetSyncReply{Error: failure})
 				continue
 			}
-			pending.proved = true
+			pending.confirmed = true
 			if pending.request.Fresh {
 				c.answerFleetSync(pending, c.fleetReply(pending.request))
 				continue
 			}
-			c.holdFleetSync(pending)
+			c.answerOrHoldFleetSync(pending)
 		}
-		c.proveFleetSyncs()
+		c.confirmFleetSyncs()
 	})
 }
 
-// answerFleetSync answers a heartbeat; from then on the next one is expected.
+// answerFleetSync answers a heartbeat; from then on the sender's next one is expected.
 func (c *Core) answerFleetSync(pending pendingFleetSync, reply *protocol.FleetSyncReply) {
 	if pending.request.Gateway != nil && c.fleetTracker != nil {
-		c.fleetTracker.RecordGatewayReply(pending.request.Gateway.Name, pending.number, c.light(reply), c.nowMs)
+		c.fleetTracker.RecordGatewayReply(pending.request.Gateway.Name, pending.heartbeatNumber, c.isSmallUpdate(reply), c.nowMs)
 	}
-	reply.Confirmed = reply.Confirmed || (pending.proved && reply.Error == nil)
-	c.outlet.Reply(pending.id, reply)
+	reply.Confirmed = reply.Confirmed || (pending.confirmed && reply.Error == nil)
+	c.transport.Reply(pending.id, reply)
 }
 
-// light reports whether a gateway puts an answer in force in next to no time. A changed table is
-// indexed anew as a whole, so that its size counts, not the difference's.
-func (c *Core) light(reply *protocol.FleetSyncReply) bool {
+// isSmallUpdate reports whether a gateway can apply an answer almost at once. A gateway rebuilds
+// the index of a changed routing table as a whole, so the size of the table counts and not that of
+// the delta.
+func (c *Core) isSmallUpdate(reply *protocol.FleetSyncReply) bool {
 	entries := 0
 	if reply.Fleet != nil {
 		entries += len(reply.Fleet.Value.Engines) + len(reply.Fleet.Value.Ledgers) + len(reply.Fleet.Value.Groups)
@@ -137,24 +141,25 @@
 	if table := c.system.tree.Routing(); reply.Routing != nil && table != nil {
 		entries += len(table.Routes) + len(table.Tenants)
 	}
-	return entries <= lightEntries
+	return entries <= maxSmallUpdateEntries
 }
 
-// noteSender replicates what is new of the sender of a heartbeat.
-func (c *Core) noteSender(group *replication.Group, request *protocol.FleetSync) {
+// recordSender takes the reports in a heartbeat and replicates what has changed about its sender.
+func (c *Core) recordSender(group *replication.Group, request *protocol.FleetSync) {
 	var update membership.FleetUpdate
 	if gateway := request.Gateway; gateway != nil {
-		// What a gateway says that does not know of an engine's restart yet is of the life before.
-		void := func(engine string) bool {
+		// A gateway that has not received an engine's restart yet reports on the previous
+		// incarnation.
+		isStale := func(engine string) bool {
 			return c.notInFleet(engine) || request.Version < c.system.fleet.IncarnationVersion(engine)
 		}
-		loads := slices.DeleteFunc(request.Loads, func(load scheduling.EngineLoad) bool { return void(load.Engine) })
-		c.loads.ReportLoads(gateway.Name, loads, c.nowMs)
-		usages := slices.DeleteFunc(request.Usages, func(usage scheduling.EngineUsage) bool { return void(usage.Engine) })
-		c.loads.ReportUsage(gateway.Name, usages, c.nowMs)
-		c.loads.ReportFailingEngines(gateway.Name, gateway.Zone, slices.DeleteFunc(request.Failing, void), c.nowMs)
-		c.loads.ReportStreamLateness(request.Late, c.nowMs)
-		c.uses.ReportUsage(gateway.Name, request.Uses, c.nowMs)
+		loads := slices.DeleteFunc(request.Loads, func(load scheduling.EngineLoad) bool { return isStale(load.Engine) })
+		c.loadAggregator.ReportLoads(gateway.Name, loads, c.nowMs)
+		usages := slices.DeleteFunc(request.Usages, func(usage scheduling.EngineUsage) bool { return isStale(usage.Engine) })
+		c.loadAggregator.ReportUsage(gateway.Name, usages, c.nowMs)
+		c.loadAggregator.ReportFailingEngines(gateway.Name, gateway.Zone, slices.DeleteFunc(request.Failing, isStale), c.nowMs)
+		c.loadAggregator.ReportStreamLateness(request.Late, c.nowMs)
+		c.usageAggregator.ReportUsage(gateway.Name, request.Uses, c.nowMs)
 		if known, ok := c.system.fleet.Gateway(gateway.Name); !ok || known != *gateway {
 			update.PutGateways = append(update.PutGateways, *gateway)
 		}
@@ -163,8 +168,8 @@
 		c.fleetTracker.RecordLedgerReport(*report, c.nowMs)
 		host := report.Host
 		known, ok := c.system.fleet.Ledger(host.Member)
-		// Invariant: only the operator's order makes a host retire; an empty disk
-		// under the same address is another host.
+		// Invariant: a host retires only on an operator's order. An empty disk at
+		// the same address is a different host.
 		host.Retiring = ok && known.Retiring && known.Replica == host.Replica
 		if !ok || known != host {
 			update.PutLedgers = append(update.PutLedgers, host)
@@ -175,36 +180,38 @@
 	}
 }
 
-// notInFleet reports whether an engine that a gateway speaks of has gone, or never was.
+// notInFleet reports whether an engine named by a gateway has left the fleet or never was in it.
 func (c *Core) notInFleet(engine string) bool {
 	_, known := c.system.fleet.Engine(engine)
 	return !known
 }
 
-// hasFleetNews reports whether a heartbeat is to be answered now for what is new.
-func (c *Core) hasFleetNews(request *protocol.FleetSync) bool {
+// hasFleetChanges reports whether a heartbeat is to be answered now because its sender lacks a
+// change.
+func (c *Core) hasFleetChanges(request *protocol.FleetSync) bool {
 	table := c.system.tree.Routing()
 	if request.WithRouting && table != nil && table.Generation > request.Generation {
 		return true
 	}
-	return c.fleetNewsDue() && c.system.fleet.ChangedSince(request.Version, scopeOf(request))
+	return c.fleetNotifyDue() && c.system.fleet.ChangedSince(request.Version, scopeOf(request))
 }
 
-// fleetNewsDue reports whether changes of the fleet may be told now. Those that came since
-// a round of answers wait for the next round.
-func (c *Core) fleetNewsDue() bool {
-	if c.fleetNewsVersion == c.system.fleet.Version() {
+// fleetNotifyDue reports whether changes of the fleet may be sent now, and starts a new round of
+// answers when one is due. Changes that came after the start of a round wait for the next one.
+func (c *Core) fleetNotifyDue() bool {
+	if c.notifiedFleetVersion == c.system.fleet.Version() {
 		return true
 	}
-	if c.nowMs-c.fleetNewsMs < fleetNewsEveryMs {
+	if c.nowMs-c.fleetNotifiedMs < fleetNotifyIntervalMs {
 		return false
 	}
-	c.fleetNewsMs = c.nowMs
-	c.fleetNewsVersion = c.system.fleet.Version()
+	c.fleetNotifiedMs = c.nowMs
+	c.notifiedFleetVersion = c.system.fleet.Version()
 	return true
 }
 
-// scopeOf returns what the sender of a heartbeat is told of: ledger hosts send to no engine.
+// scopeOf returns the part of the fleet that the sender of a heartbeat receives: ledger hosts send
+// no requests to engines.
 func scopeOf(request *protocol.FleetSync) membership.Scope {
 	if request.Gateway == nil {
 		return membership.Scope{}
@@ -220,76 +227,76 @@
 	fleet := c.system.fleet
 	scope := scopeOf(request)
 	if request.Version == 0 || fleet.ChangedSince(request.Version, scope) {
-		reply.Fleet = c.news.fleetSince(fleet, request.Version, scope)
+		reply.Fleet = c.deltas.fleetSince(fleet, request.Version, scope)
 	}
-	// Until every gateway has reported to a new leader its sums lack those that have not.
-	summed := c.loads != nil && c.nowMs-c.leadingSinceMs >= loadsSummedMs
-	if request.WithLoads && summed {
-		summed := c.news.loadsOf(c.loads, fleet, scope, c.nowMs)
-		reply.Loads, reply.Usages, reply.Failing = summed.loads, summed.usages, summed.failing
+	// A new leader's aggregates lack the gateways that have not reported to it yet.
+	hasAggregates := c.loadAggregator != nil && c.nowMs-c.leadingSinceMs >= loadWarmupMs
+	if request.WithLoads && hasAggregates {
+		aggregates := c.deltas.loadsFor(c.loadAggregator, fleet, scope, c.nowMs)
+		reply.Loads, reply.Usages, reply.Failing = aggregates.loads, aggregates.usages, aggregates.failing
 		if table := c.system.tree.Routing(); table != nil && table.RequiresKey {
-			reply.Uses = c.news.usesOf(c.uses, c.nowMs)
+			reply.Uses = c.deltas.tenantUsage(c.usageAggregator, c.nowMs)
 		}
 	}
-	if request.Gateway != nil && summed {
-		reply.Late = c.loads.StreamLateness(c.nowMs)
+	if request.Gateway != nil && hasAggregates {
+		reply.Late = c.loadAggregator.StreamLateness(c.nowMs)
 	}
 	table := c.system.tree.Routing()
 	if request.WithRouting && table != nil && table.Generation > request.Generation {
-		reply.Routing = c.news.routingSince(c.tableAt(request.Generation), table)
+		reply.Routing = c.deltas.routingSince(c.recentTable(request.Generation), table)
 	}
 	return reply
 }
 
-// answerFleetSyncs answers the heartbeats for which there is news and those that
-// have waited long enough.
+// answerFleetSyncs answers the held heartbeats whose senders lack a change and those
+// whose hold time is over.
 func (c *Core) answerFleetSyncs() {
-	c.keepTable()
-	waiting := c.fleetSyncs[:0]
-	for _, pending := range c.fleetSyncs {
-		if c.nowMs < pending.deadlineMs && !c.hasFleetNews(pending.request) {
+	c.recordTable()
+	waiting := c.pendingFleetSyncs[:0]
+	for _, pending := range c.pendingFleetSyncs {
+		if c.nowMs < pending.deadlineMs && !c.hasFleetChanges(pending.request) {
 			waiting = append(waiting, pending)
 			continue
 		}
 		c.answerFleetSync(pending, c.fleetReply(pending.request))
 	}
-	clear(c.fleetSyncs[len(waiting):])
-	c.fleetSyncs = waiting
+	clear(c.pendingFleetSyncs[len(waiting):])
+	c.pendingFleetSyncs = waiting
 }
 
-// expireFleetSyncs ends the waiting of heartbeats by the clock.
+// expireFleetSyncs answers held heartbeats whose hold time is over.
 func (c *Core) expireFleetSyncs() {
-	if len(c.fleetSyncs) > 0 && c.fleetTracker != nil {
+	if len(c.pendingFleetSyncs) > 0 && c.fleetTracker != nil {
 		c.answerFleetSyncs()
 	}
 }
 
-// refuseFleetSyncs ends the waiting of heartbeats because their term is over.
+// refuseFleetSyncs refuses all waiting heartbeats because the term of this leader is over.
 func (c *Core) refuseFleetSyncs() {
 	leader := c.leaderName(c.host.Groups[0])
-	for _, pending := range slices.Concat(c.fleetSyncs, c.unproved) {
-		c.outlet.Reply(pending.id, &protocol.FleetSyncReply{Error: result.New(result.NotLeader, "not the leader"), Leader: leader})
+	for _, pending := range slices.Concat(c.pendingFleetSyncs, c.unconfirmedFleetSyncs) {
+		c.transport.Reply(pending.id, &protocol.FleetSyncReply{Error: result.New(result.NotLeader, "not the leader"), Leader: leader})
 	}
-	c.fleetSyncs = nil
-	c.unproved = nil
+	c.pendingFleetSyncs = nil
+	c.unconfirmedFleetSyncs = nil
 }
 
-// keepTable remembers the tables that were in force lately, so that followers get
-// differences.
-func (c *Core) keepTable() {
+// recordTable keeps the routing tables that were in force recently, so that followers
+// can be sent deltas.
+func (c *Core) recordTable() {
 	table := c.system.tree.Routing()
-	if table == nil || (len(c.tables) > 0 && c.tables[len(c.tables)-1].Generation == table.Generation) {
+	if table == nil || (len(c.recentTables) > 0 && c.recentTables[len(c.recentTables)-1].Generation == table.Generation) {
 		return
 	}
-	c.tables = append(c.tables, table.WithoutSourceDocument())
-	if len(c.tables) > keptTables {
-		c.tables = c.tables[1:]
+	c.recentTables = append(c.recentTables, table.WithoutSourceDocument())
+	if len(c.recentTables) > maxRecentTables {
+		c.recentTables = c.recentTables[1:]
 	}
 }
 
-// tableAt returns a table that was in force lately, nil where it is not kept.
-func (c *Core) tableAt(generation uint64) *routing.Table {
-	for _, table := range c.tables {
+// recentTable returns the routing table of a recent generation, nil if it is not kept.
+func (c *Core) recentTable(generation uint64) *routing.Table {
+	for _, table := range c.recentTables {
 		if table.Generation == generation {
 			return table
 		}
--- a/internal/control/incarnations_test.go
+++ b/internal/control/incarnations_test.go
@@ -11,102 +11,102 @@
 	"github.com/ochrebay/ochrebay/internal/scheduling"
 )
 
-// orderReply returns what an order was answered with, nil where it was not.
-func (l *loneControl) orderReply(id RequestID) *protocol.FleetOrderReply {
-	reply, _ := l.replies[id].(*protocol.FleetOrderReply)
+// orderReply returns the reply to an order, nil if there is none yet.
+func (s *scriptedControl) orderReply(id RequestID) *protocol.FleetOrderReply {
+	reply, _ := s.replies[id].(*protocol.FleetOrderReply)
 	return reply
 }
 
-// report has an engine report to the leader and returns the answer, once all is committed.
-func (l *loneControl) report(engine membership.ServingEngine) *protocol.FleetOrderReply {
-	id := l.ask(&protocol.FleetOrder{Report: &engine, Incarnations: true})
-	l.confirm()
-	return l.orderReply(id)
+// report sends an engine's report to the leader and returns the reply, once all is committed.
+func (s *scriptedControl) report(engine membership.ServingEngine) *protocol.FleetOrderReply {
+	id := s.ask(&protocol.FleetOrder{Report: &engine, Incarnations: true})
+	s.confirm()
+	return s.orderReply(id)
 }
 
-func TestEnginesThatStartAgain(t *testing.T) {
-	leading := func() *loneControl {
-		l := newLoneControl(t)
-		l.lead()
-		l.confirm()
-		l.tick()
-		l.confirm()
-		return l
+func TestEngineRestarts(t *testing.T) {
+	newLeader := func() *scriptedControl {
+		s := newScriptedControl(t)
+		s.becomeLeader()
+		s.confirm()
+		s.tick()
+		s.confirm()
+		return s
 	}
 	first := membership.ServingEngine{ID: "e", Backend: "b", Address: "10.0.0.1:1", Zone: "z", Slots: 2, Sequence: 30, StartedMs: 100}
 	second := first
 	second.Sequence, second.StartedMs = 1, 200
-	Convey("a new incarnation takes its id up at once, and the one before does not come back", t, func() {
-		l := leading()
-		So(l.report(first).Error, ShouldBeNil)
-		version := l.core.Fleet().Version()
-		So(l.report(second), ShouldResemble, &protocol.FleetOrderReply{Restarted: true})
-		known, _ := l.core.Fleet().Engine("e")
-		So(known, ShouldResemble, second)
-		So(l.core.Fleet().DeltaSince(version, membership.Scope{IncludesEngines: true, Zone: "z"}).Engines, ShouldResemble, []membership.ServingEngine{second})
-		late := first
-		late.Sequence++
-		So(l.report(late).Void, ShouldEqual, membership.ReportOutdated.String())
-		known, _ = l.core.Fleet().Engine("e")
-		So(known, ShouldResemble, second)
-		Convey("also where its report came before the newer one was committed", func() {
+	Convey("a new incarnation replaces the previous one at once, and the previous one does not come back", t, func() {
+		s := newLeader()
+		So(s.report(first).Error, ShouldBeNil)
+		version := s.core.Fleet().Version()
+		So(s.report(second), ShouldResemble, &protocol.FleetOrderReply{Restarted: true})
+		current, _ := s.core.Fleet().Engine("e")
+		So(current, ShouldResemble, second)
+		So(s.core.Fleet().DeltaSince(version, membership.Scope{IncludesEngines: true, Zone: "z"}).Engines, ShouldResemble, []membership.ServingEngine{second})
+		lateReport := first
+		lateReport.Sequence++
+		So(s.report(lateReport).Void, ShouldEqual, membership.ReportOutdated.String())
+		current, _ = s.core.Fleet().Engine("e")
+		So(current, ShouldResemble, second)
+		Convey("even if the previous one's report comes before the newer one is committed", func() {
 			third := second
 			third.StartedMs = 300
-			new := l.ask(&protocol.FleetOrder{Report: &third, Incarnations: true})
-			old := l.ask(&protocol.FleetOrder{Report: &late, Incarnations: true})
-			l.confirm()
-			So(l.orderReply(new).Error, ShouldBeNil)
-			So(l.orderReply(old).Void, ShouldEqual, membership.ReportOutdated.String())
-			known, _ := l.core.Fleet().Engine("e")
-			So(known, ShouldResemble, third)
+			newerID := s.ask(&protocol.FleetOrder{Report: &third, Incarnations: true})
+			lateID := s.ask(&protocol.FleetOrder{Report: &lateReport, Incarnations: true})
+			s.confirm()
+			So(s.orderReply(newerID).Error, ShouldBeNil)
+			So(s.orderReply(lateID).Void, ShouldEqual, membership.ReportOutdated.String())
+			current, _ := s.core.Fleet().Engine("e")
+			So(current, ShouldResemble, third)
 		})
 	})
-	Convey("what gateways say that have not heard of the restart is of the life before", t, func() {
-		l := leading()
-		l.report(first)
+	Convey("reports of gateways that have not received the restart are not counted for the new incarnation", t, func() {
+		s := newLeader()
+		s.report(first)
 		sync := func(version uint64) {
-			l.ask(&protocol.FleetSync{
+			s.ask(&protocol.FleetSync{
 				Gateway: &membership.Gateway{Name: "g", Zone: "z", IsReady: true}, Version: version,
 				Loads: []scheduling.EngineLoad{{Engine: "e", InFlight: 5}},
 			})
-			l.confirm()
+			s.confirm()
 		}
-		before := l.core.Fleet().Version()
+		before := s.core.Fleet().Version()
 		sync(before)
-		So(l.core.loads.InFlight("e", l.nowMs), ShouldEqual, 5)
-		l.report(second)
-		So(l.core.loads.InFlight("e", l.nowMs), ShouldEqual, 0)
+		So(s.core.loadAggregator.InFlight("e", s.nowMs), ShouldEqual, 5)
+		s.report(second)
+		So(s.core.loadAggregator.InFlight("e", s.nowMs), ShouldEqual, 0)
 		sync(before)
-		So(l.core.loads.InFlight("e", l.nowMs), ShouldEqual, 0)
-		sync(l.core.Fleet().Version())
-		So(l.core.loads.InFlight("e", l.nowMs), ShouldEqual, 5)
+		So(s.core.loadAggregator.InFlight("e", s.nowMs), ShouldEqual, 0)
+		sync(s.core.Fleet().Version())
+		So(s.core.loadAggregator.InFlight("e", s.nowMs), ShouldEqual, 5)
 	})
-	Convey("beside a process of an earlier release an id that has left stays so until all know incarnations", t, func() {
-		l := leading()
-		l.report(first)
-		left := l.ask(&protocol.FleetOrder{Leave: "e", LeaveBorn: first.StartedMs, Incarnations: true})
-		l.confirm()
-		So(l.orderReply(left).Error, ShouldBeNil)
-		So(l.report(second).Void, ShouldEqual, membership.ReportAwaitsUpgrade.String())
+	Convey("an engine that has left does not return until all processes support incarnations", t, func() {
+		s := newLeader()
+		s.report(first)
+		leaveID := s.ask(&protocol.FleetOrder{Leave: "e", LeaveBorn: first.StartedMs, Incarnations: true})
+		s.confirm()
+		So(s.orderReply(leaveID).Error, ShouldBeNil)
+		So(s.report(second).Void, ShouldEqual, membership.ReportAwaitsUpgrade.String())
 		for _, member := range []string{"b:1", "c:1"} {
-			l.core.HandlePeerBatch(protocol.PeerBatch{From: member, Incarnations: true}, l.nowMs)
+			s.core.HandlePeerBatch(protocol.PeerBatch{From: member, Incarnations: true}, s.nowMs)
 		}
-		So(l.report(second).Void, ShouldBeEmpty)
-		known, there := l.core.Fleet().Engine("e")
-		So(there, ShouldBeTrue)
-		So(known, ShouldResemble, second)
-		So(l.report(first).Void, ShouldEqual, membership.ReportOutdated.String())
+		So(s.report(second).Void, ShouldBeEmpty)
+		current, inFleet := s.core.Fleet().Engine("e")
+		So(inFleet, ShouldBeTrue)
+		So(current, ShouldResemble, second)
+		So(s.report(first).Void, ShouldEqual, membership.ReportOutdated.String())
 	})
-	Convey("an unknown engine of a back end that no table names is acknowledged and left out", t, func() {
-		l := leading()
+	Convey("an unknown engine of a backend that the routing table does not name is acknowledged and ignored", t, func() {
+		s := newLeader()
 		table := &routing.Table{Generation: 1, Backends: []routing.Backend{{Name: "b"}}}
-		l.ask(&protocol.FleetOrder{Routing: table})
-		l.confirm()
-		stranger := first
-		stranger.Backend = "nowhere"
-		So(l.report(stranger).Void, ShouldEqual, membership.ReportUnknownBackend.String())
-		So(l.core.Fleet().EngineCount(), ShouldEqual, 0)
-		So(l.report(first).Void, ShouldBeEmpty)
-		So(l.core.Fleet().EngineCount(), ShouldEqual, 1)
+		s.ask(&protocol.FleetOrder{Routing: table})
+		s.confirm()
+		unnamedBackend := first
+		unnamedBackend.Backend = "nowhere"
+		So(s.report(unnamedBackend).Void, ShouldEqual, membership.ReportUnknownBackend.String())
+		So(s.core.Fleet().EngineCount(), ShouldEqual, 0)
+		So(s.report(first).Void, ShouldBeEmpty)
+		So(s.core.Fleet().EngineCount(), ShouldEqual, 1)
 	})
 }
--- a/internal/control/leader.go
+++ b/internal/control/leader.go
@@ -10,16 +10,16 @@
 	"github.com/ochrebay/ochrebay/internal/scheduling"
 )
 
-// followTerm ends what belongs to a term of this leader that is over, and begins anew where
-// it leads. Invariant: soft state is of one term. A leader that lost the lead and regained it
-// between two ticks knows no more of what happened meanwhile than any other.
-func (c *Core) followTerm() {
+// updateLeaderState drops the leader's soft state when its term is over, and creates it again when
+// this process leads. Invariant: soft state belongs to one term. A leader that lost the leadership
+// and regained it between two ticks has missed what happened in between, as any new leader has.
+func (c *Core) updateLeaderState() {
 	node := c.host.Groups[0].Node
 	leads := node.Role() == consensus.Leader
-	if leads && c.tracker != nil && c.leadingTerm == node.Term() {
+	if leads && c.schedulerTracker != nil && c.leadingTerm == node.Term() {
 		return
 	}
-	if c.tracker != nil {
+	if c.schedulerTracker != nil {
 		c.endTerm()
 	}
 	if leads && !c.draining {
@@ -30,84 +30,84 @@
 func (c *Core) beginTerm(term uint64) {
 	c.leadingTerm = term
 	c.leadingSinceMs = c.nowMs
-	c.tracker = membership.NewTracker(c.options.LeaseMs, c.nowMs)
+	c.schedulerTracker = membership.NewTracker(c.options.LeaseMs, c.nowMs)
 	c.permits = reconcile.NewPermits(c.nowMs)
 	c.fleetTracker = membership.NewFleetTracker(c.options.Fleet, c.nowMs)
-	c.loads = scheduling.NewLoadAggregator()
-	c.uses = admission.NewUsageAggregator()
-	c.planning = 0
-	c.fleetPlanning = false
+	c.loadAggregator = scheduling.NewLoadAggregator()
+	c.usageAggregator = admission.NewUsageAggregator()
+	c.pendingUpdateIndex = 0
+	c.fleetUpdatePending = false
 }
 
-// endTerm sends the heartbeats that wait to whoever leads now: they were counted by the
-// trackers of this term.
+// endTerm drops the soft state and redirects the waiting heartbeats to the current leader: they
+// were recorded by the trackers of the term that ended.
 func (c *Core) endTerm() {
-	c.tracker = nil
+	c.schedulerTracker = nil
 	c.permits = nil
 	c.fleetTracker = nil
-	c.loads = nil
-	c.uses = nil
+	c.loadAggregator = nil
+	c.usageAggregator = nil
 	c.refuseSyncs()
 	c.refuseFleetSyncs()
 }
 
-// tickLeader does what only leaders do from time to time.
+// tickLeader runs the periodic tasks of group leaders.
 func (c *Core) tickLeader() {
 	c.admitCandidates()
-	c.sweep()
+	c.sweepIdlePrograms()
 	if c.draining {
 		for _, group := range c.host.Groups {
-			c.handOver(group)
+			c.transferLeadership(group)
 		}
 		return
 	}
-	c.balance()
-	if c.tracker == nil {
+	c.balanceLeaders()
+	if c.schedulerTracker == nil {
 		return
 	}
-	c.replaceLost()
-	c.plan()
+	c.removeLostVoter()
+	c.planDirectory()
 	c.planFleet()
 }
 
-// plan proposes the next update of the directory, one at a time.
-func (c *Core) plan() {
-	if c.planning != 0 || c.nowMs-c.lastPlanMs < planEveryMs {
+// planDirectory proposes the next update of the directory, one at a time.
+func (c *Core) planDirectory() {
+	if c.pendingUpdateIndex != 0 || c.nowMs-c.lastPlanMs < planIntervalMs {
 		return
 	}
-	// Invariant: a leader plans from a directory that holds every update of the
-	// leaders before it.
+	// Invariant: a leader plans only from a directory that includes every update of
+	// earlier leaders.
 	if c.host.Groups[0].Node.TermAt(c.host.Groups[0].Node.Applied()) != c.host.Groups[0].Node.Term() {
 		return
 	}
 	c.lastPlanMs = c.nowMs
-	update := c.tracker.Plan(c.system.directory, c.nowMs)
+	update := c.schedulerTracker.Plan(c.system.directory, c.nowMs)
 	if update.IsEmpty() {
 		return
 	}
-	failure := c.host.Propose(c.host.Groups[0], &systemCommand{Update: &update}, func(any) { c.planning = 0 })
+	failure := c.host.Propose(c.host.Groups[0], &systemCommand{Update: &update}, func(any) { c.pendingUpdateIndex = 0 })
 	if failure == nil {
-		c.planning = c.host.Groups[0].Node.LastIndex()
+		c.pendingUpdateIndex = c.host.Groups[0].Node.LastIndex()
 	}
 }
 
-// applied lets waiting heartbeats hear of a change of the settings group.
-func (c *Core) applied(group *replication.Group) {
+// handleApplied answers waiting heartbeats after a change of the settings group.
+func (c *Core) handleApplied(group *replication.Group) {
 	if group.ID == 0 && c.host.Groups[0].Node.Role() == consensus.Leader {
 		c.answerSyncs(false)
 		c.answerFleetSyncs()
 	}
 }
 
-// sweep ends idle programs in the groups led here.
-func (c *Core) sweep() {
-	if c.nowMs-c.lastSweepMs < sweepEveryMs {
+// sweepIdlePrograms ends idle programs in the groups that this process leads.
+func (c *Core) sweepIdlePrograms() {
+	if c.nowMs-c.lastSweepMs < sweepIntervalMs {
 		return
 	}
 	c.lastSweepMs = c.nowMs
 	retainMs := *c.system.tree.Effective("/").RetainMs
 	for _, group := range c.host.Groups[1:] {
-		ledger := group.StateMachine.(*ledgerMachine).ledger
+		ledger := group.StateMachine.(*ledgerStateMachine).ledger
 		if group.Node.Role() != consensus.Leader || !ledger.IsSweepDue(c.nowMs, retainMs) {
 			continue
 		}
--- a/internal/control/liveness_test.go
+++ b/internal/control/liveness_test.go
@@ -12,48 +12,49 @@
 
 const testHoldMs = 200
 
-// heartbeats drives gateways that report again as soon as they are answered, as long as
-// they are not frozen.
-type heartbeats struct {
+// heartbeatDriver drives simulated gateways, each of which sends its next heartbeat as soon as
+// the last one is answered unless it is frozen.
+type heartbeatDriver struct {
 	core    *Core
 	nowMs   int64
 	nextID  RequestID
 	senders map[RequestID]string
-	// answered are the gateways whose next heartbeat is due.
-	answered []string
-	frozen   map[string]bool
-	// holdMs is how long gateways let their heartbeats be held, and replies counts the answers.
-	holdMs  int64
-	replies int
+	// due are the gateways whose next heartbeat is to be sent.
+	due    []string
+	frozen map[string]bool
+	// holdMs is how long gateways allow their heartbeats to be held, and replyCount counts the
+	// answers.
+	holdMs     int64
+	replyCount int
 }
 
-func (h *heartbeats) reply(id RequestID) {
+func (h *heartbeatDriver) handleReply(id RequestID) {
 	sender, known := h.senders[id]
 	if !known {
 		return
 	}
-	h.replies++
-	h.answered = append(h.answered, sender)
+	h.replyCount++
+	h.due = append(h.due, sender)
 }
 
-func (h *heartbeats) send(name string) {
+func (h *heartbeatDriver) send(name string) {
 	h.nextID++
 	h.senders[h.nextID] = name
 	gateway := &membership.Gateway{Name: name, IsReady: true}
 	h.core.HandleRequest(h.nextID, &protocol.FleetSync{Gateway: gateway, Version: h.core.Fleet().Version(), HoldMs: h.holdMs}, h.nowMs)
 }
 
-// run lets time pass, a tick each step.
-func (h *heartbeats) run(t *testing.T, forMs, stepMs int64) {
-	for end := h.nowMs + forMs; h.nowMs < end; {
+// advance advances time with one tick per step.
+func (h *heartbeatDriver) advance(t *testing.T, durationMs, stepMs int64) {
+	for end := h.nowMs + durationMs; h.nowMs < end; {
 		h.nowMs += stepMs
 		h.core.Tick(h.nowMs)
 		flush(t, h.core)
-		due := h.answered
-		h.answered = nil
+		due := h.due
+		h.due = nil
 		for _, name := range due {
 			if h.frozen[name] {
-				h.answered = append(h.answered, name)
+				h.due = append(h.due, name)
 				continue
 			}
 			h.send(name)
@@ -62,7 +63,7 @@
 	}
 }
 
-func (h *heartbeats) listed() []string {
+func (h *heartbeatDriver) listedGateways() []string {
 	var names []string
 	for _, gateway := range h.core.Fleet().Gateways() {
 		names = append(names, gateway.Name)
@@ -70,84 +71,86 @@
 	return names
 }
 
-// TestFrozenGatewayLeavesTheDirectory holds that callers are not sent to gateways that
-// stand still, and that the leader does not take a pause of its own for theirs.
+// TestFrozenGatewayLeavesTheDirectory checks that a frozen gateway is removed from the
+// directory for callers, and that the leader does not count a pause of its own process as
+// silence of the gateways.
 func TestFrozenGatewayLeavesTheDirectory(t *testing.T) {
-	Convey("gateways that report to the leader", t, func() {
-		outlet := &encodingOutlet{test: t}
-		h := &heartbeats{core: leadingCore(t, outlet), senders: map[RequestID]string{}, frozen: map[string]bool{}, holdMs: testHoldMs}
-		outlet.onReply = h.reply
+	Convey("with gateways that send heartbeats to the leader", t, func() {
+		transport := &encodingTransport{t: t}
+		h := &heartbeatDriver{core: leadingCore(t, transport), senders: map[RequestID]string{}, frozen: map[string]bool{}, holdMs: testHoldMs}
+		transport.onReply = h.handleReply
 		h.nowMs = h.core.nowMs
 		tickMs := h.core.options.TickMs
 		for _, name := range []string{"a", "b", "c"} {
 			h.send(name)
 		}
-		h.run(t, 5000, tickMs)
-		So(h.listed(), ShouldResemble, []string{"a", "b", "c"})
-		Convey("one that freezes leaves soon, and is back with its next heartbeat", func() {
+		h.advance(t, 5000, tickMs)
+		So(h.listedGateways(), ShouldResemble, []string{"a", "b", "c"})
+		Convey("a frozen gateway is removed soon and returns with its next heartbeat", func() {
 			h.frozen["b"] = true
-			h.run(t, testHoldMs+gatewayReturnMs+fleetPlanEveryMs+4*tickMs, tickMs)
-			So(h.listed(), ShouldResemble, []string{"a", "c"})
+			h.advance(t, testHoldMs+gatewayRepollTimeoutMs+fleetPlanIntervalMs+4*tickMs, tickMs)
+			So(h.listedGateways(), ShouldResemble, []string{"a", "c"})
 			h.frozen["b"] = false
-			h.run(t, 4*tickMs, tickMs)
-			So(h.listed(), ShouldResemble, []string{"a", "b", "c"})
+			h.advance(t, 4*tickMs, tickMs)
+			So(h.listedGateways(), ShouldResemble, []string{"a", "b", "c"})
 		})
-		Convey("a leader that stood still itself takes none out", func() {
+		Convey("a leader that was frozen itself removes no gateway", func() {
 			version := h.core.Fleet().Version()
-			h.run(t, 20_000, 20_000)
-			h.run(t, 1000, tickMs)
+			h.advance(t, 20_000, 20_000)
+			h.advance(t, 1000, tickMs)
 			So(h.core.Fleet().Version(), ShouldEqual, version)
 		})
 	})
 }
 
-// TestHeartbeatsAsOftenAsTheLeaderAffords holds that a few gateways are heard often enough for one
-// that stands still to be noticed soon, and that very many don't cost the leader more for it.
-func TestHeartbeatsAsOftenAsTheLeaderAffords(t *testing.T) {
+// TestHoldTimeGrowsWithGateways checks that the heartbeats of a few gateways are held so briefly
+// that a frozen one is detected soon, and that many gateways do not cause a higher rate of
+// heartbeats at the leader.
+func TestHoldTimeGrowsWithGateways(t *testing.T) {
 	const longHoldMs = 700
-	heard := func(gateways int) *heartbeats {
-		outlet := &encodingOutlet{test: t}
-		h := &heartbeats{core: leadingCore(t, outlet), senders: map[RequestID]string{}, frozen: map[string]bool{}, holdMs: longHoldMs}
-		outlet.onReply = h.reply
+	newDriver := func(gateways int) *heartbeatDriver {
+		transport := &encodingTransport{t: t}
+		h := &heartbeatDriver{core: leadingCore(t, transport), senders: map[RequestID]string{}, frozen: map[string]bool{}, holdMs: longHoldMs}
+		transport.onReply = h.handleReply
 		h.nowMs = h.core.nowMs
 		for number := range gateways {
 			h.send(fmt.Sprintf("gateway-%d", number))
 		}
-		h.run(t, 3000, h.core.options.TickMs)
+		h.advance(t, 3000, h.core.options.TickMs)
 		return h
 	}
-	Convey("a few gateways that let their heartbeats be held for long", t, func() {
-		h := heard(20)
+	Convey("a frozen one among a few gateways is removed soon although they allow a long hold", t, func() {
+		h := newDriver(20)
 		h.frozen["gateway-7"] = true
-		h.run(t, leastHoldMs+gatewayReturnMs+fleetPlanEveryMs+4*h.core.options.TickMs, h.core.options.TickMs)
-		So(h.listed(), ShouldHaveLength, 19)
+		h.advance(t, minHoldMs+gatewayRepollTimeoutMs+fleetPlanIntervalMs+4*h.core.options.TickMs, h.core.options.TickMs)
+		So(h.listedGateways(), ShouldHaveLength, 19)
 	})
-	Convey("one that was told little is missed sooner than one that has much to put in force", t, func() {
-		h := heard(20)
+	Convey("a gateway that received a small update is removed sooner than one that received a large one", t, func() {
+		h := newDriver(20)
 		tickMs := h.core.options.TickMs
 		h.frozen["gateway-7"] = true
-		const order = 1 << 40
+		const reportID = 1 << 40
 		report := &membership.ServingEngine{ID: "e", Backend: "b", Address: "e", Slots: 8, Sequence: 1}
-		h.core.HandleRequest(order, &protocol.FleetOrder{Report: report}, h.nowMs)
-		h.run(t, fleetNewsEveryMs+gatewayLightReturnMs+fleetPlanEveryMs+4*tickMs, tickMs)
-		So(h.listed(), ShouldHaveLength, 19)
-		news := func(engines int) *protocol.FleetSyncReply {
+		h.core.HandleRequest(reportID, &protocol.FleetOrder{Report: report}, h.nowMs)
+		h.advance(t, fleetNotifyIntervalMs+gatewaySmallDeltaRepollTimeoutMs+fleetPlanIntervalMs+4*tickMs, tickMs)
+		So(h.listedGateways(), ShouldHaveLength, 19)
+		replyWithEngines := func(engines int) *protocol.FleetSyncReply {
 			return &protocol.FleetSyncReply{Fleet: protocol.NewShared(membership.FleetDelta{Engines: make([]membership.ServingEngine, engines)})}
 		}
-		So(h.core.light(&protocol.FleetSyncReply{}), ShouldBeTrue)
-		So(h.core.light(news(lightEntries)), ShouldBeTrue)
-		So(h.core.light(news(lightEntries+1)), ShouldBeFalse)
+		So(h.core.isSmallUpdate(&protocol.FleetSyncReply{}), ShouldBeTrue)
+		So(h.core.isSmallUpdate(replyWithEngines(maxSmallUpdateEntries)), ShouldBeTrue)
+		So(h.core.isSmallUpdate(replyWithEngines(maxSmallUpdateEntries+1)), ShouldBeFalse)
 	})
-	Convey("many of them", t, func() {
-		h := heard(800)
-		before := h.replies
-		h.run(t, 2*longHoldMs, h.core.options.TickMs)
-		So(h.replies-before, ShouldBeLessThanOrEqualTo, 2*800)
+	Convey("many gateways send no more heartbeats than the hold time that they allow requires", t, func() {
+		h := newDriver(800)
+		before := h.replyCount
+		h.advance(t, 2*longHoldMs, h.core.options.TickMs)
+		So(h.replyCount-before, ShouldBeLessThanOrEqualTo, 2*800)
 	})
-	Convey("a number between", t, func() {
-		h := heard(150)
-		before := h.replies
-		h.run(t, 2000, h.core.options.TickMs)
-		So(h.replies-before, ShouldBeBetween, 1.5*heldEndsPerSecond, 2*heldEndsPerSecond+150)
+	Convey("an intermediate number of gateways is limited to the rate of hold expiries", t, func() {
+		h := newDriver(150)
+		before := h.replyCount
+		h.advance(t, 2000, h.core.options.TickMs)
+		So(h.replyCount-before, ShouldBeBetween, 1.5*maxHoldExpiriesPerSecond, 2*maxHoldExpiriesPerSecond+150)
 	})
 }
--- a/internal/control/machines.go
+++ b/internal/control/machines.go
@@ -11,25 +11,26 @@
 	"github.com/ochrebay/ochrebay/internal/storage"
 )
 
-// systemCommand is an entry of the settings group.
+// systemCommand is a log entry of the settings group.
 type systemCommand struct {
 	Change *settings.Change        `msgpack:"c,omitempty"`
 	Update *membership.Update      `msgpack:"u,omitempty"`
 	Fleet  *membership.FleetUpdate `msgpack:"f,omitempty"`
 }
 
-// systemMachine is the state of the settings group: the tree, the directory of
-// schedulers and their engines, and the fleet of gateways and ledgers.
-type systemMachine struct {
+// systemStateMachine is the state machine of the settings group: the settings tree, the
+// directory of schedulers and their engines, and the fleet of gateways, engines and ledger
+// hosts.
+type systemStateMachine struct {
 	tree      *settings.Tree
 	directory *membership.Directory
 	fleet     *membership.Fleet
 }
 
-func newSystemMachine(options Options) *systemMachine {
+func newSystemStateMachine(options Options) *systemStateMachine {
 	tree := settings.NewTree()
 	tree.DisableVersionCheck = options.DisableVersionCheck
-	return &systemMachine{tree: tree, directory: membership.NewDirectory(), fleet: membership.NewFleet()}
+	return &systemStateMachine{tree: tree, directory: membership.NewDirectory(), fleet: membership.NewFleet()}
 }
 
 type systemSnapshot struct {
@@ -38,11 +39,11 @@
 	Fleet     []byte `msgpack:"f,omitempty"`
 }
 
-// Apply carries out an entry of the settings group.
-func (m *systemMachine) Apply(_ uint64, data []byte) (any, []storage.Record) {
+// Apply applies a log entry of the settings group.
+func (m *systemStateMachine) Apply(_ uint64, data []byte) (any, []storage.Record) {
 	var command systemCommand
 	if err := protocol.Decode(data, &command); err != nil {
-		return settings.Reply{Error: result.New(result.Internal, "undecodable entry: %v", err)}, nil
+		return settings.Reply{Error: result.New(result.Internal, "decoding a log entry: %v", err)}, nil
 	}
 	if command.Update != nil {
 		m.directory.Apply(*command.Update)
@@ -58,8 +59,8 @@
 	return nil, nil
 }
 
-// Snapshot encodes tree, directory and fleet.
-func (m *systemMachine) Snapshot() ([]byte, error) {
+// Snapshot encodes the settings tree, the directory and the fleet.
+func (m *systemStateMachine) Snapshot() ([]byte, error) {
 	tree, err := m.tree.Snapshot()
 	if err != nil {
 		return nil, err
@@ -75,42 +76,42 @@
 	return msgpack.Marshal(&systemSnapshot{Tree: tree, Directory: directory, Fleet: fleet})
 }
 
-// Restore replaces tree, directory and fleet.
-func (m *systemMachine) Restore(data []byte) error {
-	var encoded systemSnapshot
+// Restore replaces the settings tree, the directory and the fleet by those of a snapshot.
+func (m *systemStateMachine) Restore(data []byte) error {
+	var snapshot systemSnapshot
 	if len(data) > 0 {
-		if err := msgpack.Unmarshal(data, &encoded); err != nil {
+		if err := msgpack.Unmarshal(data, &snapshot); err != nil {
 			return err
 		}
 	}
-	if err := m.tree.Restore(encoded.Tree); err != nil {
+	if err := m.tree.Restore(snapshot.Tree); err != nil {
 		return err
 	}
-	if err := m.directory.Restore(encoded.Directory); err != nil {
+	if err := m.directory.Restore(snapshot.Directory); err != nil {
 		return err
 	}
-	return m.fleet.Restore(encoded.Fleet)
+	return m.fleet.Restore(snapshot.Fleet)
 }
 
-// ledgerMachine is the state of one ledger group.
-type ledgerMachine struct {
+// ledgerStateMachine is the state machine of one ledger group.
+type ledgerStateMachine struct {
 	ledger *program.Ledger
 }
 
-func newLedgerMachine(options Options) *ledgerMachine {
+func newLedgerStateMachine(options Options) *ledgerStateMachine {
 	ledger := program.NewLedger()
 	ledger.DisableFence = options.DisableFence
 	ledger.DisableBudget = options.DisableBudget
 	ledger.DisableAtMostOnce = options.DisableAtMostOnce
 	ledger.DisableTurnOrder = options.DisableTurnOrder
-	return &ledgerMachine{ledger: ledger}
+	return &ledgerStateMachine{ledger: ledger}
 }
 
-// Apply carries out an entry of a ledger group.
-func (m *ledgerMachine) Apply(index uint64, data []byte) (any, []storage.Record) {
+// Apply applies a log entry of a ledger group.
+func (m *ledgerStateMachine) Apply(index uint64, data []byte) (any, []storage.Record) {
 	var command program.Command
 	if err := protocol.Decode(data, &command); err != nil {
-		return program.Reply{Error: result.New(result.Internal, "undecodable entry: %v", err)}, nil
+		return program.Reply{Error: result.New(result.Internal, "decoding a log entry: %v", err)}, nil
 	}
 	reply, effects := m.ledger.Apply(index, command)
 	return reply, recordsOf(effects)
@@ -124,16 +125,16 @@
 			records = append(records, storage.Record{Program: effects.Program, Turn: effects.Write.Turn, Value: value})
 		}
 	}
-	for _, forgotten := range effects.DeletePrograms {
-		for turn := uint64(1); turn <= forgotten.LastTurn; turn++ {
-			records = append(records, storage.Record{Program: forgotten.Program, Turn: turn})
+	for _, deleted := range effects.DeletePrograms {
+		for turn := uint64(1); turn <= deleted.LastTurn; turn++ {
+			records = append(records, storage.Record{Program: deleted.Program, Turn: turn})
 		}
 	}
 	return records
 }
 
-// Snapshot encodes the ledger's headers.
-func (m *ledgerMachine) Snapshot() ([]byte, error) { return m.ledger.Snapshot() }
+// Snapshot encodes the program headers of the ledger.
+func (m *ledgerStateMachine) Snapshot() ([]byte, error) { return m.ledger.Snapshot() }
 
-// Restore replaces the ledger's headers.
-func (m *ledgerMachine) Restore(data []byte) error { return m.ledger.Restore(data) }
+// Restore replaces the program headers of the ledger by those of a snapshot.
+func (m *ledgerStateMachine) Restore(data []byte) error { return m.ledger.Restore(data) }
--- a/internal/control/news.go
+++ b/internal/control/news.go
@@ -8,41 +8,41 @@
 	"github.com/ochrebay/ochrebay/internal/scheduling"
 )
 
-// loadsEveryMs is how old the sums of what gateways have seen may be, milliseconds: a
-// tenth of the time between two answers to one gateway. To add them up costs as many steps
-// as there are pairs of gateway and engine.
-const loadsEveryMs = 70
+// loadsMaxAgeMs is how old the aggregates of the gateways' reports may be, in milliseconds: a
+// tenth of the time between two answers to one gateway. Computing them takes a number of steps
+// proportional to the pairs of gateway and engine.
+const loadsMaxAgeMs = 70
 
-// newsCache holds what heartbeats were answered with, by what their senders had: after a
-// change, or when all processes come back at once, hundreds ask for the same.
-type newsCache struct {
-	fleet   map[membership.Scope]*differences[membership.FleetDelta]
-	routing differences[routing.Delta]
-	// loads are the sums that gateways were told, by what they are told of.
-	loads map[membership.Scope]summedLoads
-	// uses are the sums of tenants' use that gateways were told, of usesBoard.
-	uses        *protocol.Shared[[]admission.BackendUsage]
-	usesBoard   *admission.UsageAggregator
-	usesVersion uint64
+// deltaCache holds the content of heartbeat answers by the version that their senders had: after a
+// change, or when all processes reconnect at once, hundreds of them need the same content.
+type deltaCache struct {
+	fleet   map[membership.Scope]*versionedDeltas[membership.FleetDelta]
+	routing versionedDeltas[routing.Delta]
+	// loads holds the load aggregates last sent to gateways, by their scope.
+	loads map[membership.Scope]loadAggregates
+	// usage is the tenant usage last sent to gateways, aggregated by usageAggregator at usageVersion.
+	usage           *protocol.Shared[[]admission.BackendUsage]
+	usageAggregator *admission.UsageAggregator
+	usageVersion    uint64
 }
 
-// summedLoads are sums of what gateways have seen, as of atMs.
-type summedLoads struct {
+// loadAggregates are the aggregates of the gateways' reports about engines, computed at atMs.
+type loadAggregates struct {
 	atMs    int64
 	loads   *protocol.Shared[[]scheduling.EngineLoad]
 	usages  *protocol.Shared[[]scheduling.EngineUsage]
 	failing []string
 }
 
-// differences are what leads from older versions to the one in force.
-type differences[T any] struct {
+// versionedDeltas holds the deltas from older versions to the current one.
+type versionedDeltas[T any] struct {
 	version uint64
 	since   map[uint64]*protocol.Shared[T]
 }
 
-// to returns what leads from one version to another, and builds it where nobody has asked
-// for it yet. Invariant: nothing is kept of a version that is not in force any more.
-func (d *differences[T]) to(version, from uint64, build func() T) *protocol.Shared[T] {
+// get returns the delta from one version to another, and builds it on the first request.
+// Invariant: no delta to a version other than the current one is kept.
+func (d *versionedDeltas[T]) get(version, from uint64, build func() T) *protocol.Shared[T] {
 	if d.since == nil || d.version != version {
 		d.version = version
 		d.since = map[uint64]*protocol.Shared[T]{}
@@ -53,52 +53,52 @@
 	return d.since[from]
 }
 
-// fleetSince returns what leads a follower from a version to the fleet.
-func (n *newsCache) fleetSince(fleet *membership.Fleet, version uint64, scope membership.Scope) *protocol.Shared[membership.FleetDelta] {
-	news, known := n.fleet[scope]
-	if n.fleet == nil {
-		n.fleet = map[membership.Scope]*differences[membership.FleetDelta]{}
+// fleetSince returns the delta that brings a follower from a version to the current fleet.
+func (c *deltaCache) fleetSince(fleet *membership.Fleet, version uint64, scope membership.Scope) *protocol.Shared[membership.FleetDelta] {
+	cached, known := c.fleet[scope]
+	if c.fleet == nil {
+		c.fleet = map[membership.Scope]*versionedDeltas[membership.FleetDelta]{}
 	}
 	if !known {
-		news = &differences[membership.FleetDelta]{}
-		n.fleet[scope] = news
+		cached = &versionedDeltas[membership.FleetDelta]{}
+		c.fleet[scope] = cached
 	}
-	return news.to(fleet.LatestVersion(scope), version, func() membership.FleetDelta { return fleet.DeltaSince(version, scope) })
+	return cached.get(fleet.LatestVersion(scope), version, func() membership.FleetDelta { return fleet.DeltaSince(version, scope) })
 }
 
-// routingSince returns what leads from a table, nil for none, to the one in force.
-func (n *newsCache) routingSince(from, to *routing.Table) *protocol.Shared[routing.Delta] {
+// routingSince returns the delta from one routing table, nil for none, to the one in force.
+func (c *deltaCache) routingSince(from, to *routing.Table) *protocol.Shared[routing.Delta] {
 	generation := uint64(0)
 	if from != nil {
 		generation = from.Generation
 	}
-	return n.routing.to(to.Generation, generation, func() routing.Delta { return *routing.NewDelta(from, to) })
+	return c.routing.get(to.Generation, generation, func() routing.Delta { return *routing.NewDelta(from, to) })
 }
 
-// loadsOf returns what all gateways together have seen lately of the engines that a gateway
-// is told of. What it sends does not grow with the engines of the fleet.
-func (n *newsCache) loadsOf(board *scheduling.LoadAggregator, fleet *membership.Fleet, scope membership.Scope, nowMs int64) summedLoads {
-	known, found := n.loads[scope]
-	if found && nowMs-known.atMs < loadsEveryMs && nowMs >= known.atMs {
-		return known
+// loadsFor returns the recent reports of all gateways, aggregated for the engines that are
+// advertised to a scope. Its size does not grow with the number of engines in the fleet.
+func (c *deltaCache) loadsFor(aggregator *scheduling.LoadAggregator, fleet *membership.Fleet, scope membership.Scope, nowMs int64) loadAggregates {
+	cached, found := c.loads[scope]
+	if found && nowMs-cached.atMs < loadsMaxAgeMs && nowMs >= cached.atMs {
+		return cached
 	}
-	if n.loads == nil {
-		n.loads = map[membership.Scope]summedLoads{}
+	if c.loads == nil {
+		c.loads = map[membership.Scope]loadAggregates{}
 	}
 	engines := fleet.AdvertisedEngineIDs(scope)
-	known = summedLoads{
-		atMs: nowMs, loads: protocol.NewShared(board.Loads(engines, nowMs)),
-		usages: protocol.NewShared(board.Usages(engines, nowMs)), failing: board.FailingEngines(engines, scope.Zone, nowMs),
+	cached = loadAggregates{
+		atMs: nowMs, loads: protocol.NewShared(aggregator.Loads(engines, nowMs)),
+		usages: protocol.NewShared(aggregator.Usages(engines, nowMs)), failing: aggregator.FailingEngines(engines, scope.Zone, nowMs),
 	}
-	n.loads[scope] = known
-	return known
+	c.loads[scope] = cached
+	return cached
 }
 
-// usesOf returns what all gateways' tenants together use of back ends that are short.
-func (n *newsCache) usesOf(board *admission.UsageAggregator, nowMs int64) *protocol.Shared[[]admission.BackendUsage] {
-	sums := board.Totals(nowMs)
-	if n.uses == nil || n.usesBoard != board || n.usesVersion != board.Version {
-		n.uses, n.usesBoard, n.usesVersion = protocol.NewShared(sums), board, board.Version
+// tenantUsage returns the use of backends by tenants, aggregated over all gateways.
+func (c *deltaCache) tenantUsage(aggregator *admission.UsageAggregator, nowMs int64) *protocol.Shared[[]admission.BackendUsage] {
+	totals := aggregator.Totals(nowMs)
+	if c.usage == nil || c.usageAggregator != aggregator || c.usageVersion != aggregator.Version {
+		c.usage, c.usageAggregator, c.usageVersion = protocol.NewShared(totals), aggregator, aggregator.Version
 	}
-	return n.uses
+	return c.usage
 }
--- a/internal/control/platformlist.go
+++ b/internal/control/platformlist.go
@@ -7,11 +7,13 @@
 	"github.com/ochrebay/ochrebay/internal/membership"
 )
 
-// listEntry is the reason under which unusable entries of the platform's list are counted.
-const listEntry = "list_entry"
+// reasonListEntry is the metric label under which unusable entries of the platform's list are
+// counted.
+const reasonListEntry = "list_entry"
 
-// parseInstances reads the platform's list of machines. Others write to it too: an entry that
-// is no machine to use is left out and counted, and the others hold.
+// parseInstances decodes the platform's list of instances. Other systems write to the list too, so
+// an entry that does not describe a usable instance is skipped and counted, and the remaining
+// entries are returned.
 func parseInstances(body []byte) (instances []membership.Instance, unusable int, err error) {
 	var list struct {
 		Instances []json.RawMessage `json:"instances"`
@@ -21,8 +23,8 @@
 	}
 	for _, raw := range list.Instances {
 		var entry membership.Instance
-		null := bytes.Equal(bytes.TrimSpace(raw), []byte("null"))
-		if null || json.Unmarshal(raw, &entry) != nil || entry.Name == "" || entry.Zone == "" || entry.Address == "" || entry.Pool == "" {
+		isNull := bytes.Equal(bytes.TrimSpace(raw), []byte("null"))
+		if isNull || json.Unmarshal(raw, &entry) != nil || entry.Name == "" || entry.Zone == "" || entry.Address == "" || entry.Pool == "" {
 			unusable++
 			continue
 		}
--- a/internal/control/proof_test.go
+++ b/internal/control/proof_test.go
@@ -12,47 +12,47 @@
 	"github.com/ochrebay/ochrebay/internal/storage"
 )
 
-const proofStepMs = 10
+const clusterStepMs = 10
 
-// proofMember is one control process of a test cluster; cut off it hears and is heard by no
-// other one, but callers still reach it.
-type proofMember struct {
-	cluster *proofCluster
-	name    string
-	store   *storage.Store
-	core    *Core
-	cut     bool
-	paused  bool
-	replies map[RequestID]func(any)
-	next    RequestID
+// testMember is one control process of a test cluster. While it is partitioned it exchanges no
+// messages with the other processes, but callers still reach it.
+type testMember struct {
+	cluster     *testCluster
+	name        string
+	store       *storage.Store
+	core        *Core
+	partitioned bool
+	paused      bool
+	replies     map[RequestID]func(any)
+	lastRequest RequestID
 }
 
-// proofCluster runs three cores on real disks over a network that delays and loses messages.
-type proofCluster struct {
-	t       *testing.T
-	random  *rand.Rand
-	nowMs   int64
-	members []*proofMember
-	flying  []proofDelivery
-	// consensusMessages counts what processes sent each other.
+// testCluster runs three cores on real disks over a network that delays and loses messages.
+type testCluster struct {
+	t        *testing.T
+	random   *rand.Rand
+	nowMs    int64
+	members  []*testMember
+	inFlight []delivery
+	// consensusMessages counts the consensus messages between processes.
 	consensusMessages int
-	// sound says that the network loses nothing.
-	sound bool
-	// acknowledged is the newest generation that an operator was told of, and generation the
-	// newest that was sent.
-	acknowledged uint64
-	generation   uint64
-	proofs       int
-	refused      int
+	// lossless says that the network loses no message.
+	lossless bool
+	// acknowledged is the newest generation that was acknowledged to an operator, and generation
+	// the newest that was sent.
+	acknowledged  uint64
+	generation    uint64
+	confirmations int
+	refused       int
 }
 
-type proofDelivery struct {
+type delivery struct {
 	atMs int64
 	run  func()
 }
 
-func newProofCluster(t *testing.T, seed uint64) *proofCluster {
-	c := &proofCluster{t: t, random: rand.New(rand.NewPCG(seed, 2)), nowMs: 1000}
+func newTestCluster(t *testing.T, seed uint64) *testCluster {
+	c := &testCluster{t: t, random: rand.New(rand.NewPCG(seed, 2)), nowMs: 1000}
 	var configuration consensus.Configuration
 	var members []Member
 	for number := range 3 {
@@ -62,7 +62,7 @@
 		}
 		t.Cleanup(func() { _ = store.Close() })
 		name := fmt.Sprintf("m%d:1", number)
-		c.members = append(c.members, &proofMember{cluster: c, name: name, store: store, replies: map[RequestID]func(any){}})
+		c.members = append(c.members, &testMember{cluster: c, name: name, store: store, replies: map[RequestID]func(any){}})
 		members = append(members, Member{Name: name, Address: name})
 		configuration = configuration.With(consensus.Replica{ID: store.Replica(), Member: name})
 	}
@@ -73,7 +73,7 @@
 		options := DefaultOptions(member.name, members, 0)
 		options.Discovered = true
 		options.MinVoters = 3
-		options.Fleet = membership.FleetOptions{EngineTimeoutMs: engineSilentMs, GatewayTimeoutMs: gatewaySilentMs, GatewayRepollTimeoutMs: gatewayReturnMs, GatewaySmallDeltaRepollTimeoutMs: gatewayLightReturnMs, LedgerTimeoutMs: ledgerSilentMs, LedgerRetentionMs: ledgerForgottenMs, InitialPlacementDelayMs: formationMs}
+		options.Fleet = membership.FleetOptions{EngineTimeoutMs: engineTimeoutMs, GatewayTimeoutMs: gatewayTimeoutMs, GatewayRepollTimeoutMs: gatewayRepollTimeoutMs, GatewaySmallDeltaRepollTimeoutMs: gatewaySmallDeltaRepollTimeoutMs, LedgerTimeoutMs: ledgerTimeoutMs, LedgerRetentionMs: ledgerRetentionMs, InitialPlacementDelayMs: initialPlacementDelayMs}
 		core, err := NewCore(options, member.store, member, c.nowMs)
 		if err != nil {
 			t.Fatal(err)
@@ -83,8 +83,8 @@
 	return c
 }
 
-// Send carries a message as the wire would.
-func (m *proofMember) Send(to string, kind protocol.Kind, message any) {
+// Send encodes a message and delivers it to the other member, unless it is lost.
+func (m *testMember) Send(to string, kind protocol.Kind, message any) {
 	batch, isPeer := message.(protocol.PeerBatch)
 	if !isPeer || kind != protocol.KindPeer {
 		return
@@ -95,45 +95,45 @@
 		m.cluster.t.Fatal(err)
 	}
 	for _, other := range m.cluster.members {
-		if other.name != to || m.cut || (!m.cluster.sound && m.cluster.random.IntN(50) == 0) {
+		if other.name != to || m.partitioned || (!m.cluster.lossless && m.cluster.random.IntN(50) == 0) {
 			continue
 		}
-		m.cluster.later(func() {
+		m.cluster.deliverLater(func() {
 			var decoded protocol.PeerBatch
-			if !other.cut && protocol.Decode(raw, &decoded) == nil {
+			if !other.partitioned && protocol.Decode(raw, &decoded) == nil {
 				other.core.HandlePeerBatch(decoded, m.cluster.nowMs)
 			}
 		})
 	}
 }
 
-// Reply routes an answer to whoever asked, now and then late.
-func (m *proofMember) Reply(id RequestID, reply any) {
+// Reply delivers a reply to the requester after a random delay.
+func (m *testMember) Reply(id RequestID, reply any) {
 	answer := m.replies[id]
 	delete(m.replies, id)
 	if answer != nil {
-		m.cluster.later(func() { answer(reply) })
+		m.cluster.deliverLater(func() { answer(reply) })
 	}
 }
 
-func (m *proofMember) ask(request any, answer func(any)) {
-	m.next++
-	m.replies[m.next] = answer
-	m.core.HandleRequest(m.next, request, m.cluster.nowMs)
+func (m *testMember) ask(request any, answer func(any)) {
+	m.lastRequest++
+	m.replies[m.lastRequest] = answer
+	m.core.HandleRequest(m.lastRequest, request, m.cluster.nowMs)
 }
 
-func (c *proofCluster) later(run func()) {
-	c.flying = append(c.flying, proofDelivery{c.nowMs + int64(1+c.random.IntN(30)), run})
+func (c *testCluster) deliverLater(run func()) {
+	c.inFlight = append(c.inFlight, delivery{c.nowMs + int64(1+c.random.IntN(30)), run})
 }
 
-func (c *proofCluster) run(durationMs int64) {
+func (c *testCluster) run(durationMs int64) {
 	for end := c.nowMs + durationMs; c.nowMs < end; {
-		c.nowMs += proofStepMs
-		due := c.flying
-		c.flying = nil
+		c.nowMs += clusterStepMs
+		due := c.inFlight
+		c.inFlight = nil
 		for _, next := range due {
 			if next.atMs > c.nowMs {
-				c.flying = append(c.flying, next)
+				c.inFlight = append(c.inFlight, next)
 				continue
 			}
 			next.run()
@@ -148,9 +148,8 @@
 	}
 }
 
-// replace has each process that may lead put a table in force; the caller notes what is
-// acknowledged.
-func (c *proofCluster) replace() {
+// replaceRouting sends a new routing table to every process and records the acknowledgements.
+func (c *testCluster) replaceRouting() {
 	c.generation++
 	generation := c.generation
 	table := &routing.Table{Generation: generation, RequiresKey: true}
@@ -163,13 +162,14 @@
 	}
 }
 
-// prove has a gateway that holds a table ask each process for a proof. Invariant checked: a
-// proof leads to a table at least as new as any that was acknowledged before the question.
-func (c *proofCluster) prove(held uint64) {
+// requestConfirmation has a gateway that holds a routing table request a confirmation from each
+// process. Invariant checked: a confirmed answer leaves the gateway with a table at least as new as
+// any that was acknowledged before the request.
+func (c *testCluster) requestConfirmation(heldGeneration uint64) {
 	acknowledgedBefore := c.acknowledged
 	for _, member := range c.members {
 		request := &protocol.FleetSync{
-			Gateway: &membership.Gateway{Name: "g", IsReady: true}, WithRouting: true, Generation: held, Prove: true, HoldMs: int64(c.random.IntN(2)) * 700,
+			Gateway: &membership.Gateway{Name: "g", IsReady: true}, WithRouting: true, Generation: heldGeneration, Prove: true, HoldMs: int64(c.random.IntN(2)) * 700,
 		}
 		member.ask(request, func(answer any) {
 			reply := answer.(*protocol.FleetSyncReply)
@@ -177,55 +177,55 @@
 				c.refused++
 				return
 			}
-			c.proofs++
-			proved := held
+			c.confirmations++
+			confirmed := heldGeneration
 			if reply.Routing != nil {
-				proved = reply.Routing.Value.Generation
+				confirmed = reply.Routing.Value.Generation
 			}
-			if proved < acknowledgedBefore {
-				c.t.Fatalf("%d ms: %s proved generation %d, %d was acknowledged before the question", c.nowMs, member.name, proved, acknowledgedBefore)
+			if confirmed < acknowledgedBefore {
+				c.t.Fatalf("%d ms: %s confirmed generation %d, but %d was acknowledged before the request", c.nowMs, member.name, confirmed, acknowledgedBefore)
 			}
 		})
 	}
 }
 
-// TestProofs holds, against one who sees every acknowledgement, that no process proves a
-// table that is not in force any more: leaders cut off, paused and replaced included.
-func TestProofs(t *testing.T) {
-	proofs, refused := 0, 0
+// TestConfirmations checks, with knowledge of every acknowledgement, that no process confirms a
+// routing table that has been superseded, even if leaders are partitioned, paused and replaced.
+func TestConfirmations(t *testing.T) {
+	confirmations, refused := 0, 0
 	for seed := range uint64(60) {
-		c := newProofCluster(t, seed)
+		c := newTestCluster(t, seed)
 		c.run(2000)
 		for range 40 {
 			if c.random.IntN(3) == 0 {
-				c.replace()
+				c.replaceRouting()
 			}
-			c.prove(uint64(c.random.Int64N(int64(c.generation) + 1)))
+			c.requestConfirmation(uint64(c.random.Int64N(int64(c.generation) + 1)))
 			c.run(int64(10 + c.random.IntN(150)))
 			if c.random.IntN(5) != 0 {
 				continue
 			}
-			victim := c.members[c.random.IntN(len(c.members))]
+			faulty := c.members[c.random.IntN(len(c.members))]
 			switch c.random.IntN(3) {
 			case 0:
-				victim.cut = !victim.cut
+				faulty.partitioned = !faulty.partitioned
 			case 1:
-				victim.paused = !victim.paused
+				faulty.paused = !faulty.paused
 			default:
-				victim.cut, victim.paused = false, false
+				faulty.partitioned, faulty.paused = false, false
 			}
 		}
 		for _, member := range c.members {
-			member.cut, member.paused = false, false
+			member.partitioned, member.paused = false, false
 		}
 		c.run(3000)
-		c.prove(c.generation)
+		c.requestConfirmation(c.generation)
 		c.run(1000)
-		proofs += c.proofs
+		confirmations += c.confirmations
 		refused += c.refused
 	}
-	if proofs < 1000 || refused < 1000 {
-		t.Fatalf("%d proofs, %d refused: too few of either to hold anything", proofs, refused)
+	if confirmations < 1000 || refused < 1000 {
+		t.Fatalf("%d confirmations, %d refused: too few of either for the test to be meaningful", confirmations, refused)
 	}
-	t.Logf("%d proofs, %d refused", proofs, refused)
+	t.Logf("%d confirmations, %d refused", confirmations, refused)
 }
--- a/internal/control/reads.go
+++ b/internal/control/reads.go
@@ -12,11 +12,11 @@
 	"github.com/ochrebay/ochrebay/internal/settings"
 )
 
-// SettingsView shows one node to operators.
+// SettingsView describes one node of the settings tree to operators.
 type SettingsView struct {
 	Revision uint64 `json:"revision"`
 	Path     string `json:"path"`
-	// Exists tells a node of its own from one that only inherits.
+	// Exists distinguishes a node with its own settings from one that only inherits.
 	Exists    bool            `json:"exists"`
 	Version   uint64          `json:"version"`
 	Operator  string          `json:"operator,omitempty"`
@@ -25,13 +25,13 @@
 	Children  []string        `json:"children,omitempty"`
 }
 
-// HistoryView lists accepted changes, newest last.
+// HistoryView lists accepted settings changes, newest last.
 type HistoryView struct {
 	Revision uint64              `json:"revision"`
 	Changes  []settings.Accepted `json:"changes"`
 }
 
-// DaemonView is one daemon as the leader of the settings group sees it.
+// DaemonView describes one daemon from the view of the settings group's leader.
 type DaemonView struct {
 	Name     string `json:"name"`
 	Role     string `json:"role"`
@@ -40,14 +40,14 @@
 	Alive    bool   `json:"alive"`
 	Revision uint64 `json:"revision"`
 	Detail   string `json:"detail"`
-	// Sidecars and SidecarRevision describe the sidecars behind a scheduler, and
-	// Lagging names some that are behind.
+	// Sidecars and SidecarRevision describe the sidecars of a scheduler, and Lagging
+	// names some whose settings are out of date.
 	Sidecars        int      `json:"sidecars,omitempty"`
 	SidecarRevision uint64   `json:"sidecar_revision,omitempty"`
 	Lagging         []string `json:"lagging,omitempty"`
 }
 
-// GroupView is one log group as this process sees it.
+// GroupView describes one replication group from the view of this process.
 type GroupView struct {
 	Group     uint32              `json:"group"`
 	Leader    string              `json:"leader"`
@@ -56,7 +56,7 @@
 	Replicas  []consensus.Replica `json:"replicas"`
 }
 
-// StatusView is the whole system at a glance.
+// StatusView summarizes the whole system.
 type StatusView struct {
 	Revision         uint64       `json:"revision"`
 	DirectoryVersion uint64       `json:"directory"`
@@ -65,14 +65,14 @@
 	Groups           []GroupView  `json:"groups"`
 }
 
-// EnginesView lists engines and their owners, and those that gateways send to.
+// EnginesView lists the engines with their owners, and the engines that serve gateways.
 type EnginesView struct {
 	DirectoryVersion uint64              `json:"directory"`
 	Engines          []membership.Engine `json:"engines"`
 	Serving          []ServingView       `json:"serving,omitempty"`
 }
 
-// ProgramView is one program's ledger entry.
+// ProgramView describes the ledger entry of one program.
 type ProgramView struct {
 	program.Header
 	State           string       `json:"state"`
@@ -80,11 +80,11 @@
 	OpenTurn        uint64       `json:"open_turn,omitempty"`
 	Threads         []ThreadView `json:"threads"`
 	Group           uint32       `json:"group"`
-	// Turns is set where the records were asked for.
+	// Turns is set if the request asked for the turn records.
 	Turns []program.TurnRecord `json:"turns,omitempty"`
 }
 
-// ThreadView is one thread of a program.
+// ThreadView describes one thread of a program.
 type ThreadView struct {
 	Name     string                 `json:"name"`
 	Parent   string                 `json:"parent,omitempty"`
@@ -93,23 +93,23 @@
 	Lineage  []program.ThreadPrefix `json:"lineage"`
 }
 
-// ProgramsView lists programs of one group.
+// ProgramsView lists programs, of one ledger group or of all.
 type ProgramsView struct {
 	Programs []ProgramView `json:"programs"`
 }
 
-func (c *Core) readRequest(id RequestID, request *protocol.ReadRequest) {
-	group, leader, failure := c.leading(request.Group)
+func (c *Core) handleReadRequest(id RequestID, request *protocol.ReadRequest) {
+	group, leader, failure := c.ledGroup(request.Group)
 	if failure != nil {
-		c.outlet.Reply(id, &protocol.ReadReply{Error: failure, Leader: leader})
+		c.transport.Reply(id, &protocol.ReadReply{Error: failure, Leader: leader})
 		return
 	}
 	c.host.LinearizableRead(group, func(failure *result.Error) {
 		if failure != nil {
-			c.outlet.Reply(id, &protocol.ReadReply{Error: failure})
+			c.transport.Reply(id, &protocol.ReadReply{Error: failure})
 			return
 		}
-		c.outlet.Reply(id, c.readReply(group, request))
+		c.transport.Reply(id, c.readReply(group, request))
 	})
 }
 
@@ -137,7 +137,7 @@
 		return EnginesView{DirectoryVersion: c.system.directory.Version, Engines: c.system.directory.EngineList(), Serving: c.servingViews()}, nil
 	}
 	if group.ID == 0 {
-		return nil, result.New(result.NotFound, "no such topic")
+		return nil, result.New(result.NotFound, "the settings group has no such read topic")
 	}
 	if request.Topic == protocol.ReadPrograms {
 		return c.programsView(group, request.Limit), nil
@@ -172,8 +172,8 @@
 		view.Daemons = append(view.Daemons, c.memberView(member))
 	}
 	reports := map[string]membership.Report{}
-	if c.tracker != nil {
-		reports = c.tracker.LiveReports(c.nowMs)
+	if c.schedulerTracker != nil {
+		reports = c.schedulerTracker.LiveReports(c.nowMs)
 	}
 	for _, scheduler := range c.system.directory.SchedulerList() {
 		view.Daemons = append(view.Daemons, schedulerView(scheduler, reports))
@@ -194,8 +194,8 @@
 		view.Revision = c.Revision()
 		return view
 	}
-	view.Alive = c.nowMs-c.heardMs[member.Name] < suspectAfterMs
-	view.Revision = c.revisions[member.Name]
+	view.Alive = c.nowMs-c.lastReceivedMs[member.Name] < suspectTimeoutMs
+	view.Revision = c.memberRevisions[member.Name]
 	return view
 }
 
@@ -217,7 +217,7 @@
 }
 
 func (c *Core) programsView(group *replication.Group, limit int) ProgramsView {
-	ledger := group.StateMachine.(*ledgerMachine).ledger
+	ledger := group.StateMachine.(*ledgerStateMachine).ledger
 	var view ProgramsView
 	for _, id := range ledger.IDs() {
 		if len(view.Programs) == limit {
@@ -248,7 +248,7 @@
 }
 
 func (c *Core) programView(group *replication.Group, id string, withTurns bool) (any, *result.Error) {
-	header, ok := group.StateMachine.(*ledgerMachine).ledger.Get(id)
+	header, ok := group.StateMachine.(*ledgerStateMachine).ledger.Get(id)
 	if !ok {
 		return nil, result.New(result.NotFound, "no program %s", id)
 	}
@@ -258,12 +258,12 @@
 	}
 	records, err := c.host.Records(group, id, 0)
 	if err != nil {
-		return nil, result.New(result.Internal, "reading records: %v", err)
+		return nil, result.New(result.Internal, "reading turn records: %v", err)
 	}
 	for _, raw := range records {
 		var record program.TurnRecord
 		if err := protocol.Decode(raw, &record); err != nil {
-			return nil, result.New(result.Internal, "decoding a record: %v", err)
+			return nil, result.New(result.Internal, "decoding a turn record: %v", err)
 		}
 		view.Turns = append(view.Turns, record)
 	}
--- a/internal/control/reports_test.go
+++ b/internal/control/reports_test.go
@@ -11,15 +11,15 @@
 	"github.com/ochrebay/ochrebay/internal/result"
 )
 
-// reportTo has an engine report to a process; answered gets the failure, nil for none.
-func (c *proofCluster) reportTo(member *proofMember, engine membership.ServingEngine, answered func(failure *result.Error)) {
-	member.ask(&protocol.FleetOrder{Report: &engine}, func(reply any) { answered(reply.(*protocol.FleetOrderReply).Error) })
+// reportTo sends an engine's report to a process; onReply gets the failure, nil for none.
+func (c *testCluster) reportTo(member *testMember, engine membership.ServingEngine, onReply func(failure *result.Error)) {
+	member.ask(&protocol.FleetOrder{Report: &engine}, func(reply any) { onReply(reply.(*protocol.FleetOrderReply).Error) })
 }
 
-// leader returns the process that leads, nil where none does.
-func (c *proofCluster) leader() *proofMember {
+// leader returns the reachable process that leads the settings group, nil if there is none.
+func (c *testCluster) leader() *testMember {
 	for _, member := range c.members {
-		if member.core.Leads(0) && member.core.fleetTracker != nil && !member.cut && !member.paused {
+		if member.core.Leads(0) && member.core.fleetTracker != nil && !member.partitioned && !member.paused {
 			return member
 		}
 	}
@@ -30,14 +30,14 @@
 	return membership.ServingEngine{ID: fmt.Sprint("e", number), Backend: "b", Address: fmt.Sprintf("10.0.0.%d:1", number), Slots: 2, Sequence: sequence}
 }
 
-// TestEngineReports holds that the leader is not called for each report of each engine, and
-// that it hears of all engines that are alive.
+// TestEngineReports checks that processes other than the leader acknowledge engine reports that
+// change nothing, and that the leader still learns of every engine that is alive.
 func TestEngineReports(t *testing.T) {
 	const engines = 300
-	Convey("reports that change nothing are answered where they come, and keep engines in the fleet", t, func() {
-		c := newProofCluster(t, 1)
-		c.sound = true
-		// Leadership has moved to the process that is to have it.
+	Convey("reports that change nothing are acknowledged by the process that receives them, and keep engines in the fleet", t, func() {
+		c := newTestCluster(t, 1)
+		c.lossless = true
+		// Wait until leadership has been transferred to the preferred process.
 		c.run(3000)
 		c.run(2000)
 		for number := range engines {
@@ -65,12 +65,12 @@
 		}
 		So(answered, ShouldEqual, 8*(engines-1))
 		So(refused, ShouldEqual, 0)
-		Convey("one that falls silent is lost", func() {
+		Convey("an engine that falls silent is removed", func() {
 			So(c.leader().core.Fleet().EngineCount(), ShouldEqual, engines-1)
-			_, known := c.leader().core.Fleet().Engine(testEngine(engines-1, 0).ID)
-			So(known, ShouldBeFalse)
+			_, inFleet := c.leader().core.Fleet().Engine(testEngine(engines-1, 0).ID)
+			So(inFleet, ShouldBeFalse)
 		})
-		Convey("one that drains is acknowledged by the leader alone, once it is committed", func() {
+		Convey("only the leader acknowledges that an engine drains, once the change is committed", func() {
 			draining := testEngine(0, 20)
 			draining.Draining = true
 			for _, member := range c.members {
@@ -78,14 +78,14 @@
 				c.reportTo(member, draining, func(failure *result.Error) { So(failure == nil, ShouldEqual, leads) })
 			}
 			c.run(200)
-			known, _ := c.leader().core.Fleet().Engine(draining.ID)
-			So(known.Draining, ShouldBeTrue)
+			current, _ := c.leader().core.Fleet().Engine(draining.ID)
+			So(current.Draining, ShouldBeTrue)
 		})
-		Convey("a process that is cut off acknowledges nothing", func() {
+		Convey("a partitioned process acknowledges nothing", func() {
 			for _, member := range c.members {
 				if member != c.leader() {
-					member.cut = true
-					c.run(2 * vouchMs)
+					member.partitioned = true
+					c.run(2 * acknowledgeWindowMs)
 					c.reportTo(member, testEngine(1, 30), func(failure *result.Error) { So(failure, ShouldNotBeNil) })
 					c.run(100)
 					break
@@ -95,56 +95,56 @@
 	})
 }
 
-// TestEngineReportsThroughFaults holds that an engine whose every report is acknowledged by
-// some process is never taken for lost, whichever processes are cut off or stand still.
+// TestEngineReportsThroughFaults checks that an engine whose reports are all acknowledged by some
+// process never counts as lost, whichever processes are partitioned or paused.
 func TestEngineReportsThroughFaults(t *testing.T) {
-	const engines, beatMs = 10, 2500
+	const engines, reportIntervalMs = 10, 2500
 	acknowledged, refused := 0, 0
 	for seed := range uint64(25) {
-		c := newProofCluster(t, seed)
+		c := newTestCluster(t, seed)
 		c.run(2000)
-		present := map[string]bool{}
-		// report tries processes one after the other, as engines do.
-		var report func(engine membership.ServingEngine, try int)
-		report = func(engine membership.ServingEngine, try int) {
+		registered := map[string]bool{}
+		// report retries at random processes, as engines do.
+		var report func(engine membership.ServingEngine, attempt int)
+		report = func(engine membership.ServingEngine, attempt int) {
 			c.reportTo(c.members[c.random.IntN(len(c.members))], engine, func(failure *result.Error) {
 				if failure == nil {
 					acknowledged++
-					present[engine.ID] = true
-				} else if refused++; try < 40 {
-					report(engine, try+1)
+					registered[engine.ID] = true
+				} else if refused++; attempt < 40 {
+					report(engine, attempt+1)
 				}
 			})
 		}
-		var victim *proofMember
+		var faulty *testMember
 		for step := range 300 {
 			for number := range engines {
-				if (step*100+number*beatMs/engines)%beatMs < 100 {
+				if (step*100+number*reportIntervalMs/engines)%reportIntervalMs < 100 {
 					report(testEngine(number, uint64(step+1)), 0)
 				}
 			}
 			if step%30 == 29 {
-				if victim != nil {
-					victim.cut, victim.paused = false, false
+				if faulty != nil {
+					faulty.partitioned, faulty.paused = false, false
 				}
-				victim = c.members[c.random.IntN(len(c.members))]
-				victim.cut = c.random.IntN(2) == 0
-				victim.paused = !victim.cut
+				faulty = c.members[c.random.IntN(len(c.members))]
+				faulty.partitioned = c.random.IntN(2) == 0
+				faulty.paused = !faulty.partitioned
 			}
 			c.run(100)
 			leader := c.leader()
 			if leader == nil {
 				continue
 			}
-			for id := range present {
-				if _, known := leader.core.Fleet().Engine(id); !known && leader.core.nowMs-leader.core.leadingSinceMs > 1000 {
-					t.Fatalf("seed %d, %d ms: %s is alive and lost", seed, c.nowMs, id)
+			for id := range registered {
+				if _, inFleet := leader.core.Fleet().Engine(id); !inFleet && leader.core.nowMs-leader.core.leadingSinceMs > 1000 {
+					t.Fatalf("seed %d, %d ms: live engine %s is not in the fleet", seed, c.nowMs, id)
 				}
 			}
 		}
 	}
 	if acknowledged < 1000 || refused < 100 {
-		t.Fatalf("%d acknowledged, %d refused: too few of either to hold anything", acknowledged, refused)
+		t.Fatalf("%d acknowledged, %d refused: too few of either for the test to be meaningful", acknowledged, refused)
 	}
 	t.Logf("%d acknowledged, %d refused", acknowledged, refused)
 }
--- a/internal/control/requests.go
+++ b/internal/control/requests.go
@@ -10,33 +10,33 @@
 	"github.com/ochrebay/ochrebay/internal/settings"
 )
 
-// HandleRequest takes one request of a scheduler, a control process or an operator;
-// the reply comes through the outlet, now or later.
+// HandleRequest handles one request of a scheduler, gateway, engine, ledger host, control
+// process or operator. The reply goes through the transport, now or later.
 func (c *Core) HandleRequest(id RequestID, request any, nowMs int64) {
 	c.setNow(nowMs)
 	switch typed := request.(type) {
 	case *protocol.LedgerRequest:
-		c.ledgerRequest(id, typed)
+		c.handleLedgerRequest(id, typed)
 	case *protocol.SyncRequest:
-		c.syncRequest(id, typed)
+		c.handleSyncRequest(id, typed)
 	case *protocol.ReleasedRequest:
-		c.releasedRequest(id, typed)
+		c.handleReleasedRequest(id, typed)
 	case *protocol.PermitRequest:
-		c.permitRequest(id, typed)
+		c.handlePermitRequest(id, typed)
 	case *protocol.SettingsRequest:
-		c.settingsRequest(id, typed)
+		c.handleSettingsRequest(id, typed)
 	case *protocol.ReadRequest:
-		c.readRequest(id, typed)
+		c.handleReadRequest(id, typed)
 	case *protocol.FleetOrder:
-		c.fleetOrder(id, typed)
+		c.handleFleetOrder(id, typed)
 	case *protocol.FleetSync:
-		c.fleetSync(id, typed)
+		c.handleFleetSync(id, typed)
 	}
 }
 
-// leading returns the group if this process leads it, and otherwise the error
-// and the leader's name for the reply.
-func (c *Core) leading(id uint32) (*replication.Group, string, *result.Error) {
+// ledGroup returns the group if this process leads it, and otherwise the leader's name
+// and the error for the reply.
+func (c *Core) ledGroup(id uint32) (*replication.Group, string, *result.Error) {
 	if !c.formed || int(id) >= len(c.host.Groups) {
 		return nil, "", result.New(result.NotLeader, "%s holds no group %d", c.options.Name, id)
 	}
@@ -47,10 +47,10 @@
 	return group, "", nil
 }
 
-func (c *Core) ledgerRequest(id RequestID, request *protocol.LedgerRequest) {
-	group, leader, failure := c.leading(request.Group)
+func (c *Core) handleLedgerRequest(id RequestID, request *protocol.LedgerRequest) {
+	group, leader, failure := c.ledGroup(request.Group)
 	if failure != nil {
-		c.outlet.Reply(id, &protocol.LedgerReply{Reply: program.Reply{Error: failure}, Leader: leader})
+		c.transport.Reply(id, &protocol.LedgerReply{Reply: program.Reply{Error: failure}, Leader: leader})
 		return
 	}
 	request.Command.NowMs = c.nowMs
@@ -58,7 +58,7 @@
 		c.answerLedger(id, group, request, reply)
 	})
 	if failure != nil {
-		c.outlet.Reply(id, &protocol.LedgerReply{Reply: program.Reply{Error: failure}})
+		c.transport.Reply(id, &protocol.LedgerReply{Reply: program.Reply{Error: failure}})
 	}
 }
 
@@ -71,16 +71,16 @@
 		answer.Reply.Error = typed
 	}
 	if begin := request.Command.Begin; begin != nil && answer.Reply.Error == nil {
-		records, err := c.grantRecords(group, request, answer.Reply)
+		records, err := c.recordsForGrant(group, request, answer.Reply)
 		if err != nil {
-			answer.Reply.Error = result.New(result.Internal, "reading records: %v", err)
+			answer.Reply.Error = result.New(result.Internal, "reading turn records: %v", err)
 		}
 		answer.Records = records
 	}
-	c.outlet.Reply(id, answer)
+	c.transport.Reply(id, answer)
 }
 
-func (c *Core) grantRecords(group *replication.Group, request *protocol.LedgerRequest, reply program.Reply) ([][]byte, error) {
+func (c *Core) recordsForGrant(group *replication.Group, request *protocol.LedgerRequest, reply program.Reply) ([][]byte, error) {
 	name := request.Command.Begin.Program
 	if reply.ClosedTurn > 0 {
 		records, err := c.host.Records(group, name, reply.ClosedTurn-1)
@@ -95,31 +95,31 @@
 	return c.host.Records(group, name, request.KnownTurn)
 }
 
-func (c *Core) releasedRequest(id RequestID, request *protocol.ReleasedRequest) {
-	group, leader, failure := c.leading(request.Group)
+func (c *Core) handleReleasedRequest(id RequestID, request *protocol.ReleasedRequest) {
+	group, leader, failure := c.ledGroup(request.Group)
 	if failure != nil {
-		c.outlet.Reply(id, &protocol.ReleasedReply{Error: failure, Leader: leader})
+		c.transport.Reply(id, &protocol.ReleasedReply{Error: failure, Leader: leader})
 		return
 	}
 	c.host.LinearizableRead(group, func(failure *result.Error) {
 		if failure != nil {
-			c.outlet.Reply(id, &protocol.ReleasedReply{Error: failure})
+			c.transport.Reply(id, &protocol.ReleasedReply{Error: failure})
 			return
 		}
-		ledger := group.StateMachine.(*ledgerMachine).ledger
-		c.outlet.Reply(id, &protocol.ReleasedReply{Released: ledger.EndedOrUnknown(request.Programs)})
+		ledger := group.StateMachine.(*ledgerStateMachine).ledger
+		c.transport.Reply(id, &protocol.ReleasedReply{Released: ledger.EndedOrUnknown(request.Programs)})
 	})
 }
 
-func (c *Core) settingsRequest(id RequestID, request *protocol.SettingsRequest) {
-	group, leader, failure := c.leading(0)
+func (c *Core) handleSettingsRequest(id RequestID, request *protocol.SettingsRequest) {
+	group, leader, failure := c.ledGroup(0)
 	if failure != nil {
-		c.outlet.Reply(id, &protocol.SettingsReply{Reply: settings.Reply{Error: failure}, Leader: leader})
+		c.transport.Reply(id, &protocol.SettingsReply{Reply: settings.Reply{Error: failure}, Leader: leader})
 		return
 	}
 	if request.Validate {
 		winner, failure := c.system.tree.Check(request.Change)
-		c.outlet.Reply(id, &protocol.SettingsReply{Reply: settings.Reply{Error: failure, Winner: winner, Revision: c.Revision()}})
+		c.transport.Reply(id, &protocol.SettingsReply{Reply: settings.Reply{Error: failure, Winner: winner, Revision: c.Revision()}})
 		return
 	}
 	request.Change.AtMs = c.nowMs
@@ -131,22 +131,22 @@
 		case *result.Error:
 			answer.Reply.Error = typed
 		}
-		c.outlet.Reply(id, answer)
+		c.transport.Reply(id, answer)
 	})
 	if failure != nil {
-		c.outlet.Reply(id, &protocol.SettingsReply{Reply: settings.Reply{Error: failure}})
+		c.transport.Reply(id, &protocol.SettingsReply{Reply: settings.Reply{Error: failure}})
 	}
 }
 
-func (c *Core) permitRequest(id RequestID, request *protocol.PermitRequest) {
-	_, leader, failure := c.leading(0)
-	if failure != nil || c.tracker == nil {
-		c.outlet.Reply(id, &protocol.PermitReply{Error: result.New(result.NotLeader, "not the leader"), Leader: leader})
+func (c *Core) handlePermitRequest(id RequestID, request *protocol.PermitRequest) {
+	_, leader, failure := c.ledGroup(0)
+	if failure != nil || c.schedulerTracker == nil {
+		c.transport.Reply(id, &protocol.PermitReply{Error: result.New(result.NotLeader, "not the leader"), Leader: leader})
 		return
 	}
 	if request.Release {
 		c.permits.Release(request.Engine)
-		c.outlet.Reply(id, &protocol.PermitReply{Granted: true})
+		c.transport.Reply(id, &protocol.PermitReply{Granted: true})
 		return
 	}
 	fields := c.system.tree.Effective("/pools/" + request.Pool)
@@ -157,44 +157,44 @@
 		}
 	}
 	granted := c.permits.Grant(request.Engine, request.Pool, reconcile.Limits{
-		Engines: engines, Ready: c.tracker.ReadyEngines(request.Pool, c.nowMs),
+		Engines: engines, Ready: c.schedulerTracker.ReadyEngines(request.Pool, c.nowMs),
 		Floor: int(*fields.ReadyFloor), Concurrent: int(*fields.ConcurrentLoads),
 	}, c.nowMs)
-	c.outlet.Reply(id, &protocol.PermitReply{Granted: granted})
+	c.transport.Reply(id, &protocol.PermitReply{Granted: granted})
 }
 
-// pendingSync is a scheduler's heartbeat that waits for news.
+// pendingSync is a scheduler's heartbeat that is held until something changes.
 type pendingSync struct {
 	id         RequestID
 	request    *protocol.SyncRequest
 	deadlineMs int64
 }
 
-func (c *Core) syncRequest(id RequestID, request *protocol.SyncRequest) {
-	group, leader, failure := c.leading(0)
-	if failure != nil || c.tracker == nil {
-		c.outlet.Reply(id, &protocol.SyncReply{Error: result.New(result.NotLeader, "not the leader"), Leader: leader})
+func (c *Core) handleSyncRequest(id RequestID, request *protocol.SyncRequest) {
+	group, leader, failure := c.ledGroup(0)
+	if failure != nil || c.schedulerTracker == nil {
+		c.transport.Reply(id, &protocol.SyncReply{Error: result.New(result.NotLeader, "not the leader"), Leader: leader})
 		return
 	}
-	c.tracker.RecordHeartbeat(request.Heartbeat, c.nowMs)
+	c.schedulerTracker.RecordHeartbeat(request.Heartbeat, c.nowMs)
 	if request.Fresh {
 		c.host.LinearizableRead(group, func(failure *result.Error) {
 			if failure != nil {
-				c.outlet.Reply(id, &protocol.SyncReply{Error: failure})
+				c.transport.Reply(id, &protocol.SyncReply{Error: failure})
 				return
 			}
-			c.outlet.Reply(id, c.syncReply(request))
+			c.transport.Reply(id, c.syncReply(request))
 		})
 		return
 	}
-	if c.hasNews(request) {
-		c.outlet.Reply(id, c.syncReply(request))
+	if c.hasChanges(request) {
+		c.transport.Reply(id, c.syncReply(request))
 		return
 	}
-	c.syncs = append(c.syncs, pendingSync{id: id, request: request, deadlineMs: c.nowMs + request.HoldMs})
+	c.pendingSyncs = append(c.pendingSyncs, pendingSync{id: id, request: request, deadlineMs: c.nowMs + request.HoldMs})
 }
 
-func (c *Core) hasNews(request *protocol.SyncRequest) bool {
+func (c *Core) hasChanges(request *protocol.SyncRequest) bool {
 	directory := c.system.directory
 	return c.system.tree.Revision() > request.Revision || directory.Roster().ChangeVersion() > request.Directory ||
 		directory.OwnedEnginesVersion(request.Heartbeat.Scheduler.Name) > request.Directory
@@ -213,31 +213,31 @@
 	return reply
 }
 
-// answerSyncs answers every heartbeat for which there is news, and those that
-// have waited long enough.
+// answerSyncs answers the held heartbeats whose senders lack a change and those whose hold
+// time is over, or all of them.
 func (c *Core) answerSyncs(all bool) {
 	var waiting []pendingSync
-	for _, pending := range c.syncs {
-		if !all && c.nowMs < pending.deadlineMs && !c.hasNews(pending.request) {
+	for _, pending := range c.pendingSyncs {
+		if !all && c.nowMs < pending.deadlineMs && !c.hasChanges(pending.request) {
 			waiting = append(waiting, pending)
 			continue
 		}
-		c.outlet.Reply(pending.id, c.syncReply(pending.request))
+		c.transport.Reply(pending.id, c.syncReply(pending.request))
 	}
-	c.syncs = waiting
+	c.pendingSyncs = waiting
 }
 
 func (c *Core) expireSyncs() {
-	if len(c.syncs) > 0 && c.tracker != nil {
+	if len(c.pendingSyncs) > 0 && c.schedulerTracker != nil {
 		c.answerSyncs(false)
 	}
 }
 
-// refuseSyncs ends the waiting of heartbeats because their term is over.
+// refuseSyncs refuses all held heartbeats because the term of this leader is over.
 func (c *Core) refuseSyncs() {
 	leader := c.leaderName(c.host.Groups[0])
-	for _, pending := range c.syncs {
-		c.outlet.Reply(pending.id, &protocol.SyncReply{Error: result.New(result.NotLeader, "not the leader"), Leader: leader})
+	for _, pending := range c.pendingSyncs {
+		c.transport.Reply(pending.id, &protocol.SyncReply{Error: result.New(result.NotLeader, "not the leader"), Leader: leader})
 	}
-	c.syncs = nil
+	c.pendingSyncs = nil
 }
--- a/internal/control/restart_bench_test.go
+++ b/internal/control/restart_bench_test.go
@@ -13,14 +13,14 @@
 	benchGateways = 259
 	benchEngines  = 140
 	benchRoutes   = 50
-	// benchBatch is how many requests the loop takes between two flushes.
+	// benchBatch is how many requests the event loop handles between two flushes.
 	benchBatch = 16
 )
 
-// BenchmarkRestart is what control's leader does when all gateways come back at once:
-// each asks for everything, then says that it takes requests.
+// BenchmarkRestart measures the work of control's leader when all gateways come back at
+// once: each requests the full state, then reports that it is ready.
 func BenchmarkRestart(b *testing.B) {
-	core := leadingCore(b, &encodingOutlet{test: b})
+	core := leadingCore(b, &encodingTransport{t: b})
 	table := &routing.Table{Generation: 4, Backends: []routing.Backend{{Name: "b"}}, Limits: routing.Limits{MaxBodyBytes: 1}}
 	for number := range benchRoutes {
 		table.Routes = append(table.Routes, routing.Route{
--- a/internal/control/servingengines_test.go
+++ b/internal/control/servingengines_test.go
@@ -10,8 +10,8 @@
 )
 
 func TestServingViews(t *testing.T) {
-	Convey("an operator sees how slow engines are, what they hold and why they are avoided", t, func() {
-		core := &Core{loads: scheduling.NewLoadAggregator(), system: newSystemMachine(Options{}), nowMs: 1000}
+	Convey("a view shows an engine's slowness, the tokens it holds and why it is avoided", t, func() {
+		core := &Core{loadAggregator: scheduling.NewLoadAggregator(), system: newSystemStateMachine(Options{}), nowMs: 1000}
 		core.system.fleet.Apply(membership.FleetUpdate{
 			PutGateways: []membership.Gateway{{Name: "g1", Zone: "z"}, {Name: "g2", Zone: "z"}},
 			PutEngines: []membership.ServingEngine{
@@ -19,9 +19,9 @@
 			},
 		})
 		for _, gateway := range []string{"g1", "g2"} {
-			core.loads.ReportLoads(gateway, []scheduling.EngineLoad{{Engine: "quick", InFlight: 2}}, 1000)
-			core.loads.ReportUsage(gateway, []scheduling.EngineUsage{{Engine: "quick", Pace: scheduling.WeightedSum{Sum: 3, Weight: 5}, ReservedKVCacheTokens: 700}}, 1000)
-			core.loads.ReportFailingEngines(gateway, "z", []string{"broken"}, 1000)
+			core.loadAggregator.ReportLoads(gateway, []scheduling.EngineLoad{{Engine: "quick", InFlight: 2}}, 1000)
+			core.loadAggregator.ReportUsage(gateway, []scheduling.EngineUsage{{Engine: "quick", Pace: scheduling.WeightedSum{Sum: 3, Weight: 5}, ReservedKVCacheTokens: 700}}, 1000)
+			core.loadAggregator.ReportFailingEngines(gateway, "z", []string{"broken"}, 1000)
 		}
 		views := map[string]ServingView{}
 		for _, view := range core.servingViews() {
@@ -31,7 +31,7 @@
 		So(views["quick"].HeldTokens, ShouldEqual, 1400)
 		So(views["quick"].Slowness, ShouldAlmostEqual, 0.6, 0.001)
 		So(views["quick"].AvoidReason, ShouldBeEmpty)
-		So(views["leaving"].AvoidReason, ShouldEqual, avoidedDraining)
-		So(views["broken"].AvoidReason, ShouldEqual, avoidedFailing)
+		So(views["leaving"].AvoidReason, ShouldEqual, avoidReasonDraining)
+		So(views["broken"].AvoidReason, ShouldEqual, avoidReasonFailing)
 	})
 }
--- a/internal/control/stand_test.go
+++ b/internal/control/stand_test.go
@@ -9,26 +9,26 @@
 	"github.com/ochrebay/ochrebay/internal/storage"
 )
 
-// encodingOutlet encodes replies as the shell does.
-type encodingOutlet struct {
-	test testing.TB
-	// onReply is told of each reply; nil where nobody asks.
+// encodingTransport encodes replies as the daemon does.
+type encodingTransport struct {
+	t testing.TB
+	// onReply is called for each reply unless it is nil.
 	onReply func(id RequestID)
 }
 
-func (o *encodingOutlet) Send(string, protocol.Kind, any) {}
+func (e *encodingTransport) Send(string, protocol.Kind, any) {}
 
-func (o *encodingOutlet) Reply(id RequestID, reply any) {
+func (e *encodingTransport) Reply(id RequestID, reply any) {
 	if _, err := protocol.Encode(reply); err != nil {
-		o.test.Fatal(err)
+		e.t.Fatal(err)
 	}
-	if o.onReply != nil {
-		o.onReply(id)
+	if e.onReply != nil {
+		e.onReply(id)
 	}
 }
 
-// leadingCore returns the core of a cluster of one that leads.
-func leadingCore(test testing.TB, outlet *encodingOutlet) *Core {
+// leadingCore returns the core of the only member of a cluster, once it leads.
+func leadingCore(test testing.TB, transport *encodingTransport) *Core {
 	store, err := storage.Open(test.TempDir())
 	if err != nil {
 		test.Fatal(err)
@@ -37,12 +37,12 @@
 	options := DefaultOptions("a:1", []Member{{Name: "a:1", Address: "a:1"}}, 0)
 	options.Discovered = true
 	options.MinVoters = 1
-	options.Fleet = membership.FleetOptions{EngineTimeoutMs: engineSilentMs, GatewayTimeoutMs: gatewaySilentMs, GatewayRepollTimeoutMs: gatewayReturnMs, GatewaySmallDeltaRepollTimeoutMs: gatewayLightReturnMs, LedgerTimeoutMs: ledgerSilentMs, LedgerRetentionMs: ledgerForgottenMs, InitialPlacementDelayMs: formationMs}
+	options.Fleet = membership.FleetOptions{EngineTimeoutMs: engineTimeoutMs, GatewayTimeoutMs: gatewayTimeoutMs, GatewayRepollTimeoutMs: gatewayRepollTimeoutMs, GatewaySmallDeltaRepollTimeoutMs: gatewaySmallDeltaRepollTimeoutMs, LedgerTimeoutMs: ledgerTimeoutMs, LedgerRetentionMs: ledgerRetentionMs, InitialPlacementDelayMs: initialPlacementDelayMs}
 	configuration := consensus.Configuration{Replicas: []consensus.Replica{{ID: store.Replica(), Member: "a:1"}}}
 	if err := store.SetBootstrap(configuration); err != nil {
 		test.Fatal(err)
 	}
-	core, err := NewCore(options, store, outlet, 0)
+	core, err := NewCore(options, store, transport, 0)
 	if err != nil {
 		test.Fatal(err)
 	}
--- a/internal/control/web.go
+++ b/internal/control/web.go
@@ -21,25 +21,25 @@
 )
 
 const (
-	askTimeout        = 5 * time.Second
-	askPause          = 50 * time.Millisecond
-	platformEvery     = 500 * time.Millisecond
-	platformTimeout   = 2 * time.Second
-	maxOperatorBytes  = 64 << 20
-	defaultListLength = 100
+	requestTimeout       = 5 * time.Second
+	retryInterval        = 50 * time.Millisecond
+	platformPollInterval = 500 * time.Millisecond
+	platformTimeout      = 2 * time.Second
+	maxOperatorBodyBytes = 64 << 20
+	defaultListLength    = 100
 )
 
-func (d *Daemon) listenWeb() (func(), string, error) {
+func (d *Daemon) listenHTTP() (func(), string, error) {
 	listener, err := net.Listen("tcp", d.process.Listen.HTTP)
 	if err != nil {
 		return nil, "", errorx.Decorate(err, "listening for operators")
 	}
-	d.web = &fasthttp.Server{Handler: d.serveWeb, MaxRequestBodySize: maxOperatorBytes, NoDefaultServerHeader: true}
-	go func() { _ = d.web.Serve(listener) }()
+	d.httpServer = &fasthttp.Server{Handler: d.serveHTTP, MaxRequestBodySize: maxOperatorBodyBytes, NoDefaultServerHeader: true}
+	go func() { _ = d.httpServer.Serve(listener) }()
 	return func() { _ = listener.Close() }, listener.Addr().String(), nil
 }
 
-func (d *Daemon) serveWeb(ctx *fasthttp.RequestCtx) {
+func (d *Daemon) serveHTTP(ctx *fasthttp.RequestCtx) {
 	if d.monitor.Serve(ctx) {
 		return
 	}
@@ -74,7 +74,7 @@
 	return path
 }
 
-// WriteError answers an HTTP request in the one shape that errors have.
+// WriteError answers an HTTP request with the JSON body and status of an error.
 func WriteError(ctx *fasthttp.RequestCtx, failure *result.Error) {
 	failure = result.From(failure)
 	body, _ := json.Marshal(result.Body{Error: failure})
@@ -92,62 +92,63 @@
 	ctx.SetBody(append(body, '\n'))
 }
 
-// ask sends a request to this process's core, and on to the leader where that
-// is another process.
-func (d *Daemon) ask(kind protocol.Kind, request any, fresh func() any, failure func(any) (*result.Error, string)) any {
-	return d.askWithin(askTimeout, kind, request, fresh, failure)
+// askLeader sends a request to this process's core, and to the leader if that is
+// another process.
+func (d *Daemon) askLeader(kind protocol.Kind, request any, newReply func() any, errorOf func(any) (*result.Error, string)) any {
+	return d.askLeaderWithin(requestTimeout, kind, request, newReply, errorOf)
 }
 
-// askWithin is ask with a bound on its time; it returns nil where nobody answered.
-func (d *Daemon) askWithin(within time.Duration, kind protocol.Kind, request any, fresh func() any, failure func(any) (*result.Error, string)) any {
-	deadline := time.Now().Add(within)
-	var last any
+// askLeaderWithin is askLeader with a time limit. It returns nil if no process answered.
+func (d *Daemon) askLeaderWithin(timeout time.Duration, kind protocol.Kind, request any, newReply func() any, errorOf func(any) (*result.Error, string)) any {
+	deadline := time.Now().Add(timeout)
+	var lastReply any
 	for time.Now().Before(deadline) {
 		replies := make(chan any, 1)
-		d.request(request, func(reply any) { replies <- copyOf(reply, fresh()) })
+		d.submit(request, func(reply any) { replies <- copyReply(reply, newReply()) })
 		select {
-		case last = <-replies:
+		case lastReply = <-replies:
 		case <-time.After(time.Until(deadline)):
-			return last
+			return lastReply
 		}
-		failed, leader := failure(last)
-		if failed == nil || failed.Code != result.NotLeader {
-			return last
+		replyError, leader := errorOf(lastReply)
+		if replyError == nil || replyError.Code != result.NotLeader {
+			return lastReply
 		}
-		if remote := d.askMember(leader, time.Until(deadline), kind, request, fresh()); remote != nil {
-			last = remote
-			if failed, _ = failure(remote); failed == nil || failed.Code != result.NotLeader {
-				return last
+		if remoteReply := d.askMember(leader, time.Until(deadline), kind, request, newReply()); remoteReply != nil {
+			lastReply = remoteReply
+			if replyError, _ = errorOf(remoteReply); replyError == nil || replyError.Code != result.NotLeader {
+				return lastReply
 			}
 		}
-		time.Sleep(askPause)
+		time.Sleep(retryInterval)
 	}
-	return last
+	return lastReply
 }
 
-// copyOf detaches a reply from the core's memory.
-func copyOf(reply, into any) any {
+// copyReply copies a reply, so that it shares no memory with the core's state.
+func copyReply(reply, target any) any {
 	body, err := protocol.Encode(reply)
-	if err != nil || protocol.Decode(body, into) != nil {
+	if err != nil || protocol.Decode(body, target) != nil {
 		return reply
 	}
-	return into
+	return target
 }
 
-// askMember asks another control process; nil where it does not answer.
-func (d *Daemon) askMember(member string, within time.Duration, kind protocol.Kind, request, into any) any {
+// askMember sends a request to another control process. It returns nil if that process
+// does not answer.
+func (d *Daemon) askMember(member string, timeout time.Duration, kind protocol.Kind, request, target any) any {
 	address := d.addressOf(member)
 	if address == "" || member == d.core.options.Name {
 		return nil
 	}
-	if d.caller.CallWithin(context.Background(), within, address, kind, request, into) != nil {
+	if d.caller.CallWithin(context.Background(), timeout, address, kind, request, target) != nil {
 		return nil
 	}
-	return into
+	return target
 }
 
 func (d *Daemon) read(request *protocol.ReadRequest) *protocol.ReadReply {
-	answer := d.ask(protocol.KindRead, request, func() any { return &protocol.ReadReply{} }, func(reply any) (*result.Error, string) {
+	answer := d.askLeader(protocol.KindRead, request, func() any { return &protocol.ReadReply{} }, func(reply any) (*result.Error, string) {
 		typed := reply.(*protocol.ReadReply)
 		return typed.Error, typed.Leader
 	})
@@ -175,7 +176,7 @@
 		return
 	}
 	request := &protocol.SettingsRequest{Change: change, Validate: validate}
-	answer := d.ask(protocol.KindSettings, request, func() any { return &protocol.SettingsReply{} }, func(reply any) (*result.Error, string) {
+	answer := d.askLeader(protocol.KindSettings, request, func() any { return &protocol.SettingsReply{} }, func(reply any) (*result.Error, string) {
 		typed := reply.(*protocol.SettingsReply)
 		return typed.Reply.Error, typed.Leader
 	})
@@ -195,7 +196,7 @@
 	writeJSON(ctx, body)
 }
 
-// GroupOf returns the ledger group that a program belongs to.
+// groupOf returns the ledger group that a program belongs to.
 func (d *Daemon) groupOf(id string) uint32 {
 	return program.GroupOf(id, uint32(d.process.Cluster.LedgerGroups))
 }
@@ -234,7 +235,7 @@
 		return
 	}
 	request := &protocol.LedgerRequest{Group: group, Command: program.Command{End: &program.End{Program: id, Reason: "operator"}}}
-	answer := d.ask(protocol.KindLedger, request, func() any { return &protocol.LedgerReply{} }, func(reply any) (*result.Error, string) {
+	answer := d.askLeader(protocol.KindLedger, request, func() any { return &protocol.LedgerReply{} }, func(reply any) (*result.Error, string) {
 		typed := reply.(*protocol.LedgerReply)
 		return typed.Reply.Error, typed.Leader
 	})
@@ -250,13 +251,13 @@
 	d.serveRead(ctx, &protocol.ReadRequest{Topic: protocol.ReadProgram, Group: group, Program: id})
 }
 
-// pollPlatform reads the platform's list of machines while this process leads
-// the settings group.
+// pollPlatform reads the platform's list of instances while this process leads the
+// settings group.
 func (d *Daemon) pollPlatform(ctx context.Context) error {
 	if d.process.Platform == "" {
 		return nil
 	}
-	ticker := time.NewTicker(platformEvery)
+	ticker := time.NewTicker(platformPollInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -264,12 +265,12 @@
 			return ctx.Err()
 		case <-ticker.C:
 		}
-		leads := make(chan bool, 1)
-		d.loop.Post(func() { leads <- d.core.Leads(0) })
+		isLeader := make(chan bool, 1)
+		d.loop.Post(func() { isLeader <- d.core.Leads(0) })
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case leading := <-leads:
+		case leading := <-isLeader:
 			if !leading {
 				continue
 			}
@@ -281,13 +282,13 @@
 			instances, unusable, err = parseInstances(body)
 		}
 		if err != nil {
-			telemetry.Warn(d.logger, "platform list not read", "err", err)
+			telemetry.Warn(d.logger, "could not read the platform's list of instances", "err", err)
 			continue
 		}
 		if unusable > 0 {
-			d.reportsVoid.WithLabelValues(listEntry).Add(float64(unusable))
-			d.listLog.Do(func() {
-				telemetry.Warn(d.logger, "platform list has unusable entries", "entries", unusable, "of", unusable+len(instances))
+			d.ignoredReports.WithLabelValues(reasonListEntry).Add(float64(unusable))
+			d.instanceListLog.Do(func() {
+				telemetry.Warn(d.logger, "the platform's list of instances has unusable entries", "entries", unusable, "of", unusable+len(instances))
 			})
 		}
 		d.loop.Post(func() { d.core.SetInstances(instances) })
