--- a/internal/quota/closedloop_test.go
+++ b/internal/quota/closedloop_test.go
@@ -10,47 +10,46 @@
 	"github.com/ochrebay/ochrebay/internal/admission"
 )
 
-// The load that these tests answer: programs of two kinds, with pauses, tools and sub-agents,
-// whose callers come back when they are refused, at tenants whose limit is 1.6 times what they
-// usually ask for, one of them sending five times its usual for a while. Times are in
-// milliseconds.
+// Load of these tests: programs of two kinds, with pauses, tool calls and sub-agents, whose
+// callers retry after a denial. Each tenant's limit is 1.6 times its usual demand, and one tenant
+// sends five times its usual demand for a while. Times are in milliseconds.
 const (
-	loopTenants     = 12
-	loopWindowMs    = 5000
-	loopHotFromMs   = 20_000
-	loopHotToMs     = 35_000
-	loopEndMs       = 60_000
-	loopHotFactor   = 5
-	loopLimitFactor = 1.6
-	loopCommitMs    = 6
-	loopTickMs      = 50
-	loopAskAgainMs  = 300
-	loopDeadlineMs  = 3000
-	loopAnews       = 2
-	loopAnewMs      = 250
-	// loopStartsPerSecond are the programs that a tenant usually begins in a second.
+	loopTenants         = 12
+	loopWindowMs        = 5000
+	loopOverloadStartMs = 20_000
+	loopOverloadEndMs   = 35_000
+	loopEndMs           = 60_000
+	loopOverloadFactor  = 5
+	loopLimitFactor     = 1.6
+	loopCommitMs        = 6
+	loopTickMs          = 50
+	loopPollMs          = 300
+	loopDeadlineMs      = 3000
+	loopResends         = 2
+	loopResendDelayMs   = 250
+	// loopStartsPerSecond is the usual rate of program starts of a tenant.
 	loopStartsPerSecond = 0.8
-	// loopRequests are the requests of a program in the mean.
-	loopRequests = 12.5
-	loopBurst    = 5
+	// loopMeanRequests is the mean number of requests of a program.
+	loopMeanRequests = 12.5
+	loopLimitBurst   = 5
 )
 
-// loopKind describes programs: their mean number of turns and how many of them start
-// sub-agents of two turns.
+// loopKind describes a kind of program: the mean number of turns and the probability that a turn
+// starts sub-agents of two turns.
 type loopKind struct {
-	name       string
-	meanTurns  float64
-	subAgents  float64
-	ofPrograms float64
+	name                string
+	meanTurns           float64
+	subAgentProbability float64
+	programFraction     float64
 }
 
 var loopKinds = []loopKind{{"short", 4, 0.05, 0.75}, {"long", 11, 0.25, 0.25}}
 
-// loopEvent is something that happens at a time.
+// loopEvent is a scheduled event.
 type loopEvent struct {
 	atMs  int64
 	order int
-	act   func()
+	run   func()
 }
 
 type loopEvents []loopEvent
@@ -70,142 +69,144 @@
 	return last
 }
 
-// loopTenant counts what became of one tenant.
+// loopTenant holds the outcomes of one tenant's load.
 type loopTenant struct {
-	limit                              Limit
-	programs                           []*loopProgram
-	granted                            []int64
-	deniedNew, deniedUnderWay, waitsMs []int64
+	limit                                Limit
+	programs                             []*loopProgram
+	granted                              []int64
+	deniedNew, deniedInProgress, waitsMs []int64
 }
 
-// loopProgram is a program that was begun: whether it has come to its end, whether it was
-// completed, and else whether anything of it had run.
+// loopProgram is a started program: whether it has ended, whether it was completed, and otherwise
+// whether any of its requests had run.
 type loopProgram struct {
-	beganMs, endedMs           int64
-	ended, completed, underWay bool
+	startedMs, endedMs           int64
+	ended, completed, inProgress bool
 }
 
-// loop plays callers against one owner in virtual time.
-type loop struct {
-	seed    uint64
-	nowMs   int64
-	events  loopEvents
-	orders  int
-	owner   *Owner
-	byQueue bool
-	tenants []*loopTenant
-	// held are the requests that wait, by ticket; short those that wait for a reservation.
-	held      map[string]func(Decision)
-	short     map[string][]func()
-	reserving map[string]bool
-	tickets   int
+// closedLoop simulates callers against one owner in virtual time.
+type closedLoop struct {
+	seed        uint64
+	nowMs       int64
+	events      loopEvents
+	eventCount  int
+	owner       *Owner
+	usesTickets bool
+	tenants     []*loopTenant
+	// queued holds the callbacks of the requests that wait in the queue, by ticket.
+	// awaitingReservation holds the requests that wait for a reservation, by tenant.
+	queued              map[string]func(Decision)
+	awaitingReservation map[string][]func()
+	reserving           map[string]bool
+	tickets             int
 }
 
-func (l *loop) after(ms float64, act func()) {
-	l.orders++
-	heap.Push(&l.events, loopEvent{l.nowMs + int64(ms), l.orders, act})
+func (l *closedLoop) after(ms float64, run func()) {
+	l.eventCount++
+	heap.Push(&l.events, loopEvent{l.nowMs + int64(ms), l.eventCount, run})
 }
 
-// drawn draws what a program does: the same in each play of a seed, whatever is denied.
-type drawn struct{ *rand.Rand }
+// programRandom samples the behaviour of a program. It is the same in each run of a seed,
+// whichever requests are denied.
+type programRandom struct{ *rand.Rand }
 
-func (l *loop) draws(tenant, number int) drawn {
-	return drawn{rand.New(rand.NewPCG(l.seed<<32+uint64(tenant), uint64(number)))}
+func (l *closedLoop) randomFor(tenant, number int) programRandom {
+	return programRandom{rand.New(rand.NewPCG(l.seed<<32+uint64(tenant), uint64(number)))}
 }
 
-// exponential draws a time with a mean.
-func (d drawn) exponential(mean float64) float64 { return d.ExpFloat64() * mean }
+// sampleExponential returns an exponentially distributed time with the given mean.
+func (d programRandom) sampleExponential(mean float64) float64 { return d.ExpFloat64() * mean }
 
 // reserve commits a reservation of a tenant.
-func (l *loop) reserve(tenant string) {
+func (l *closedLoop) reserve(tenant string) {
 	if l.reserving[tenant] {
 		return
 	}
 	l.reserving[tenant] = true
-	reservation := l.owner.NextReservation(tenant, len(l.short[tenant]), l.nowMs)
+	reservation := l.owner.NextReservation(tenant, len(l.awaitingReservation[tenant]), l.nowMs)
 	l.after(loopCommitMs, func() {
 		delete(l.reserving, tenant)
 		l.owner.AddReservation(reservation)
-		l.resume(tenant)
-		waiting := l.short[tenant]
-		delete(l.short, tenant)
-		for _, again := range waiting {
-			again()
+		l.grantQueued(tenant)
+		retries := l.awaitingReservation[tenant]
+		delete(l.awaitingReservation, tenant)
+		for _, retry := range retries {
+			retry()
 		}
 	})
 }
 
-func (l *loop) resume(tenant string) {
-	tickets, short := l.owner.GrantQueued(tenant, l.nowMs)
+func (l *closedLoop) grantQueued(tenant string) {
+	tickets, reservationNeeded := l.owner.GrantQueued(tenant, l.nowMs)
 	for _, ticket := range tickets {
-		if answer := l.held[ticket]; answer != nil {
-			delete(l.held, ticket)
-			answer(l.owner.RequestGrant(Request{Tenant: tenant, Ticket: ticket, Limit: l.limitOf(tenant)}, l.nowMs))
+		if onDecision := l.queued[ticket]; onDecision != nil {
+			delete(l.queued, ticket)
+			onDecision(l.owner.RequestGrant(Request{Tenant: tenant, Ticket: ticket, Limit: l.limitOf(tenant)}, l.nowMs))
 		}
 	}
-	if short {
+	if reservationNeeded {
 		l.reserve(tenant)
 	}
 }
 
-func (l *loop) limitOf(tenant string) Limit {
+func (l *closedLoop) limitOf(tenant string) Limit {
 	var position int
 	_, _ = fmt.Sscanf(tenant, "t%d", &position)
 	return l.tenants[position].limit
 }
 
-// put puts a question to the owner and answers with what it comes to in the end.
-func (l *loop) put(ask Request, answer func(Decision)) {
-	decision := l.owner.RequestGrant(ask, l.nowMs)
+// submit sends a request to the owner and calls onDecision with the final decision.
+func (l *closedLoop) submit(request Request, onDecision func(Decision)) {
+	decision := l.owner.RequestGrant(request, l.nowMs)
 	switch decision.Verdict {
 	case ReservationNeeded:
-		l.short[ask.Tenant] = append(l.short[ask.Tenant], func() { l.put(ask, answer) })
-		l.reserve(ask.Tenant)
+		l.awaitingReservation[request.Tenant] = append(l.awaitingReservation[request.Tenant], func() { l.submit(request, onDecision) })
+		l.reserve(request.Tenant)
 	case Waiting:
-		l.held[ask.Ticket] = answer
-		l.after(loopAskAgainMs, func() { l.askAgain(ask, answer) })
+		l.queued[request.Ticket] = onDecision
+		l.after(loopPollMs, func() { l.poll(request, onDecision) })
 	default:
-		answer(decision)
+		onDecision(decision)
 	}
 }
 
-func (l *loop) askAgain(ask Request, answer func(Decision)) {
-	if l.held[ask.Ticket] == nil {
+func (l *closedLoop) poll(request Request, onDecision func(Decision)) {
+	if l.queued[request.Ticket] == nil {
 		return
 	}
-	delete(l.held, ask.Ticket)
-	ask.MaxWaitMs -= loopAskAgainMs
-	ask.WaitedMs += loopAskAgainMs
-	l.put(ask, answer)
+	delete(l.queued, request.Ticket)
+	request.MaxWaitMs -= loopPollMs
+	request.WaitedMs += loopPollMs
+	l.submit(request, onDecision)
 }
 
-// request is one request of a program; done says whether it was served.
-func (l *loop) request(tenant int, ask Request, serviceMs float64, done func(bool)) {
-	l.attempt(tenant, ask, serviceMs, loopDeadlineMs, true, done)
+// request runs one request of a program. done reports whether it was served.
+func (l *closedLoop) request(tenant int, request Request, serviceMs float64, done func(bool)) {
+	l.attempt(tenant, request, serviceMs, loopDeadlineMs, true, done)
 }
 
-// attempt asks for a grant and serves, or comes back once after the time it was told, for at
-// most a third of the time left.
-func (l *loop) attempt(tenant int, ask Request, serviceMs float64, leftMs int64, mayRetry bool, done func(bool)) {
-	counts := l.tenants[tenant]
-	known := l.owner.tenant(ask.Tenant).underWay(ask.Program)
-	if l.byQueue {
+// attempt requests a grant and serves the request. A denied request is retried once after the
+// retry time it was given, or after a third of the time left if that is shorter.
+func (l *closedLoop) attempt(tenant int, request Request, serviceMs float64, leftMs int64, mayRetry bool, done func(bool)) {
+	outcomes := l.tenants[tenant]
+	inProgress := l.owner.getOrCreateTenant(request.Tenant).isInProgress(request.Program)
+	if l.usesTickets {
 		l.tickets++
-		ask.Ticket, ask.MaxWaitMs = fmt.Sprint(l.tickets), leftMs-int64(serviceMs)
+		request.Ticket, request.MaxWaitMs = fmt.Sprint(l.tickets), leftMs-int64(serviceMs)
 	}
 	askedMs := l.nowMs
-	l.put(ask, func(decision Decision) {
+	l.submit(request, func(decision Decision) {
 		waitedMs := l.nowMs - askedMs
 		if decision.Verdict == Granted {
-			counts.granted = append(counts.granted, l.nowMs)
-			counts.waitsMs = append(counts.waitsMs, waitedMs)
+			outcomes.granted = append(outcomes.granted, l.nowMs)
+			outcomes.waitsMs = append(outcomes.waitsMs, waitedMs)
 			l.after(serviceMs, func() { done(true) })
 			return
 		}
-		if known {
-			counts.deniedUnderWay = append(counts.deniedUnderWay, l.nowMs)
+		if inProgress {
+			outcomes.deniedInProgress = append(outcomes.deniedInProgress, l.nowMs)
 		} else {
-			counts.deniedNew = append(counts.deniedNew, l.nowMs)
+			outcomes.deniedNew = append(outcomes.deniedNew, l.nowMs)
 		}
 		left := leftMs - waitedMs
 		if !mayRetry {
@@ -213,159 +214,159 @@
 			return
 		}
 		pause := min(decision.RetryAfterMs, left/3)
-		l.after(float64(pause), func() { l.attempt(tenant, ask, serviceMs, left-pause, false, done) })
+		l.after(float64(pause), func() { l.attempt(tenant, request, serviceMs, left-pause, false, done) })
 	})
 }
 
-// turn sends a request and sends it anew where it fails, a few times.
-func (l *loop) turn(tenant int, ask Request, serviceMs float64, anews int, done func(bool)) {
-	l.request(tenant, ask, serviceMs, func(served bool) {
-		if served || anews == 0 {
+// sendTurn sends a request and resends it up to the given number of times if it fails.
+func (l *closedLoop) sendTurn(tenant int, request Request, serviceMs float64, resends int, done func(bool)) {
+	l.request(tenant, request, serviceMs, func(served bool) {
+		if served || resends == 0 {
 			done(served)
 			return
 		}
-		l.after(loopAnewMs, func() { l.turn(tenant, ask, serviceMs, anews-1, done) })
+		l.after(loopResendDelayMs, func() { l.sendTurn(tenant, request, serviceMs, resends-1, done) })
 	})
 }
 
-// together runs several things side by side and is done when all are.
-func together(count int, run func(position int, done func(bool)), done func(bool)) {
-	left, all := count, true
+// runParallel runs several operations in parallel and calls done when all have finished.
+func runParallel(count int, run func(position int, done func(bool)), done func(bool)) {
+	remaining, allServed := count, true
 	if count == 0 {
 		done(true)
 		return
 	}
 	for position := range count {
 		run(position, func(served bool) {
-			left--
-			all = all && served
-			if left == 0 {
-				done(all)
+			remaining--
+			allServed = allServed && served
+			if remaining == 0 {
+				done(allServed)
 			}
 		})
 	}
 }
 
-// loopTurn is a turn of a line with what follows it: tools and lines of sub-agents side by side,
-// and a pause.
+// loopTurn is a turn of a thread and what follows it: tool calls and threads of sub-agents in
+// parallel, then a pause.
 type loopTurn struct {
 	serviceMs, pauseMs float64
 	tools              []float64
 	agents             [][]loopTurn
 }
 
-// plan draws the turns of a line.
-func (d drawn) plan(kind loopKind, turns int) []loopTurn {
-	var line []loopTurn
+// planTurns samples the turns of a thread.
+func (d programRandom) planTurns(kind loopKind, turns int) []loopTurn {
+	var thread []loopTurn
 	for range turns {
-		turn := loopTurn{serviceMs: 150 + d.exponential(150), pauseMs: d.exponential(200)}
-		if d.Float64() < kind.subAgents {
+		turn := loopTurn{serviceMs: 150 + d.sampleExponential(150), pauseMs: d.sampleExponential(200)}
+		if d.Float64() < kind.subAgentProbability {
 			for range 1 + d.IntN(3) {
-				turn.agents = append(turn.agents, d.plan(loopKind{}, 2))
+				turn.agents = append(turn.agents, d.planTurns(loopKind{}, 2))
 			}
 		} else {
 			for range d.IntN(3) {
-				turn.tools = append(turn.tools, 20+d.exponential(60))
+				turn.tools = append(turn.tools, 20+d.sampleExponential(60))
 			}
 		}
-		line = append(line, turn)
+		thread = append(thread, turn)
 	}
-	return line
+	return thread
 }
 
-// run sends the turns of a line one after the other, with what belongs to each.
-func (l *loop) run(tenant int, ask Request, line []loopTurn, done func(bool)) {
-	first := line[0]
-	l.turn(tenant, ask, first.serviceMs, loopAnews, func(served bool) {
-		if !served || len(line) == 1 {
+// runTurns runs the turns of a thread one after another, each with its tool calls and sub-agents.
+func (l *closedLoop) runTurns(tenant int, request Request, thread []loopTurn, done func(bool)) {
+	first := thread[0]
+	l.sendTurn(tenant, request, first.serviceMs, loopResends, func(served bool) {
+		if !served || len(thread) == 1 {
 			done(served)
 			return
 		}
-		follow, tool := ask, ask
-		follow.ContinuesProgram, tool.ContinuesProgram, tool.Kind = l.byQueue, l.byQueue, ""
-		together(len(first.tools)+len(first.agents), func(position int, done func(bool)) {
+		nextRequest, toolRequest := request, request
+		nextRequest.ContinuesProgram, toolRequest.ContinuesProgram, toolRequest.Kind = l.usesTickets, l.usesTickets, ""
+		runParallel(len(first.tools)+len(first.agents), func(position int, done func(bool)) {
 			if position < len(first.tools) {
-				l.turn(tenant, tool, first.tools[position], loopAnews, done)
+				l.sendTurn(tenant, toolRequest, first.tools[position], loopResends, done)
 				return
 			}
-			l.run(tenant, follow, first.agents[position-len(first.tools)], done)
+			l.runTurns(tenant, nextRequest, first.agents[position-len(first.tools)], done)
 		}, func(served bool) {
 			if !served {
 				done(false)
 				return
 			}
-			l.after(first.pauseMs, func() { l.run(tenant, follow, line[1:], done) })
+			l.after(first.pauseMs, func() { l.runTurns(tenant, nextRequest, thread[1:], done) })
 		})
 	})
 }
 
-// begin starts a program of a tenant and, later, the next one.
-func (l *loop) begin(tenant, number int) {
+// startProgram starts a program of a tenant and schedules the next one.
+func (l *closedLoop) startProgram(tenant, number int) {
 	rate := loopStartsPerSecond
-	if tenant == 0 && l.nowMs >= loopHotFromMs && l.nowMs < loopHotToMs {
-		rate *= loopHotFactor
+	if tenant == 0 && l.nowMs >= loopOverloadStartMs && l.nowMs < loopOverloadEndMs {
+		rate *= loopOverloadFactor
 	}
 	const millisecondsPerSecond = 1000
-	draws := l.draws(tenant, number)
-	l.after(draws.exponential(millisecondsPerSecond/rate), func() { l.begin(tenant, number+1) })
+	random := l.randomFor(tenant, number)
+	l.after(random.sampleExponential(millisecondsPerSecond/rate), func() { l.startProgram(tenant, number+1) })
 	kind := loopKinds[0]
-	if draws.Float64() >= kind.ofPrograms {
+	if random.Float64() >= kind.programFraction {
 		kind = loopKinds[1]
 	}
 	turns := 1
-	for turns < 40 && draws.Float64() > 1/kind.meanTurns {
+	for turns < 40 && random.Float64() > 1/kind.meanTurns {
 		turns++
 	}
-	counts := l.tenants[tenant]
+	outcomes := l.tenants[tenant]
 	name := fmt.Sprint("p", number)
-	ask := Request{Tenant: fmt.Sprint("t", tenant), Limit: counts.limit, Program: name}
-	if l.byQueue {
-		ask.Kind = kind.name
+	request := Request{Tenant: fmt.Sprint("t", tenant), Limit: outcomes.limit, Program: name}
+	if l.usesTickets {
+		request.Kind = kind.name
 	}
-	program := &loopProgram{beganMs: l.nowMs}
-	counts.programs = append(counts.programs, program)
-	l.run(tenant, ask, draws.plan(kind, turns), func(served bool) {
+	program := &loopProgram{startedMs: l.nowMs}
+	outcomes.programs = append(outcomes.programs, program)
+	l.runTurns(tenant, request, random.planTurns(kind, turns), func(served bool) {
 		program.completed, program.ended, program.endedMs = served, true, l.nowMs
-		program.underWay = l.owner.tenant(ask.Tenant).underWay(name)
+		program.inProgress = l.owner.getOrCreateTenant(request.Tenant).isInProgress(name)
 	})
 }
 
-// loopMode is how the owner is asked.
+// loopMode selects how the owner is asked for grants.
 type loopMode uint8
 
 const (
-	// loopUnlimited has no limits: what tenants ask for by themselves.
+	// loopUnlimited applies no limits and gives the tenants' own demand.
 	loopUnlimited loopMode = iota
-	// loopByRequest takes or denies each request by itself.
-	loopByRequest
-	// loopByProgram lets programs begin where they fit and those under way wait.
-	loopByProgram
-	// loopTolerant besides lets those under way use the tolerance.
+	// loopPerRequest grants or denies each request separately.
+	loopPerRequest
+	// loopPerProgram admits programs that fit, and queues the requests of programs in progress.
+	loopPerProgram
+	// loopTolerant is loopPerProgram with a tolerance for programs in progress.
 	loopTolerant
 )
 
-// play runs the load and returns what became of the tenants.
-func play(seed uint64, mode loopMode) []*loopTenant {
+// runClosedLoop simulates the load and returns the outcomes of the tenants.
+func runClosedLoop(seed uint64, mode loopMode) []*loopTenant {
 	tolerance := Tolerance{}
 	if mode == loopTolerant {
 		tolerance = Tolerance{Overage: 0.1, Slack: 20}
 	}
-	l := &loop{
-		seed: seed, owner: NewOwnerWithAdmission(NewState(loopWindowMs), 0, admission.NewProgramKinds(), tolerance), byQueue: mode >= loopByProgram,
-		held: map[string]func(Decision){}, short: map[string][]func(){}, reserving: map[string]bool{},
+	l := &closedLoop{
+		seed: seed, owner: NewOwnerWithAdmission(NewState(loopWindowMs), 0, admission.NewProgramKinds(), tolerance), usesTickets: mode >= loopPerProgram,
+		queued: map[string]func(Decision){}, awaitingReservation: map[string][]func(){}, reserving: map[string]bool{},
 	}
-	limit := Limit{Generation: 1, RatePerSecond: loopLimitFactor * loopStartsPerSecond * loopRequests, Burst: loopBurst}
+	limit := Limit{Generation: 1, RatePerSecond: loopLimitFactor * loopStartsPerSecond * loopMeanRequests, Burst: loopLimitBurst}
 	if mode == loopUnlimited {
 		limit.RatePerSecond = 1e6
 	}
 	for tenant := range loopTenants {
 		l.tenants = append(l.tenants, &loopTenant{limit: limit})
-		l.after(0, func() { l.begin(tenant, 0) })
+		l.after(0, func() { l.startProgram(tenant, 0) })
 	}
 	var tick func()
 	tick = func() {
 		for _, tenant := range l.owner.QueuedTenants() {
-			l.resume(tenant)
+			l.grantQueued(tenant)
 		}
 		l.after(loopTickMs, tick)
 	}
@@ -376,14 +377,14 @@
 			break
 		}
 		l.nowMs = next.atMs
-		next.act()
+		next.run()
 	}
 	return l.tenants
 }
 
-// within reports whether a tenant that is bounded by nothing asks for no more than the limit in
-// any window that ends while a program that begins at a time is under way.
-func (t *loopTenant) within(program *loopProgram, allowed int64) bool {
+// isWithinLimit reports whether an unlimited tenant's demand stays within the limit in every
+// window that ends while the program is in progress.
+func (t *loopTenant) isWithinLimit(program *loopProgram, allowed int64) bool {
 	count, first := int64(0), 0
 	for _, at := range t.granted {
 		count++
@@ -391,25 +392,25 @@
 			first++
 			count--
 		}
-		if count > allowed && at >= program.beganMs && at <= max(program.endedMs, program.beganMs+loopWindowMs) {
+		if count > allowed && at >= program.startedMs && at <= max(program.endedMs, program.startedMs+loopWindowMs) {
 			return false
 		}
 	}
 	return true
 }
 
-// loopSum is what became of the programs of several tenants.
-type loopSum struct {
-	programs, completed, refused, lost int
-	// within are the programs of tenants within their limit, withinFailed those of them that
-	// were refused or lost.
-	within, withinFailed      int
-	granted                   int
-	deniedNew, deniedUnderWay int
-	waitsMs                   []int64
+// loopTotals adds up the outcomes of several tenants.
+type loopTotals struct {
+	programs, completed, rejected, lost int
+	// withinLimit counts the programs of tenants within their limit, and withinLimitFailed those
+	// among them that were rejected or lost.
+	withinLimit, withinLimitFailed int
+	granted                        int
+	deniedNew, deniedInProgress    int
+	waitsMs                        []int64
 }
 
-func (s *loopSum) add(tenant, unlimited *loopTenant) {
+func (s *loopTotals) add(tenant, unlimited *loopTenant) {
 	allowed := tenant.limit.AllowedRequests(loopWindowMs)
 	for position, program := range tenant.programs {
 		failed := program.ended && !program.completed
@@ -417,58 +418,58 @@
 		switch {
 		case program.completed:
 			s.completed++
-		case failed && program.underWay:
+		case failed && program.inProgress:
 			s.lost++
 		case failed:
-			s.refused++
+			s.rejected++
 		}
-		if unlimited.within(unlimited.programs[position], allowed) {
-			s.within++
+		if unlimited.isWithinLimit(unlimited.programs[position], allowed) {
+			s.withinLimit++
 			if failed {
-				s.withinFailed++
+				s.withinLimitFailed++
 			}
 		}
 	}
 	s.granted += len(tenant.granted)
 	s.deniedNew += len(tenant.deniedNew)
-	s.deniedUnderWay += len(tenant.deniedUnderWay)
+	s.deniedInProgress += len(tenant.deniedInProgress)
 	s.waitsMs = append(s.waitsMs, tenant.waitsMs...)
 }
 
-func (s *loopSum) String() string {
+func (s *loopTotals) String() string {
 	slices.Sort(s.waitsMs)
-	return fmt.Sprintf("%d programs, %d completed, %d refused, %d lost; %d within the limit, of them %d refused or lost; %d requests granted, waits p95 %d, p99 %d ms; denied %d new, %d under way",
-		s.programs, s.completed, s.refused, s.lost, s.within, s.withinFailed, s.granted, s.waitsMs[len(s.waitsMs)*95/100], s.waitsMs[len(s.waitsMs)*99/100], s.deniedNew, s.deniedUnderWay)
+	return fmt.Sprintf("%d programs, %d completed, %d rejected, %d lost; %d within the limit, of these %d rejected or lost; %d requests granted, waits p95 %d, p99 %d ms; denied %d of new programs, %d of programs in progress",
+		s.programs, s.completed, s.rejected, s.lost, s.withinLimit, s.withinLimitFailed, s.granted, s.waitsMs[len(s.waitsMs)*95/100], s.waitsMs[len(s.waitsMs)*99/100], s.deniedNew, s.deniedInProgress)
 }
 
-// TestProgramsAtTheLimit holds, with one tenant at five times its usual and all limits at 1.6
-// times it, that of the limit's denials fewer than one in twenty meets a program that has
-// begun, that tenants within their limit lose fewer than one program in a hundred, and that as
-// many programs are completed as when each request is taken or denied by itself.
+// TestProgramsAtTheLimit checks admission with one tenant at five times its usual demand and all
+// limits at 1.6 times the usual demand. Fewer than one in twenty denials may affect a program in
+// progress, tenants within their limit may lose fewer than one program in a hundred, and at least
+// as many programs must be completed as when each request is decided separately.
 func TestProgramsAtTheLimit(t *testing.T) {
 	const seeds = 6
-	sums := map[loopMode]*loopSum{loopByRequest: {}, loopByProgram: {}, loopTolerant: {}}
+	totals := map[loopMode]*loopTotals{loopPerRequest: {}, loopPerProgram: {}, loopTolerant: {}}
 	for seed := range uint64(seeds) {
-		unlimited := play(seed, loopUnlimited)
-		for mode, sum := range sums {
-			for position, tenant := range play(seed, mode) {
-				sum.add(tenant, unlimited[position])
+		unlimited := runClosedLoop(seed, loopUnlimited)
+		for mode, total := range totals {
+			for position, tenant := range runClosedLoop(seed, mode) {
+				total.add(tenant, unlimited[position])
 			}
 		}
 	}
-	before := sums[loopByRequest]
-	t.Logf("each request by itself: %s", before)
-	for _, mode := range []loopMode{loopByProgram, loopTolerant} {
-		sum := sums[mode]
-		t.Logf("by program, tolerance used %t: %s", mode == loopTolerant, sum)
-		if sum.deniedUnderWay*20 > sum.deniedNew+sum.deniedUnderWay {
-			t.Errorf("%d of %d denials met programs under way", sum.deniedUnderWay, sum.deniedNew+sum.deniedUnderWay)
+	perRequest := totals[loopPerRequest]
+	t.Logf("separate decision per request: %s", perRequest)
+	for _, mode := range []loopMode{loopPerProgram, loopTolerant} {
+		total := totals[mode]
+		t.Logf("admission per program, tolerance %t: %s", mode == loopTolerant, total)
+		if total.deniedInProgress*20 > total.deniedNew+total.deniedInProgress {
+			t.Errorf("%d of %d denials affected programs in progress", total.deniedInProgress, total.deniedNew+total.deniedInProgress)
 		}
-		if sum.withinFailed*100 > sum.within {
-			t.Errorf("%d of %d programs of tenants within their limit were refused or lost", sum.withinFailed, sum.within)
+		if total.withinLimitFailed*100 > total.withinLimit {
+			t.Errorf("%d of %d programs of tenants within their limit were rejected or lost", total.withinLimitFailed, total.withinLimit)
 		}
-		if sum.completed < before.completed {
-			t.Errorf("%d programs completed, %d with each request by itself", sum.completed, before.completed)
+		if total.completed < perRequest.completed {
+			t.Errorf("%d programs completed, %d with a separate decision per request", total.completed, perRequest.completed)
 		}
 	}
 }
--- a/internal/quota/overview.go
+++ b/internal/quota/overview.go
@@ -5,73 +5,75 @@
 	"slices"
 )
 
-// calmMs is after how long without a request that waited or was denied a tenant counts as below
-// its limit again.
-const calmMs = 5000
+// limitPressureTimeoutMs is the time without a waiting or denied request after which a tenant
+// counts as below its limit again, in milliseconds.
+const limitPressureTimeoutMs = 5000
 
-// TenantUsage is what the owner of a limit tells an operator.
+// TenantUsage is the usage of one tenant's limit as reported to operators.
 type TenantUsage struct {
 	Tenant string `json:"tenant"`
-	// Used counts in the window; Allowed is the limit there and Most what programs under way
-	// may use.
+	// Used is the number of requests that count in the window, Allowed the limit of the window,
+	// and AllowedInProgress the limit for programs in progress, tolerance included.
 	Used              int64 `json:"used"`
 	Allowed           int64 `json:"allowed"`
 	AllowedInProgress int64 `json:"most"`
-	// Waiting are requests that wait for room, Programs those that began within the last half
-	// minute.
+	// Waiting is the number of requests that wait for headroom. Programs is the number of tracked
+	// programs, which are removed once they had no request for half a minute.
 	Waiting  int `json:"waiting"`
 	Programs int `json:"programs"`
-	// DeniedNew are new programs, DeniedUnderWay requests of others that were denied, both since
-	// this owner began; AtLimitMs is for how long requests have waited or been denied, 0 where
-	// none has lately.
+	// DeniedNew counts the denied requests of new programs and DeniedInProgress all other denied
+	// requests, both since this owner's term began. AtLimitMs is how long requests have been
+	// waiting or denied, 0 if none was recently.
 	DeniedNew        int64 `json:"denied_new"`
 	DeniedInProgress int64 `json:"denied_under_way"`
 	AtLimitMs        int64 `json:"at_limit_ms"`
 }
 
-// pressure is since when, and when last, requests of a tenant waited or were denied.
-type pressure struct {
-	sinceMs, lastMs           int64
-	deniedNew, deniedUnderWay int64
+// limitPressure records when requests of a tenant began to wait or to be denied, and when one
+// last did.
+type limitPressure struct {
+	sinceMs, lastMs             int64
+	deniedNew, deniedInProgress int64
 }
 
-// note takes a decision at its time.
-func (p *pressure) note(decision Decision, newProgram bool, nowMs int64) {
+// record updates the pressure with the decision made at nowMs.
+func (p *limitPressure) record(decision Decision, newProgram bool, nowMs int64) {
 	switch {
 	case decision.Verdict != Denied && decision.Verdict != Waiting:
 		return
 	case decision.Verdict == Denied && newProgram:
 		p.deniedNew++
 	case decision.Verdict == Denied:
-		p.deniedUnderWay++
+		p.deniedInProgress++
 	}
-	if p.lastMs == 0 || nowMs-p.lastMs > calmMs {
+	if p.lastMs == 0 || nowMs-p.lastMs > limitPressureTimeoutMs {
 		p.sinceMs = nowMs
 	}
 	p.lastMs = nowMs
 }
 
-// atLimitMs is for how long requests have waited or been denied.
-func (p *pressure) atLimitMs(nowMs int64) int64 {
-	if p.lastMs == 0 || nowMs-p.lastMs > calmMs {
+// atLimitMs returns for how long requests have been waiting or denied, 0 if none was within the
+// last limitPressureTimeoutMs.
+func (p *limitPressure) atLimitMs(nowMs int64) int64 {
+	if p.lastMs == 0 || nowMs-p.lastMs > limitPressureTimeoutMs {
 		return 0
 	}
 	return max(nowMs-p.sinceMs, 1)
 }
 
-// Usage tells of all tenants that this owner knows, those with the most denials first.
+// Usage returns the usage of all tenants of this owner, in descending order of denials.
 func (o *Owner) Usage(nowMs int64) []TenantUsage {
-	var views []TenantUsage
+	var usages []TenantUsage
 	for name, tenant := range o.tenants {
 		tenant.expire(nowMs)
-		views = append(views, TenantUsage{
-			Tenant: name, Used: tenant.used(), Allowed: tenant.allowed(), AllowedInProgress: tenant.most(), Waiting: len(tenant.queue),
-			Programs: tenant.begun.Len(), DeniedNew: tenant.pressure.deniedNew, DeniedInProgress: tenant.pressure.deniedUnderWay,
+		usages = append(usages, TenantUsage{
+			Tenant: name, Used: tenant.used(), Allowed: tenant.allowed(), AllowedInProgress: tenant.allowedInProgress(), Waiting: len(tenant.queue),
+			Programs: tenant.programs.Len(), DeniedNew: tenant.pressure.deniedNew, DeniedInProgress: tenant.pressure.deniedInProgress,
 			AtLimitMs: tenant.pressure.atLimitMs(nowMs),
 		})
 	}
-	slices.SortFunc(views, func(a, b TenantUsage) int {
+	slices.SortFunc(usages, func(a, b TenantUsage) int {
 		return cmp.Or(cmp.Compare(b.DeniedNew+b.DeniedInProgress, a.DeniedNew+a.DeniedInProgress), cmp.Compare(a.Tenant, b.Tenant))
 	})
-	return views
+	return usages
 }
--- a/internal/quota/owner.go
+++ b/internal/quota/owner.go
@@ -6,138 +6,148 @@
 	"github.com/ochrebay/ochrebay/internal/admission"
 )
 
-// Verdict is an owner's answer.
+// Verdict is the outcome of a request for a grant.
 type Verdict uint8
 
-// The verdicts.
+// Verdicts of an owner.
 const (
-	// Granted lets the request run.
+	// Granted allows the request to run.
 	Granted Verdict = iota
-	// Denied says that the tenant has used its limit up.
+	// Denied means that the request is not granted now and may be retried later.
 	Denied
-	// ReservationNeeded says that more has to be reserved before the owner can decide.
+	// ReservationNeeded means that another reservation must be committed before the owner can
+	// decide.
 	ReservationNeeded
-	// Waiting says that the request has a place in its tenant's queue.
+	// Waiting means that the request is in the tenant's wait queue.
 	Waiting
 )
 
-// Decision is an owner's answer with what belongs to it.
+// Decision is the answer to a request for a grant.
 type Decision struct {
 	Verdict Verdict
-	// RetryAfterMs is, with Denied, when the tenant has room again.
+	// RetryAfterMs is set for Denied: the time until the tenant is expected to have headroom
+	// again.
 	RetryAfterMs int64
-	// Used and Allowed are what counts in the window and what the limit allows there.
+	// Used is the number of requests that count in the window, and Allowed is the limit of the
+	// window.
 	Used    int64
 	Allowed int64
-	// GrantedMs is, with Granted, when that was.
+	// GrantedMs is set for Granted: the time of the grant.
 	GrantedMs int64
-	// QueuePosition is, with Waiting, where the request stands.
+	// QueuePosition is set for Waiting: the position in the wait queue.
 	QueuePosition QueuePosition
-	// ProgramAdmission is, where a new program was denied, what it was held against.
+	// ProgramAdmission is set if a new program was denied: the admission decision with the
+	// figures behind it.
 	ProgramAdmission *admission.AdmissionDecision
 }
 
 const (
-	// reserveShare-th of the limit is reserved at the least, so that a tenant with few
-	// requests needs no log entry for each.
-	reserveShare = 32
-	// programIdleMs is how long a program without requests is taken for one that goes on:
-	// above the longest pause for a tool.
-	programIdleMs = 30_000
-	// leastStartShare is the part of the limit that new programs may fill at the least,
-	// startShareStep by how much that part goes down with a denied request of a program under
-	// way and up again with a denied new one, once startShareCalmMs have passed since the last
-	// change downwards, or startShareRaiseMs since the last one up. With a tenant's limit cut to
-	// a third of what it sends the worst-served kind of its programs earned 0.994 of its credit,
-	// against 0.977 with new programs as they come; a fixed part of 0.8 earned as much and
-	// denied 184 requests in place of 139 (docs/design/0007-tenants.md, one play each).
-	leastStartShare   = 0.5
-	startShareStep    = 0.01
-	startShareCalmMs  = 300
-	startShareRaiseMs = 100
-	// sweepEveryMs is how often idle programs and tenants are forgotten.
-	sweepEveryMs = 5000
+	// reservationDivisor sets the minimum size of a reservation, as limit / reservationDivisor,
+	// so that a tenant with few requests does not need a log entry for each of them.
+	reservationDivisor = 32
+	// programIdleTimeoutMs is how long a program without requests still counts as in progress. It
+	// is above the longest pause for a tool call.
+	programIdleTimeoutMs = 30_000
+	// minNewProgramShare is the minimum fraction of the limit that new programs may fill. The
+	// fraction falls by newProgramShareStep with each denied request of a program in progress. It
+	// rises by the same step with a denied request of a new program, once
+	// shareRaiseDelayAfterCutMs have passed since the last cut or shareRaiseIntervalMs since the
+	// last raise. With a tenant's limit cut to a third of its load, its worst-served kind of
+	// program earned 0.994 of its credit, against 0.977 without a bound on new programs. A fixed
+	// fraction of 0.8 earned as much but denied 184 requests instead of 139
+	// (docs/design/0007-tenants.md, one run each).
+	minNewProgramShare        = 0.5
+	newProgramShareStep       = 0.01
+	shareRaiseDelayAfterCutMs = 300
+	shareRaiseIntervalMs      = 100
+	// sweepIntervalMs is the interval at which idle programs and tenants are removed.
+	sweepIntervalMs = 5000
 )
 
-// Owner grants the requests of the tenants that one ledger group holds, for as long as its
-// process leads the group in one term.
+// Owner grants the requests of the tenants of one ledger group, for one term in which its process
+// leads the group.
 //
-// Invariant: what all owners together have granted of a tenant in any window is within its
-// limit. An owner grants only from reservations that are committed, each within
-// ReservationMs of its proposal; its successor holds them all and counts them as granted at
-// the last moment possible.
+// Invariant: the grants of all owners together to one tenant stay within the tenant's limit in
+// any window. An owner grants only from committed reservations, and from each only within
+// ReservationLifetimeMs of its proposal. Its successor holds all of these reservations and counts
+// them as granted at the last possible moment.
 type Owner struct {
-	windowMs int64
-	beganMs  int64
-	tenants  map[string]*owned
-	sweptMs  int64
-	kinds    *admission.ProgramKinds
-	// tolerance is what programs under way may use beyond a limit.
+	windowMs     int64
+	termStartMs  int64
+	tenants      map[string]*tenantQuota
+	lastSweepMs  int64
+	programKinds *admission.ProgramKinds
+	// tolerance bounds by how much programs in progress may exceed a limit.
 	tolerance Tolerance
-	// queued are the tenants with requests that wait for room.
-	queued map[string]*owned
+	// tenantsWithQueue holds the tenants with requests that wait for headroom or grants that have
+	// not been delivered.
+	tenantsWithQueue map[string]*tenantQuota
 }
 
-// owned is one tenant.
-type owned struct {
+// tenantQuota is the state of one tenant's limit.
+type tenantQuota struct {
 	limit     Limit
 	tolerance Tolerance
-	// granted is what this owner has granted, inherited what its predecessors may have.
+	// granted counts the grants of this owner, and inherited the grants that its predecessors may
+	// have made.
 	granted   window
 	inherited window
-	// recent is what was granted within the last ReservationMs: what the next one is
-	// expected to need.
-	recent window
-	// available may be granted, oldest first.
-	available []expiring
-	// programs are those of which a request was granted, with the time of the last one.
-	programs map[string]int64
-	// begun are the same programs with what they will ask for, as far as their gateways tell
-	// the kind.
-	begun *admission.TenantPrograms
-	// queue are the requests of programs under way that wait for room, first asked first.
-	queue []*waiter
-	// issued are the grants to tickets lately.
-	issued   map[string]*issue
-	pressure pressure
-	// unfetched are the tickets that were granted while their gateways were to ask again.
-	unfetched []string
-	// startShare is the part of the limit that new programs may fill, and mayRaiseMs when it
-	// may go up again.
-	startShare float64
-	mayRaiseMs int64
-	// lastReturnMs is when the request that was denied last was told to come back.
-	lastReturnMs int64
-	// lastStartMs is when the new program that was denied last was told to come back.
-	lastStartMs int64
-	// dueMs is when a new program was let in last because none had begun for a window.
-	dueMs int64
+	// recentGrants counts the grants within the last ReservationLifetimeMs, as the forecast of
+	// what the next reservation needs.
+	recentGrants window
+	// reservations holds what may still be granted, oldest reservation first.
+	reservations []openReservation
+	// lastGrantMs holds the time of the last grant by program.
+	lastGrantMs map[string]int64
+	// programs holds the programs with a granted request and forecasts their further requests,
+	// for the programs whose kind the gateways report.
+	programs *admission.TenantPrograms
+	// queue holds the requests of programs in progress that wait for headroom, in the order of
+	// their first request.
+	queue []*queuedRequest
+	// grantsByTicket holds the recent grants by ticket.
+	grantsByTicket map[string]*ticketGrant
+	pressure       limitPressure
+	// undelivered holds the tickets that were granted while queued and whose gateways have yet to
+	// ask again.
+	undelivered []string
+	// newProgramShare is the fraction of the limit that new programs may fill. It may rise again
+	// after shareRaiseAfterMs.
+	newProgramShare   float64
+	shareRaiseAfterMs int64
+	// lastRetryAtMs is the retry time given to the most recently denied request.
+	lastRetryAtMs int64
+	// lastNewProgramRetryAtMs is the retry time given to the most recently denied new program.
+	lastNewProgramRetryAtMs int64
+	// lastForcedStartMs is when a new program was last admitted because none had started for a
+	// whole window.
+	lastForcedStartMs int64
 }
 
-// expiring is what is left of a reservation.
-type expiring struct {
-	untilMs int64
-	count   int64
+// openReservation is the ungranted remainder of a reservation.
+type openReservation struct {
+	expiresMs int64
+	count     int64
 }
 
-// NewOwner returns the owner that follows on a state. The state must hold every reservation
-// that was committed before this owner's term.
+// NewOwner returns the owner of the term that follows a replicated state. The state must hold
+// every reservation that was committed before the owner's term.
 func NewOwner(state *State, nowMs int64) *Owner {
 	return NewOwnerWithAdmission(state, nowMs, admission.NewProgramKinds(), Tolerance{})
 }
 
-// NewOwnerWithAdmission is NewOwner with what is known of the kinds of programs, and with what programs
-// under way may use beyond the limit.
+// NewOwnerWithAdmission is like NewOwner, with the learned kinds of programs and the tolerance by
+// which programs in progress may exceed a limit.
 func NewOwnerWithAdmission(state *State, nowMs int64, kinds *admission.ProgramKinds, tolerance Tolerance) *Owner {
 	owner := &Owner{
-		windowMs: state.windowMs, beganMs: nowMs, tenants: map[string]*owned{}, sweptMs: nowMs, kinds: kinds, tolerance: tolerance, queued: map[string]*owned{},
+		windowMs: state.windowMs, termStartMs: nowMs, tenants: map[string]*tenantQuota{}, lastSweepMs: nowMs, programKinds: kinds, tolerance: tolerance, tenantsWithQueue: map[string]*tenantQuota{},
 	}
 	for name, known := range state.tenants {
-		tenant := owner.tenant(name)
+		tenant := owner.getOrCreateTenant(name)
 		tenant.limit = known.Limit
 		for _, item := range known.Reserved {
-			// A predecessor that is cut off may grant from its last reservation until the
-			// end of it.
+			// A predecessor that is cut off from the group may grant from its last reservation
+			// until that reservation expires.
 			age := state.clockMs - item.AtMs
 			tenant.inherited.add(nowMs+ReservationLifetimeMs-age, item.Count)
 		}
@@ -145,13 +155,13 @@
 	return owner
 }
 
-func (o *Owner) tenant(name string) *owned {
+func (o *Owner) getOrCreateTenant(name string) *tenantQuota {
 	known := o.tenants[name]
 	if known == nil {
-		known = &owned{
+		known = &tenantQuota{
 			tolerance: o.tolerance, granted: window{lengthMs: o.windowMs}, inherited: window{lengthMs: o.windowMs},
-			recent: window{lengthMs: ReservationLifetimeMs}, programs: map[string]int64{}, startShare: 1,
-			begun: admission.NewTenantPrograms(o.kinds, o.windowMs), issued: map[string]*issue{},
+			recentGrants: window{lengthMs: ReservationLifetimeMs}, lastGrantMs: map[string]int64{}, newProgramShare: 1,
+			programs: admission.NewTenantPrograms(o.programKinds, o.windowMs), grantsByTicket: map[string]*ticketGrant{},
 		}
 		o.tenants[name] = known
 	}
@@ -159,161 +169,162 @@
 }
 
 // RequestGrant decides on one request.
-func (o *Owner) RequestGrant(ask Request, nowMs int64) Decision {
-	o.sweep(nowMs)
-	tenant := o.tenant(ask.Tenant)
-	if ask.Limit.Generation >= tenant.limit.Generation {
-		tenant.limit = ask.Limit
+func (o *Owner) RequestGrant(request Request, nowMs int64) Decision {
+	o.removeIdle(nowMs)
+	tenant := o.getOrCreateTenant(request.Tenant)
+	if request.Limit.Generation >= tenant.limit.Generation {
+		tenant.limit = request.Limit
 	}
 	tenant.expire(nowMs)
-	newProgram := ask.Program != "" && !ask.ContinuesProgram && !tenant.begun.IsInProgress(ask.Program)
-	decision := o.decide(tenant, ask, nowMs)
-	tenant.pressure.note(decision, newProgram, nowMs)
+	newProgram := request.Program != "" && !request.ContinuesProgram && !tenant.programs.IsInProgress(request.Program)
+	decision := o.decide(tenant, request, nowMs)
+	tenant.pressure.record(decision, newProgram, nowMs)
 	return decision
 }
 
-// decide is Ask for a tenant that is up to date.
-func (o *Owner) decide(tenant *owned, ask Request, nowMs int64) Decision {
-	if ask.Ticket != "" {
-		return o.askWithTicket(tenant, ask, nowMs)
+// decide implements RequestGrant for a tenant whose windows are up to date.
+func (o *Owner) decide(tenant *tenantQuota, request Request, nowMs int64) Decision {
+	if request.Ticket != "" {
+		return o.decideWithTicket(tenant, request, nowMs)
 	}
 	decision := Decision{Used: tenant.used(), Allowed: tenant.limit.AllowedRequests(o.windowMs)}
 	if len(tenant.queue) > 0 {
-		// What can't wait doesn't pass what waits.
+		// A request that can't wait must not overtake the queued requests.
 		decision.Verdict = Denied
-		decision.RetryAfterMs = tenant.comeBackMs(decision.Allowed, nowMs) - nowMs
+		decision.RetryAfterMs = tenant.nextRetryAtMs(decision.Allowed, nowMs) - nowMs
 		return decision
 	}
-	if decision.Used >= tenant.room(ask.Program, decision.Allowed) {
+	if decision.Used >= tenant.usableLimit(request.Program, decision.Allowed) {
 		decision.Verdict = Denied
-		decision.RetryAfterMs = tenant.comeBackMs(decision.Allowed, nowMs) - nowMs
-		tenant.adaptStartShare(ask.Program, nowMs)
+		decision.RetryAfterMs = tenant.nextRetryAtMs(decision.Allowed, nowMs) - nowMs
+		tenant.adaptNewProgramShare(request.Program, nowMs)
 		return decision
 	}
-	if len(tenant.available) == 0 {
+	if len(tenant.reservations) == 0 {
 		decision.Verdict = ReservationNeeded
 		return decision
 	}
-	tenant.grant(ask.Program, nowMs)
-	if ask.Program != "" {
-		tenant.begun.RecordGrant(ask.Program, ask.Kind, nowMs, nowMs)
+	tenant.grant(request.Program, nowMs)
+	if request.Program != "" {
+		tenant.programs.RecordGrant(request.Program, request.Kind, nowMs, nowMs)
 	}
 	decision.GrantedMs = nowMs
 	return decision
 }
 
-// ReturnGrant takes back a request that was granted at a time and did not run.
+// ReturnGrant returns a grant made at grantedMs whose request did not run.
 func (o *Owner) ReturnGrant(name string, grantedMs int64) {
 	if tenant := o.tenants[name]; tenant != nil {
 		tenant.granted.remove(grantedMs)
 	}
 }
 
-// NextReservation returns how much to reserve of a tenant for which so many requests wait.
-func (o *Owner) NextReservation(name string, waiting int, nowMs int64) Reservation {
-	tenant := o.tenant(name)
+// NextReservation returns the reservation to propose next for a tenant, given the number of
+// requests that wait for a reservation.
+func (o *Owner) NextReservation(name string, waitingRequests int, nowMs int64) Reservation {
+	tenant := o.getOrCreateTenant(name)
 	tenant.expire(nowMs)
 	allowed := tenant.limit.AllowedRequests(o.windowMs)
-	wanted := max(int64(waiting+len(tenant.queue)), tenant.recent.sum, allowed/reserveShare, 1)
-	return Reservation{Tenant: name, Count: min(wanted, max(tenant.most()-tenant.used(), 1)), Limit: tenant.limit, NowMs: nowMs}
+	wanted := max(int64(waitingRequests+len(tenant.queue)), tenant.recentGrants.sum, allowed/reservationDivisor, 1)
+	return Reservation{Tenant: name, Count: min(wanted, max(tenant.allowedInProgress()-tenant.used(), 1)), Limit: tenant.limit, NowMs: nowMs}
 }
 
-// AddReservation takes a reservation of this owner that is committed.
+// AddReservation makes a committed reservation of this owner available for grants.
 func (o *Owner) AddReservation(reservation Reservation) {
-	tenant := o.tenant(reservation.Tenant)
-	tenant.available = append(tenant.available, expiring{untilMs: reservation.NowMs + ReservationLifetimeMs, count: reservation.Count})
+	tenant := o.getOrCreateTenant(reservation.Tenant)
+	tenant.reservations = append(tenant.reservations, openReservation{expiresMs: reservation.NowMs + ReservationLifetimeMs, count: reservation.Count})
 }
 
-// sweep forgets idle programs and the tenants that nothing is known of any more.
-func (o *Owner) sweep(nowMs int64) {
-	if nowMs-o.sweptMs < sweepEveryMs {
+// removeIdle removes idle programs and the tenants that have no state left.
+func (o *Owner) removeIdle(nowMs int64) {
+	if nowMs-o.lastSweepMs < sweepIntervalMs {
 		return
 	}
-	o.sweptMs = nowMs
+	o.lastSweepMs = nowMs
 	for name, tenant := range o.tenants {
 		tenant.expire(nowMs)
-		for program, lastMs := range tenant.programs {
-			if nowMs-lastMs > programIdleMs {
-				delete(tenant.programs, program)
+		for program, lastMs := range tenant.lastGrantMs {
+			if nowMs-lastMs > programIdleTimeoutMs {
+				delete(tenant.lastGrantMs, program)
 			}
 		}
-		tenant.begun.RemoveIdle(nowMs)
-		tenant.sweepTickets(nowMs)
-		if tenant.used() == 0 && len(tenant.programs) == 0 && tenant.begun.Len() == 0 && len(tenant.available) == 0 && len(tenant.queue) == 0 {
+		tenant.programs.RemoveIdle(nowMs)
+		tenant.removeOldGrants(nowMs)
+		if tenant.used() == 0 && len(tenant.lastGrantMs) == 0 && tenant.programs.Len() == 0 && len(tenant.reservations) == 0 && len(tenant.queue) == 0 {
 			delete(o.tenants, name)
 		}
 	}
 }
 
-func (t *owned) used() int64 { return t.granted.sum + t.inherited.sum }
+func (t *tenantQuota) used() int64 { return t.granted.sum + t.inherited.sum }
 
-func (t *owned) expire(nowMs int64) {
+func (t *tenantQuota) expire(nowMs int64) {
 	t.granted.expire(nowMs)
 	t.inherited.expire(nowMs)
-	t.recent.expire(nowMs)
-	t.available = slices.DeleteFunc(t.available, func(item expiring) bool { return item.untilMs <= nowMs || item.count == 0 })
+	t.recentGrants.expire(nowMs)
+	t.reservations = slices.DeleteFunc(t.reservations, func(item openReservation) bool { return item.expiresMs <= nowMs || item.count == 0 })
 }
 
-// underWay reports whether the owner has granted a request of the program lately.
-func (t *owned) underWay(program string) bool {
-	_, known := t.programs[program]
+// isInProgress reports whether the owner has recently granted a request of the program.
+func (t *tenantQuota) isInProgress(program string) bool {
+	_, known := t.lastGrantMs[program]
 	return known
 }
 
-// room returns up to where a request of a program may fill the window. At its limit a
-// tenant's new programs leave room for those under way: a program that is begun and can't go
-// on is work in vain, for its tenant and for the engines.
-func (t *owned) room(program string, allowed int64) int64 {
-	if program == "" || t.underWay(program) {
+// usableLimit returns how far requests of a program may fill the window. At the limit, new
+// programs leave headroom for the programs in progress: the work of a program that cannot
+// continue is wasted, for its tenant and for the engines.
+func (t *tenantQuota) usableLimit(program string, allowed int64) int64 {
+	if program == "" || t.isInProgress(program) {
 		return allowed
 	}
-	return int64(float64(allowed) * t.startShare)
+	return int64(float64(allowed) * t.newProgramShare)
 }
 
-// adaptStartShare learns from a denial how much room the programs under way need.
-func (t *owned) adaptStartShare(program string, nowMs int64) {
+// adaptNewProgramShare adjusts the headroom reserved for programs in progress after a denial.
+func (t *tenantQuota) adaptNewProgramShare(program string, nowMs int64) {
 	switch {
-	case t.underWay(program):
-		t.startShare = max(t.startShare-startShareStep, leastStartShare)
-		t.mayRaiseMs = nowMs + startShareCalmMs
-	case nowMs > t.mayRaiseMs:
-		t.startShare = min(t.startShare+startShareStep, 1)
-		t.mayRaiseMs = nowMs + startShareRaiseMs
+	case t.isInProgress(program):
+		t.newProgramShare = max(t.newProgramShare-newProgramShareStep, minNewProgramShare)
+		t.shareRaiseAfterMs = nowMs + shareRaiseDelayAfterCutMs
+	case nowMs > t.shareRaiseAfterMs:
+		t.newProgramShare = min(t.newProgramShare+newProgramShareStep, 1)
+		t.shareRaiseAfterMs = nowMs + shareRaiseIntervalMs
 	}
 }
 
-func (t *owned) grant(program string, nowMs int64) {
+func (t *tenantQuota) grant(program string, nowMs int64) {
 	t.granted.add(nowMs, 1)
-	t.recent.add(nowMs, 1)
-	t.available[0].count--
-	if t.available[0].count == 0 {
-		t.available = t.available[1:]
+	t.recentGrants.add(nowMs, 1)
+	t.reservations[0].count--
+	if t.reservations[0].count == 0 {
+		t.reservations = t.reservations[1:]
 	}
 	if program != "" {
-		t.programs[program] = nowMs
+		t.lastGrantMs[program] = nowMs
 	}
 }
 
-// comeBackMs returns when a denied request is to come back: once there is room, and one after
-// the other at the rate at which room comes, so that those denied together don't return
-// together.
-func (t *owned) comeBackMs(allowed, nowMs int64) int64 {
+// nextRetryAtMs returns when a denied request should be retried. Retries are scheduled after
+// headroom is expected and are spaced at the limit's rate, so that requests denied together do
+// not return together.
+func (t *tenantQuota) nextRetryAtMs(allowed, nowMs int64) int64 {
 	const millisecondsPerSecond = 1000
-	next := t.lastReturnMs + int64(millisecondsPerSecond/max(t.limit.RatePerSecond, 1))
-	room := t.roomAtMs(allowed, nowMs)
-	t.lastReturnMs = min(max(room, next), room+t.granted.lengthMs)
-	return t.lastReturnMs
+	spacedMs := t.lastRetryAtMs + int64(millisecondsPerSecond/max(t.limit.RatePerSecond, 1))
+	headroomMs := t.headroomAtMs(allowed, nowMs)
+	t.lastRetryAtMs = min(max(headroomMs, spacedMs), headroomMs+t.granted.lengthMs)
+	return t.lastRetryAtMs
 }
 
-// roomAtMs returns when less than allowed counts in the window.
-func (t *owned) roomAtMs(allowed, nowMs int64) int64 {
-	leaving := append(slices.Clone(t.granted.grains), t.inherited.grains...)
-	slices.SortFunc(leaving, func(a, b grain) int { return int(a.atMs - b.atMs) })
+// headroomAtMs returns when fewer than allowed requests will count in the window.
+func (t *tenantQuota) headroomAtMs(allowed, nowMs int64) int64 {
+	buckets := append(slices.Clone(t.granted.buckets), t.inherited.buckets...)
+	slices.SortFunc(buckets, func(a, b bucket) int { return int(a.startMs - b.startMs) })
 	used := t.used()
-	for _, item := range leaving {
+	for _, item := range buckets {
 		used -= item.count
 		if used < allowed {
-			return max(t.granted.leavesMs(item), nowMs+1)
+			return max(t.granted.bucketExpiryMs(item), nowMs+1)
 		}
 	}
 	return nowMs + t.granted.lengthMs
--- a/internal/quota/queue.go
+++ b/internal/quota/queue.go
@@ -8,280 +8,287 @@
 )
 
 const (
-	// placeKeptMs is how long a place in the queue is kept for a gateway that is not heard: it
-	// asks again within 0.45 s.
-	placeKeptMs = 1000
-	// issueKeptMs is how long a grant is remembered for its ticket, so that a question whose
-	// answer was lost is answered alike.
-	issueKeptMs = 3000
-	// leastRetryMs is the least time until a denied request may come back.
-	leastRetryMs = 1
+	// queueEntryTimeoutMs is how long a request stays in the queue while its gateway does not ask
+	// again. Gateways ask again within 0.45 s.
+	queueEntryTimeoutMs = 1000
+	// ticketGrantRetentionMs is how long a grant is kept by its ticket, so that a repeated
+	// request whose first answer was lost gets the same answer.
+	ticketGrantRetentionMs = 3000
+	// minRetryAfterMs is the minimum time until a denied request may be retried.
+	minRetryAfterMs = 1
 )
 
-// waiter is a request of a program under way that waits for room.
-type waiter struct {
-	ask Request
-	// askedMs is when it was first asked for, usefulMs until when a grant is of use, and heardMs
-	// when its gateway was last heard.
-	askedMs  int64
-	usefulMs int64
-	heardMs  int64
+// queuedRequest is a request of a program in progress that waits for headroom.
+type queuedRequest struct {
+	request Request
+	// firstRequestedMs is when the grant was first requested, usefulUntilMs until when a grant is
+	// of use to the caller, and lastRequestedMs when the gateway last asked for it.
+	firstRequestedMs int64
+	usefulUntilMs    int64
+	lastRequestedMs  int64
 }
 
-// issue is a grant to a ticket.
-type issue struct {
-	program string
-	atMs    int64
-	// taken says that the grant was handed out: only its holder may give it back.
-	taken bool
+// ticketGrant is a grant that was made to a ticket.
+type ticketGrant struct {
+	program   string
+	grantedMs int64
+	// delivered means that the grant has been sent to the gateway, so that only the gateway may
+	// return it.
+	delivered bool
 }
 
-// askWithTicket decides on a request whose gateway can wait.
+// decideWithTicket decides on a request whose gateway can wait.
 //
-// Invariants: the requests that wait are granted in the order in which they were first asked
-// for, and nothing that comes later is granted before them; a new program is not begun while
-// one waits, but for the one that is due; each ticket is granted once.
-func (o *Owner) askWithTicket(tenant *owned, ask Request, nowMs int64) Decision {
-	if known := tenant.issued[ask.Ticket]; known != nil {
-		known.taken = true
-		return tenant.decision(Granted, known.atMs)
+// Invariant: queued requests are granted in the order in which they were first requested, and no
+// later request is granted before them. While a request is queued, no new program is admitted
+// except the one forced start per window. Each ticket is granted once.
+func (o *Owner) decideWithTicket(tenant *tenantQuota, request Request, nowMs int64) Decision {
+	if known := tenant.grantsByTicket[request.Ticket]; known != nil {
+		known.delivered = true
+		return tenant.newDecision(Granted, known.grantedMs)
 	}
-	position := slices.IndexFunc(tenant.queue, func(item *waiter) bool { return item.ask.Ticket == ask.Ticket })
+	position := slices.IndexFunc(tenant.queue, func(item *queuedRequest) bool { return item.request.Ticket == request.Ticket })
 	if position >= 0 {
-		return o.askAgain(tenant, position, ask, nowMs)
+		return o.decideQueued(tenant, position, request, nowMs)
 	}
-	if decision, begins := o.begins(tenant, ask, nowMs); !begins {
+	if decision, admitted := o.admit(tenant, request, nowMs); !admitted {
 		return decision
 	}
-	waiting := &waiter{ask: ask, askedMs: nowMs - ask.WaitedMs, usefulMs: nowMs + ask.MaxWaitMs, heardMs: nowMs}
-	position, _ = slices.BinarySearchFunc(tenant.queue, waiting, func(a, b *waiter) int {
-		// Behind those of the same time.
-		if a.askedMs <= b.askedMs {
+	queued := &queuedRequest{request: request, firstRequestedMs: nowMs - request.WaitedMs, usefulUntilMs: nowMs + request.MaxWaitMs, lastRequestedMs: nowMs}
+	position, _ = slices.BinarySearchFunc(tenant.queue, queued, func(a, b *queuedRequest) int {
+		// Insert after the requests of the same time.
+		if a.firstRequestedMs <= b.firstRequestedMs {
 			return -1
 		}
 		return 1
 	})
-	if position == 0 && tenant.used() < tenant.most() {
-		if len(tenant.available) == 0 {
-			return tenant.decision(ReservationNeeded, 0)
+	if position == 0 && tenant.used() < tenant.allowedInProgress() {
+		if len(tenant.reservations) == 0 {
+			return tenant.newDecision(ReservationNeeded, 0)
 		}
-		o.grantTo(tenant, waiting, nowMs).taken = true
-		return tenant.decision(Granted, nowMs)
+		o.grantTicket(tenant, queued, nowMs).delivered = true
+		return tenant.newDecision(Granted, nowMs)
 	}
-	if decision := tenant.expected(position, waiting, nowMs); decision.Verdict == Denied {
+	if decision := tenant.queuedDecision(position, queued, nowMs); decision.Verdict == Denied {
 		return decision
 	}
-	tenant.queue = slices.Insert(tenant.queue, position, waiting)
-	o.queued[ask.Tenant] = tenant
-	return tenant.expected(position, waiting, nowMs)
+	tenant.queue = slices.Insert(tenant.queue, position, queued)
+	o.tenantsWithQueue[request.Tenant] = tenant
+	return tenant.queuedDecision(position, queued, nowMs)
 }
 
-// askAgain decides on a request that has a place in the queue.
-func (o *Owner) askAgain(tenant *owned, position int, ask Request, nowMs int64) Decision {
-	waiting := tenant.queue[position]
-	waiting.heardMs, waiting.usefulMs = nowMs, nowMs+ask.MaxWaitMs
-	decision := tenant.expected(position, waiting, nowMs)
+// decideQueued decides on a request that is in the queue already.
+func (o *Owner) decideQueued(tenant *tenantQuota, position int, request Request, nowMs int64) Decision {
+	queued := tenant.queue[position]
+	queued.lastRequestedMs, queued.usefulUntilMs = nowMs, nowMs+request.MaxWaitMs
+	decision := tenant.queuedDecision(position, queued, nowMs)
 	if decision.Verdict == Denied {
 		tenant.queue = slices.Delete(tenant.queue, position, position+1)
 	}
 	return decision
 }
 
-// begins reports whether a request is one of a program under way, or of a new one that may
-// begin; else how it is answered.
-func (o *Owner) begins(tenant *owned, ask Request, nowMs int64) (Decision, bool) {
-	if ask.Program == "" {
+// admit reports whether the request may be granted or queued: it belongs to a program in progress
+// or to a new program that may start. Otherwise the returned decision denies it.
+func (o *Owner) admit(tenant *tenantQuota, request Request, nowMs int64) (Decision, bool) {
+	if request.Program == "" {
 		if len(tenant.queue) == 0 && tenant.used() < tenant.allowed() {
 			return Decision{}, true
 		}
-		return tenant.denied(tenant.comeBackMs(tenant.allowed(), nowMs), nowMs), false
+		return tenant.newDenial(tenant.nextRetryAtMs(tenant.allowed(), nowMs), nowMs), false
 	}
-	if ask.ContinuesProgram || tenant.begun.IsInProgress(ask.Program) {
+	if request.ContinuesProgram || tenant.programs.IsInProgress(request.Program) {
 		return Decision{}, true
 	}
 	allowed := tenant.allowed()
-	// What programs under way will ask for may fill what they may use; a new one's own first
-	// request is held to the limit.
-	fit := tenant.begun.DecideAdmission(ask.Kind, nowMs, tenant.most(), o.unheard(tenant, nowMs), tenant.countedAt)
-	// One is due after a window without any, however much those under way ask for.
-	due := nowMs-max(tenant.begun.LastStartMs(), tenant.dueMs) >= o.windowMs
-	if due {
-		tenant.dueMs = nowMs
+	// The forecast requests of programs in progress may use the tolerance. The first request of a
+	// new program must fit the limit itself.
+	admissionDecision := tenant.programs.DecideAdmission(request.Kind, nowMs, tenant.allowedInProgress(), o.unobservedDemand(tenant, nowMs), tenant.countedRequestsAt)
+	// A program may start if none has for a whole window, whatever the demand of the programs in
+	// progress, so that new programs do not starve.
+	forced := nowMs-max(tenant.programs.LastStartMs(), tenant.lastForcedStartMs) >= o.windowMs
+	if forced {
+		tenant.lastForcedStartMs = nowMs
 		return Decision{}, true
 	}
-	if fit.Admitted && len(tenant.queue) == 0 && tenant.used() < allowed {
+	if admissionDecision.Admitted && len(tenant.queue) == 0 && tenant.used() < allowed {
 		return Decision{}, true
 	}
-	decision := tenant.denied(tenant.startAtMs(fit, nowMs), nowMs)
-	decision.ProgramAdmission = &fit
+	decision := tenant.newDenial(tenant.nextNewProgramRetryAtMs(admissionDecision, nowMs), nowMs)
+	decision.ProgramAdmission = &admissionDecision
 	return decision, false
 }
 
-// unheard is the demand within a window of programs that an owner may not have heard of yet:
-// what its predecessors granted in the window before its term, as far as that has not left
-// the window.
-func (o *Owner) unheard(tenant *owned, nowMs int64) float64 {
-	left := float64(o.windowMs-(nowMs-o.beganMs)) / float64(o.windowMs)
-	if left <= 0 {
+// unobservedDemand returns the demand within a window of programs that this owner may not have
+// seen yet. It is estimated by the grants of its predecessors in the window before its term, in
+// proportion to the part of that window that is still current.
+func (o *Owner) unobservedDemand(tenant *tenantQuota, nowMs int64) float64 {
+	remainingFraction := float64(o.windowMs-(nowMs-o.termStartMs)) / float64(o.windowMs)
+	if remainingFraction <= 0 {
 		return 0
 	}
-	return float64(tenant.inherited.sum) * left
+	return float64(tenant.inherited.sum) * remainingFraction
 }
 
-// grantTo grants a request; there must be room and something available.
-func (o *Owner) grantTo(tenant *owned, waiting *waiter, nowMs int64) *issue {
-	ask := waiting.ask
-	tenant.grant(ask.Program, nowMs)
-	issued := &issue{program: ask.Program, atMs: nowMs}
-	tenant.issued[ask.Ticket] = issued
-	if ask.Program != "" {
-		tenant.begun.RecordGrant(ask.Program, ask.Kind, waiting.askedMs, nowMs)
+// grantTicket grants a request. The caller has checked that there are headroom and an open
+// reservation.
+func (o *Owner) grantTicket(tenant *tenantQuota, queued *queuedRequest, nowMs int64) *ticketGrant {
+	request := queued.request
+	tenant.grant(request.Program, nowMs)
+	granted := &ticketGrant{program: request.Program, grantedMs: nowMs}
+	tenant.grantsByTicket[request.Ticket] = granted
+	if request.Program != "" {
+		tenant.programs.RecordGrant(request.Program, request.Kind, queued.firstRequestedMs, nowMs)
 	}
-	return issued
+	return granted
 }
 
-// GrantQueued grants what there is room for to the requests of a tenant that wait, and returns
-// their tickets; short says that more has to be reserved first.
-func (o *Owner) GrantQueued(name string, nowMs int64) (tickets []string, short bool) {
-	tenant := o.queued[name]
+// GrantQueued grants queued requests of a tenant as far as there is headroom, and returns their
+// tickets. reservationNeeded means that another reservation must be committed first.
+func (o *Owner) GrantQueued(name string, nowMs int64) (tickets []string, reservationNeeded bool) {
+	tenant := o.tenantsWithQueue[name]
 	if tenant == nil {
 		return nil, false
 	}
 	tenant.expire(nowMs)
-	tenant.takeBackUnfetched(nowMs)
-	tenant.queue = slices.DeleteFunc(tenant.queue, func(item *waiter) bool {
-		return nowMs-item.heardMs > placeKeptMs || nowMs > item.usefulMs
+	tenant.revokeUndelivered(nowMs)
+	tenant.queue = slices.DeleteFunc(tenant.queue, func(item *queuedRequest) bool {
+		return nowMs-item.lastRequestedMs > queueEntryTimeoutMs || nowMs > item.usefulUntilMs
 	})
-	most := tenant.most()
-	for len(tenant.queue) > 0 && tenant.used() < most {
-		if len(tenant.available) == 0 {
+	allowed := tenant.allowedInProgress()
+	for len(tenant.queue) > 0 && tenant.used() < allowed {
+		if len(tenant.reservations) == 0 {
 			return tickets, true
 		}
-		o.grantTo(tenant, tenant.queue[0], nowMs)
-		ticket := tenant.queue[0].ask.Ticket
+		o.grantTicket(tenant, tenant.queue[0], nowMs)
+		ticket := tenant.queue[0].request.Ticket
 		tickets = append(tickets, ticket)
-		tenant.unfetched = append(tenant.unfetched, ticket)
+		tenant.undelivered = append(tenant.undelivered, ticket)
 		tenant.queue = tenant.queue[1:]
 	}
-	if len(tenant.queue)+len(tenant.unfetched) == 0 {
-		delete(o.queued, name)
+	if len(tenant.queue)+len(tenant.undelivered) == 0 {
+		delete(o.tenantsWithQueue, name)
 	}
 	return tickets, false
 }
 
-// QueuedTenants returns the tenants that Resume is to be called for.
+// QueuedTenants returns the tenants for which GrantQueued must be called.
 func (o *Owner) QueuedTenants() []string {
-	names := make([]string, 0, len(o.queued))
-	for name := range o.queued {
+	names := make([]string, 0, len(o.tenantsWithQueue))
+	for name := range o.tenantsWithQueue {
 		names = append(names, name)
 	}
 	slices.Sort(names)
 	return names
 }
 
-// Cancel takes a ticket out of the queue, or takes its grant back: whoever asked for it says
-// that it does not wait any more and that nothing runs by it.
+// Cancel removes a ticket from the queue or revokes its grant. The gateway cancels a ticket once
+// it no longer waits for it and no request runs under it.
 func (o *Owner) Cancel(name, ticket string) {
 	tenant := o.tenants[name]
 	if tenant == nil {
 		return
 	}
-	tenant.queue = slices.DeleteFunc(tenant.queue, func(item *waiter) bool { return item.ask.Ticket == ticket })
-	if known := tenant.issued[ticket]; known != nil {
-		tenant.giveBack(ticket, known)
+	tenant.queue = slices.DeleteFunc(tenant.queue, func(item *queuedRequest) bool { return item.request.Ticket == ticket })
+	if known := tenant.grantsByTicket[ticket]; known != nil {
+		tenant.revokeGrant(ticket, known)
 	}
 }
 
-// RecordNotRun notes that a granted request of a program was run by no engine.
+// RecordNotRun records that no engine ran a granted request of the program.
 func (o *Owner) RecordNotRun(name, program string) {
 	if tenant := o.tenants[name]; tenant != nil {
-		tenant.begun.UndoGrant(program)
+		tenant.programs.UndoGrant(program)
 	}
 }
 
-// giveBack takes back a grant by which nothing runs.
-func (t *owned) giveBack(ticket string, known *issue) {
-	t.granted.remove(known.atMs)
-	t.begun.UndoGrant(known.program)
-	delete(t.issued, ticket)
+// revokeGrant revokes a grant under which no request runs.
+func (t *tenantQuota) revokeGrant(ticket string, granted *ticketGrant) {
+	t.granted.remove(granted.grantedMs)
+	t.programs.UndoGrant(granted.program)
+	delete(t.grantsByTicket, ticket)
 }
 
-// takeBackUnfetched takes back the grants that nobody has asked for again.
-func (t *owned) takeBackUnfetched(nowMs int64) {
-	t.unfetched = slices.DeleteFunc(t.unfetched, func(ticket string) bool {
-		known := t.issued[ticket]
-		if known == nil || known.taken {
+// revokeUndelivered revokes the grants that no gateway has asked for in time.
+func (t *tenantQuota) revokeUndelivered(nowMs int64) {
+	t.undelivered = slices.DeleteFunc(t.undelivered, func(ticket string) bool {
+		known := t.grantsByTicket[ticket]
+		if known == nil || known.delivered {
 			return true
 		}
-		if nowMs-known.atMs <= placeKeptMs {
+		if nowMs-known.grantedMs <= queueEntryTimeoutMs {
 			return false
 		}
-		t.giveBack(ticket, known)
+		t.revokeGrant(ticket, known)
 		return true
 	})
 }
 
-// sweepTickets forgets old grants.
-func (t *owned) sweepTickets(nowMs int64) {
-	for ticket, known := range t.issued {
-		if nowMs-known.atMs > issueKeptMs {
-			delete(t.issued, ticket)
+// removeOldGrants removes the grants that are past their retention.
+func (t *tenantQuota) removeOldGrants(nowMs int64) {
+	for ticket, known := range t.grantsByTicket {
+		if nowMs-known.grantedMs > ticketGrantRetentionMs {
+			delete(t.grantsByTicket, ticket)
 		}
 	}
 }
 
-// allowed is what the limit allows in a window, most what programs under way may fill it up to.
-func (t *owned) allowed() int64 { return t.limit.AllowedRequests(t.granted.lengthMs) }
+// allowed returns the limit of a window, and allowedInProgress the limit for programs in
+// progress.
+func (t *tenantQuota) allowed() int64 { return t.limit.AllowedRequests(t.granted.lengthMs) }
 
-func (t *owned) most() int64 { return t.allowed() + t.tolerance.beyond(t.allowed()) }
+func (t *tenantQuota) allowedInProgress() int64 {
+	return t.allowed() + t.tolerance.extraRequests(t.allowed())
+}
 
-// expected says when a request at a position in the queue gets its grant, or denies it where
-// that is too late for its caller.
-func (t *owned) expected(position int, waiting *waiter, nowMs int64) Decision {
-	atMs := t.placeAtMs(int64(position), nowMs)
-	if atMs > waiting.usefulMs {
-		return t.denied(atMs, nowMs)
+// queuedDecision returns the expected wait of a request at a position in the queue, or a denial
+// if the grant would come too late for its caller.
+func (t *tenantQuota) queuedDecision(position int, queued *queuedRequest, nowMs int64) Decision {
+	atMs := t.expectedGrantAtMs(int64(position), nowMs)
+	if atMs > queued.usefulUntilMs {
+		return t.newDenial(atMs, nowMs)
 	}
-	decision := t.decision(Waiting, 0)
+	decision := t.newDecision(Waiting, 0)
 	decision.QueuePosition = QueuePosition{Ahead: position, ExpectedWaitMs: atMs - nowMs}
 	return decision
 }
 
-// placeAtMs returns when there is room for a request with so many before it: those that fill
-// the window leave it one after the other, then those that were let in for them.
-func (t *owned) placeAtMs(ahead, nowMs int64) int64 {
-	most := t.most()
-	if most <= 0 {
+// expectedGrantAtMs returns when there will be headroom for a request that has ahead others
+// before it. The requests in the window leave it one after another, followed by the requests
+// granted in their place.
+func (t *tenantQuota) expectedGrantAtMs(ahead, nowMs int64) int64 {
+	allowed := t.allowedInProgress()
+	if allowed <= 0 {
 		return math.MaxInt64
 	}
-	return t.roomAtMs(most-ahead%most, nowMs) + ahead/most*t.granted.lengthMs
+	return t.headroomAtMs(allowed-ahead%allowed, nowMs) + ahead/allowed*t.granted.lengthMs
 }
 
-func (t *owned) decision(verdict Verdict, grantedMs int64) Decision {
+func (t *tenantQuota) newDecision(verdict Verdict, grantedMs int64) Decision {
 	return Decision{Verdict: verdict, GrantedMs: grantedMs, Used: t.used(), Allowed: t.allowed()}
 }
 
-// denied answers a request that is to come back at a time.
-func (t *owned) denied(comeBackMs, nowMs int64) Decision {
-	decision := t.decision(Denied, 0)
-	decision.RetryAfterMs = min(max(comeBackMs-nowMs, leastRetryMs), t.granted.lengthMs)
+// newDenial returns a denial that asks the caller to retry at retryAtMs.
+func (t *tenantQuota) newDenial(retryAtMs, nowMs int64) Decision {
+	decision := t.newDecision(Denied, 0)
+	decision.RetryAfterMs = min(max(retryAtMs-nowMs, minRetryAfterMs), t.granted.lengthMs)
 	return decision
 }
 
-// startAtMs returns when a new program that was denied is to come back: those denied together
-// one after the other, at the rate at which programs find room.
-func (t *owned) startAtMs(fit admission.AdmissionDecision, nowMs int64) int64 {
-	next := max(t.lastStartMs, nowMs) + max(fit.AdmissionIntervalMs, 1)
-	t.lastStartMs = min(next, nowMs+t.granted.lengthMs)
-	return t.lastStartMs
+// nextNewProgramRetryAtMs returns when a denied new program should be retried. Programs denied
+// together retry one after another, at the rate at which programs can be admitted.
+func (t *tenantQuota) nextNewProgramRetryAtMs(decision admission.AdmissionDecision, nowMs int64) int64 {
+	next := max(t.lastNewProgramRetryAtMs, nowMs) + max(decision.AdmissionIntervalMs, 1)
+	t.lastNewProgramRetryAtMs = min(next, nowMs+t.granted.lengthMs)
+	return t.lastNewProgramRetryAtMs
 }
 
-// countedAt returns how many of the requests granted so far will still count at a time.
-func (t *owned) countedAt(atMs int64) int64 {
+// countedRequestsAt returns how many of the requests granted so far still count at atMs.
+func (t *tenantQuota) countedRequestsAt(atMs int64) int64 {
 	count := int64(0)
 	for _, counted := range []*window{&t.granted, &t.inherited} {
-		for _, item := range counted.grains {
-			if counted.leavesMs(item) > atMs {
+		for _, item := range counted.buckets {
+			if counted.bucketExpiryMs(item) > atMs {
 				count += item.count
 			}
 		}
--- a/internal/quota/queue_test.go
+++ b/internal/quota/queue_test.go
@@ -12,57 +12,57 @@
 	"github.com/ochrebay/ochrebay/internal/admission"
 )
 
-// queueWorld plays owners whose askers hold tickets and sees every grant.
-type queueWorld struct {
-	*world
+// queueModel simulates owners whose clients hold tickets, and observes every grant.
+type queueModel struct {
+	*ownersModel
 	tolerance Tolerance
 	tickets   int
-	// asked holds the tickets that wait, as their gateways know them.
-	asked []Request
-	// granted tells when a ticket was granted, over all owners.
-	tokens map[string]int
+	// waiting holds the queued requests as their gateways know them.
+	waiting []Request
+	// grantCounts counts the grants of each ticket over all owners.
+	grantCounts map[string]int
 }
 
-// elect makes a host the leader with the tolerance.
-func (w *queueWorld) elect(host testHost) {
-	w.world.elect(host)
-	newest := w.owners[len(w.owners)-1]
-	newest.owner = NewOwnerWithAdmission(w.state(), host.at(w.trueMs), admission.NewProgramKinds(), w.tolerance)
+// elect makes a host the leader of the next term, with the tolerance.
+func (m *queueModel) elect(host testHost) {
+	m.ownersModel.elect(host)
+	newest := m.owners[len(m.owners)-1]
+	newest.owner = NewOwnerWithAdmission(m.state(), host.localMs(m.trueMs), admission.NewProgramKinds(), m.tolerance)
 }
 
-// allowed is the most that was allowed within the window, tolerance included.
-func (w *queueWorld) allowed() int64 {
-	most := w.world.allowed()
-	return most + w.tolerance.beyond(most)
+// allowed returns the highest limit that applied within the window, tolerance included.
+func (m *queueModel) allowed() int64 {
+	limit := m.ownersModel.allowed()
+	return limit + m.tolerance.extraRequests(limit)
 }
 
-// counts notes a grant to a ticket and checks the window.
-func (w *queueWorld) counts(ticket string) {
-	w.tokens[ticket]++
-	if w.tokens[ticket] > 1 {
+// recordGrant records a grant to a ticket and checks the window.
+func (m *queueModel) recordGrant(ticket string) {
+	m.grantCounts[ticket]++
+	if m.grantCounts[ticket] > 1 {
 		return
 	}
-	w.granted = append(w.granted, w.trueMs)
+	m.granted = append(m.granted, m.trueMs)
 	count := int64(0)
-	for _, at := range slices.Backward(w.granted) {
-		if at <= w.trueMs-testWindowMs {
+	for _, at := range slices.Backward(m.granted) {
+		if at <= m.trueMs-testWindowMs {
 			break
 		}
 		count++
 	}
-	if allowed := w.allowed(); count > allowed {
-		w.t.Fatalf("%d granted in the %d ms before %d, allowed %d", count, testWindowMs, w.trueMs, allowed)
+	if allowed := m.allowed(); count > allowed {
+		m.t.Fatalf("%d requests granted in the %d ms before %d, allowed %d", count, testWindowMs, m.trueMs, allowed)
 	}
 }
 
-// put asks an owner for a ticket.
-func (w *queueWorld) put(owner *testOwner, ask Request) {
-	nowMs := owner.host.at(w.trueMs)
-	w.resume(owner)
-	decision := owner.owner.RequestGrant(ask, nowMs)
+// request requests a grant for a ticket from an owner.
+func (m *queueModel) request(owner *testOwner, request Request) {
+	nowMs := owner.host.localMs(m.trueMs)
+	m.grantQueued(owner)
+	decision := owner.owner.RequestGrant(request, nowMs)
 	switch decision.Verdict {
 	case Granted:
-		w.counts(ask.Ticket)
+		m.recordGrant(request.Ticket)
 	case ReservationNeeded:
 		if owner.pending == nil {
 			reservation := owner.owner.NextReservation("t", 1, nowMs)
@@ -70,185 +70,186 @@
 			owner.pending = &reservation
 		}
 	case Waiting:
-		w.asked = append(w.asked, ask)
+		m.waiting = append(m.waiting, request)
 	case Denied:
 		if decision.RetryAfterMs <= 0 {
-			w.t.Fatalf("denied and told to come back after %d ms", decision.RetryAfterMs)
+			m.t.Fatalf("denied with a retry time of %d ms, want more than 0", decision.RetryAfterMs)
 		}
 	}
 }
 
-func (w *queueWorld) resume(owner *testOwner) {
-	nowMs := owner.host.at(w.trueMs)
-	tickets, short := owner.owner.GrantQueued("t", nowMs)
+func (m *queueModel) grantQueued(owner *testOwner) {
+	nowMs := owner.host.localMs(m.trueMs)
+	tickets, reservationNeeded := owner.owner.GrantQueued("t", nowMs)
 	for _, ticket := range tickets {
-		w.counts(ticket)
+		m.recordGrant(ticket)
 	}
-	if short && owner.pending == nil {
+	if reservationNeeded && owner.pending == nil {
 		reservation := owner.owner.NextReservation("t", 0, nowMs)
 		reservation.Term = owner.term
 		owner.pending = &reservation
 	}
 }
 
-// TestLimitHoldsWithQueuesProperty holds that no window of true time sees more grants than the
-// limit with its tolerance, with requests that wait, ask again of other leaders, are cancelled
-// and given back, whatever becomes of leaders and limits.
+// TestLimitHoldsWithQueuesProperty checks that the grants in any window of true time stay within
+// the limit and its tolerance, while requests wait, ask again at other leaders and are cancelled,
+// and leaders and limits change.
 func TestLimitHoldsWithQueuesProperty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &queueWorld{tokens: map[string]int{}, world: &world{t: t, limit: Limit{
+		m := &queueModel{grantCounts: map[string]int{}, ownersModel: &ownersModel{t: t, limit: Limit{
 			Generation: 1, RatePerSecond: float64(rapid.IntRange(1, 40).Draw(t, "rate")), Burst: float64(rapid.IntRange(0, 20).Draw(t, "burst")),
 		}}}
 		if rapid.Bool().Draw(t, "tolerant") {
-			w.tolerance = Tolerance{Overage: 0.1, Slack: 20}
+			m.tolerance = Tolerance{Overage: 0.1, Slack: 20}
 		}
 		for range testHosts {
-			w.hosts = append(w.hosts, testHost{
+			m.hosts = append(m.hosts, testHost{
 				offsetMs: rapid.Int64Range(0, 7_200_000).Draw(t, "offset"), driftPerMille: rapid.Float64Range(-1, 1).Draw(t, "drift"),
 			})
 		}
-		w.elect(w.hosts[0])
+		m.elect(m.hosts[0])
 		for range rapid.IntRange(50, 400).Draw(t, "steps") {
-			owner := w.owners[len(w.owners)-1-rapid.IntRange(0, min(2, len(w.owners)-1)).Draw(t, "owner")]
-			switch rapid.SampledFrom([]string{"ask", "ask", "ask", "again", "again", "resume", "commit", "commit", "wait", "wait", "pause", "cancel", "elect", "limit"}).Draw(t, "step") {
-			case "ask":
+			owner := m.owners[len(m.owners)-1-rapid.IntRange(0, min(2, len(m.owners)-1)).Draw(t, "owner")]
+			switch rapid.SampledFrom([]string{"request", "request", "request", "repeat", "repeat", "grant queued", "commit", "commit", "wait", "wait", "pause", "cancel", "elect", "limit"}).Draw(t, "step") {
+			case "request":
 				for range rapid.IntRange(1, 30).Draw(t, "times") {
-					w.tickets++
-					w.put(owner, Request{
-						Tenant: "t", Limit: w.limit, Program: fmt.Sprint(rapid.IntRange(0, 9).Draw(t, "program")), Kind: "k",
-						Ticket: fmt.Sprint(w.tickets), ContinuesProgram: rapid.Bool().Draw(t, "continues"), MaxWaitMs: rapid.Int64Range(0, 3000).Draw(t, "wait"),
+					m.tickets++
+					m.request(owner, Request{
+						Tenant: "t", Limit: m.limit, Program: fmt.Sprint(rapid.IntRange(0, 9).Draw(t, "program")), Kind: "k",
+						Ticket: fmt.Sprint(m.tickets), ContinuesProgram: rapid.Bool().Draw(t, "continues"), MaxWaitMs: rapid.Int64Range(0, 3000).Draw(t, "wait"),
 					})
 				}
-			case "again":
-				waiting := w.asked
-				w.asked = nil
-				for _, ask := range waiting {
-					if w.tokens[ask.Ticket] == 0 {
-						w.put(owner, ask)
+			case "repeat":
+				waiting := m.waiting
+				m.waiting = nil
+				for _, request := range waiting {
+					if m.grantCounts[request.Ticket] == 0 {
+						m.request(owner, request)
 					}
 				}
-			case "resume":
-				w.resume(owner)
+			case "grant queued":
+				m.grantQueued(owner)
 			case "commit":
-				w.commit()
+				m.commit()
 			case "wait":
-				w.trueMs += rapid.Int64Range(1, 700).Draw(t, "ms")
+				m.trueMs += rapid.Int64Range(1, 700).Draw(t, "ms")
 			case "pause":
-				w.trueMs += rapid.Int64Range(1000, 6000).Draw(t, "ms")
+				m.trueMs += rapid.Int64Range(1000, 6000).Draw(t, "ms")
 			case "cancel":
-				if len(w.asked) > 0 {
-					// Only what was never granted may be cancelled without a trace.
-					if ticket := w.asked[0].Ticket; w.tokens[ticket] == 0 {
+				if len(m.waiting) > 0 {
+					// Cancelling a granted ticket revokes a grant that the model has counted
+					// already, so only tickets without a grant are cancelled here.
+					if ticket := m.waiting[0].Ticket; m.grantCounts[ticket] == 0 {
 						owner.owner.Cancel("t", ticket)
-						w.asked = w.asked[1:]
+						m.waiting = m.waiting[1:]
 					}
 				}
 			case "elect":
-				w.elect(w.hosts[rapid.IntRange(0, testHosts-1).Draw(t, "host")])
+				m.elect(m.hosts[rapid.IntRange(0, testHosts-1).Draw(t, "host")])
 			case "limit":
-				w.highest = append(w.highest, changedLimit{w.trueMs, w.limit.AllowedRequests(testWindowMs)})
-				w.limit = Limit{Generation: w.limit.Generation + 1, RatePerSecond: float64(rapid.IntRange(1, 40).Draw(t, "rate"))}
+				m.previousLimits = append(m.previousLimits, changedLimit{m.trueMs, m.limit.AllowedRequests(testWindowMs)})
+				m.limit = Limit{Generation: m.limit.Generation + 1, RatePerSecond: float64(rapid.IntRange(1, 40).Draw(t, "rate"))}
 			}
 		}
 	})
 }
 
-// TestQueueOrderProperty holds, while one owner leads, that requests which wait are granted in
-// the order in which they were first asked for, that each is granted by the time it was told
-// when it keeps asking, and that no new program begins while one waits, but one a window.
+// TestQueueOrderProperty checks under a single owner that queued requests are granted in the
+// order in which they were first requested, that each is granted by its expected time if it keeps
+// asking, and that while a request is queued at most one new program starts per window.
 func TestQueueOrderProperty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := Limit{Generation: 1, RatePerSecond: float64(rapid.IntRange(1, 20).Draw(t, "rate"))}
 		owner := NewOwner(NewState(testWindowMs), 0)
-		nowMs, tickets, begunMs := int64(10), 0, int64(0)
-		type place struct{ askedMs, byMs int64 }
-		waiting := map[string]place{}
+		nowMs, tickets, lastStartMs := int64(10), 0, int64(0)
+		type expectedGrant struct{ requestedMs, latestMs int64 }
+		waiting := map[string]expectedGrant{}
 		var order []string
-		granted := func(ticket string) {
-			known, waited := waiting[ticket]
+		checkGrant := func(ticket string) {
+			expected, waited := waiting[ticket]
 			if !waited {
 				return
 			}
 			if order[0] != ticket {
-				t.Fatalf("%s granted at %d before %s", ticket, nowMs, order[0])
+				t.Fatalf("ticket %s granted at %d before ticket %s", ticket, nowMs, order[0])
 			}
-			// One grain of the window and one step between two looks.
-			if nowMs > known.byMs+100 {
-				t.Fatalf("%s granted at %d, expected by %d", ticket, nowMs, known.byMs)
+			// The margin covers one bucket of the window and one step of the test.
+			if nowMs > expected.latestMs+100 {
+				t.Fatalf("ticket %s granted at %d, want by %d", ticket, nowMs, expected.latestMs)
 			}
 			order = order[1:]
 			delete(waiting, ticket)
 		}
-		resume := func() {
-			got, short := owner.GrantQueued("t", nowMs)
-			for _, ticket := range got {
-				granted(ticket)
+		grantQueued := func() {
+			grantedTickets, reservationNeeded := owner.GrantQueued("t", nowMs)
+			for _, ticket := range grantedTickets {
+				checkGrant(ticket)
 			}
-			if short {
+			if reservationNeeded {
 				owner.AddReservation(owner.NextReservation("t", 0, nowMs))
-				got, _ = owner.GrantQueued("t", nowMs)
-				for _, ticket := range got {
-					granted(ticket)
+				grantedTickets, _ = owner.GrantQueued("t", nowMs)
+				for _, ticket := range grantedTickets {
+					checkGrant(ticket)
 				}
 			}
 		}
-		put := func(ask Request) Decision {
-			decision := owner.RequestGrant(ask, nowMs)
+		requestGrant := func(request Request) Decision {
+			decision := owner.RequestGrant(request, nowMs)
 			if decision.Verdict == ReservationNeeded {
 				owner.AddReservation(owner.NextReservation("t", 1, nowMs))
-				decision = owner.RequestGrant(ask, nowMs)
+				decision = owner.RequestGrant(request, nowMs)
 			}
 			return decision
 		}
 		for range rapid.IntRange(20, 200).Draw(t, "steps") {
 			nowMs += rapid.Int64Range(0, 60).Draw(t, "ms")
-			resume()
+			grantQueued()
 			for _, ticket := range order {
-				decision := put(Request{Tenant: "t", Limit: limit, Program: "old", ContinuesProgram: true, Ticket: ticket, MaxWaitMs: 20_000})
+				decision := requestGrant(Request{Tenant: "t", Limit: limit, Program: "old", ContinuesProgram: true, Ticket: ticket, MaxWaitMs: 20_000})
 				if decision.Verdict != Waiting {
-					t.Fatalf("%s: %v with a place in the queue", ticket, decision.Verdict)
+					t.Fatalf("ticket %s: verdict %v, want waiting for a queued request", ticket, decision.Verdict)
 				}
 			}
 			for range rapid.IntRange(0, 6).Draw(t, "times") {
 				tickets++
-				ask := Request{Tenant: "t", Limit: limit, Program: "old", Kind: "k", ContinuesProgram: true, Ticket: fmt.Sprint(tickets), MaxWaitMs: 20_000}
+				request := Request{Tenant: "t", Limit: limit, Program: "old", Kind: "k", ContinuesProgram: true, Ticket: fmt.Sprint(tickets), MaxWaitMs: 20_000}
 				if rapid.Bool().Draw(t, "new") {
-					ask.Program, ask.ContinuesProgram = "new"+ask.Ticket, false
+					request.Program, request.ContinuesProgram = "new"+request.Ticket, false
 				}
-				decision := put(ask)
+				decision := requestGrant(request)
 				if decision.Verdict == Denied {
 					continue
 				}
-				if !ask.ContinuesProgram {
-					if len(order) > 0 && begunMs > 0 && nowMs-begunMs < testWindowMs {
-						t.Fatalf("%s begins while %d wait, %d ms after the last", ask.Program, len(order), nowMs-begunMs)
+				if !request.ContinuesProgram {
+					if len(order) > 0 && lastStartMs > 0 && nowMs-lastStartMs < testWindowMs {
+						t.Fatalf("%s starts while %d requests wait, %d ms after the last start", request.Program, len(order), nowMs-lastStartMs)
 					}
 				}
 				if decision.Verdict == Granted {
 					if len(order) > 0 {
-						t.Fatalf("%s granted at once while %d wait", ask.Ticket, len(order))
+						t.Fatalf("ticket %s granted at once while %d requests wait", request.Ticket, len(order))
 					}
-					if !ask.ContinuesProgram {
-						begunMs = nowMs
+					if !request.ContinuesProgram {
+						lastStartMs = nowMs
 					}
 					continue
 				}
-				waiting[ask.Ticket] = place{nowMs, nowMs + decision.QueuePosition.ExpectedWaitMs}
-				order = append(order, ask.Ticket)
+				waiting[request.Ticket] = expectedGrant{nowMs, nowMs + decision.QueuePosition.ExpectedWaitMs}
+				order = append(order, request.Ticket)
 			}
 		}
 	})
 }
 
-// TestNoStarvationProperty holds that a new program begins at least once in two windows and the
-// time that a place in the queue takes, however much programs under way ask for.
+// TestNoStarvationProperty checks that a new program starts at least once in two windows plus the
+// wait of a queued request, whatever the demand of the programs in progress.
 func TestNoStarvationProperty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := Limit{Generation: 1, RatePerSecond: float64(rapid.IntRange(1, 20).Draw(t, "rate"))}
 		owner := NewOwner(NewState(testWindowMs), 0)
-		loops := rapid.IntRange(1, 5).Draw(t, "loops")
-		lastMs, tickets, held := int64(0), 0, map[string]bool{}
-		ask := func(program string, continues bool, nowMs int64) {
+		continuingRequests := rapid.IntRange(1, 5).Draw(t, "loops")
+		lastStartMs, tickets, queued := int64(0), 0, map[string]bool{}
+		sendRequest := func(program string, continues bool, nowMs int64) {
 			tickets++
 			request := Request{Tenant: "t", Limit: limit, Program: program, Kind: "k", ContinuesProgram: continues, Ticket: fmt.Sprint(tickets), MaxWaitMs: 60_000}
 			decision := owner.RequestGrant(request, nowMs)
@@ -257,93 +258,93 @@
 				decision = owner.RequestGrant(request, nowMs)
 			}
 			if !continues && decision.Verdict != Denied {
-				lastMs = nowMs + decision.QueuePosition.ExpectedWaitMs
+				lastStartMs = nowMs + decision.QueuePosition.ExpectedWaitMs
 			}
 			if decision.Verdict == Waiting {
-				held[request.Ticket] = true
+				queued[request.Ticket] = true
 			}
 		}
 		for nowMs := int64(1); nowMs < 30_000; nowMs += 200 {
 			for {
-				got, short := owner.GrantQueued("t", nowMs)
-				for _, ticket := range got {
-					delete(held, ticket)
+				grantedTickets, reservationNeeded := owner.GrantQueued("t", nowMs)
+				for _, ticket := range grantedTickets {
+					delete(queued, ticket)
 				}
-				if !short {
+				if !reservationNeeded {
 					break
 				}
 				owner.AddReservation(owner.NextReservation("t", 0, nowMs))
 			}
 			if nowMs%400 == 1 {
-				for _, ticket := range slices.Sorted(maps.Keys(held)) {
+				for _, ticket := range slices.Sorted(maps.Keys(queued)) {
 					owner.RequestGrant(Request{Tenant: "t", Limit: limit, Program: "loop", ContinuesProgram: true, Ticket: ticket, MaxWaitMs: 60_000}, nowMs)
 				}
 			}
-			for range loops {
-				if len(held) < 20 {
-					ask("loop", true, nowMs)
+			for range continuingRequests {
+				if len(queued) < 20 {
+					sendRequest("loop", true, nowMs)
 				}
 			}
-			ask(fmt.Sprint("new", nowMs), false, nowMs)
-			if nowMs-lastMs > 2*testWindowMs {
-				t.Fatalf("no new program from %d to %d ms", lastMs, nowMs)
+			sendRequest(fmt.Sprint("new", nowMs), false, nowMs)
+			if nowMs-lastStartMs > 2*testWindowMs {
+				t.Fatalf("no new program started from %d to %d ms", lastStartMs, nowMs)
 			}
 		}
 	})
 }
 
-// TestWithinTheLimitProperty holds that programs of a known kind, of a tenant that alone would
-// ask for less than nine tenths of its limit in any window, are neither denied nor made to wait.
+// TestWithinTheLimitProperty checks that programs of a known kind are neither denied nor queued
+// if their tenant's demand stays below nine tenths of its limit in any window.
 func TestWithinTheLimitProperty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		requests, gapMs := rapid.IntRange(2, 20).Draw(t, "requests"), rapid.Int64Range(50, 400).Draw(t, "gap")
 		owner := NewOwner(NewState(testWindowMs), 0)
 		nowMs, tickets := int64(1), 0
-		play := func(name string, limit Limit, everyMs int64, programs int) {
-			type coming struct {
-				program string
-				atMs    int64
-				left    int
+		runPrograms := func(name string, limit Limit, everyMs int64, programs int) {
+			type pendingProgram struct {
+				program      string
+				atMs         int64
+				requestsLeft int
 			}
-			var all []coming
+			var pending []pendingProgram
 			for number := range programs {
-				all = append(all, coming{fmt.Sprint(name, number), nowMs + int64(number)*everyMs, requests})
+				pending = append(pending, pendingProgram{fmt.Sprint(name, number), nowMs + int64(number)*everyMs, requests})
 			}
-			for len(all) > 0 {
-				slices.SortStableFunc(all, func(a, b coming) int { return int(a.atMs - b.atMs) })
-				next := all[0]
+			for len(pending) > 0 {
+				slices.SortStableFunc(pending, func(a, b pendingProgram) int { return int(a.atMs - b.atMs) })
+				next := pending[0]
 				nowMs = max(nowMs, next.atMs)
 				tickets++
-				ask := Request{
-					Tenant: name, Limit: limit, Program: next.program, Kind: "k", Ticket: fmt.Sprint(tickets), MaxWaitMs: 3000, ContinuesProgram: next.left < requests,
+				request := Request{
+					Tenant: name, Limit: limit, Program: next.program, Kind: "k", Ticket: fmt.Sprint(tickets), MaxWaitMs: 3000, ContinuesProgram: next.requestsLeft < requests,
 				}
-				decision := owner.RequestGrant(ask, nowMs)
+				decision := owner.RequestGrant(request, nowMs)
 				if decision.Verdict == ReservationNeeded {
 					owner.AddReservation(owner.NextReservation(name, 1, nowMs))
-					decision = owner.RequestGrant(ask, nowMs)
+					decision = owner.RequestGrant(request, nowMs)
 				}
 				if decision.Verdict != Granted {
-					t.Fatalf("%s: %v at %d of %d, %+v", next.program, decision.Verdict, decision.Used, decision.Allowed, decision.ProgramAdmission)
+					t.Fatalf("%s: verdict %v at %d of %d requests, admission %+v", next.program, decision.Verdict, decision.Used, decision.Allowed, decision.ProgramAdmission)
 				}
-				all[0].left--
-				all[0].atMs += gapMs
-				if all[0].left == 0 {
-					all = all[1:]
+				pending[0].requestsLeft--
+				pending[0].atMs += gapMs
+				if pending[0].requestsLeft == 0 {
+					pending = pending[1:]
 				}
 			}
 		}
-		play("teacher", Limit{Generation: 1, RatePerSecond: 1e6}, gapMs, 120)
+		runPrograms("training", Limit{Generation: 1, RatePerSecond: 1e6}, gapMs, 120)
 		nowMs += 60_000
 		everyMs := rapid.Int64Range(100, 2000).Draw(t, "every")
-		// What begins at regular intervals asks for this much in a window at the most.
+		// This is the maximum demand within a window of programs that start at regular intervals.
 		perWindow := float64(requests) * (float64(testWindowMs)/float64(everyMs) + 1)
-		play("t", Limit{Generation: 1, RatePerSecond: perWindow / 0.9 / testWindowMs * 1000}, everyMs, 60)
+		runPrograms("t", Limit{Generation: 1, RatePerSecond: perWindow / 0.9 / testWindowMs * 1000}, everyMs, 60)
 	})
 }
 
 func TestQueue(t *testing.T) {
 	limit := Limit{Generation: 1, RatePerSecond: 2}
-	filled := func() *Owner {
+	ownerAtLimit := func() *Owner {
 		owner := NewOwner(NewState(testWindowMs), 0)
 		owner.RequestGrant(Request{Tenant: "t", Limit: limit}, 0)
 		owner.AddReservation(Reservation{Tenant: "t", Count: 100, Limit: limit, NowMs: 0})
@@ -352,30 +353,30 @@
 		}
 		return owner
 	}
-	ask := func(ticket string, waitMs, waitedMs int64) Request {
+	newRequest := func(ticket string, waitMs, waitedMs int64) Request {
 		return Request{Tenant: "t", Limit: limit, Program: "p", ContinuesProgram: true, Ticket: ticket, MaxWaitMs: waitMs, WaitedMs: waitedMs}
 	}
-	Convey("a request for which there will be room too late is denied at once", t, func() {
-		owner := filled()
-		So(owner.RequestGrant(ask("a", 3000, 0), 50).Verdict, ShouldEqual, Denied)
-		So(owner.RequestGrant(ask("b", 6000, 0), 50).Verdict, ShouldEqual, Waiting)
+	Convey("a request whose headroom would come too late is denied at once", t, func() {
+		owner := ownerAtLimit()
+		So(owner.RequestGrant(newRequest("a", 3000, 0), 50).Verdict, ShouldEqual, Denied)
+		So(owner.RequestGrant(newRequest("b", 6000, 0), 50).Verdict, ShouldEqual, Waiting)
 	})
-	Convey("a question whose answer was lost gets the same grant again", t, func() {
-		owner := filled()
-		again := owner.RequestGrant(ask("first3", 0, 0), 400)
+	Convey("a repeated request whose first answer was lost gets the same grant", t, func() {
+		owner := ownerAtLimit()
+		again := owner.RequestGrant(newRequest("first3", 0, 0), 400)
 		So(again.Verdict, ShouldEqual, Granted)
 		So(again.GrantedMs, ShouldEqual, 0)
 	})
-	Convey("an owner that is new keeps the order by how long each has waited", t, func() {
-		owner := filled()
-		owner.RequestGrant(ask("young", 20_000, 100), 200)
-		owner.RequestGrant(ask("old", 20_000, 900), 200)
-		So(owner.tenants["t"].queue[0].ask.Ticket, ShouldEqual, "old")
+	Convey("a new owner orders queued requests by how long they have waited", t, func() {
+		owner := ownerAtLimit()
+		owner.RequestGrant(newRequest("young", 20_000, 100), 200)
+		owner.RequestGrant(newRequest("old", 20_000, 900), 200)
+		So(owner.tenants["t"].queue[0].request.Ticket, ShouldEqual, "old")
 	})
-	Convey("a cancelled wait and a cancelled grant give their place back", t, func() {
-		owner := filled()
-		owner.RequestGrant(ask("a", 20_000, 0), 50)
-		owner.RequestGrant(ask("b", 20_000, 0), 50)
+	Convey("a cancelled queued request and a cancelled grant free their capacity once", t, func() {
+		owner := ownerAtLimit()
+		owner.RequestGrant(newRequest("a", 20_000, 0), 50)
+		owner.RequestGrant(newRequest("b", 20_000, 0), 50)
 		owner.Cancel("t", "a")
 		So(owner.tenants["t"].queue, ShouldHaveLength, 1)
 		owner.Cancel("t", "first0")
@@ -384,50 +385,50 @@
 		So(tickets, ShouldResemble, []string{"b"})
 		So(owner.tenants["t"].used(), ShouldEqual, 10)
 	})
-	Convey("a place is lost when its gateway is not heard, and a grant that nobody fetches is taken back", t, func() {
-		owner := filled()
-		owner.RequestGrant(ask("gone", 20_000, 0), 50)
-		owner.GrantQueued("t", 50+placeKeptMs+1)
+	Convey("a queued request expires if its gateway stops asking, and a grant that no gateway fetches is revoked", t, func() {
+		owner := ownerAtLimit()
+		owner.RequestGrant(newRequest("gone", 20_000, 0), 50)
+		owner.GrantQueued("t", 50+queueEntryTimeoutMs+1)
 		So(owner.tenants["t"].queue, ShouldBeEmpty)
-		owner = filled()
-		owner.RequestGrant(ask("gone", 20_000, 0), 50)
+		owner = ownerAtLimit()
+		owner.RequestGrant(newRequest("gone", 20_000, 0), 50)
 		owner.Cancel("t", "first0")
 		tickets, _ := owner.GrantQueued("t", 100)
 		So(tickets, ShouldResemble, []string{"gone"})
-		owner.GrantQueued("t", 100+placeKeptMs+1)
+		owner.GrantQueued("t", 100+queueEntryTimeoutMs+1)
 		So(owner.tenants["t"].used(), ShouldEqual, 9)
 	})
-	Convey("with a lower limit those who wait are told when their time has become too late", t, func() {
-		owner := filled()
-		So(owner.RequestGrant(ask("a", 5500, 0), 50).Verdict, ShouldEqual, Waiting)
-		lower := ask("a", 5300, 250)
+	Convey("a queued request is denied once a lower limit makes its grant too late", t, func() {
+		owner := ownerAtLimit()
+		So(owner.RequestGrant(newRequest("a", 5500, 0), 50).Verdict, ShouldEqual, Waiting)
+		lower := newRequest("a", 5300, 250)
 		lower.Limit = Limit{Generation: 2, RatePerSecond: 0.1}
 		So(owner.RequestGrant(lower, 300).Verdict, ShouldEqual, Denied)
 		So(owner.tenants["t"].queue, ShouldBeEmpty)
 	})
-	Convey("only programs under way use the tolerance", t, func() {
+	Convey("only programs in progress use the tolerance", t, func() {
 		owner := NewOwnerWithAdmission(NewState(testWindowMs), 0, admission.NewProgramKinds(), Tolerance{Overage: 0.2, Slack: 4})
 		owner.RequestGrant(Request{Tenant: "t", Limit: limit}, 0)
 		owner.AddReservation(Reservation{Tenant: "t", Count: 100, Limit: limit, NowMs: 0})
 		granted := 0
 		for number := range 20 {
-			if owner.RequestGrant(ask(fmt.Sprint(number), 0, 0), 0).Verdict == Granted {
+			if owner.RequestGrant(newRequest(fmt.Sprint(number), 0, 0), 0).Verdict == Granted {
 				granted++
 			}
 		}
 		So(granted, ShouldEqual, 13)
-		fresh := Request{Tenant: "t", Limit: limit, Program: "new", Kind: "k", Ticket: "n", MaxWaitMs: 3000}
+		newProgramRequest := Request{Tenant: "t", Limit: limit, Program: "new", Kind: "k", Ticket: "n", MaxWaitMs: 3000}
 		owner.tenants["t"].granted.remove(0)
-		So(owner.RequestGrant(fresh, 100).Verdict, ShouldEqual, Denied)
+		So(owner.RequestGrant(newProgramRequest, 100).Verdict, ShouldEqual, Denied)
 	})
-	Convey("a program of which nothing ran has not begun", t, func() {
+	Convey("a program of which no request ran is not in progress", t, func() {
 		owner := NewOwner(NewState(testWindowMs), 0)
 		owner.RequestGrant(Request{Tenant: "t", Limit: limit}, 0)
 		owner.AddReservation(Reservation{Tenant: "t", Count: 100, Limit: limit, NowMs: 0})
 		So(owner.RequestGrant(Request{Tenant: "t", Limit: limit, Program: "new", Kind: "k", Ticket: "n"}, 10).Verdict, ShouldEqual, Granted)
-		So(owner.tenants["t"].begun.IsInProgress("new"), ShouldBeTrue)
+		So(owner.tenants["t"].programs.IsInProgress("new"), ShouldBeTrue)
 		owner.ReturnGrant("t", 10)
 		owner.RecordNotRun("t", "new")
-		So(owner.tenants["t"].begun.IsInProgress("new"), ShouldBeFalse)
+		So(owner.tenants["t"].programs.IsInProgress("new"), ShouldBeFalse)
 	})
 }
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -14,185 +14,187 @@
 	testHosts    = 3
 )
 
-// testHost is a machine that may lead the group; its clock runs at its own rate.
+// testHost is a machine that may lead the group. Its clock runs at its own rate.
 type testHost struct {
 	offsetMs int64
-	// driftPerMille is how much faster than true time the clock runs, thousandths.
+	// driftPerMille is how much faster than true time the clock runs, in thousandths.
 	driftPerMille float64
 }
 
-func (h testHost) at(trueMs int64) int64 {
+func (h testHost) localMs(trueMs int64) int64 {
 	return h.offsetMs + trueMs + int64(float64(trueMs)*h.driftPerMille/1000)
 }
 
-// testOwner leads or has led the group in a term.
+// testOwner is an owner that leads or has led the group in a term.
 type testOwner struct {
 	host  testHost
 	term  uint64
 	owner *Owner
-	// pending was proposed and is neither committed nor lost.
+	// pending is a reservation that was proposed and is neither committed nor lost.
 	pending *Reservation
 }
 
-// world plays a group's owners against one who sees every grant.
-type world struct {
+// ownersModel simulates the owners of a group and observes every grant.
+type ownersModel struct {
 	t      *rapid.T
 	trueMs int64
 	hosts  []testHost
 	log    []Reservation
-	// owners are those that may still act, the newest last.
+	// owners holds the owners that may still grant requests, newest last.
 	owners  []*testOwner
 	granted []int64
 	limit   Limit
-	// highest holds, for each time a limit changed, what it allowed before.
-	highest []changedLimit
+	// previousLimits holds the earlier limits with the times at which they were replaced.
+	previousLimits []changedLimit
 }
 
 type changedLimit struct{ atMs, allowed int64 }
 
-func (w *world) state() *State {
+func (m *ownersModel) state() *State {
 	state := NewState(testWindowMs)
-	for _, reservation := range w.log {
+	for _, reservation := range m.log {
 		state.Apply(reservation)
 	}
 	return state
 }
 
-// elect makes a host the leader of the next term; it holds what is committed.
-func (w *world) elect(host testHost) {
-	state := w.state()
-	if len(w.log) > 0 && rapid.Bool().Draw(w.t, "from a snapshot") {
+// elect makes a host the leader of the next term. Its state holds all committed reservations.
+func (m *ownersModel) elect(host testHost) {
+	state := m.state()
+	if len(m.log) > 0 && rapid.Bool().Draw(m.t, "from a snapshot") {
 		raw, err := state.Snapshot()
 		if err != nil {
-			w.t.Fatal(err)
+			m.t.Fatal(err)
 		}
 		state = NewState(testWindowMs)
 		if err := state.Restore(raw); err != nil {
-			w.t.Fatal(err)
+			m.t.Fatal(err)
 		}
 	}
 	term := uint64(1)
-	if len(w.owners) > 0 {
-		term = w.owners[len(w.owners)-1].term + 1
+	if len(m.owners) > 0 {
+		term = m.owners[len(m.owners)-1].term + 1
 	}
-	for _, earlier := range w.owners {
+	for _, earlier := range m.owners {
 		earlier.pending = nil
 	}
-	w.owners = append(w.owners, &testOwner{host: host, term: term, owner: NewOwner(state, host.at(w.trueMs))})
+	m.owners = append(m.owners, &testOwner{host: host, term: term, owner: NewOwner(state, host.localMs(m.trueMs))})
 }
 
-// ask has an owner decide and checks what was granted against the limit.
-func (w *world) ask(owner *testOwner, limit Limit, program string) Decision {
-	nowMs := owner.host.at(w.trueMs)
+// request requests a grant from an owner and checks the grants against the limit.
+func (m *ownersModel) request(owner *testOwner, limit Limit, program string) Decision {
+	nowMs := owner.host.localMs(m.trueMs)
 	decision := owner.owner.RequestGrant(Request{Tenant: "t", Limit: limit, Program: program}, nowMs)
 	switch {
 	case decision.Verdict == Granted:
-		w.granted = append(w.granted, w.trueMs)
-		w.check()
+		m.granted = append(m.granted, m.trueMs)
+		m.check()
 	case decision.Verdict == ReservationNeeded && owner.pending == nil:
-		reservation := owner.owner.NextReservation("t", rapid.IntRange(1, 5).Draw(w.t, "waiting"), nowMs)
+		reservation := owner.owner.NextReservation("t", rapid.IntRange(1, 5).Draw(m.t, "waiting"), nowMs)
 		reservation.Term = owner.term
 		owner.pending = &reservation
 	case decision.Verdict == Denied && decision.RetryAfterMs <= 0:
-		w.t.Fatalf("denied and told to come back after %d ms", decision.RetryAfterMs)
+		m.t.Fatalf("denied with a retry time of %d ms, want more than 0", decision.RetryAfterMs)
 	}
 	return decision
 }
 
-// commit commits what the newest owner has proposed; only the leader of the newest term can.
-func (w *world) commit() {
-	owner := w.owners[len(w.owners)-1]
+// commit commits the pending reservation of the newest owner. Only the leader of the newest term
+// can commit.
+func (m *ownersModel) commit() {
+	owner := m.owners[len(m.owners)-1]
 	if owner.pending == nil {
 		return
 	}
-	w.log = append(w.log, *owner.pending)
+	m.log = append(m.log, *owner.pending)
 	owner.owner.AddReservation(*owner.pending)
 	owner.pending = nil
 }
 
-// allowed is the most that was allowed at any time within the window.
-func (w *world) allowed() int64 {
-	most := w.limit.AllowedRequests(testWindowMs)
-	for _, changed := range w.highest {
-		// An owner that is cut off holds its limit until its reservations end.
-		if changed.atMs > w.trueMs-testWindowMs-2*ReservationLifetimeMs {
-			most = max(most, changed.allowed)
+// allowed returns the highest limit that applied at any time within the window.
+func (m *ownersModel) allowed() int64 {
+	maxRequests := m.limit.AllowedRequests(testWindowMs)
+	for _, changed := range m.previousLimits {
+		// An owner that is cut off keeps its limit until its reservations expire.
+		if changed.atMs > m.trueMs-testWindowMs-2*ReservationLifetimeMs {
+			maxRequests = max(maxRequests, changed.allowed)
 		}
 	}
-	return most
+	return maxRequests
 }
 
-func (w *world) check() {
+func (m *ownersModel) check() {
 	count := int64(0)
-	for _, at := range slices.Backward(w.granted) {
-		if at <= w.trueMs-testWindowMs {
+	for _, at := range slices.Backward(m.granted) {
+		if at <= m.trueMs-testWindowMs {
 			break
 		}
 		count++
 	}
-	if allowed := w.allowed(); count > allowed {
-		w.t.Fatalf("%d granted in the %d ms before %d, allowed %d; log %+v", count, testWindowMs, w.trueMs, allowed, w.log)
+	if allowed := m.allowed(); count > allowed {
+		m.t.Fatalf("%d requests granted in the %d ms before %d, allowed %d; log %+v", count, testWindowMs, m.trueMs, allowed, m.log)
 	}
 }
 
-// TestLimitHoldsProperty holds that no window of true time sees more grants than the limit,
-// whatever becomes of leaders: cut off and still granting, paused, replaced by hosts whose
-// clocks differ by hours and run 0.1% apart, restored from snapshots, limits up and down.
+// TestLimitHoldsProperty checks that the grants in any window of true time stay within the limit,
+// whatever happens to leaders: they are cut off but still grant, pause, are replaced by hosts
+// whose clocks differ by hours and drift by 0.1%, and are restored from snapshots. Limits rise
+// and fall meanwhile.
 func TestLimitHoldsProperty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &world{t: t, limit: Limit{
+		m := &ownersModel{t: t, limit: Limit{
 			Generation: 1, RatePerSecond: float64(rapid.IntRange(1, 40).Draw(t, "rate")), Burst: float64(rapid.IntRange(0, 20).Draw(t, "burst")),
 		}}
 		for range testHosts {
-			w.hosts = append(w.hosts, testHost{
+			m.hosts = append(m.hosts, testHost{
 				offsetMs: rapid.Int64Range(0, 7_200_000).Draw(t, "offset"), driftPerMille: rapid.Float64Range(-1, 1).Draw(t, "drift"),
 			})
 		}
-		w.elect(w.hosts[0])
+		m.elect(m.hosts[0])
 		for range rapid.IntRange(50, 400).Draw(t, "steps") {
-			switch rapid.SampledFrom([]string{"ask", "ask", "ask", "ask", "ask", "commit", "commit", "wait", "wait", "pause", "elect", "limit"}).Draw(t, "step") {
-			case "ask":
-				owner := w.owners[len(w.owners)-1-rapid.IntRange(0, min(2, len(w.owners)-1)).Draw(t, "owner")]
+			switch rapid.SampledFrom([]string{"request", "request", "request", "request", "request", "commit", "commit", "wait", "wait", "pause", "elect", "limit"}).Draw(t, "step") {
+			case "request":
+				owner := m.owners[len(m.owners)-1-rapid.IntRange(0, min(2, len(m.owners)-1)).Draw(t, "owner")]
 				for range rapid.IntRange(1, 30).Draw(t, "times") {
-					w.ask(owner, w.limit, fmt.Sprint(rapid.IntRange(0, 4).Draw(t, "program")))
+					m.request(owner, m.limit, fmt.Sprint(rapid.IntRange(0, 4).Draw(t, "program")))
 				}
 			case "commit":
-				w.commit()
+				m.commit()
 			case "wait":
-				w.trueMs += rapid.Int64Range(1, 700).Draw(t, "ms")
+				m.trueMs += rapid.Int64Range(1, 700).Draw(t, "ms")
 			case "pause":
-				w.trueMs += rapid.Int64Range(1000, 6000).Draw(t, "ms")
+				m.trueMs += rapid.Int64Range(1000, 6000).Draw(t, "ms")
 			case "elect":
-				w.elect(w.hosts[rapid.IntRange(0, testHosts-1).Draw(t, "host")])
+				m.elect(m.hosts[rapid.IntRange(0, testHosts-1).Draw(t, "host")])
 			case "limit":
-				w.highest = append(w.highest, changedLimit{w.trueMs, w.limit.AllowedRequests(testWindowMs)})
-				w.limit = Limit{Generation: w.limit.Generation + 1, RatePerSecond: float64(rapid.IntRange(1, 40).Draw(t, "rate"))}
+				m.previousLimits = append(m.previousLimits, changedLimit{m.trueMs, m.limit.AllowedRequests(testWindowMs)})
+				m.limit = Limit{Generation: m.limit.Generation + 1, RatePerSecond: float64(rapid.IntRange(1, 40).Draw(t, "rate"))}
 			}
 		}
 	})
 }
 
-// TestBelowTheLimitProperty holds that nobody is denied who asks for less than nine tenths of
-// the limit in any window, while one owner leads.
+// TestBelowTheLimitProperty checks, while one owner leads, that no request is denied if the
+// demand in any window is below nine tenths of the limit.
 func TestBelowTheLimitProperty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &world{t: t, limit: Limit{Generation: 1, RatePerSecond: float64(rapid.IntRange(4, 40).Draw(t, "rate")), Burst: 5}}
-		w.elect(testHost{offsetMs: rapid.Int64Range(0, 1000).Draw(t, "offset")})
-		most := w.limit.AllowedRequests(testWindowMs) * 9 / 10
-		var asked []int64
+		m := &ownersModel{t: t, limit: Limit{Generation: 1, RatePerSecond: float64(rapid.IntRange(4, 40).Draw(t, "rate")), Burst: 5}}
+		m.elect(testHost{offsetMs: rapid.Int64Range(0, 1000).Draw(t, "offset")})
+		most := m.limit.AllowedRequests(testWindowMs) * 9 / 10
+		var requestedMs []int64
 		for range rapid.IntRange(50, 300).Draw(t, "steps") {
-			w.trueMs += rapid.Int64Range(0, 400).Draw(t, "ms")
-			asked = slices.DeleteFunc(asked, func(at int64) bool { return at <= w.trueMs-testWindowMs-grainMs-rateMarginMs })
-			for range rapid.Int64Range(0, most-int64(len(asked))).Draw(t, "times") {
-				decision := w.ask(w.owners[0], w.limit, "p")
+			m.trueMs += rapid.Int64Range(0, 400).Draw(t, "ms")
+			requestedMs = slices.DeleteFunc(requestedMs, func(at int64) bool { return at <= m.trueMs-testWindowMs-bucketMs-clockDriftMarginMs })
+			for range rapid.Int64Range(0, most-int64(len(requestedMs))).Draw(t, "times") {
+				decision := m.request(m.owners[0], m.limit, "p")
 				if decision.Verdict == ReservationNeeded {
-					w.commit()
-					decision = w.ask(w.owners[0], w.limit, "p")
+					m.commit()
+					decision = m.request(m.owners[0], m.limit, "p")
 				}
 				if decision.Verdict != Granted {
-					t.Fatalf("%v at %d of %d", decision.Verdict, decision.Used, decision.Allowed)
+					t.Fatalf("verdict %v at %d of %d requests", decision.Verdict, decision.Used, decision.Allowed)
 				}
-				asked = append(asked, w.trueMs)
+				requestedMs = append(requestedMs, m.trueMs)
 			}
 		}
 	})
@@ -200,7 +202,7 @@
 
 func TestOwner(t *testing.T) {
 	limit := Limit{Generation: 1, RatePerSecond: 2}
-	filled := func(count int) *Owner {
+	ownerWithGrants := func(count int) *Owner {
 		owner := NewOwner(NewState(testWindowMs), 0)
 		owner.RequestGrant(Request{Tenant: "t", Limit: limit}, 0)
 		owner.AddReservation(Reservation{Tenant: "t", Count: 100, Limit: limit, NowMs: 0})
@@ -209,8 +211,8 @@
 		}
 		return owner
 	}
-	Convey("what was granted and not run counts no more; what was given back twice counts once", t, func() {
-		owner := filled(10)
+	Convey("a returned grant no longer counts, and returning an unknown grant changes nothing", t, func() {
+		owner := ownerWithGrants(10)
 		So(owner.RequestGrant(Request{Tenant: "t", Limit: limit}, 50).Verdict, ShouldEqual, Denied)
 		owner.ReturnGrant("t", 0)
 		So(owner.RequestGrant(Request{Tenant: "t", Limit: limit}, 50).Verdict, ShouldEqual, Granted)
@@ -219,8 +221,8 @@
 		owner.ReturnGrant("t", 99_999)
 		So(owner.RequestGrant(Request{Tenant: "t", Limit: limit}, 50).Verdict, ShouldEqual, Denied)
 	})
-	Convey("those denied together are told to come back one after the other, at the rate at which room comes", t, func() {
-		owner := filled(10)
+	Convey("requests denied together get retry times spaced at the limit's rate", t, func() {
+		owner := ownerWithGrants(10)
 		var times []int64
 		for range 3 {
 			times = append(times, owner.RequestGrant(Request{Tenant: "t", Limit: limit}, 50).RetryAfterMs)
@@ -229,7 +231,7 @@
 		So(times[2]-times[1], ShouldEqual, 500)
 		So(times[0], ShouldBeGreaterThan, testWindowMs-50)
 	})
-	Convey("a predecessor that is cut off may grant to the end of its reservation; its successor counts that", t, func() {
+	Convey("a predecessor that is cut off may grant until its reservation expires, and its successor counts these grants", t, func() {
 		reservation := Reservation{Tenant: "t", Count: 10, Limit: limit, Term: 1, NowMs: 0}
 		cutOff := NewOwner(NewState(testWindowMs), 0)
 		cutOff.RequestGrant(Request{Tenant: "t", Limit: limit}, 0)
@@ -241,15 +243,15 @@
 		So(cutOff.RequestGrant(Request{Tenant: "t", Limit: limit}, last).Verdict, ShouldEqual, Granted)
 		So(cutOff.RequestGrant(Request{Tenant: "t", Limit: limit}, last+1).Verdict, ShouldEqual, ReservationNeeded)
 		So(successor.RequestGrant(Request{Tenant: "t", Limit: limit}, last+testWindowMs).Verdict, ShouldEqual, Denied)
-		So(successor.RequestGrant(Request{Tenant: "t", Limit: limit}, last+testWindowMs+2*grainMs).Verdict, ShouldEqual, ReservationNeeded)
+		So(successor.RequestGrant(Request{Tenant: "t", Limit: limit}, last+testWindowMs+2*bucketMs).Verdict, ShouldEqual, ReservationNeeded)
 	})
-	Convey("an older generation's limit does not come back", t, func() {
-		owner := filled(10)
+	Convey("a limit of an older generation does not replace a newer one", t, func() {
+		owner := ownerWithGrants(10)
 		So(owner.RequestGrant(Request{Tenant: "t", Limit: Limit{Generation: 2, RatePerSecond: 3}}, 50).Verdict, ShouldEqual, Granted)
 		So(owner.RequestGrant(Request{Tenant: "t", Limit: Limit{Generation: 1, RatePerSecond: 99}}, 50).Allowed, ShouldEqual, 15)
 	})
-	Convey("at the limit new programs leave room for those under way, and get it back", t, func() {
-		owner := filled(10)
+	Convey("new programs leave headroom for programs in progress at the limit", t, func() {
+		owner := ownerWithGrants(10)
 		for range 40 {
 			owner.RequestGrant(Request{Tenant: "t", Limit: limit, Program: "old"}, 50)
 		}
@@ -260,9 +262,9 @@
 		So(owner.RequestGrant(Request{Tenant: "t", Limit: limit, Program: "newer"}, 60).Verdict, ShouldEqual, Denied)
 		So(owner.RequestGrant(Request{Tenant: "t", Limit: limit, Program: "old"}, 60).Verdict, ShouldEqual, Granted)
 	})
-	Convey("idle tenants and programs are forgotten", t, func() {
-		owner := filled(3)
-		owner.RequestGrant(Request{Tenant: "u", Limit: limit}, 2*programIdleMs)
+	Convey("idle tenants and programs are removed", t, func() {
+		owner := ownerWithGrants(3)
+		owner.RequestGrant(Request{Tenant: "u", Limit: limit}, 2*programIdleTimeoutMs)
 		So(owner.tenants, ShouldNotContainKey, "t")
 	})
 }
--- a/internal/quota/state.go
+++ b/internal/quota/state.go
@@ -8,57 +8,57 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Reservation is what an owner may grant of a tenant's limit within ReservationMs. One of
-// nothing only tells that time has passed.
+// Reservation is the number of requests that an owner may grant from a tenant's limit within
+// ReservationLifetimeMs. A reservation with Count 0 only records that time has passed.
 type Reservation struct {
 	Tenant string `msgpack:"t"`
 	Count  int64  `msgpack:"c"`
 	Limit  Limit  `msgpack:"l"`
-	// Term is the proposer's term and NowMs its steady clock, milliseconds: the two together
-	// tell how much time has passed between two reservations of one proposer.
+	// Term is the proposer's term and NowMs its monotonic clock in milliseconds. Together they
+	// give the time that has passed between two reservations of one proposer.
 	Term  uint64 `msgpack:"m"`
 	NowMs int64  `msgpack:"n"`
 }
 
-// reserved is one reservation as the state keeps it.
-type reserved struct {
+// storedReservation is a reservation as stored in the state.
+type storedReservation struct {
 	AtMs  int64 `msgpack:"a"`
 	Count int64 `msgpack:"c"`
 }
 
-// tenantState is what was reserved of one tenant lately, oldest first.
+// tenantState holds the recent reservations of one tenant, oldest first.
 type tenantState struct {
-	Tenant   string     `msgpack:"t"`
-	Limit    Limit      `msgpack:"l"`
-	Reserved []reserved `msgpack:"r"`
+	Tenant   string              `msgpack:"t"`
+	Limit    Limit               `msgpack:"l"`
+	Reserved []storedReservation `msgpack:"r"`
 }
 
-// State is the replicated part: the reservations that may still count. It is deterministic.
+// State is the replicated state: the reservations that may still count. It is deterministic.
 //
-// Its clock advances only by what one proposer has measured between two of its own
-// reservations: clocks of different machines are never compared. Invariant: the time
-// between two reservations by this clock is at most the time that has passed, so that
-// nothing is forgotten too early.
+// Its clock advances only by the time that one proposer has measured between two of its own
+// reservations; clocks of different machines are never compared. Invariant: the time between two
+// reservations by this clock is at most the time that has really passed, so that no reservation
+// is removed too early.
 type State struct {
-	windowMs int64
-	clockMs  int64
-	term     uint64
-	lastMs   int64
-	tenants  map[string]*tenantState
+	windowMs       int64
+	clockMs        int64
+	lastTerm       uint64
+	lastProposalMs int64
+	tenants        map[string]*tenantState
 }
 
-// NewState returns an empty state for limits over a window of milliseconds.
+// NewState returns an empty state for limits over a window of windowMs milliseconds.
 func NewState(windowMs int64) *State {
 	return &State{windowMs: windowMs, tenants: map[string]*tenantState{}}
 }
 
-// Apply takes a reservation.
+// Apply applies a committed reservation.
 func (s *State) Apply(reservation Reservation) {
-	if reservation.Term == s.term && reservation.NowMs > s.lastMs {
-		s.clockMs += reservation.NowMs - s.lastMs
+	if reservation.Term == s.lastTerm && reservation.NowMs > s.lastProposalMs {
+		s.clockMs += reservation.NowMs - s.lastProposalMs
 	}
-	s.term, s.lastMs = reservation.Term, reservation.NowMs
-	defer s.forget()
+	s.lastTerm, s.lastProposalMs = reservation.Term, reservation.NowMs
+	defer s.removeExpired()
 	if reservation.Count == 0 {
 		return
 	}
@@ -70,14 +70,14 @@
 	if reservation.Limit.Generation >= known.Limit.Generation {
 		known.Limit = reservation.Limit
 	}
-	known.Reserved = append(known.Reserved, reserved{AtMs: s.clockMs, Count: reservation.Count})
+	known.Reserved = append(known.Reserved, storedReservation{AtMs: s.clockMs, Count: reservation.Count})
 }
 
-// forget drops what counts in no window any more.
-func (s *State) forget() {
+// removeExpired removes the reservations that no longer count in any window.
+func (s *State) removeExpired() {
 	oldest := s.clockMs - s.windowMs - ReservationLifetimeMs
 	for name, known := range s.tenants {
-		first := slices.IndexFunc(known.Reserved, func(item reserved) bool { return item.AtMs >= oldest })
+		first := slices.IndexFunc(known.Reserved, func(item storedReservation) bool { return item.AtMs >= oldest })
 		if first < 0 {
 			delete(s.tenants, name)
 			continue
@@ -86,10 +86,10 @@
 	}
 }
 
-// TenantCount returns how many tenants have reservations that may still count.
+// TenantCount returns the number of tenants with reservations that may still count.
 func (s *State) TenantCount() int { return len(s.tenants) }
 
-// stateSnapshot is the encoded form, in an order that is the same on every replica.
+// stateSnapshot is the encoded state. Its order is the same on every replica.
 type stateSnapshot struct {
 	ClockMs int64          `msgpack:"c"`
 	Term    uint64         `msgpack:"m"`
@@ -97,9 +97,9 @@
 	Tenants []*tenantState `msgpack:"t"`
 }
 
-// Snapshot encodes the state.
+// Snapshot returns the encoded state.
 func (s *State) Snapshot() ([]byte, error) {
-	encoded := stateSnapshot{ClockMs: s.clockMs, Term: s.term, LastMs: s.lastMs}
+	encoded := stateSnapshot{ClockMs: s.clockMs, Term: s.lastTerm, LastMs: s.lastProposalMs}
 	for _, known := range s.tenants {
 		encoded.Tenants = append(encoded.Tenants, known)
 	}
@@ -109,7 +109,7 @@
 	return buffer.Bytes(), err
 }
 
-// Restore replaces the state by a snapshot; empty data gives an empty state.
+// Restore replaces the state by a snapshot. Empty data gives an empty state.
 func (s *State) Restore(data []byte) error {
 	var encoded stateSnapshot
 	if len(data) > 0 {
@@ -117,7 +117,7 @@
 			return err
 		}
 	}
-	s.clockMs, s.term, s.lastMs = encoded.ClockMs, encoded.Term, encoded.LastMs
+	s.clockMs, s.lastTerm, s.lastProposalMs = encoded.ClockMs, encoded.Term, encoded.LastMs
 	s.tenants = map[string]*tenantState{}
 	for _, known := range encoded.Tenants {
 		s.tenants[known.Tenant] = known
--- a/internal/quota/window.go
+++ b/internal/quota/window.go
@@ -1,43 +1,44 @@
 package quota
 
-// grainMs is how finely a window tells times apart, milliseconds. What falls into one grain
-// counts until the last of it has left the window: a fiftieth of a window of 5 s.
-const grainMs = 100
-
-// rateMarginMs covers what the clocks of two machines, or one clock and true time, may drift
-// apart within a window and a reservation: 0.1% of 6 s and some.
-const rateMarginMs = 10
-
-// grain is what was counted within grainMs.
-type grain struct {
-	atMs  int64
-	count int64
+// bucketMs is the resolution of a window in milliseconds. Everything in a bucket counts until the
+// end of the bucket has left the window. A bucket is a fiftieth of a window of 5 s.
+const bucketMs = 100
+
+// clockDriftMarginMs covers the drift between the clocks of two machines, or between a clock and
+// true time, within a window and a reservation: 0.1% of 6 s plus a margin.
+const clockDriftMarginMs = 10
+
+// bucket counts events within bucketMs of startMs.
+type bucket struct {
+	startMs int64
+	count   int64
 }
 
-// window counts what happened within the last span of time. Invariant: Sum is at least what
-// was added with a time above now - length.
+// window counts events in a sliding window. Invariant: sum is at least the count of the events
+// added at times after now - lengthMs and not removed.
 type window struct {
 	lengthMs int64
-	grains   []grain
+	buckets  []bucket
 	sum      int64
 }
 
-// add counts at a time; times may not go down by more than a grain.
+// add counts events at atMs. Times may decrease by at most one bucket.
 func (w *window) add(atMs, count int64) {
-	start := atMs - atMs%grainMs
+	start := atMs - atMs%bucketMs
 	w.sum += count
-	if last := len(w.grains) - 1; last >= 0 && w.grains[last].atMs >= start {
-		w.grains[last].count += count
+	if last := len(w.buckets) - 1; last >= 0 && w.buckets[last].startMs >= start {
+		w.buckets[last].count += count
 		return
 	}
-	w.grains = append(w.grains, grain{atMs: start, count: count})
+	w.buckets = append(w.buckets, bucket{startMs: start, count: count})
 }
 
-// remove takes back one that was added at a time; one that has left the window is gone.
+// remove removes one event that was added at atMs. It does nothing if the event has left the
+// window.
 func (w *window) remove(atMs int64) {
-	for position := range w.grains {
-		item := &w.grains[position]
-		if item.count > 0 && atMs >= item.atMs && atMs < item.atMs+grainMs {
+	for position := range w.buckets {
+		item := &w.buckets[position]
+		if item.count > 0 && atMs >= item.startMs && atMs < item.startMs+bucketMs {
 			item.count--
 			w.sum--
 			return
@@ -45,15 +46,17 @@
 	}
 }
 
-// expire drops what has left the window.
+// expire drops the buckets that have left the window.
 func (w *window) expire(nowMs int64) {
-	gone := 0
-	for gone < len(w.grains) && w.leavesMs(w.grains[gone]) <= nowMs {
-		w.sum -= w.grains[gone].count
-		gone++
+	expired := 0
+	for expired < len(w.buckets) && w.bucketExpiryMs(w.buckets[expired]) <= nowMs {
+		w.sum -= w.buckets[expired].count
+		expired++
 	}
-	w.grains = w.grains[gone:]
+	w.buckets = w.buckets[expired:]
 }
 
-// leavesMs is when the last of a grain has left the window.
-func (w *window) leavesMs(item grain) int64 { return item.atMs + grainMs + w.lengthMs + rateMarginMs }
+// bucketExpiryMs returns when the end of a bucket has left the window.
+func (w *window) bucketExpiryMs(item bucket) int64 {
+	return item.startMs + bucketMs + w.lengthMs + clockDriftMarginMs
+}
