--- a/internal/waiting/closedloop_test.go
+++ b/internal/waiting/closedloop_test.go
@@ -10,37 +10,37 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// The load of these tests: 38 engines of 8 slots and a queue of 24 each, behind 12 gateways;
-// requests of 100 ms on the mean, 3 in 10 of them urgent, at 0.8 of what the engines can do,
-// and 2.5 times that for 5 s. Callers wait 3 s and come back once.
+// Load of these tests: 38 engines with 8 slots and a queue of 24 each, behind 12 gateways.
+// Requests take 100 ms on average and 3 in 10 are urgent. The load is 0.8 of the engines'
+// capacity, and 2.5 times that for 5 s. Callers wait for 3 s and retry once.
 const (
-	loadEngines   = 38
-	loadSlots     = 8
-	loadQueue     = 24
-	loadGateways  = 12
-	loadServiceMs = 100
-	loadPart      = 0.8
-	loadBurst     = 2.5
-	burstFromMs   = 2_000
-	burstToMs     = 7_000
-	loadEndMs     = 12_000
-	loadUrgent    = 0.3
-	loadWaitMs    = 3_000
-	// loadWayMs is a send to an engine that refuses, there and back.
-	loadWayMs = 4
-	// loadReturnShare is the part of its time left for which a caller heeds the time it is
-	// asked to come back after.
-	loadReturnShare = 3
+	loadEngines        = 38
+	loadSlots          = 8
+	loadEngineQueue    = 24
+	loadGateways       = 12
+	loadServiceMs      = 100
+	loadUtilization    = 0.8
+	loadBurstFactor    = 2.5
+	loadBurstStartMs   = 2_000
+	loadBurstEndMs     = 7_000
+	loadEndMs          = 12_000
+	loadUrgentFraction = 0.3
+	loadTimeoutMs      = 3_000
+	// loadRefusalMs is the round trip of a request to an engine that refuses it.
+	loadRefusalMs = 4
+	// loadRetryDivisor bounds the pause before a retry: a caller waits for the requested time,
+	// but at most for its remaining time divided by loadRetryDivisor.
+	loadRetryDivisor = 3
 )
 
-// everyEngine has the bits of all engines.
-const everyEngine = 1<<loadEngines - 1
+// allEngines has the bit of every engine set.
+const allEngines = 1<<loadEngines - 1
 
-// loadEvent is something that happens at a time.
+// loadEvent is a scheduled event.
 type loadEvent struct {
 	atMs  float64
 	order int
-	do    func()
+	run   func()
 }
 
 type loadEvents []loadEvent
@@ -57,68 +57,70 @@
 	return last
 }
 
-// loadCall is one caller's request, over all its tries.
+// loadCall is one caller's request with all its attempts.
 type loadCall struct {
-	bornMs float64
-	urgent bool
-	begun  bool
-	came   int
-	place  *Entry
-	asked  int
-	// avoid has a bit for each engine that is not asked again.
-	avoid   uint64
-	gateway int
+	arrivedMs         float64
+	urgent            bool
+	programInProgress bool
+	arrivals          int
+	entry             *Entry
+	polls             int
+	// excluded has a bit set for each engine that must not be tried again.
+	excluded uint64
+	gateway  int
 }
 
-func (c *loadCall) endMs() float64 { return c.bornMs + loadWaitMs }
+func (c *loadCall) deadlineMs() float64 { return c.arrivedMs + loadTimeoutMs }
 
 type loadEngine struct {
 	running int
 	queue   []*loadCall
 }
 
-// loadResult is what came out of a run.
+// loadResult holds the outcome of a run.
 type loadResult struct {
-	asked, served         [2]int
-	latency               float64
-	refusals, wronged     int
-	rejected, inVain      int
-	returns               []float64
-	lastServed            [2]float64
-	longestWithoutService [2]float64
+	offered, served           [2]int
+	totalLatencyMs            float64
+	refusals, falseRejections int
+	rejected, futileWaits     int
+	retriesMs                 []float64
+	lastServedMs              [2]float64
+	longestGapMs              [2]float64
 }
 
-func (r *loadResult) share(class int) float64 {
-	return float64(r.served[class]) / float64(r.asked[class])
+func (r *loadResult) servedFraction(class int) float64 {
+	return float64(r.served[class]) / float64(r.offered[class])
 }
 
-// String lists what decides.
+// String lists the figures that the tests compare.
 func (r *loadResult) String() string {
-	return fmt.Sprintf("served %.3f (urgent %.3f, other %.3f), mean %.0f ms, refusals %d, rejected %d (wrongly %d), held in vain %d, longest without service %.0f ms",
-		r.all(), r.share(0), r.share(1), r.meanMs(), r.refusals, r.rejected, r.wronged, r.inVain, r.longestWithoutService)
+	return fmt.Sprintf("served %.3f (urgent %.3f, other %.3f), mean %.0f ms, refusals %d, rejected %d (falsely %d), futile waits %d, longest gaps between services %.0f ms",
+		r.totalServedFraction(), r.servedFraction(0), r.servedFraction(1), r.meanLatencyMs(), r.refusals, r.rejected, r.falseRejections, r.futileWaits, r.longestGapMs)
 }
 
-func (r *loadResult) meanMs() float64 { return r.latency / float64(r.served[0]+r.served[1]) }
+func (r *loadResult) meanLatencyMs() float64 {
+	return r.totalLatencyMs / float64(r.served[0]+r.served[1])
+}
 
-func (r *loadResult) all() float64 {
-	return float64(r.served[0]+r.served[1]) / float64(r.asked[0]+r.asked[1])
+func (r *loadResult) totalServedFraction() float64 {
+	return float64(r.served[0]+r.served[1]) / float64(r.offered[0]+r.offered[1])
 }
 
-// loadRun plays the load; queued is false for gateways that poll.
+// loadRun simulates the load. usesQueue is false for gateways that poll the engines.
 type loadRun struct {
-	random  *rand.Rand
-	events  loadEvents
-	order   int
-	nowMs   float64
-	engines []*loadEngine
-	queues  []*Queue
-	byPlace map[*Entry]*loadCall
-	queued  bool
-	result  loadResult
+	random    *rand.Rand
+	events    loadEvents
+	order     int
+	nowMs     float64
+	engines   []*loadEngine
+	queues    []*Queue
+	byEntry   map[*Entry]*loadCall
+	usesQueue bool
+	result    loadResult
 }
 
-func playLoad(queued bool, settings Settings, seed uint64) *loadResult {
-	run := &loadRun{random: rand.New(rand.NewPCG(seed, 1)), queued: queued, byPlace: map[*Entry]*loadCall{}}
+func simulateLoad(usesQueue bool, settings Settings, seed uint64) *loadResult {
+	run := &loadRun{random: rand.New(rand.NewPCG(seed, 1)), usesQueue: usesQueue, byEntry: map[*Entry]*loadCall{}}
 	for range loadEngines {
 		run.engines = append(run.engines, &loadEngine{})
 	}
@@ -129,33 +131,33 @@
 	for len(run.events) > 0 {
 		event := heap.Pop(&run.events).(loadEvent)
 		run.nowMs = event.atMs
-		event.do()
+		event.run()
 	}
 	for _, queue := range run.queues {
-		mistakes := queue.AdmissionErrors()
-		run.result.wronged += mistakes.FalseRejections
-		run.result.inVain += mistakes.FutileWaits
+		admissionErrors := queue.AdmissionErrors()
+		run.result.falseRejections += admissionErrors.FalseRejections
+		run.result.futileWaits += admissionErrors.FutileWaits
 	}
 	return &run.result
 }
 
-func (r *loadRun) after(ms float64, do func()) {
+func (r *loadRun) after(ms float64, run func()) {
 	r.order++
-	heap.Push(&r.events, loadEvent{r.nowMs + ms, r.order, do})
+	heap.Push(&r.events, loadEvent{r.nowMs + ms, r.order, run})
 }
 
-// arrive brings one caller and arranges for the next.
+// arrive adds one caller and schedules the next.
 func (r *loadRun) arrive() {
-	perMs := loadPart * loadEngines * loadSlots / float64(loadServiceMs)
-	if r.nowMs >= burstFromMs && r.nowMs < burstToMs {
-		perMs *= loadBurst
+	perMs := loadUtilization * loadEngines * loadSlots / float64(loadServiceMs)
+	if r.nowMs >= loadBurstStartMs && r.nowMs < loadBurstEndMs {
+		perMs *= loadBurstFactor
 	}
 	if r.nowMs < loadEndMs {
 		r.after(r.random.ExpFloat64()/perMs, r.arrive)
 	}
-	call := &loadCall{bornMs: r.nowMs, urgent: r.random.Float64() < loadUrgent, begun: r.random.Float64() < 0.7}
-	r.result.asked[call.class()]++
-	r.come(call)
+	call := &loadCall{arrivedMs: r.nowMs, urgent: r.random.Float64() < loadUrgentFraction, programInProgress: r.random.Float64() < 0.7}
+	r.result.offered[call.class()]++
+	r.sendToGateway(call)
 }
 
 func (c *loadCall) class() int {
@@ -165,202 +167,202 @@
 	return 1
 }
 
-func (c *loadCall) inLine() Call {
-	rank := 3
+func (c *loadCall) queueCall() Call {
+	priority := 3
 	if c.urgent {
-		rank = 0
+		priority = 0
 	}
-	return Call{Priority: rank, ProgramInProgress: c.begun, DueTimeMs: int64(c.endMs()), LatestStartMs: int64(c.endMs()) - 2*loadServiceMs}
+	return Call{Priority: priority, ProgramInProgress: c.programInProgress, DueTimeMs: int64(c.deadlineMs()), LatestStartMs: int64(c.deadlineMs()) - 2*loadServiceMs}
 }
 
-// come brings a caller to a gateway drawn at random.
-func (r *loadRun) come(call *loadCall) {
-	call.came++
+// sendToGateway sends a call to a random gateway.
+func (r *loadRun) sendToGateway(call *loadCall) {
+	call.arrivals++
 	call.gateway = r.random.IntN(loadGateways)
-	call.avoid = 0
-	call.asked = 0
-	if r.queued && r.queues[call.gateway].MustWait(call.inLine()) {
-		r.lineUp(call)
+	call.excluded = 0
+	call.polls = 0
+	if r.usesQueue && r.queues[call.gateway].MustWait(call.queueCall()) {
+		r.enqueue(call)
 		return
 	}
-	r.ask(call, loadEngines)
+	r.dispatch(call, loadEngines)
 }
 
-// ask sends a call to the better of two engines drawn at random, and on to others while they
-// refuse it, left at the most.
-func (r *loadRun) ask(call *loadCall, left int) {
+// dispatch sends a call to the less loaded of two random engines, and to other engines while it
+// is refused, with up to attemptsLeft attempts.
+func (r *loadRun) dispatch(call *loadCall, attemptsLeft int) {
 	best := -1
-	for drawn := 0; drawn < 2; drawn++ {
+	for sample := 0; sample < 2; sample++ {
 		engine := r.random.IntN(loadEngines)
-		for tries := 0; call.avoid>>engine&1 == 1 && tries < loadEngines; tries++ {
+		for skipped := 0; call.excluded>>engine&1 == 1 && skipped < loadEngines; skipped++ {
 			engine = (engine + 1) % loadEngines
 		}
-		if best < 0 || r.load(engine) < r.load(best) {
+		if best < 0 || r.inFlight(engine) < r.inFlight(best) {
 			best = engine
 		}
 	}
-	if left == 0 || call.avoid == everyEngine {
-		r.refused(call)
+	if attemptsLeft == 0 || call.excluded == allEngines {
+		r.handleRefusal(call)
 		return
 	}
 	engine := r.engines[best]
-	if engine.running >= loadSlots && len(engine.queue) >= loadQueue {
+	if engine.running >= loadSlots && len(engine.queue) >= loadEngineQueue {
 		r.result.refusals++
-		call.avoid |= 1 << best
-		r.after(loadWayMs, func() { r.ask(call, left-1) })
+		call.excluded |= 1 << best
+		r.after(loadRefusalMs, func() { r.dispatch(call, attemptsLeft-1) })
 		return
 	}
-	if call.place != nil {
-		r.tell(call.gateway, r.queues[call.gateway].Leave(int64(r.nowMs), call.place, true), -1)
-		call.place = nil
+	if call.entry != nil {
+		r.wake(call.gateway, r.queues[call.gateway].Leave(int64(r.nowMs), call.entry, true), -1)
+		call.entry = nil
 	}
 	if engine.running < loadSlots {
-		r.start(best, call)
+		r.startService(best, call)
 	} else {
 		engine.queue = append(engine.queue, call)
 	}
 }
 
-func (r *loadRun) load(engine int) int {
+func (r *loadRun) inFlight(engine int) int {
 	return r.engines[engine].running + len(r.engines[engine].queue)
 }
 
-func (r *loadRun) start(engine int, call *loadCall) {
+func (r *loadRun) startService(engine int, call *loadCall) {
 	r.engines[engine].running++
-	took := loadServiceMs * r.random.ExpFloat64()
-	r.after(took, func() {
+	serviceMs := loadServiceMs * r.random.ExpFloat64()
+	r.after(serviceMs, func() {
 		r.engines[engine].running--
-		r.served(call)
+		r.recordServed(call)
 		for len(r.engines[engine].queue) > 0 && r.engines[engine].running < loadSlots {
 			next := r.engines[engine].queue[0]
 			r.engines[engine].queue = r.engines[engine].queue[1:]
-			if next.endMs() > r.nowMs {
-				r.start(engine, next)
+			if next.deadlineMs() > r.nowMs {
+				r.startService(engine, next)
 			}
 		}
-		if r.queued {
-			r.tell(call.gateway, r.queues[call.gateway].RecordCompletion(int64(r.nowMs)), engine)
+		if r.usesQueue {
+			r.wake(call.gateway, r.queues[call.gateway].RecordCompletion(int64(r.nowMs)), engine)
 		}
 	})
 }
 
-func (r *loadRun) served(call *loadCall) {
-	if r.nowMs > call.endMs() {
+func (r *loadRun) recordServed(call *loadCall) {
+	if r.nowMs > call.deadlineMs() {
 		return
 	}
 	class := call.class()
 	r.result.served[class]++
-	r.result.latency += r.nowMs - call.bornMs
-	if last := r.result.lastServed[class]; last > 0 {
-		r.result.longestWithoutService[class] = math.Max(r.result.longestWithoutService[class], r.nowMs-last)
+	r.result.totalLatencyMs += r.nowMs - call.arrivedMs
+	if last := r.result.lastServedMs[class]; last > 0 {
+		r.result.longestGapMs[class] = math.Max(r.result.longestGapMs[class], r.nowMs-last)
 	}
-	r.result.lastServed[class] = r.nowMs
+	r.result.lastServedMs[class] = r.nowMs
 }
 
-// refused deals with a call that no engine it asked had room for.
-func (r *loadRun) refused(call *loadCall) {
-	if r.queued {
-		r.lineUp(call)
+// handleRefusal handles a call that found no capacity at any engine it tried.
+func (r *loadRun) handleRefusal(call *loadCall) {
+	if r.usesQueue {
+		r.enqueue(call)
 		return
 	}
-	// Polling: pauses of 8 to 60 ms and as much again, until half of the time is over.
-	pause := math.Min(8*math.Pow(2, math.Min(float64(call.asked), 4)), 60)
+	// Polling: pauses of 8 to 60 ms plus up to as much jitter, until half of the time has passed.
+	pause := math.Min(8*math.Pow(2, math.Min(float64(call.polls), 4)), 60)
 	pause *= 1 + r.random.Float64()
-	call.asked++
-	if call.endMs()-r.nowMs-pause < (call.endMs()-call.bornMs)/2 {
-		r.comeBack(call, 100)
+	call.polls++
+	if call.deadlineMs()-r.nowMs-pause < (call.deadlineMs()-call.arrivedMs)/2 {
+		r.retryLater(call, 100)
 		return
 	}
-	call.avoid = 0
-	r.after(pause, func() { r.ask(call, loadEngines) })
+	call.excluded = 0
+	r.after(pause, func() { r.dispatch(call, loadEngines) })
 }
 
-func (r *loadRun) lineUp(call *loadCall) {
+func (r *loadRun) enqueue(call *loadCall) {
 	queue := r.queues[call.gateway]
 	var rejection *Rejection
-	if call.place == nil {
-		call.place, rejection = queue.Join(int64(r.nowMs), call.inLine())
-		if call.place != nil {
-			r.byPlace[call.place] = call
+	if call.entry == nil {
+		call.entry, rejection = queue.Join(int64(r.nowMs), call.queueCall())
+		if call.entry != nil {
+			r.byEntry[call.entry] = call
 		}
 	} else {
-		rejection = queue.Requeue(int64(r.nowMs), call.place)
+		rejection = queue.Requeue(int64(r.nowMs), call.entry)
 	}
 	if rejection != nil {
-		call.place = nil
-		r.comeBack(call, float64(rejection.RetryAfterMs))
+		call.entry = nil
+		r.retryLater(call, float64(rejection.RetryAfterMs))
 		return
 	}
-	r.look(call, call.place)
+	r.scheduleProbe(call, call.entry)
 }
 
-// look has a call that nobody tells of room look for some.
-func (r *loadRun) look(call *loadCall, place *Entry) {
+// scheduleProbe lets a call that is not woken probe for capacity.
+func (r *loadRun) scheduleProbe(call *loadCall, entry *Entry) {
 	queue := r.queues[call.gateway]
-	r.after(float64(queue.ProbeDelayMs(int64(r.nowMs), place)), func() {
-		if call.place != place || place.trying {
+	r.after(float64(queue.ProbeDelayMs(int64(r.nowMs), entry)), func() {
+		if call.entry != entry || entry.probing {
 			return
 		}
 		switch {
-		case int64(r.nowMs) >= place.call.LatestStartMs:
-			r.lineUp(call)
-		case queue.StartProbe(place):
-			call.avoid = 0
-			r.ask(call, 3)
+		case int64(r.nowMs) >= entry.call.LatestStartMs:
+			r.enqueue(call)
+		case queue.StartProbe(entry):
+			call.excluded = 0
+			r.dispatch(call, 3)
 		default:
-			r.look(call, place)
+			r.scheduleProbe(call, entry)
 		}
 	})
 }
 
-// tell passes the word of room on; engine is -1 where it is not known which has some.
-func (r *loadRun) tell(gateway int, place *Entry, engine int) {
-	if place == nil {
+// wake dispatches the call of a woken entry. engine is -1 if the engine with capacity is unknown.
+func (r *loadRun) wake(gateway int, entry *Entry, engine int) {
+	if entry == nil {
 		return
 	}
-	call := r.byPlace[place]
-	call.avoid = 0
-	left := 3
+	call := r.byEntry[entry]
+	call.excluded = 0
+	attemptsLeft := 3
 	if engine >= 0 {
-		call.avoid = everyEngine &^ (1 << engine)
-		left = 1
+		call.excluded = allEngines &^ (1 << engine)
+		attemptsLeft = 1
 	}
-	r.after(loadWayMs/2, func() { r.ask(call, left) })
+	r.after(loadRefusalMs/2, func() { r.dispatch(call, attemptsLeft) })
 }
 
-// comeBack has a refused caller come back once, after the time it was told.
-func (r *loadRun) comeBack(call *loadCall, afterMs float64) {
+// retryLater lets a rejected caller retry once, after the time it was given.
+func (r *loadRun) retryLater(call *loadCall, afterMs float64) {
 	r.result.rejected++
-	left := call.endMs() - r.nowMs
-	if call.came > 1 || left <= 0 {
+	remainingMs := call.deadlineMs() - r.nowMs
+	if call.arrivals > 1 || remainingMs <= 0 {
 		return
 	}
-	pause := math.Min(afterMs, left/loadReturnShare)
-	r.result.returns = append(r.result.returns, r.nowMs+pause)
-	r.after(pause, func() { r.come(call) })
+	pause := math.Min(afterMs, remainingMs/loadRetryDivisor)
+	r.result.retriesMs = append(r.result.retriesMs, r.nowMs+pause)
+	r.after(pause, func() { r.sendToGateway(call) })
 }
 
 func TestBurst(t *testing.T) {
-	polled := playLoad(false, Settings{}, 1)
-	queued := playLoad(true, DefaultSettings(), 1)
+	polled := simulateLoad(false, Settings{}, 1)
+	queued := simulateLoad(true, DefaultSettings(), 1)
 	t.Logf("polled: %v", polled)
 	t.Logf("queued: %v", queued)
-	Convey("in a burst of 2.5 times for 5 s at 38 engines", t, func() {
-		Convey("an order of waiting serves as many as polling, more of the urgent, and asks a tenth as often in vain", func() {
-			So(queued.all(), ShouldBeGreaterThan, polled.all())
-			So(queued.share(0), ShouldBeGreaterThan, polled.share(0)+0.05)
+	Convey("in a burst of 2.5 times the load for 5 s at 38 engines", t, func() {
+		Convey("a wait queue serves more calls than polling, more of the urgent calls, with less than a tenth of the refusals", func() {
+			So(queued.totalServedFraction(), ShouldBeGreaterThan, polled.totalServedFraction())
+			So(queued.servedFraction(0), ShouldBeGreaterThan, polled.servedFraction(0)+0.05)
 			So(queued.refusals, ShouldBeLessThan, polled.refusals/10)
 		})
-		Convey("it takes callers no longer than a second on the mean, and none of a class is served for at most 0.5 s", func() {
-			So(queued.meanMs(), ShouldBeLessThan, 1000)
-			So(max(queued.longestWithoutService[0], queued.longestWithoutService[1]), ShouldBeLessThan, 500)
-			So(queued.share(1), ShouldBeGreaterThan, queued.share(0)-0.15)
+		Convey("the mean latency is below a second, and no class goes unserved for 0.5 s", func() {
+			So(queued.meanLatencyMs(), ShouldBeLessThan, 1000)
+			So(max(queued.longestGapMs[0], queued.longestGapMs[1]), ShouldBeLessThan, 500)
+			So(queued.servedFraction(1), ShouldBeGreaterThan, queued.servedFraction(0)-0.15)
 		})
 	})
 }
 
 func TestReturnsArriveAtTheRateOfRoom(t *testing.T) {
-	Convey("a queue with room for 100 requests a second asks 400 callers back at that rate, first come first", t, func() {
+	Convey("a queue with 100 completions a second spaces the retries of 400 callers at that rate, in order of arrival", t, func() {
 		queue := NewQueue(DefaultSettings())
 		nowMs := int64(0)
 		for ; nowMs < 5000; nowMs += 10 {
@@ -370,26 +372,26 @@
 		last := int64(0)
 		waiting := 0
 		for range 400 {
-			place, rejection := queue.Join(nowMs, call)
-			if place != nil {
+			entry, rejection := queue.Join(nowMs, call)
+			if entry != nil {
 				waiting++
 				continue
 			}
-			So(rejection.RetryAfterMs, ShouldBeGreaterThanOrEqualTo, min(last+9, longestReturnMs))
+			So(rejection.RetryAfterMs, ShouldBeGreaterThanOrEqualTo, min(last+9, maxRetryAfterMs))
 			last = rejection.RetryAfterMs
 		}
-		// 20 are expected to start within the 200 ms.
+		// About 20 calls are expected to start within the 200 ms.
 		So(waiting, ShouldBeBetween, 20, 40)
 		So(last, ShouldBeGreaterThan, 3000)
-		Convey("newcomers are rejected for the sake of those who return before", func() {
+		Convey("calls of new programs are rejected in favour of earlier expected retries", func() {
 			for queue.Len() > 0 {
-				queue.Leave(nowMs, queue.places[0], true)
+				queue.Leave(nowMs, queue.entries[0], true)
 			}
 			later := nowMs + 400
 			_, rejection := queue.Join(later, Call{DueTimeMs: later + 2100, LatestStartMs: later + 2000})
 			So(rejection, ShouldNotBeNil)
-			place, _ := queue.Join(later, Call{ProgramInProgress: true, DueTimeMs: later + 2100, LatestStartMs: later + 2000})
-			So(place, ShouldNotBeNil)
+			entry, _ := queue.Join(later, Call{ProgramInProgress: true, DueTimeMs: later + 2100, LatestStartMs: later + 2000})
+			So(entry, ShouldNotBeNil)
 		})
 	})
 }
--- a/internal/waiting/drain.go
+++ b/internal/waiting/drain.go
@@ -3,73 +3,73 @@
 import "math"
 
 const (
-	// drainSpanMs is the time over which the rate of room is averaged: a few times as long as
-	// one request occupies its place, so that single ones do not show, and short enough to
-	// follow engines that come and go.
-	drainSpanMs = 2_000
-	// leastDrained is how many requests must have ended before their rate says anything.
-	leastDrained = 3
+	// rateTimeConstantMs is the time constant of the averaged completion rate. It is a few times
+	// the service time of a request, so that single completions do not dominate, and short enough
+	// to follow engines that join and leave.
+	rateTimeConstantMs = 2_000
+	// minCompletions is the minimum number of completions for which a rate is reported.
+	minCompletions = 3
 )
 
-// drain is the rate at which requests end at the engines of a back end, averaged with
-// exponential decay.
-type drain struct {
-	count   float64
-	sinceMs int64
-	atMs    int64
-	ended   int
+// completionRate is the rate at which requests complete at the engines of a back end, averaged
+// with exponential decay.
+type completionRate struct {
+	decayedCount float64
+	firstMs      int64
+	updatedMs    int64
+	completions  int
 }
 
-// note counts a request that ended.
-func (d *drain) note(nowMs int64) {
-	if d.ended == 0 {
-		d.sinceMs = nowMs
-		d.atMs = nowMs
+// record counts a completed request.
+func (r *completionRate) record(nowMs int64) {
+	if r.completions == 0 {
+		r.firstMs = nowMs
+		r.updatedMs = nowMs
 	}
-	d.ageTo(nowMs)
-	d.count++
-	d.ended++
+	r.decayTo(nowMs)
+	r.decayedCount++
+	r.completions++
 }
 
-func (d *drain) ageTo(nowMs int64) {
-	if nowMs > d.atMs {
-		d.count *= math.Exp(-float64(nowMs-d.atMs) / drainSpanMs)
-		d.atMs = nowMs
+func (r *completionRate) decayTo(nowMs int64) {
+	if nowMs > r.updatedMs {
+		r.decayedCount *= math.Exp(-float64(nowMs-r.updatedMs) / rateTimeConstantMs)
+		r.updatedMs = nowMs
 	}
 }
 
-// perMs returns the rate, requests a millisecond; false where too few have ended lately to tell.
-// Invariant: a rate is known only by requests that end. Where none does there may be nothing to
-// end, as while the back end had no engine, and a call that is not sent for a rate of nothing
-// would keep the rate at nothing.
-func (d *drain) perMs(nowMs int64) (float64, bool) {
-	if d.ended < leastDrained || nowMs <= d.sinceMs {
+// perMs returns the rate in requests per millisecond, or false if too few requests have completed
+// recently. Invariant: a reported rate is never 0. If nothing completes there may be nothing to
+// complete, for example while the back end had no engine. A rate of 0 would then keep calls from
+// being sent, and with them the rate from rising.
+func (r *completionRate) perMs(nowMs int64) (float64, bool) {
+	if r.completions < minCompletions || nowMs <= r.firstMs {
 		return 0, false
 	}
-	d.ageTo(nowMs)
-	if d.count < leastDrained {
+	r.decayTo(nowMs)
+	if r.decayedCount < minCompletions {
 		return 0, false
 	}
-	// The average covers the time since the first, not more: without that the rate would be
-	// taken for too low at the beginning.
-	covered := drainSpanMs * (1 - math.Exp(-float64(nowMs-d.sinceMs)/drainSpanMs))
-	return d.count / covered, true
+	// The average covers only the time since the first completion. Otherwise the rate would be
+	// underestimated at the start.
+	coveredMs := rateTimeConstantMs * (1 - math.Exp(-float64(nowMs-r.firstMs)/rateTimeConstantMs))
+	return r.decayedCount / coveredMs, true
 }
 
-// chance returns how likely a Poisson process of a rate has brought at least wanted events
-// within a time.
-func chance(wanted int, perMs float64, withinMs int64) float64 {
+// poissonAtLeast returns the probability that a Poisson process with the given rate has at least
+// minEvents events within withinMs milliseconds.
+func poissonAtLeast(minEvents int, perMs float64, withinMs int64) float64 {
 	if withinMs <= 0 {
 		return 0
 	}
 	mean := perMs * float64(withinMs)
 	if mean > 50 {
-		// The normal approximation, with a correction for whole numbers.
-		return 0.5 * math.Erfc((float64(wanted)-0.5-mean)/math.Sqrt(2*mean))
+		// Normal approximation with continuity correction.
+		return 0.5 * math.Erfc((float64(minEvents)-0.5-mean)/math.Sqrt(2*mean))
 	}
 	term := math.Exp(-mean)
 	fewer := 0.0
-	for count := range wanted {
+	for count := range minEvents {
 		if count > 0 {
 			term *= mean / float64(count)
 		}
--- a/internal/waiting/waiting.go
+++ b/internal/waiting/waiting.go
@@ -1,7 +1,7 @@
-// Package waiting orders the calls of one back end that no engine has room for at the
-// moment: who goes next when there is room, who is better rejected at once, and when a
-// caller that was rejected is to come back. It is a state machine without clock, goroutine
-// or random source; times are in milliseconds of the caller's clock.
+// Package waiting implements the wait queue of a back end for calls that no engine has capacity
+// for. It decides which call is next when capacity becomes free, which calls are rejected at
+// once, and when a rejected caller should retry. It is a state machine without clock, goroutines
+// or randomness; times are in milliseconds of the caller's clock.
 package waiting
 
 import (
@@ -9,59 +9,60 @@
 	"slices"
 )
 
-// Settings are what an operator may choose.
+// Settings are the operator's settings of the wait queues.
 type Settings struct {
-	// MinProbability is how likely a call must be to get room in time, 0 to 1, for it to wait;
-	// it is rejected below. Higher, and more are rejected for whom room would have come
-	// (counted as wronged); lower, and more hold their caller, and lengthen the way of
-	// those behind them, for nothing (counted as held in vain).
+	// MinProbability is the minimum probability, 0 to 1, of getting capacity in time for a call
+	// to wait; a call below it is rejected. Higher values reject more calls that would have got
+	// capacity (counted as false rejections). Lower values make more callers wait in vain and
+	// lengthen the wait of the calls behind them (counted as futile waits).
 	MinProbability float64 `yaml:"least_chance" validate:"min=0,max=1"`
 }
 
-// DefaultSettings reject only what is nearly sure not to be served: a call that has waited in
-// vain costs its caller the time in which it could have come back, a call that was rejected
-// in error costs all the work that its program has had done so far.
+// DefaultSettings rejects only calls that almost certainly would not be served. A futile wait
+// costs the caller the time in which it could have retried, but a false rejection costs all the
+// work already done for its program.
 func DefaultSettings() Settings { return Settings{MinProbability: 0.05} }
 
 const (
-	// rankMs is by how much a rank goes before the next one. Ranks are no absolute order: a
-	// call of the next rank that has rankMs less time left goes first, so that no rank
-	// starves (delay-dependent priority; Kleinrock, Queueing Systems II, 1976, section 3.7).
-	rankMs = 500
-	// blindReturnMs is after how long a caller is asked to come back where nothing is known
-	// of when there will be room: about the time in which a gateway hears of engines that
-	// come and go.
-	blindReturnMs = 500
-	// longestReturnMs bounds how far ahead a return is arranged for: what is known of the
-	// rate of room says nothing of later.
-	longestReturnMs = 5_000
-	// firstLookMs and longestLookMs bound the time after which the first in the queue looks for
-	// room that others have made, which nobody tells it of.
-	firstLookMs   = 10
-	longestLookMs = 200
+	// priorityStepMs is the advantage of a priority level over the next one. Priorities are not
+	// absolute: a call of the next level with priorityStepMs less time left goes first, so that
+	// no level starves (delay-dependent priority; Kleinrock, Queueing Systems II, 1976, section
+	// 3.7).
+	priorityStepMs = 500
+	// defaultRetryAfterMs is the retry time if the completion rate is unknown: about the time in
+	// which a gateway learns of engines that join and leave.
+	defaultRetryAfterMs = 500
+	// maxRetryAfterMs bounds how far ahead retries are scheduled, because the known completion
+	// rate does not predict the rate further ahead.
+	maxRetryAfterMs = 5_000
+	// minProbeDelayMs and maxProbeDelayMs bound the time after which the first call in the queue
+	// probes for capacity that was freed by requests of others, for which no wakeup arrives.
+	minProbeDelayMs = 10
+	maxProbeDelayMs = 200
 )
 
-// Call is what the order depends on.
+// Call holds the properties of a call that determine its order.
 type Call struct {
-	// Priority is 0 for the most urgent.
+	// Priority is 0 for the most urgent calls.
 	Priority int
-	// ProgramInProgress says that work has been done for the call's program already.
+	// ProgramInProgress means that work has already been done for the call's program.
 	ProgramInProgress bool
-	// AboveFairShare says that the tenant uses more than its fair share.
+	// AboveFairShare means that the tenant uses more than its fair share.
 	AboveFairShare bool
-	// DueTimeMs is when the call, or its program, should be over.
+	// DueTimeMs is the time by which the call or its program should be finished.
 	DueTimeMs int64
-	// LatestStartMs is until when it is worth starting.
+	// LatestStartMs is the latest time at which starting the call is of use.
 	LatestStartMs int64
 }
 
-// before reports whether a call goes before another. A program that has begun goes before
-// all that have not: what it has cost would be lost with it.
-func (c Call) before(other Call) int {
+// compare returns a negative number if the call goes before the other, and a positive number if
+// it goes after it. Calls of programs in progress go before all calls of new programs, because
+// the work done for a program would be lost with it.
+func (c Call) compare(other Call) int {
 	return cmp.Or(
 		-compareBool(c.ProgramInProgress, other.ProgramInProgress),
 		compareBool(c.AboveFairShare, other.AboveFairShare),
-		cmp.Compare(c.DueTimeMs+rankMs*int64(c.Priority), other.DueTimeMs+rankMs*int64(other.Priority)),
+		cmp.Compare(c.DueTimeMs+priorityStepMs*int64(c.Priority), other.DueTimeMs+priorityStepMs*int64(other.Priority)),
 	)
 }
 
@@ -75,107 +76,109 @@
 	return -1
 }
 
-// Entry is a call's place in the queue.
+// Entry is a call's entry in the queue.
 type Entry struct {
 	call Call
-	// joinedMs is when it came, and turn its number by which equals are ordered.
+	// joinedMs is when the call joined the queue. sequence orders calls that compare as equal.
 	joinedMs int64
-	turn     uint64
-	// trying says that it was told of room and is looking for an engine.
-	trying bool
+	sequence uint64
+	// probing means that the call was woken or started a probe, and is looking for an engine.
+	probing bool
 }
 
-// WaitedMs is how long the call has waited.
-func (p *Entry) WaitedMs(nowMs int64) int64 { return nowMs - p.joinedMs }
+// WaitedMs returns how long the call has waited.
+func (e *Entry) WaitedMs(nowMs int64) int64 { return nowMs - e.joinedMs }
 
-// Rejection says why a call does not wait and when it is to come back.
+// Rejection describes why a call does not wait and when it should retry.
 type Rejection struct {
-	// Ahead is how many calls go before it, callers included that were asked to come back
-	// earlier.
+	// Ahead is the number of calls before this one, including rejected callers that are expected
+	// to retry earlier.
 	Ahead int
-	// CompletionsPerSecond is the rate at which room comes, 0 where it is not known.
+	// CompletionsPerSecond is the completion rate of the back end, 0 if it is unknown.
 	CompletionsPerSecond float64
-	// Probability is how likely it is to get room in time.
+	// Probability is the probability of getting capacity in time.
 	Probability float64
-	// RetryAfterMs is when room is expected for it.
+	// RetryAfterMs is the time until capacity is expected for the call.
 	RetryAfterMs int64
 }
 
-// AdmissionErrors count decisions that turned out wrong.
+// AdmissionErrors counts decisions that proved wrong.
 type AdmissionErrors struct {
-	// FalseRejections are calls that were rejected and for whom room would have come in time.
+	// FalseRejections counts rejected calls for which capacity would have become free in time.
 	FalseRejections int
-	// FutileWaits are calls that waited and were not served, and InVainMs how long in all.
+	// FutileWaits counts calls that waited and were not served, and FutileWaitMs is their total
+	// waiting time.
 	FutileWaits  int
 	FutileWaitMs int64
 }
 
-// rejected is a call that was rejected, with how many must get room before it would have.
-type rejected struct {
-	latestMs int64
-	ahead    int
+// trackedRejection is a rejected call, with the number of calls that had to be served before it.
+type trackedRejection struct {
+	latestStartMs int64
+	ahead         int
 }
 
-// longestRejected bounds how many rejected calls are followed to see whether that was right.
-const longestRejected = 256
+// maxTrackedRejections bounds the number of rejected calls that are tracked to detect false
+// rejections.
+const maxTrackedRejections = 256
 
-// Queue holds the calls of one back end that wait, in order.
+// Queue is the ordered wait queue of one back end.
 type Queue struct {
-	settings Settings
-	places   []*Entry
-	turns    uint64
-	drain    drain
-	// returns are when callers that were rejected are to come back, ascending.
-	returns  []int64
-	rejected []rejected
-	mistakes AdmissionErrors
+	settings       Settings
+	entries        []*Entry
+	lastSequence   uint64
+	completionRate completionRate
+	// expectedRetriesMs holds the times at which rejected callers should retry, in ascending
+	// order.
+	expectedRetriesMs []int64
+	trackedRejections []trackedRejection
+	admissionErrors   AdmissionErrors
 }
 
 // NewQueue returns an empty queue.
 func NewQueue(settings Settings) *Queue { return &Queue{settings: settings} }
 
-// Len is how many calls wait.
-func (q *Queue) Len() int { return len(q.places) }
+// Len returns the number of waiting calls.
+func (q *Queue) Len() int { return len(q.entries) }
 
-// AdmissionErrors returns what has turned out wrong since the start.
-func (q *Queue) AdmissionErrors() AdmissionErrors { return q.mistakes }
+// AdmissionErrors returns the decisions that have proved wrong since the start.
+func (q *Queue) AdmissionErrors() AdmissionErrors { return q.admissionErrors }
 
-// MustWait reports whether a call that has not asked any engine yet has to queue behind
-// those that wait for room.
+// MustWait reports whether a call that has not tried any engine yet must queue behind the waiting
+// calls.
 func (q *Queue) MustWait(call Call) bool {
-	return len(q.places) > 0 && q.places[0].call.before(call) <= 0
+	return len(q.entries) > 0 && q.entries[0].call.compare(call) <= 0
 }
 
-// Join queues a call, unless it is unlikely to get room in time.
+// Join adds a call to the queue, or rejects it if it is unlikely to get capacity in time.
 func (q *Queue) Join(nowMs int64, call Call) (*Entry, *Rejection) {
-	q.turns++
-	place := &Entry{call: call, joinedMs: nowMs, turn: q.turns}
-	position, _ := slices.BinarySearchFunc(q.places, place, func(a, b *Entry) int {
-		return cmp.Or(a.call.before(b.call), cmp.Compare(a.turn, b.turn))
+	q.lastSequence++
+	entry := &Entry{call: call, joinedMs: nowMs, sequence: q.lastSequence}
+	position, _ := slices.BinarySearchFunc(q.entries, entry, func(a, b *Entry) int {
+		return cmp.Or(a.call.compare(b.call), cmp.Compare(a.sequence, b.sequence))
 	})
-	if rejection := q.judge(nowMs, call, position); rejection != nil {
-		q.reject(nowMs, call, rejection)
+	if rejection := q.assess(nowMs, call, position); rejection != nil {
+		q.recordRejection(nowMs, call, rejection)
 		return nil, rejection
 	}
-	q.places = slices.Insert(q.places, position, place)
-	return place, nil
+	q.entries = slices.Insert(q.entries, position, entry)
+	return entry, nil
 }
 
-// judge returns why a call that has a number of others before it should not wait, nil where
-// it should.
-func (q *Queue) judge(nowMs int64, call Call, ahead int) *Rejection {
+// assess returns a rejection if a call with ahead calls before it should not wait, otherwise nil.
+func (q *Queue) assess(nowMs int64, call Call, ahead int) *Rejection {
 	if !call.ProgramInProgress {
-		ahead += q.expected(nowMs, call.LatestStartMs)
+		ahead += q.expectedRetriesBefore(nowMs, call.LatestStartMs)
 	}
 	rejection := &Rejection{Ahead: ahead, Probability: 1}
-	perMs, known := q.drain.perMs(nowMs)
+	perMs, hasRate := q.completionRate.perMs(nowMs)
 	const millisecondsPerSecond = 1000
 	rejection.CompletionsPerSecond = perMs * millisecondsPerSecond
 	switch {
 	case call.LatestStartMs <= nowMs:
 		rejection.Probability = 0
-	case known:
-		rejection.Probability = chance(ahead+1, perMs, call.LatestStartMs-nowMs)
+	case hasRate:
+		rejection.Probability = poissonAtLeast(ahead+1, perMs, call.LatestStartMs-nowMs)
 	}
 	if rejection.Probability > 0 && rejection.Probability >= q.settings.MinProbability {
 		return nil
@@ -183,129 +186,135 @@
 	return rejection
 }
 
-// expected is how many callers are expected back before a time; they go before newcomers.
-func (q *Queue) expected(nowMs, beforeMs int64) int {
-	q.returns = slices.DeleteFunc(q.returns, func(returnMs int64) bool { return returnMs <= nowMs })
-	position, _ := slices.BinarySearch(q.returns, beforeMs)
+// expectedRetriesBefore returns the number of rejected callers that are expected to retry before
+// beforeMs. They go before calls of new programs.
+func (q *Queue) expectedRetriesBefore(nowMs, beforeMs int64) int {
+	q.expectedRetriesMs = slices.DeleteFunc(q.expectedRetriesMs, func(retryMs int64) bool { return retryMs <= nowMs })
+	position, _ := slices.BinarySearch(q.expectedRetriesMs, beforeMs)
 	return position
 }
 
-// reject arranges the return of a call that does not wait.
-func (q *Queue) reject(nowMs int64, call Call, rejection *Rejection) {
-	rejection.RetryAfterMs = q.returnAt(nowMs, rejection.Ahead) - nowMs
-	if len(q.rejected) < longestRejected && call.LatestStartMs > nowMs {
-		q.rejected = append(q.rejected, rejected{latestMs: call.LatestStartMs, ahead: rejection.Ahead})
+// recordRejection schedules the retry of a rejected call and tracks the rejection.
+func (q *Queue) recordRejection(nowMs int64, call Call, rejection *Rejection) {
+	rejection.RetryAfterMs = q.scheduleRetry(nowMs, rejection.Ahead) - nowMs
+	if len(q.trackedRejections) < maxTrackedRejections && call.LatestStartMs > nowMs {
+		q.trackedRejections = append(q.trackedRejections, trackedRejection{latestStartMs: call.LatestStartMs, ahead: rejection.Ahead})
 	}
 }
 
-// returnAt is when a caller with a number of others before it is to come back. Invariant: where
-// the rate of room is known, two callers are never asked back closer together than room comes,
-// so that returns arrive at that rate.
-func (q *Queue) returnAt(nowMs int64, ahead int) int64 {
-	perMs, known := q.drain.perMs(nowMs)
-	if !known || perMs <= 0 {
-		return nowMs + blindReturnMs + blindReturnMs*int64(q.turns%blindSteps)/blindSteps
+// scheduleRetry returns when a caller with ahead calls before it should retry. If the completion
+// rate is known, retries up to maxRetryAfterMs ahead are spaced at least as far apart as
+// completions, so that retries arrive at the completion rate. Later retries are all cut to
+// maxRetryAfterMs.
+func (q *Queue) scheduleRetry(nowMs int64, ahead int) int64 {
+	perMs, hasRate := q.completionRate.perMs(nowMs)
+	if !hasRate || perMs <= 0 {
+		return nowMs + defaultRetryAfterMs + defaultRetryAfterMs*int64(q.lastSequence%defaultRetrySteps)/defaultRetrySteps
 	}
-	apart := max(int64(1/perMs), 1)
-	returnMs := nowMs + int64(float64(ahead+1)/perMs)
-	if last := len(q.returns) - 1; last >= 0 {
-		returnMs = max(returnMs, q.returns[last]+apart)
+	spacingMs := max(int64(1/perMs), 1)
+	retryMs := nowMs + int64(float64(ahead+1)/perMs)
+	if last := len(q.expectedRetriesMs) - 1; last >= 0 {
+		retryMs = max(retryMs, q.expectedRetriesMs[last]+spacingMs)
 	}
-	if returnMs > nowMs+longestReturnMs {
-		return nowMs + longestReturnMs
+	if retryMs > nowMs+maxRetryAfterMs {
+		return nowMs + maxRetryAfterMs
 	}
-	q.returns = append(q.returns, returnMs)
-	return returnMs
+	q.expectedRetriesMs = append(q.expectedRetriesMs, retryMs)
+	return retryMs
 }
 
-// blindSteps is over how many steps returns are spread where the rate of room is not known.
-const blindSteps = 8
+// defaultRetrySteps is the number of steps over which retries are spread if the completion rate
+// is unknown.
+const defaultRetrySteps = 8
 
-// RecordCompletion notes that a request ended at an engine of the back end, so that there is room for
-// another, and returns the call to be told of it, nil where nobody waits.
+// RecordCompletion records that a request completed at an engine of the back end, which frees
+// capacity for another. It returns the entry to wake, nil if there is none.
 func (q *Queue) RecordCompletion(nowMs int64) *Entry {
-	q.drain.note(nowMs)
-	q.follow(nowMs)
-	return q.next()
+	q.completionRate.record(nowMs)
+	q.countFalseRejections(nowMs)
+	return q.wakeNext()
 }
 
-// follow looks which of the rejected calls would have got the room that came just now.
-func (q *Queue) follow(nowMs int64) {
-	q.rejected = slices.DeleteFunc(q.rejected, func(call rejected) bool { return call.latestMs < nowMs })
-	kept := q.rejected[:0]
-	for _, call := range q.rejected {
+// countFalseRejections counts the rejected calls that would have got the capacity that has just
+// become free.
+func (q *Queue) countFalseRejections(nowMs int64) {
+	q.trackedRejections = slices.DeleteFunc(q.trackedRejections, func(call trackedRejection) bool { return call.latestStartMs < nowMs })
+	kept := q.trackedRejections[:0]
+	for _, call := range q.trackedRejections {
 		if call.ahead == 0 {
-			q.mistakes.FalseRejections++
+			q.admissionErrors.FalseRejections++
 			continue
 		}
 		call.ahead--
 		kept = append(kept, call)
 	}
-	q.rejected = kept
+	q.trackedRejections = kept
 }
 
-// next returns the first that is not looking for an engine already.
-func (q *Queue) next() *Entry {
-	for _, place := range q.places {
-		if !place.trying {
-			place.trying = true
-			return place
+// wakeNext returns the first entry that is not probing yet and marks it as probing.
+func (q *Queue) wakeNext() *Entry {
+	for _, entry := range q.entries {
+		if !entry.probing {
+			entry.probing = true
+			return entry
 		}
 	}
 	return nil
 }
 
-// ProbeDelayMs is after how long a call that nobody told of room is to look for some itself: only
-// the first in the queue does, at the pace at which room comes.
-func (q *Queue) ProbeDelayMs(nowMs int64, place *Entry) int64 {
-	if len(q.places) == 0 || q.places[0] != place {
-		return longestLookMs
+// ProbeDelayMs returns the time after which a call that was not woken should look for capacity
+// itself. Only the first call in the queue probes, at the completion rate if that is known.
+func (q *Queue) ProbeDelayMs(nowMs int64, entry *Entry) int64 {
+	if len(q.entries) == 0 || q.entries[0] != entry {
+		return maxProbeDelayMs
 	}
-	perMs, known := q.drain.perMs(nowMs)
-	if !known || perMs <= 0 {
-		return firstLookMs << min(place.WaitedMs(nowMs)/longestLookMs, 4)
+	perMs, hasRate := q.completionRate.perMs(nowMs)
+	if !hasRate || perMs <= 0 {
+		return minProbeDelayMs << min(entry.WaitedMs(nowMs)/maxProbeDelayMs, 4)
 	}
-	return min(max(int64(1/perMs), firstLookMs), longestLookMs)
+	return min(max(int64(1/perMs), minProbeDelayMs), maxProbeDelayMs)
 }
 
-// StartProbe reports whether a call that nobody told of room may look for some: only the first.
-func (q *Queue) StartProbe(place *Entry) bool {
-	if len(q.places) == 0 || q.places[0] != place || place.trying {
+// StartProbe reports whether a call that was not woken may probe for capacity. Only the first
+// call in the queue may.
+func (q *Queue) StartProbe(entry *Entry) bool {
+	if len(q.entries) == 0 || q.entries[0] != entry || entry.probing {
 		return false
 	}
-	place.trying = true
+	entry.probing = true
 	return true
 }
 
-// Requeue queues a call once more, in its old place, after it found no room; it is rejected where
-// it has become unlikely that it gets some in time.
-func (q *Queue) Requeue(nowMs int64, place *Entry) *Rejection {
-	place.trying = false
-	position := slices.Index(q.places, place)
-	rejection := q.judge(nowMs, place.call, max(position, 0))
+// Requeue returns a call that found no capacity to its old position in the queue. The call is
+// rejected if it has become unlikely to get capacity in time.
+func (q *Queue) Requeue(nowMs int64, entry *Entry) *Rejection {
+	entry.probing = false
+	position := slices.Index(q.entries, entry)
+	rejection := q.assess(nowMs, entry.call, max(position, 0))
 	if rejection == nil {
 		return nil
 	}
-	q.reject(nowMs, place.call, rejection)
-	q.Leave(nowMs, place, false)
+	q.recordRejection(nowMs, entry.call, rejection)
+	q.Leave(nowMs, entry, false)
 	return rejection
 }
 
-// Leave takes a call out of the queue: served says that an engine took it. It returns the
-// call that is to be told of room in its place, nil for none.
-func (q *Queue) Leave(nowMs int64, place *Entry, served bool) *Entry {
-	position := slices.Index(q.places, place)
+// Leave removes a call from the queue; served means that an engine accepted it. Leave returns the
+// entry to wake in its place, nil if there is none.
+func (q *Queue) Leave(nowMs int64, entry *Entry, served bool) *Entry {
+	position := slices.Index(q.entries, entry)
 	if position < 0 {
 		return nil
 	}
-	q.places = slices.Delete(q.places, position, position+1)
+	q.entries = slices.Delete(q.entries, position, position+1)
 	if !served {
-		q.mistakes.FutileWaits++
-		q.mistakes.FutileWaitMs += place.WaitedMs(nowMs)
+		q.admissionErrors.FutileWaits++
+		q.admissionErrors.FutileWaitMs += entry.WaitedMs(nowMs)
 	}
-	if !place.trying {
+	if !entry.probing {
 		return nil
 	}
-	// Where one found room there may be more, and what was told to one that left is still so.
-	return q.next()
+	// Where one call found capacity there may be more, and a wakeup of a call that left without
+	// capacity is still valid for the next one.
+	return q.wakeNext()
 }
--- a/internal/waiting/waiting_test.go
+++ b/internal/waiting/waiting_test.go
@@ -7,79 +7,79 @@
 	"pgregory.net/rapid"
 )
 
-// TestOrderProperty plays calls that join, are told of room, find some or none and leave: the
-// queue is always in order, each room is told to the first that is not looking, and whoever
-// joined is in it until it leaves.
+// TestOrderProperty checks random sequences of calls that join, are woken, find capacity or none
+// and leave. The queue is always in order, each wakeup goes to the first entry that is not
+// probing, and every call stays in the queue until it leaves.
 func TestOrderProperty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		queue := NewQueue(Settings{MinProbability: rapid.Float64Range(0, 1).Draw(t, "least")})
+		queue := NewQueue(Settings{MinProbability: rapid.Float64Range(0, 1).Draw(t, "minimum probability")})
 		nowMs := int64(0)
-		present := map[*Entry]bool{}
-		told := func(place *Entry) {
-			if place == nil {
+		joined := map[*Entry]bool{}
+		checkWoken := func(entry *Entry) {
+			if entry == nil {
 				return
 			}
-			if !present[place] || !place.trying {
-				t.Fatal("a call that has left was told of room")
+			if !joined[entry] || !entry.probing {
+				t.Fatal("a call that is not in the queue or not probing was woken")
 			}
-			for _, other := range queue.places {
-				if other == place {
+			for _, other := range queue.entries {
+				if other == entry {
 					break
 				}
-				if !other.trying {
-					t.Fatal("room was told to a later call than the first")
+				if !other.probing {
+					t.Fatal("a call was woken before an earlier one that is not probing")
 				}
 			}
 		}
-		anyone := func() *Entry {
-			if len(queue.places) == 0 {
+		randomEntry := func() *Entry {
+			if len(queue.entries) == 0 {
 				return nil
 			}
-			return queue.places[rapid.IntRange(0, len(queue.places)-1).Draw(t, "who")]
+			return queue.entries[rapid.IntRange(0, len(queue.entries)-1).Draw(t, "entry")]
 		}
 		for range rapid.IntRange(0, 60).Draw(t, "steps") {
 			nowMs += rapid.Int64Range(0, 300).Draw(t, "pause")
 			switch rapid.IntRange(0, 4).Draw(t, "step") {
 			case 0, 1:
 				call := Call{
-					Priority: rapid.IntRange(0, 9).Draw(t, "rank"), ProgramInProgress: rapid.Bool().Draw(t, "begun"), AboveFairShare: rapid.Bool().Draw(t, "above"),
+					Priority: rapid.IntRange(0, 9).Draw(t, "priority"), ProgramInProgress: rapid.Bool().Draw(t, "program in progress"), AboveFairShare: rapid.Bool().Draw(t, "above fair share"),
 					DueTimeMs: nowMs + rapid.Int64Range(0, 3000).Draw(t, "due"), LatestStartMs: nowMs + rapid.Int64Range(-10, 3000).Draw(t, "latest"),
 				}
-				place, rejection := queue.Join(nowMs, call)
-				if (place == nil) == (rejection == nil) {
+				entry, rejection := queue.Join(nowMs, call)
+				if (entry == nil) == (rejection == nil) {
 					t.Fatal("a call both waits and is rejected, or neither")
 				}
-				if place != nil {
-					present[place] = true
-				} else if rejection.RetryAfterMs <= 0 || rejection.RetryAfterMs > longestReturnMs {
-					t.Fatalf("asked back after %d ms", rejection.RetryAfterMs)
+				if entry != nil {
+					joined[entry] = true
+				} else if rejection.RetryAfterMs <= 0 || rejection.RetryAfterMs > maxRetryAfterMs {
+					t.Fatalf("retry time of %d ms is out of range", rejection.RetryAfterMs)
 				}
 			case 2:
-				told(queue.RecordCompletion(nowMs))
+				checkWoken(queue.RecordCompletion(nowMs))
 			case 3:
-				if place := anyone(); place != nil {
-					if queue.Requeue(nowMs, place) != nil {
-						delete(present, place)
+				if entry := randomEntry(); entry != nil {
+					if queue.Requeue(nowMs, entry) != nil {
+						delete(joined, entry)
 					}
 				}
 			case 4:
-				if place := anyone(); place != nil {
-					delete(present, place)
-					told(queue.Leave(nowMs, place, rapid.Bool().Draw(t, "served")))
+				if entry := randomEntry(); entry != nil {
+					delete(joined, entry)
+					checkWoken(queue.Leave(nowMs, entry, rapid.Bool().Draw(t, "served")))
 				}
 			}
-			if len(present) != queue.Len() {
-				t.Fatalf("%d calls joined and did not leave, %d wait", len(present), queue.Len())
+			if len(joined) != queue.Len() {
+				t.Fatalf("%d calls joined and did not leave, %d wait", len(joined), queue.Len())
 			}
-			if !slices.IsSortedFunc(queue.places, func(a, b *Entry) int { return a.call.before(b.call) }) {
-				t.Fatal("out of order")
+			if !slices.IsSortedFunc(queue.entries, func(a, b *Entry) int { return a.call.compare(b.call) }) {
+				t.Fatal("queue is out of order")
 			}
 		}
 	})
 }
 
-// TestRateOfNothingIsNoRate answers a back end that had no engine for a minute: the requests that
-// ended before say nothing of now, and a call that comes then is not rejected for them.
+// TestRateOfNothingIsNoRate checks a back end that had no engine for a minute. Earlier
+// completions give no rate for the present, so a new call must not be rejected because of them.
 func TestRateOfNothingIsNoRate(t *testing.T) {
 	queue := NewQueue(DefaultSettings())
 	nowMs := int64(0)
@@ -89,9 +89,9 @@
 	}
 	nowMs += 60_000
 	if _, rejection := queue.Join(nowMs, Call{ProgramInProgress: true, DueTimeMs: nowMs + 20_000, LatestStartMs: nowMs + 20_000}); rejection != nil {
-		t.Fatalf("rejected: %+v", *rejection)
+		t.Fatalf("call rejected: %+v", *rejection)
 	}
 	if _, rejection := queue.Join(nowMs, Call{DueTimeMs: nowMs, LatestStartMs: nowMs}); rejection == nil || rejection.RetryAfterMs <= 0 {
-		t.Fatalf("a call whose time is over: %+v", rejection)
+		t.Fatalf("rejection of a call past its latest start: %+v", rejection)
 	}
 }
