--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -1,5 +1,5 @@
-// Package retry decides how long one try at an engine may be silent and whether there may be
-// a second one. It is pure: no clock, goroutine or random source; times are in milliseconds.
+// Package retry computes the response timeout of an attempt at an engine and bounds retries by a
+// budget. It is pure: no clock, goroutines or randomness; times are in milliseconds.
 package retry
 
 import (
@@ -7,138 +7,144 @@
 	"slices"
 )
 
-// Settings are what an operator may choose.
+// Settings are the operator's settings of retries.
 type Settings struct {
-	// RetriesPerSuccess is how many second tries there may be for each success, 0 to 1. Higher, and more
-	// requests survive an engine that fails; lower, and engines that fail because they are
-	// overloaded get less on top of it.
+	// RetriesPerSuccess is the number of retries allowed per success, 0 to 1. With a higher value
+	// more requests survive a failing engine. With a lower value engines that fail because of
+	// overload get less additional load.
 	RetriesPerSuccess float64 `yaml:"share" validate:"min=0,max=1"`
 }
 
-// DefaultSettings bound second tries to a fifth of the successes: a back end of which a sixth
-// of the engines fails all that it is sent is got by with that.
+// DefaultSettings allows one retry per five successes. That is enough for a back end in which a
+// sixth of the engines fail every request.
 func DefaultSettings() Settings { return Settings{RetriesPerSuccess: 0.2} }
 
-// mostSaved is how many second tries may be saved up while nothing fails: as many as an
-// engine that ends while it is full breaks off.
-const mostSaved = 16
+// maxSavedRetries bounds the retries that accumulate while nothing fails: as many as the requests
+// that are interrupted when a full engine stops.
+const maxSavedRetries = 16
 
-// Budget bounds the second tries of one back end. Invariant: of any number of successes, at
-// most their share and mostSaved more tries are taken.
+// Budget is the retry budget of one back end. Invariant: the number of retries is at most
+// RetriesPerSuccess times the number of successes, plus maxSavedRetries.
 type Budget struct {
-	settings Settings
-	saved    float64
+	settings     Settings
+	savedRetries float64
 }
 
-// NewBudget returns a budget of which nothing has been taken.
-func NewBudget(settings Settings) *Budget { return &Budget{settings: settings, saved: mostSaved} }
+// NewBudget returns a full budget.
+func NewBudget(settings Settings) *Budget {
+	return &Budget{settings: settings, savedRetries: maxSavedRetries}
+}
 
-// RecordSuccess notes a request that was answered.
-func (b *Budget) RecordSuccess() { b.saved = math.Min(b.saved+b.settings.RetriesPerSuccess, mostSaved) }
+// RecordSuccess records a request that was answered.
+func (b *Budget) RecordSuccess() {
+	b.savedRetries = math.Min(b.savedRetries+b.settings.RetriesPerSuccess, maxSavedRetries)
+}
 
-// TryTake takes one try from the budget; false where there is none left.
+// TryTake takes one retry from the budget, and reports false if none is left.
 func (b *Budget) TryTake() bool {
-	if b.saved < 1 {
+	if b.savedRetries < 1 {
 		return false
 	}
-	b.saved--
+	b.savedRetries--
 	return true
 }
 
 const (
-	// timesHalfLifeMs is when a sample counts half.
-	timesHalfLifeMs = 10_000
-	// leastTimes is the weight of samples from which on their distribution is believed, which
-	// leaves a few beyond the quantile that is asked for.
-	leastTimes = 100
-	// boundQuantile is the part of the tries that are done within the time taken for usual,
-	// and boundFactor how many times that one try may be silent: an engine which takes as
-	// long as that is not one that is merely slow, or unlucky.
-	boundQuantile = 0.98
-	boundFactor   = 2
-	// bucketGrowth is how much longer the times of a bucket are than those of the one before,
-	// and buckets how many there are: from 1 ms to some 5 minutes.
+	// histogramHalfLifeMs is the age at which a sample counts half.
+	histogramHalfLifeMs = 10_000
+	// minSampleWeight is the minimum total weight of samples for which a timeout is given. It
+	// leaves a few samples beyond the quantile.
+	minSampleWeight = 100
+	// timeoutQuantile is the quantile of the latencies on which the timeout is based, and
+	// timeoutFactor the multiple of it that an attempt may take. An engine that takes as long is
+	// not merely slow, and the attempt not merely unlucky.
+	timeoutQuantile = 0.98
+	timeoutFactor   = 2
+	// bucketGrowth is the ratio of the latencies of two adjacent buckets, and bucketCount the
+	// number of buckets. They cover 1 ms to about 5 minutes.
 	bucketGrowth = 1.25
-	buckets      = 57
-	// mostKinds bounds the kinds of request that are told apart.
-	mostKinds = 512
+	bucketCount  = 57
+	// maxKinds bounds the number of kinds of request that are tracked.
+	maxKinds = 512
 )
 
-// LatencyHistogram is the distribution of how long the tries of one kind of request take to be answered,
-// or to begin to be: a histogram of equal steps of the logarithm, in which samples count less
-// as they age.
+// LatencyHistogram is the distribution of the latencies of attempts of one kind of request, until
+// the response or the start of a streamed response. Its buckets are equally spaced in the
+// logarithm of the latency, and samples decay as they age.
 type LatencyHistogram struct {
-	weights [buckets]float64
-	atMs    int64
+	weights   [bucketCount]float64
+	updatedMs int64
 }
 
-// Record takes the time of a try that was answered.
-func (t *LatencyHistogram) Record(nowMs int64, tookMs float64) {
-	t.ageTo(nowMs)
-	t.weights[bucketOf(tookMs)]++
+// Record adds the latency of an attempt that was answered.
+func (h *LatencyHistogram) Record(nowMs int64, latencyMs float64) {
+	h.decayTo(nowMs)
+	h.weights[bucketIndex(latencyMs)]++
 }
 
-func bucketOf(tookMs float64) int {
-	if tookMs <= 1 {
+func bucketIndex(latencyMs float64) int {
+	if latencyMs <= 1 {
 		return 0
 	}
-	return min(int(math.Ceil(math.Log(tookMs)/math.Log(bucketGrowth))), buckets-1)
+	return min(int(math.Ceil(math.Log(latencyMs)/math.Log(bucketGrowth))), bucketCount-1)
 }
 
-// ageTo lets the samples lose weight; a clock that steps back changes nothing.
-func (t *LatencyHistogram) ageTo(nowMs int64) {
-	if nowMs <= t.atMs {
+// decayTo decays the samples up to nowMs. A clock that steps back changes nothing.
+func (h *LatencyHistogram) decayTo(nowMs int64) {
+	if nowMs <= h.updatedMs {
 		return
 	}
-	factor := math.Exp2(-float64(nowMs-t.atMs) / timesHalfLifeMs)
-	for bucket := range t.weights {
-		t.weights[bucket] *= factor
+	factor := math.Exp2(-float64(nowMs-h.updatedMs) / histogramHalfLifeMs)
+	for bucket := range h.weights {
+		h.weights[bucket] *= factor
 	}
-	t.atMs = nowMs
+	h.updatedMs = nowMs
 }
 
-// TimeoutMs is how long a try may be silent; false where too little is known.
-func (t *LatencyHistogram) TimeoutMs(nowMs int64) (float64, bool) {
-	t.ageTo(nowMs)
+// TimeoutMs returns how long an attempt may take until its response starts, or false if there are
+// too few samples.
+func (h *LatencyHistogram) TimeoutMs(nowMs int64) (float64, bool) {
+	h.decayTo(nowMs)
 	total := 0.0
-	for _, weight := range t.weights {
+	for _, weight := range h.weights {
 		total += weight
 	}
-	if total < leastTimes {
+	if total < minSampleWeight {
 		return 0, false
 	}
-	beyond := total * (1 - boundQuantile)
-	for bucket, weight := range slices.Backward(t.weights[:]) {
-		beyond -= weight
-		if beyond < 0 {
-			return boundFactor * math.Pow(bucketGrowth, float64(bucket)), true
+	tailWeight := total * (1 - timeoutQuantile)
+	for bucket, weight := range slices.Backward(h.weights[:]) {
+		tailWeight -= weight
+		if tailWeight < 0 {
+			return timeoutFactor * math.Pow(bucketGrowth, float64(bucket)), true
 		}
 	}
 	return 0, false
 }
 
-// LatencyHistograms holds the times of each kind of request.
+// LatencyHistograms holds the latency histogram of each kind of request.
 type LatencyHistograms struct {
-	times map[string]*LatencyHistogram
+	byKind map[string]*LatencyHistogram
 }
 
-// ForKind returns the times of a kind of request.
-func (k *LatencyHistograms) ForKind(kind string) *LatencyHistogram {
-	times, known := k.times[kind]
+// ForKind returns the histogram of a kind of request, which is created if necessary. If there are
+// maxKinds already, all histograms are dropped first.
+func (h *LatencyHistograms) ForKind(kind string) *LatencyHistogram {
+	histogram, known := h.byKind[kind]
 	if !known {
-		if k.times == nil || len(k.times) >= mostKinds {
-			k.times = map[string]*LatencyHistogram{}
+		if h.byKind == nil || len(h.byKind) >= maxKinds {
+			h.byKind = map[string]*LatencyHistogram{}
 		}
-		times = &LatencyHistogram{}
-		k.times[kind] = times
+		histogram = &LatencyHistogram{}
+		h.byKind[kind] = histogram
 	}
-	return times
+	return histogram
 }
 
-// RecordTimeout notes a try that was given up after its bound. What it would have taken is not
-// known, only that it is longer: it counts as twice that, so that the bound rises where many
-// tries reach it because all engines have become slower.
-func (t *LatencyHistogram) RecordTimeout(nowMs int64, boundMs float64) {
-	const longer = 2
-	t.Record(nowMs, longer*boundMs)
+// RecordTimeout records an attempt that timed out. Its latency is unknown but longer than the
+// timeout. It counts as twice the timeout, so that the timeout rises if many attempts reach it
+// because all engines have become slower.
+func (h *LatencyHistogram) RecordTimeout(nowMs int64, timeoutMs float64) {
+	const censoredFactor = 2
+	h.Record(nowMs, censoredFactor*timeoutMs)
 }
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -10,62 +10,62 @@
 
 func TestBudgetProperty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		settings := Settings{RetriesPerSuccess: rapid.Float64Range(0, 1).Draw(t, "share")}
+		settings := Settings{RetriesPerSuccess: rapid.Float64Range(0, 1).Draw(t, "retries per success")}
 		budget := NewBudget(settings)
-		successes, taken := 0, 0
+		successes, retries := 0, 0
 		for _, success := range rapid.SliceOfN(rapid.Bool(), 0, 400).Draw(t, "steps") {
 			if success {
 				budget.RecordSuccess()
 				successes++
 			} else if budget.TryTake() {
-				taken++
+				retries++
 			}
-			if bound := settings.RetriesPerSuccess*float64(successes) + mostSaved; float64(taken) > bound+1e-9 {
-				t.Fatalf("%d second tries of %d successes, at most %.2f", taken, successes, bound)
+			if maxRetries := settings.RetriesPerSuccess*float64(successes) + maxSavedRetries; float64(retries) > maxRetries+1e-9 {
+				t.Fatalf("%d retries after %d successes, want at most %.2f", retries, successes, maxRetries)
 			}
 		}
 	})
 }
 
 func TestTimes(t *testing.T) {
-	Convey("times of 30 ms on the mean, as 500 requests a second to 24 engines take", t, func() {
-		times := &LatencyHistogram{}
+	Convey("with a mean latency of 30 ms, as at 500 requests a second on 24 engines", t, func() {
+		histogram := &LatencyHistogram{}
 		random := rand.New(rand.NewPCG(1, 1))
-		_, known := times.TimeoutMs(0)
-		So(known, ShouldBeFalse)
+		_, hasTimeout := histogram.TimeoutMs(0)
+		So(hasTimeout, ShouldBeFalse)
 		nowMs := int64(0)
 		for range 2000 {
 			nowMs += 2
-			times.Record(nowMs, 30*random.ExpFloat64())
+			histogram.Record(nowMs, 30*random.ExpFloat64())
 		}
-		bound, known := times.TimeoutMs(nowMs)
-		So(known, ShouldBeTrue)
-		Convey("one in some hundred is longer than the bound", func() {
+		timeoutMs, hasTimeout := histogram.TimeoutMs(nowMs)
+		So(hasTimeout, ShouldBeTrue)
+		Convey("fewer than 0.2% of the latencies exceed the timeout", func() {
 			longer := 0
 			for range 100_000 {
-				if 30*random.ExpFloat64() > bound {
+				if 30*random.ExpFloat64() > timeoutMs {
 					longer++
 				}
 			}
 			So(longer, ShouldBeLessThan, 200)
-			So(bound, ShouldBeLessThan, 400)
+			So(timeoutMs, ShouldBeLessThan, 400)
 		})
-		Convey("it rises where all engines take eight times as long, though every try that reaches it is given up", func() {
+		Convey("the timeout rises if all engines take eight times as long, although every attempt that reaches it is ended", func() {
 			for range 10_000 {
 				nowMs += 2
-				took := 240 * random.ExpFloat64()
-				if bound, known := times.TimeoutMs(nowMs); known && took > bound {
-					times.RecordTimeout(nowMs, bound)
+				latencyMs := 240 * random.ExpFloat64()
+				if currentMs, hasTimeout := histogram.TimeoutMs(nowMs); hasTimeout && latencyMs > currentMs {
+					histogram.RecordTimeout(nowMs, currentMs)
 				} else {
-					times.Record(nowMs, took)
+					histogram.Record(nowMs, latencyMs)
 				}
 			}
-			risen, _ := times.TimeoutMs(nowMs)
-			So(risen, ShouldBeGreaterThan, 3*bound)
+			raisedMs, _ := histogram.TimeoutMs(nowMs)
+			So(raisedMs, ShouldBeGreaterThan, 3*timeoutMs)
 		})
-		Convey("it is forgotten after some minutes", func() {
-			_, known := times.TimeoutMs(nowMs + 300_000)
-			So(known, ShouldBeFalse)
+		Convey("the samples expire after some minutes", func() {
+			_, hasTimeout := histogram.TimeoutMs(nowMs + 300_000)
+			So(hasTimeout, ShouldBeFalse)
 		})
 	})
 }
