--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -1,7 +1,7 @@
-// Package upstream carries requests to engines over HTTP/1.1 connections that are
-// kept. It says of every failure whether the engine can have seen the request, and
-// never lets bytes that belong to one answer reach another: answers are matched by
-// the request's id, and a connection with bytes left over is not used again.
+// Package upstream sends requests to engines over persistent HTTP/1.1 connections. For every
+// failure it reports whether the engine may have received the request. Bytes of one response
+// never reach another request: responses are matched by the request ID, and a connection with
+// unread bytes is not reused.
 package upstream
 
 import (
@@ -20,19 +20,20 @@
 
 const (
 	readBufferBytes = 8 << 10
-	// silenceTimeout ends a connection whose peer acknowledges nothing.
-	silenceTimeout = 2500 * time.Millisecond
-	// keepMargin is how much earlier than announced an idle connection is given up.
-	keepMargin = 400 * time.Millisecond
-	// longestIdle bounds idle connections whose engine announces nothing.
-	longestIdle = 30 * time.Second
+	// tcpUserTimeout closes a connection whose peer stops acknowledging data.
+	tcpUserTimeout = 2500 * time.Millisecond
+	// keepAliveMargin is how long before the announced keep-alive timeout an idle connection is
+	// no longer used.
+	keepAliveMargin = 400 * time.Millisecond
+	// maxIdle bounds the idle time of connections whose engine announces no keep-alive timeout.
+	maxIdle = 30 * time.Second
 )
 
-// connection is one kept connection to an engine.
+// connection is a persistent connection to an engine.
 type connection struct {
 	socket net.Conn
 	reader *bufio.Reader
-	// usableUntil is when an idle connection may be about to be closed.
+	// usableUntil is when the engine may close the connection if it is idle.
 	usableUntil time.Time
 }
 
@@ -40,19 +41,18 @@
 	return &connection{socket: socket, reader: bufio.NewReaderSize(socket, readBufferBytes)}
 }
 
-// giveUpOnSilence makes the kernel end a connection whose peer acknowledges
-// nothing: an engine without power or behind a cut says nothing.
-func giveUpOnSilence(_, _ string, socket syscall.RawConn) error {
-	var failure error
+// setTCPUserTimeout sets TCP_USER_TIMEOUT, so that the kernel closes a connection whose peer
+// stops acknowledging data: an engine without power or behind a network partition sends no reset.
+func setTCPUserTimeout(_, _ string, socket syscall.RawConn) error {
+	var optionErr error
 	err := socket.Control(func(descriptor uintptr) {
-		failure = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(silenceTimeout.Milliseconds()))
+		optionErr = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(tcpUserTimeout.Milliseconds()))
 	})
-	return errors.Join(err, failure)
+	return errors.Join(err, optionErr)
 }
 
-// quiet reports whether an idle connection is open and holds no byte that nobody
-// asked for.
-func (c *connection) quiet() bool {
+// isOpenAndDrained reports whether an idle connection is open and has no unread bytes.
+func (c *connection) isOpenAndDrained() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
@@ -64,31 +64,31 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	drained := false
 	var peeked [1]byte
 	err = control.Read(func(descriptor uintptr) bool {
-		_, _, failure := unix.Recvfrom(int(descriptor), peeked[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		quiet = failure == unix.EAGAIN || failure == unix.EWOULDBLOCK
+		_, _, readErr := unix.Recvfrom(int(descriptor), peeked[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
+		drained = readErr == unix.EAGAIN || readErr == unix.EWOULDBLOCK
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && drained
 }
 
-// noteKeepAlive remembers how long the engine keeps the connection.
-func (c *connection) noteKeepAlive(header http.Header, now time.Time) {
-	keep := longestIdle
+// recordKeepAlive records how long the engine keeps the idle connection open.
+func (c *connection) recordKeepAlive(header http.Header, now time.Time) {
+	idleTimeout := maxIdle
 	for _, parameter := range strings.Split(header.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(parameter), "=")
 		seconds, err := strconv.Atoi(value)
 		if strings.EqualFold(name, "timeout") && err == nil {
-			keep = min(keep, time.Duration(seconds)*time.Second)
+			idleTimeout = min(idleTimeout, time.Duration(seconds)*time.Second)
 		}
 	}
-	c.usableUntil = now.Add(max(keep-keepMargin, keep/2))
+	c.usableUntil = now.Add(max(idleTimeout-keepAliveMargin, idleTimeout/2))
 }
 
-// discard reads an answer that belongs to no request to its end.
-func discard(response *http.Response) error {
+// discardBody reads the body of a response to another request to its end.
+func discardBody(response *http.Response) error {
 	_, err := io.Copy(io.Discard, response.Body)
 	return err
 }
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -16,22 +16,24 @@
 
 const (
 	dialTimeout = 400 * time.Millisecond
-	// strayAnswers bounds the answers to other requests that are passed over.
-	strayAnswers = 4
-	// backgroundWriteBytes is the size above which a request is written while its
-	// answer is awaited: an engine may answer before it has read it all.
+	// maxResponseHeads bounds the response heads that are read for a request. Interim (1xx)
+	// responses and responses to other requests are skipped.
+	maxResponseHeads = 4
+	// backgroundWriteBytes is the size above which a request is written in the background while
+	// the response is awaited: an engine may respond before it has read the whole request.
 	backgroundWriteBytes = 4 << 10
 )
 
 // Errors of an exchange.
 var (
 	// ErrNotSent means that no byte of the request reached the engine.
-	ErrNotSent = errors.New("upstream: not sent")
-	// ErrNoResponse means that the engine may have seen the request, and no answer came.
-	ErrNoResponse = errors.New("upstream: broken off")
+	ErrNotSent = errors.New("upstream: request not sent")
+	// ErrNoResponse means that the engine may have received the request but sent no response to
+	// it.
+	ErrNoResponse = errors.New("upstream: no response to the request")
 )
 
-// Request is one request as the engine is to get it.
+// Request is a request in the form in which it is sent to the engine.
 type Request struct {
 	Method string
 	// URI is the request target as the client sent it.
@@ -39,134 +41,134 @@
 	Host   string
 	Header http.Header
 	Body   []byte
-	// HasBody says that the client sent a body, be it an empty one.
+	// HasBody means that the client sent a body, possibly an empty one.
 	HasBody bool
-	// ID is what the answer must repeat in the header IDHeader.
+	// ID is the request ID that the response must repeat in the header IDHeader.
 	ID       string
 	IDHeader string
 }
 
-// Exchange is an answer under way. Its owner reads Response.Body to the end, or as
-// far as it wants, and calls Close.
+// Exchange is a response in progress. Its owner reads the body to the end, or as far as it needs,
+// and calls Close.
 type Exchange struct {
 	Response *http.Response
 
-	pool     *Pool
-	address  string
-	current  *connection
-	stop     func() bool
-	written  chan struct{}
-	writeErr error
-	whole    bool
-	closed   bool
+	pool             *Pool
+	address          string
+	connection       *connection
+	stopCancellation func() bool
+	written          chan struct{}
+	writeErr         error
+	bodyComplete     bool
+	closed           bool
 }
 
-// Pool keeps idle connections by address.
+// Pool holds idle connections by address.
 type Pool struct {
 	mutex sync.Mutex
 	idle  map[string][]*connection
-	// ConnectionsOpened counts new connections, Reused requests on kept ones.
+	// ConnectionsOpened counts new connections, and ConnectionsReused the requests that were sent
+	// on kept connections.
 	ConnectionsOpened atomic.Int64
 	ConnectionsReused atomic.Int64
-	// OnDial is told how long a new connection took; nil where nobody asks.
-	OnDial func(address string, took time.Duration)
+	// OnDial is called with the time taken to open a new connection. It may be nil.
+	OnDial func(address string, duration time.Duration)
 }
 
 // NewPool returns an empty pool.
 func NewPool() *Pool { return &Pool{idle: map[string][]*connection{}} }
 
-// take returns an idle connection that looks sound, or a new one.
-func (p *Pool) take(ctx context.Context, address string) (*connection, error) {
+// acquire returns a usable idle connection, or a new one.
+func (p *Pool) acquire(ctx context.Context, address string) (*connection, error) {
 	for {
-		kept := p.pop(address)
-		if kept == nil {
+		idle := p.popIdle(address)
+		if idle == nil {
 			return p.dial(ctx, address)
 		}
-		if time.Now().Before(kept.usableUntil) && kept.quiet() {
+		if time.Now().Before(idle.usableUntil) && idle.isOpenAndDrained() {
 			p.ConnectionsReused.Add(1)
-			return kept, nil
+			return idle, nil
 		}
-		_ = kept.socket.Close()
+		_ = idle.socket.Close()
 	}
 }
 
-func (p *Pool) pop(address string) *connection {
+func (p *Pool) popIdle(address string) *connection {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	kept := p.idle[address]
-	if len(kept) == 0 {
+	idle := p.idle[address]
+	if len(idle) == 0 {
 		return nil
 	}
-	last := kept[len(kept)-1]
-	kept[len(kept)-1] = nil
-	p.idle[address] = kept[:len(kept)-1]
+	last := idle[len(idle)-1]
+	idle[len(idle)-1] = nil
+	p.idle[address] = idle[:len(idle)-1]
 	return last
 }
 
 func (p *Pool) dial(ctx context.Context, address string) (*connection, error) {
-	dialer := net.Dialer{Timeout: dialTimeout, Control: giveUpOnSilence}
-	began := time.Now()
+	dialer := net.Dialer{Timeout: dialTimeout, Control: setTCPUserTimeout}
+	dialStart := time.Now()
 	socket, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, err
 	}
 	p.ConnectionsOpened.Add(1)
 	if p.OnDial != nil {
-		p.OnDial(address, time.Since(began))
+		p.OnDial(address, time.Since(dialStart))
 	}
 	return newConnection(socket), nil
 }
 
-func (p *Pool) put(address string, kept *connection) {
+func (p *Pool) release(address string, idle *connection) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.idle[address] = append(p.idle[address], kept)
+	p.idle[address] = append(p.idle[address], idle)
 }
 
-// CloseIdle closes the idle connections to an engine that is gone.
+// CloseIdle closes the idle connections to an engine that has left.
 func (p *Pool) CloseIdle(address string) {
 	p.mutex.Lock()
-	kept := p.idle[address]
+	idle := p.idle[address]
 	delete(p.idle, address)
 	p.mutex.Unlock()
-	for _, connection := range kept {
+	for _, connection := range idle {
 		_ = connection.socket.Close()
 	}
 }
 
-// CloseExpired closes idle connections that have rested too long.
+// CloseExpired closes the connections that have been idle for too long.
 func (p *Pool) CloseExpired(now time.Time) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	for address, kept := range p.idle {
-		var fresh []*connection
-		for _, connection := range kept {
+	for address, idle := range p.idle {
+		var usable []*connection
+		for _, connection := range idle {
 			if now.Before(connection.usableUntil) {
-				fresh = append(fresh, connection)
+				usable = append(usable, connection)
 				continue
 			}
 			_ = connection.socket.Close()
 		}
-		if len(fresh) == 0 {
+		if len(usable) == 0 {
 			delete(p.idle, address)
 			continue
 		}
-		p.idle[address] = fresh
+		p.idle[address] = usable
 	}
 }
 
-// Do sends a request and returns the head of its answer. The end of ctx closes the
-// connection, by which most engines drop the request. The error wraps ErrNotSent
-// or ErrBroken.
+// Do sends a request and returns the head of the response. When ctx ends, the connection is
+// closed, upon which most engines drop the request. The error wraps ErrNotSent or ErrNoResponse.
 func (p *Pool) Do(ctx context.Context, address string, request *Request) (*Exchange, error) {
-	current, err := p.take(ctx, address)
+	acquired, err := p.acquire(ctx, address)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrNotSent, err)
 	}
-	exchange := &Exchange{pool: p, address: address, current: current, written: make(chan struct{})}
-	exchange.stop = context.AfterFunc(ctx, func() { _ = current.socket.Close() })
+	exchange := &Exchange{pool: p, address: address, connection: acquired, written: make(chan struct{})}
+	exchange.stopCancellation = context.AfterFunc(ctx, func() { _ = acquired.socket.Close() })
 	exchange.send(request)
-	if err := exchange.readHead(request); err != nil {
+	if err := exchange.readHeader(request); err != nil {
 		exchange.Close()
 		return nil, fmt.Errorf("%w: %w", ErrNoResponse, err)
 	}
@@ -175,19 +177,19 @@
 
 // send writes the request, a long one in the background.
 func (e *Exchange) send(request *Request) {
-	raw := request.encode()
+	encoded := request.encode()
 	write := func() {
-		_, e.writeErr = e.current.socket.Write(raw)
+		_, e.writeErr = e.connection.socket.Write(encoded)
 		close(e.written)
 	}
-	if len(raw) > backgroundWriteBytes {
+	if len(encoded) > backgroundWriteBytes {
 		go write()
 		return
 	}
 	write()
 }
 
-// encode returns the request's bytes on the wire.
+// encode returns the wire format of the request.
 func (r *Request) encode() []byte {
 	var buffer bytes.Buffer
 	buffer.Grow(1024 + len(r.Body))
@@ -201,12 +203,12 @@
 	return buffer.Bytes()
 }
 
-// readHead reads the head of the answer to this request. Invariant: an answer that
-// repeats another request's id is never taken for this one's.
-func (e *Exchange) readHead(request *Request) error {
-	asked := &http.Request{Method: request.Method}
-	for range strayAnswers {
-		response, err := http.ReadResponse(e.current.reader, asked)
+// readHeader reads the head of the response to this request. Invariant: a response that repeats
+// the ID of another request is never returned for this one.
+func (e *Exchange) readHeader(request *Request) error {
+	httpRequest := &http.Request{Method: request.Method}
+	for range maxResponseHeads {
+		response, err := http.ReadResponse(e.connection.reader, httpRequest)
 		if err != nil {
 			return err
 		}
@@ -214,7 +216,7 @@
 			continue
 		}
 		if id := response.Header.Get(request.IDHeader); id != "" && id != request.ID {
-			if err := discard(response); err != nil {
+			if err := discardBody(response); err != nil {
 				return err
 			}
 			continue
@@ -222,45 +224,45 @@
 		e.Response = response
 		return nil
 	}
-	return errors.New("upstream: only answers to other requests came")
+	return errors.New("upstream: only interim responses and responses to other requests received")
 }
 
-// Read reads the answer's body; io.EOF means that it is whole.
+// Read reads the body of the response. io.EOF means that the body is complete.
 func (e *Exchange) Read(into []byte) (int, error) {
 	count, err := e.Response.Body.Read(into)
 	if errors.Is(err, io.EOF) {
-		e.whole = true
+		e.bodyComplete = true
 	}
 	return count, err
 }
 
-// Close ends the exchange. Invariant: the connection is used again only where the
-// whole request was written, the whole answer read and nothing is left over.
+// Close ends the exchange. Invariant: the connection is reused only if the whole request was
+// written, the whole response was read and no unread bytes are left.
 func (e *Exchange) Close() {
 	if e.closed {
 		return
 	}
 	e.closed = true
-	// Where the cancellation has begun, the socket is closed or about to be.
-	sound := e.stop() && e.whole && e.Response != nil && !e.Response.Close && e.framed()
-	if sound {
+	// If the cancellation has already started, the socket is closed or about to be closed.
+	reusable := e.stopCancellation() && e.bodyComplete && e.Response != nil && !e.Response.Close && e.isFramed()
+	if reusable {
 		select {
 		case <-e.written:
-			sound = e.writeErr == nil
+			reusable = e.writeErr == nil
 		default:
-			sound = false
+			reusable = false
 		}
 	}
-	if !sound || e.current.reader.Buffered() > 0 {
-		_ = e.current.socket.Close()
+	if !reusable || e.connection.reader.Buffered() > 0 {
+		_ = e.connection.socket.Close()
 		return
 	}
-	e.current.noteKeepAlive(e.Response.Header, time.Now())
-	e.pool.put(e.address, e.current)
+	e.connection.recordKeepAlive(e.Response.Header, time.Now())
+	e.pool.release(e.address, e.connection)
 }
 
-// framed reports whether the answer's end was told by its framing and not by the
-// end of the connection.
-func (e *Exchange) framed() bool {
+// isFramed reports whether the end of the response is given by its framing and not by the end of
+// the connection.
+func (e *Exchange) isFramed() bool {
 	return e.Response.ContentLength >= 0 || len(e.Response.TransferEncoding) > 0
 }
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -15,20 +15,20 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// engine is a stand-in that answers each request on a connection as its script says.
-type engine struct {
+// fakeEngine is an HTTP server that answers each request on a connection with a respondFunc.
+type fakeEngine struct {
 	listener net.Listener
 }
 
-// answerFunc writes one answer; it returns false to end the connection.
-type answerFunc func(connection net.Conn, request *http.Request, number int) bool
+// respondFunc writes one response. It returns false to close the connection.
+type respondFunc func(connection net.Conn, request *http.Request, number int) bool
 
-func newEngine(t *testing.T, answer answerFunc) *engine {
+func newFakeEngine(t *testing.T, respond respondFunc) *fakeEngine {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	stand := &engine{listener: listener}
+	fake := &fakeEngine{listener: listener}
 	t.Cleanup(func() { _ = listener.Close() })
 	go func() {
 		for {
@@ -41,33 +41,33 @@
 				reader := bufio.NewReader(connection)
 				for number := 1; ; number++ {
 					request, err := http.ReadRequest(reader)
-					if err != nil || !answer(connection, request, number) {
+					if err != nil || !respond(connection, request, number) {
 						return
 					}
 				}
 			}()
 		}
 	}()
-	return stand
+	return fake
 }
 
-func (e *engine) address() string { return e.listener.Addr().String() }
+func (e *fakeEngine) address() string { return e.listener.Addr().String() }
 
-func write(connection net.Conn, text string) { _, _ = io.WriteString(connection, text) }
+func writeText(connection net.Conn, text string) { _, _ = io.WriteString(connection, text) }
 
-func whole(id, body string) string {
+func fullResponse(id, body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nId: %s\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 }
 
-func request(id string) *Request {
+func newRequest(id string) *Request {
 	return &Request{Method: "POST", URI: "/a?b=c", Host: "h", Header: http.Header{"X": {"1"}}, Body: []byte("in"), ID: id, IDHeader: "Id"}
 }
 
-// fetch carries one request through and returns its body.
+// fetch sends one request and returns the body of the response.
 func fetch(pool *Pool, address, id string) (string, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
-	exchange, err := pool.Do(ctx, address, request(id))
+	exchange, err := pool.Do(ctx, address, newRequest(id))
 	if err != nil {
 		return "", err
 	}
@@ -77,17 +77,17 @@
 }
 
 func TestExchange(t *testing.T) {
-	Convey("a request arrives as it was sent, and its connection is used again", t, func() {
+	Convey("a request arrives as it was sent, and its connection is reused", t, func() {
 		seen := make(chan string, 2)
-		stand := newEngine(t, func(connection net.Conn, r *http.Request, _ int) bool {
+		engine := newFakeEngine(t, func(connection net.Conn, r *http.Request, _ int) bool {
 			body, _ := io.ReadAll(r.Body)
 			seen <- r.Method + " " + r.RequestURI + " " + r.Host + " " + r.Header.Get("X") + " " + string(body)
-			write(connection, whole(r.Header.Get("X"), "out"))
+			writeText(connection, fullResponse(r.Header.Get("X"), "out"))
 			return true
 		})
 		pool := NewPool()
 		for range 2 {
-			body, err := fetch(pool, stand.address(), "1")
+			body, err := fetch(pool, engine.address(), "1")
 			So(err, ShouldBeNil)
 			So(body, ShouldEqual, "out")
 			So(<-seen, ShouldEqual, "POST /a?b=c h 1 in")
@@ -95,83 +95,83 @@
 		So(pool.ConnectionsOpened.Load(), ShouldEqual, 1)
 		So(pool.ConnectionsReused.Load(), ShouldEqual, 1)
 	})
-	Convey("an answer to another request is passed over", t, func() {
-		stand := newEngine(t, func(connection net.Conn, _ *http.Request, _ int) bool {
-			write(connection, whole("old", "late")+whole("new", "own"))
+	Convey("a response to another request is skipped", t, func() {
+		engine := newFakeEngine(t, func(connection net.Conn, _ *http.Request, _ int) bool {
+			writeText(connection, fullResponse("old", "late")+fullResponse("new", "own"))
 			return true
 		})
-		body, err := fetch(NewPool(), stand.address(), "new")
+		body, err := fetch(NewPool(), engine.address(), "new")
 		So(err, ShouldBeNil)
 		So(body, ShouldEqual, "own")
 	})
-	Convey("a connection on which more came than was asked for is not used again", t, func() {
-		stand := newEngine(t, func(connection net.Conn, r *http.Request, _ int) bool {
-			write(connection, whole("1", "own")+whole("1", "extra"))
+	Convey("a connection with unread bytes is not reused", t, func() {
+		engine := newFakeEngine(t, func(connection net.Conn, r *http.Request, _ int) bool {
+			writeText(connection, fullResponse("1", "own")+fullResponse("1", "extra"))
 			return true
 		})
 		pool := NewPool()
 		for range 3 {
-			body, err := fetch(pool, stand.address(), "1")
+			body, err := fetch(pool, engine.address(), "1")
 			So(err, ShouldBeNil)
 			So(body, ShouldEqual, "own")
 		}
 		So(pool.ConnectionsOpened.Load(), ShouldEqual, 3)
 	})
-	Convey("a connection that the engine closed meanwhile is not used again", t, func() {
-		stand := newEngine(t, func(connection net.Conn, _ *http.Request, _ int) bool {
-			write(connection, whole("1", "own"))
+	Convey("a connection that the engine has closed is not reused", t, func() {
+		engine := newFakeEngine(t, func(connection net.Conn, _ *http.Request, _ int) bool {
+			writeText(connection, fullResponse("1", "own"))
 			return false
 		})
 		pool := NewPool()
-		_, err := fetch(pool, stand.address(), "1")
+		_, err := fetch(pool, engine.address(), "1")
 		So(err, ShouldBeNil)
 		waitFor(func() bool {
-			kept := pool.idle[stand.address()]
-			return len(kept) == 0 || !kept[0].quiet()
+			idle := pool.idle[engine.address()]
+			return len(idle) == 0 || !idle[0].isOpenAndDrained()
 		})
-		_, err = fetch(pool, stand.address(), "1")
+		_, err = fetch(pool, engine.address(), "1")
 		So(err, ShouldBeNil)
 		So(pool.ConnectionsOpened.Load(), ShouldEqual, 2)
 	})
-	Convey("an answer without length is whole at the end of its connection, and not when that is reset", t, func() {
-		stand := newEngine(t, func(connection net.Conn, r *http.Request, _ int) bool {
-			write(connection, "HTTP/1.1 200 OK\r\nId: "+r.Header.Get("X")+"\r\n\r\nunframed")
+	Convey("a response without a length is complete at the end of its connection, but not if the connection is reset", t, func() {
+		engine := newFakeEngine(t, func(connection net.Conn, r *http.Request, _ int) bool {
+			writeText(connection, "HTTP/1.1 200 OK\r\nId: "+r.Header.Get("X")+"\r\n\r\nunframed")
 			if r.Header.Get("Cut") != "" {
 				_ = connection.(*net.TCPConn).SetLinger(0)
 			}
 			return false
 		})
-		body, err := fetch(NewPool(), stand.address(), "1")
+		body, err := fetch(NewPool(), engine.address(), "1")
 		So(err, ShouldBeNil)
 		So(body, ShouldEqual, "unframed")
-		cut := request("1")
-		cut.Header = http.Header{"X": {"1"}, "Cut": {"1"}}
+		resetRequest := newRequest("1")
+		resetRequest.Header = http.Header{"X": {"1"}, "Cut": {"1"}}
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 		defer cancel()
-		exchange, err := NewPool().Do(ctx, stand.address(), cut)
+		exchange, err := NewPool().Do(ctx, engine.address(), resetRequest)
 		if err == nil {
 			_, err = io.ReadAll(exchange)
 			exchange.Close()
 		}
 		So(err, ShouldNotBeNil)
 	})
-	Convey("a body that ends early is not whole", t, func() {
-		stand := newEngine(t, func(connection net.Conn, _ *http.Request, _ int) bool {
-			write(connection, "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 9\r\n\r\nhalf")
+	Convey("a body that ends early is an error", t, func() {
+		engine := newFakeEngine(t, func(connection net.Conn, _ *http.Request, _ int) bool {
+			writeText(connection, "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 9\r\n\r\nhalf")
 			return false
 		})
-		_, err := fetch(NewPool(), stand.address(), "1")
+		_, err := fetch(NewPool(), engine.address(), "1")
 		So(err, ShouldNotBeNil)
 	})
-	Convey("bytes that are no answer break the exchange off", t, func() {
-		stand := newEngine(t, func(connection net.Conn, _ *http.Request, _ int) bool {
-			write(connection, "no answer at all\r\n\r\n")
+	Convey("bytes that are no HTTP response fail the exchange", t, func() {
+		engine := newFakeEngine(t, func(connection net.Conn, _ *http.Request, _ int) bool {
+			writeText(connection, "no answer at all\r\n\r\n")
 			return false
 		})
-		_, err := fetch(NewPool(), stand.address(), "1")
+		_, err := fetch(NewPool(), engine.address(), "1")
 		So(errors.Is(err, ErrNoResponse), ShouldBeTrue)
 	})
-	Convey("an engine that answers before it has read a long body is heard, and its connection is not used again", t, func() {
+	Convey("an early response to a long request is read, and its connection is not reused", t, func() {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		So(err, ShouldBeNil)
 		defer listener.Close()
@@ -181,14 +181,14 @@
 				return
 			}
 			_, _ = bufio.NewReader(connection).ReadString('\n')
-			write(connection, whole("1", "early"))
+			writeText(connection, fullResponse("1", "early"))
 			time.Sleep(2 * time.Second)
 			_ = connection.Close()
 		}()
 		pool := NewPool()
-		long := request("1")
-		long.Body = []byte(strings.Repeat("x", 8<<20))
-		exchange, err := pool.Do(context.Background(), listener.Addr().String(), long)
+		longRequest := newRequest("1")
+		longRequest.Body = []byte(strings.Repeat("x", 8<<20))
+		exchange, err := pool.Do(context.Background(), listener.Addr().String(), longRequest)
 		So(err, ShouldBeNil)
 		body, err := io.ReadAll(exchange)
 		So(err, ShouldBeNil)
@@ -196,7 +196,7 @@
 		exchange.Close()
 		So(pool.idle[listener.Addr().String()], ShouldBeEmpty)
 	})
-	Convey("an address where nobody listens got nothing", t, func() {
+	Convey("a request to an address without a listener is reported as not sent", t, func() {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		So(err, ShouldBeNil)
 		address := listener.Addr().String()
@@ -204,10 +204,10 @@
 		_, err = fetch(NewPool(), address, "1")
 		So(errors.Is(err, ErrNotSent), ShouldBeTrue)
 	})
-	Convey("the end of the context closes the engine's connection", t, func() {
+	Convey("cancelling the context closes the connection to the engine", t, func() {
 		arrived := make(chan struct{})
 		closed := make(chan struct{})
-		stand := newEngine(t, func(connection net.Conn, _ *http.Request, _ int) bool {
+		engine := newFakeEngine(t, func(connection net.Conn, _ *http.Request, _ int) bool {
 			close(arrived)
 			_, _ = connection.Read(make([]byte, 1))
 			close(closed)
@@ -218,7 +218,7 @@
 			<-arrived
 			cancel()
 		}()
-		_, err := NewPool().Do(ctx, stand.address(), request("1"))
+		_, err := NewPool().Do(ctx, engine.address(), newRequest("1"))
 		So(errors.Is(err, ErrNoResponse), ShouldBeTrue)
 		select {
 		case <-closed:
@@ -228,7 +228,7 @@
 	})
 }
 
-// waitFor polls generously until a condition holds.
+// waitFor polls until the condition holds, for up to 20 s.
 func waitFor(condition func() bool) {
 	for range 2000 {
 		if condition() {
