--- a/internal/replication/compat_test.go
+++ b/internal/replication/compat_test.go
@@ -7,7 +7,8 @@
 	"github.com/ochrebay/ochrebay/internal/storage"
 )
 
-// TestEarlierReleases holds what this package sends and stores against earlier releases.
+// TestEarlierReleases checks that the encodings of this package are compatible with earlier
+// releases.
 func TestEarlierReleases(t *testing.T) {
 	compat.Hold(t, map[string]any{
 		"snapshotState": &snapshotState{}, "Records": &[]storage.Record{},
--- a/internal/replication/group.go
+++ b/internal/replication/group.go
@@ -1,7 +1,7 @@
-// Package replication hosts the replicas of log groups in one process: it drives
-// their consensus nodes, writes all groups' entries in one synced write, applies
-// what is committed and answers proposals and linearizable reads. It has no
-// goroutine, clock or socket; its owner feeds it messages and ticks.
+// Package replication hosts the replicas of log groups in one process. It drives their consensus
+// nodes, writes the entries of all groups in one synced write, applies committed entries and
+// completes proposals and linearizable reads. It has no goroutines, clock or sockets; its owner
+// passes it messages and ticks.
 package replication
 
 import (
@@ -14,69 +14,69 @@
 	"github.com/ochrebay/ochrebay/internal/storage"
 )
 
-// StateMachine is the replicated state of one group.
+// StateMachine is the replicated state machine of one group.
 type StateMachine interface {
-	// Apply carries out an entry; the reply goes to the proposer, the records to
-	// the disk.
+	// Apply applies an entry. The reply is returned to the proposer, and the records are written
+	// to disk.
 	Apply(index uint64, data []byte) (reply any, records []storage.Record)
 	Snapshot() ([]byte, error)
 	Restore(data []byte) error
 }
 
-// proposal waits for its entry to be applied.
-type proposal struct {
-	term    uint64
-	sinceMs int64
-	answer  func(reply any)
+// pendingProposal is a proposal whose entry has not been applied yet.
+type pendingProposal struct {
+	term       uint64
+	proposedMs int64
+	reply      func(reply any)
 }
 
-// pendingRead waits for its read index to be applied.
+// pendingRead is a linearizable read that waits until its read index is applied.
 type pendingRead struct {
-	sinceMs int64
-	index   uint64
-	known   bool
-	done    func(err *result.Error)
+	startedMs int64
+	index     uint64
+	hasIndex  bool
+	done      func(err *result.Error)
 }
 
-// Group is one replica of one log group with its state machine.
+// Group is one replica of a log group with its state machine.
 type Group struct {
 	ID           storage.GroupID
 	Node         *consensus.Node
 	StateMachine StateMachine
-	waiting      map[uint64]proposal
+	proposals    map[uint64]pendingProposal
 	reads        map[uint64]pendingRead
-	readID       uint64
-	// checkedTerm is the term in which the waiting proposals were last held against the log.
+	lastReadID   uint64
+	// checkedTerm is the term in which the pending proposals were last compared with the log.
 	checkedTerm uint64
-	// unsaved are the records of entries applied since the last compaction, nil where
-	// they are deleted. The log still has the entries, so that the records need not be on
-	// the disk before it is compacted; until then reads look here first.
-	unsaved unsavedRecords
-	// senders remembers which member a replica belongs to: one that has just
-	// joined must answer a leader that its empty configuration doesn't name.
-	senders map[consensus.ReplicaID]string
-	// wantSnapshot marks that the next Write compacts the log.
-	wantSnapshot bool
-	// appliedEntries and appliedBytes count the entries applied since the last
-	// compaction and their data.
-	appliedEntries uint64
-	appliedBytes   int
-	// outgoing are the snapshots on their way to other replicas, incoming the one that
-	// is being received; staged, resetStaged and answers are what its next Write carries
-	// and what is sent once that is synced.
-	outgoing    map[consensus.ReplicaID]*outgoingTransfer
-	incoming    *incomingTransfer
-	staged      []storage.Record
-	resetStaged bool
-	answers     []*protocol.SnapshotPart
-	savedTerm   uint64
-	savedVote   consensus.ReplicaID
+	// unflushed holds the records of the entries applied since the last compaction, with a nil
+	// value for deleted records. The log still has the entries, so the records need not be on
+	// disk before the log is compacted. Until then, reads look here first.
+	unflushed unflushedRecords
+	// memberByReplica is the member that each replica last sent from. A replica that has just
+	// joined must answer a leader that its own, still empty configuration does not contain.
+	memberByReplica map[consensus.ReplicaID]string
+	// compactionDue makes the next Write compact the log.
+	compactionDue bool
+	// entriesSinceCompaction is the number of entries applied since the last compaction, and
+	// bytesSinceCompaction the size of their data.
+	entriesSinceCompaction uint64
+	bytesSinceCompaction   int
+	// outgoingTransfers holds the snapshots that are being sent to other replicas, and
+	// incomingTransfer the one that is being received. stagedRecords and resetStaged are part of
+	// the group's next Write, and partReplies are sent once that write is synced.
+	outgoingTransfers map[consensus.ReplicaID]*outgoingTransfer
+	incomingTransfer  *incomingTransfer
+	stagedRecords     []storage.Record
+	resetStaged       bool
+	partReplies       []*protocol.SnapshotPart
+	persistedTerm     uint64
+	persistedVote     consensus.ReplicaID
 }
 
-// unsavedRecords are records by program and turn.
-type unsavedRecords map[string]map[uint64][]byte
+// unflushedRecords holds record values by program and turn.
+type unflushedRecords map[string]map[uint64][]byte
 
-func (u unsavedRecords) put(record storage.Record) {
+func (u unflushedRecords) put(record storage.Record) {
 	turns := u[record.Program]
 	if turns == nil {
 		turns = map[uint64][]byte{}
@@ -86,46 +86,47 @@
 }
 
 const (
-	// keptShare-th of what is compacted at once stays in memory, and keptForTransfer
-	// times as much while a snapshot is on its way.
-	keptShare       = 2
-	keptForTransfer = 8
+	// Compaction keeps 1/retainedDivisor of the compaction threshold in the log, and
+	// transferRetentionFactor times as much while a snapshot is being sent.
+	retainedDivisor         = 2
+	transferRetentionFactor = 8
 )
 
-// Propose appends a command; answer gets the state machine's reply, or an error
-// of the code NoQuorum where the outcome can't be known.
-func (h *Host) Propose(group *Group, command any, answer func(reply any)) *result.Error {
+// Propose appends a command to the log. reply receives the state machine's reply or an error. An
+// error with the code NoQuorum means that the outcome is unknown.
+func (h *Host) Propose(group *Group, command any, reply func(reply any)) *result.Error {
 	data, err := protocol.Encode(command)
 	if err != nil {
 		return result.New(result.Internal, "%v", err)
 	}
-	h.endOverwritten(group)
+	h.failOverwrittenProposals(group)
 	index, term, err := group.Node.Propose(data)
 	if err != nil {
 		return result.New(result.NotLeader, "%s does not lead group %d", h.options.Name, group.ID)
 	}
-	group.waiting[index] = proposal{term: term, sinceMs: h.NowMs, answer: answer}
+	group.proposals[index] = pendingProposal{term: term, proposedMs: h.NowMs, reply: reply}
 	return nil
 }
 
-// LinearizableRead calls done once this replica's state is linearizable.
+// LinearizableRead calls done without an error once the state of this replica is linearizable, or
+// with an error if that is not confirmed.
 func (h *Host) LinearizableRead(group *Group, done func(err *result.Error)) {
-	group.readID++
-	if err := group.Node.ReadIndex(group.readID); err != nil {
+	group.lastReadID++
+	if err := group.Node.ReadIndex(group.lastReadID); err != nil {
 		done(result.New(result.NotLeader, "%s does not lead group %d", h.options.Name, group.ID))
 		return
 	}
-	group.reads[group.readID] = pendingRead{sinceMs: h.NowMs, done: done}
+	group.reads[group.lastReadID] = pendingRead{startedMs: h.NowMs, done: done}
 }
 
-// ProcessReady carries out what the groups have ready: sends, one synced write for all
-// groups, and only then acknowledgements and replies.
+// ProcessReady processes the ready state of all groups: it sends messages, makes one synced write
+// for all groups, and only then sends acknowledgements and replies.
 func (h *Host) ProcessReady() error {
-	if h.failure != nil {
-		return h.failure
+	if h.deferredErr != nil {
+		return h.deferredErr
 	}
 	for range 64 {
-		worked, err := h.flushOnce()
+		worked, err := h.processReadyOnce()
 		if err != nil {
 			return err
 		}
@@ -136,30 +137,30 @@
 	return nil
 }
 
-func (h *Host) flushOnce() (bool, error) {
+func (h *Host) processReadyOnce() (bool, error) {
 	var active []*Group
-	var readies []consensus.Ready
+	var readyStates []consensus.Ready
 	var writes []storage.GroupWrite
 	for _, group := range h.Groups {
-		h.endOverwritten(group)
-		if !group.Node.HasReady() && !group.wantSnapshot && len(group.answers) == 0 {
+		h.failOverwrittenProposals(group)
+		if !group.Node.HasReady() && !group.compactionDue && len(group.partReplies) == 0 {
 			continue
 		}
 		ready := group.Node.Ready()
 		for _, message := range ready.Messages {
-			h.queuePeer(group, message)
+			h.queueMessage(group, message)
 		}
-		write, needed, err := h.groupWrite(group, ready)
+		write, needsSync, err := h.buildWrite(group, ready)
 		if err != nil {
 			return false, err
 		}
-		if needed {
+		if needsSync {
 			writes = append(writes, write)
 		}
 		active = append(active, group)
-		readies = append(readies, ready)
+		readyStates = append(readyStates, ready)
 	}
-	h.sendPeers()
+	h.sendQueued()
 	if len(active) == 0 {
 		return false, nil
 	}
@@ -170,76 +171,78 @@
 		h.SyncedWrites++
 	}
 	for position, group := range active {
-		if err := h.afterSync(group, readies[position]); err != nil {
+		if err := h.afterSync(group, readyStates[position]); err != nil {
 			return false, err
 		}
 	}
-	h.sendPeers()
+	h.sendQueued()
 	return true, nil
 }
 
-// groupWrite turns a Ready into the group's part of the write.
-func (h *Host) groupWrite(group *Group, ready consensus.Ready) (storage.GroupWrite, bool, error) {
+// buildWrite converts a Ready to the group's part of the write. The second result reports whether
+// the write is needed.
+func (h *Host) buildWrite(group *Group, ready consensus.Ready) (storage.GroupWrite, bool, error) {
 	write := storage.GroupWrite{Group: group.ID, Entries: ready.Entries}
-	needed := len(ready.Entries) > 0
-	// The commit index alone needs no sync: it is found again after a restart.
+	needsSync := len(ready.Entries) > 0
+	// A commit index alone needs no sync: it is found again after a restart.
 	if ready.HardState != nil {
 		write.HardState = ready.HardState
-		needed = needed || ready.HardState.Term != group.savedTerm || ready.HardState.Vote != group.savedVote
+		needsSync = needsSync || ready.HardState.Term != group.persistedTerm || ready.HardState.Vote != group.persistedVote
 	}
-	if group.resetStaged || len(group.staged) > 0 {
-		needed = true
+	if group.resetStaged || len(group.stagedRecords) > 0 {
+		needsSync = true
 		write.ResetStaged = group.resetStaged
-		write.Staged = group.staged
+		write.Staged = group.stagedRecords
 		group.resetStaged = false
-		group.staged = nil
+		group.stagedRecords = nil
 	}
 	if ready.Snapshot != nil {
-		needed = true
+		needsSync = true
 		if err := h.installSnapshot(group, ready.Snapshot, &write); err != nil {
 			return write, false, err
 		}
-	} else if group.wantSnapshot {
-		needed = true
+	} else if group.compactionDue {
+		needsSync = true
 		if err := h.compact(group, &write); err != nil {
 			return write, false, err
 		}
 	}
-	if needed && write.HardState != nil {
-		group.savedTerm = write.HardState.Term
-		group.savedVote = write.HardState.Vote
+	if needsSync && write.HardState != nil {
+		group.persistedTerm = write.HardState.Term
+		group.persistedVote = write.HardState.Vote
 	}
-	return write, needed, nil
+	return write, needsSync, nil
 }
 
-// compact writes the state machine as a snapshot and forgets the entries that it
-// covers, but for the latest: a replica that is a little behind needs only those.
+// compact writes the state machine as a snapshot and drops the log entries that it covers, except
+// the most recent ones: a replica that lags slightly needs only these.
 func (h *Host) compact(group *Group, write *storage.GroupWrite) error {
-	group.wantSnapshot = false
-	group.appliedBytes = 0
-	group.appliedEntries = 0
+	group.compactionDue = false
+	group.bytesSinceCompaction = 0
+	group.entriesSinceCompaction = 0
 	data, err := group.StateMachine.Snapshot()
 	if err != nil {
 		return err
 	}
-	write.Records = group.takeUnsaved()
+	write.Records = group.takeUnflushed()
 	index := group.Node.Applied()
 	write.Snapshot = &consensus.Snapshot{
 		Index: index, Term: group.Node.TermAt(index), Configuration: group.Node.ConfigurationAt(index), Data: data,
 	}
-	entries, size := h.options.CompactAfterEntries/keptShare, h.options.CompactAfterBytes/keptShare
-	if len(group.outgoing) > 0 {
-		// What comes after a snapshot on its way must still be there when it has arrived.
-		entries, size = entries*keptForTransfer, size*keptForTransfer
+	entries, size := h.options.CompactAfterEntries/retainedDivisor, h.options.CompactAfterBytes/retainedDivisor
+	if len(group.outgoingTransfers) > 0 {
+		// The entries after a snapshot that is being sent must still be in the log when it
+		// arrives.
+		entries, size = entries*transferRetentionFactor, size*transferRetentionFactor
 	}
 	group.Node.Compact(group.Node.KeepFrom(index, entries, size))
 	return nil
 }
 
-// takeUnsaved returns the unsaved records, in the order of their keys, for a write.
-func (g *Group) takeUnsaved() []storage.Record {
-	records := make([]storage.Record, 0, len(g.unsaved))
-	for program, turns := range g.unsaved {
+// takeUnflushed returns the unflushed records for a write, sorted by key, and clears them.
+func (g *Group) takeUnflushed() []storage.Record {
+	records := make([]storage.Record, 0, len(g.unflushed))
+	for program, turns := range g.unflushed {
 		for turn, value := range turns {
 			records = append(records, storage.Record{Program: program, Turn: turn, Value: value})
 		}
@@ -247,18 +250,18 @@
 	slices.SortFunc(records, func(a, b storage.Record) int {
 		return cmp.Or(cmp.Compare(a.Program, b.Program), cmp.Compare(a.Turn, b.Turn))
 	})
-	clear(g.unsaved)
+	clear(g.unflushed)
 	return records
 }
 
 func (h *Host) afterSync(group *Group, ready consensus.Ready) error {
 	for _, message := range ready.MessagesAfterSync {
-		h.queuePeer(group, message)
+		h.queueMessage(group, message)
 	}
-	for _, answer := range group.answers {
-		h.queuePart(group, answer)
+	for _, reply := range group.partReplies {
+		h.queuePart(group, reply)
 	}
-	group.answers = nil
+	group.partReplies = nil
 	for _, entry := range ready.Committed {
 		h.applyEntry(group, entry)
 	}
@@ -267,60 +270,60 @@
 		pending, ok := group.reads[state.Context]
 		if ok {
 			pending.index = state.Index
-			pending.known = true
+			pending.hasIndex = true
 			group.reads[state.Context] = pending
 		}
 	}
 	for _, context := range ready.LostReads {
-		h.endRead(group, context)
+		h.failRead(group, context)
 	}
-	h.answerReads(group)
+	h.completeReads(group)
 	for _, to := range ready.SnapshotsWanted {
 		if err := h.startTransfer(group, to); err != nil {
 			return err
 		}
 	}
-	if group.appliedEntries > h.options.CompactAfterEntries || (h.options.CompactAfterBytes > 0 && group.appliedBytes > h.options.CompactAfterBytes) {
-		group.wantSnapshot = true
+	if group.entriesSinceCompaction > h.options.CompactAfterEntries || (h.options.CompactAfterBytes > 0 && group.bytesSinceCompaction > h.options.CompactAfterBytes) {
+		group.compactionDue = true
 	}
 	return nil
 }
 
 func (h *Host) applyEntry(group *Group, entry consensus.Entry) {
 	var reply any
-	group.appliedEntries++
-	group.appliedBytes += len(entry.Data)
+	group.entriesSinceCompaction++
+	group.bytesSinceCompaction += len(entry.Data)
 	if entry.Kind == consensus.EntryCommand {
 		var records []storage.Record
 		reply, records = group.StateMachine.Apply(entry.Index, entry.Data)
 		for _, record := range records {
-			group.unsaved.put(record)
+			group.unflushed.put(record)
 		}
 	}
-	waiting, ok := group.waiting[entry.Index]
-	delete(group.waiting, entry.Index)
-	if ok && waiting.term == entry.Term && entry.Kind == consensus.EntryCommand {
-		waiting.answer(reply)
-	} else if ok {
-		// Another leader's entry took the place: the command did not happen.
-		waiting.answer(result.New(result.NotLeader, "leadership of group %d moved on", group.ID))
+	pending, isPending := group.proposals[entry.Index]
+	delete(group.proposals, entry.Index)
+	if isPending && pending.term == entry.Term && entry.Kind == consensus.EntryCommand {
+		pending.reply(reply)
+	} else if isPending {
+		// The entry of another leader took this index, so the command was not applied.
+		pending.reply(result.New(result.NotLeader, "leadership of group %d changed", group.ID))
 	}
 	if h.OnApplied != nil {
 		h.OnApplied(group)
 	}
 }
 
-func (h *Host) answerReads(group *Group) {
+func (h *Host) completeReads(group *Group) {
 	for _, id := range SortedKeys(group.reads) {
 		pending := group.reads[id]
-		if pending.known && group.Node.Applied() >= pending.index {
+		if pending.hasIndex && group.Node.Applied() >= pending.index {
 			delete(group.reads, id)
 			pending.done(nil)
 		}
 	}
 }
 
-// Records returns a program's turn records after a turn, unsaved ones included.
+// Records returns the turn records of a program after the given turn, including unflushed ones.
 func (h *Host) Records(group *Group, program string, after uint64) ([][]byte, error) {
 	stored, err := h.storage.Records(group.ID, program, after)
 	if err != nil {
@@ -330,7 +333,7 @@
 	for _, record := range stored {
 		byTurn[record.Turn] = record.Value
 	}
-	for turn, value := range group.unsaved[program] {
+	for turn, value := range group.unflushed[program] {
 		switch {
 		case turn <= after:
 		case value == nil:
@@ -346,7 +349,7 @@
 	return values, nil
 }
 
-// SortedKeys returns the keys of a map in ascending order, so that runs repeat.
+// SortedKeys returns the keys of a map in ascending order, so that runs are reproducible.
 func SortedKeys[K cmp.Ordered, V any](values map[K]V) []K {
 	keys := make([]K, 0, len(values))
 	for key := range values {
--- a/internal/replication/host.go
+++ b/internal/replication/host.go
@@ -8,7 +8,7 @@
 	"github.com/ochrebay/ochrebay/internal/storage"
 )
 
-// Storage is the disk as a host sees it. Write returns after the sync.
+// Storage is the disk interface of a host. Write returns after the sync.
 type Storage interface {
 	Replica() consensus.ReplicaID
 	Write(writes []storage.GroupWrite) error
@@ -17,9 +17,9 @@
 	RecordsAfter(group storage.GroupID, after storage.RecordKey, maxBytes int) (records []storage.Record, more bool, err error)
 }
 
-// Options configure a Host. Times are in milliseconds.
+// Options configures a Host. Times are in milliseconds.
 type Options struct {
-	// Name is the member that this process is in the groups' configurations.
+	// Name is the member name of this process in the configurations of the groups.
 	Name           string
 	ElectionTicks  int
 	HeartbeatTicks int
@@ -29,8 +29,9 @@
 	MaxInflight    int
 	// ProposalTimeoutMs is how long a proposal or a read may wait for a quorum.
 	ProposalTimeoutMs int64
-	// CompactAfterEntries and CompactBytes bound what a group keeps of applied entries;
-	// zero bytes is no bound.
+	// CompactAfterEntries and CompactAfterBytes are the numbers of applied entries and bytes
+	// since the last compaction after which a group's log is compacted. CompactAfterBytes of 0
+	// means no bound.
 	CompactAfterEntries uint64
 	CompactAfterBytes   int
 
@@ -41,30 +42,30 @@
 
 // Host holds the replicas of one process.
 type Host struct {
-	options  Options
-	storage  Storage
-	send     func(member string, messages []protocol.PeerMessage)
-	outgoing map[string][]protocol.PeerMessage
+	options Options
+	storage Storage
+	send    func(member string, messages []protocol.PeerMessage)
+	outbox  map[string][]protocol.PeerMessage
 
 	// NowMs is the owner's clock.
 	NowMs int64
-	// Groups are the replicas hosted, in ascending order of their ids.
+	// Groups holds the hosted replicas in ascending order of their group IDs.
 	Groups []*Group
-	// SyncedWrites counts the writes that were synced.
+	// SyncedWrites counts the synced writes.
 	SyncedWrites uint64
-	// failure is a disk's failure outside a Flush.
-	failure error
-	// OnApplied is called after an entry of a group was applied.
+	// deferredErr is a disk error that occurred outside ProcessReady.
+	deferredErr error
+	// OnApplied is called after an entry of a group was applied. It may be nil.
 	OnApplied func(group *Group)
 }
 
-// NewHost returns a host without groups; send carries messages to a member.
+// NewHost returns a host without groups. send sends messages to a member.
 func NewHost(options Options, disk Storage, send func(member string, messages []protocol.PeerMessage)) *Host {
-	return &Host{options: options, storage: disk, send: send, outgoing: map[string][]protocol.PeerMessage{}}
+	return &Host{options: options, storage: disk, send: send, outbox: map[string][]protocol.PeerMessage{}}
 }
 
-// AddGroup starts the replica of a group as the disk describes it; bootstrap is the
-// configuration of a group of which the disk knows nothing.
+// AddGroup starts the replica of a group from its state on disk. bootstrap is the configuration
+// of a group that has no snapshot on disk.
 func (h *Host) AddGroup(id storage.GroupID, state StateMachine, bootstrap consensus.Configuration) (*Group, error) {
 	restored, err := h.storage.Load(id)
 	if err != nil {
@@ -84,21 +85,21 @@
 		DisableReadConfirm: h.options.DisableReadConfirm,
 	}, restored)
 	group := &Group{
-		ID: id, Node: node, StateMachine: state, waiting: map[uint64]proposal{}, reads: map[uint64]pendingRead{},
-		senders: map[consensus.ReplicaID]string{}, outgoing: map[consensus.ReplicaID]*outgoingTransfer{},
-		unsaved: unsavedRecords{},
+		ID: id, Node: node, StateMachine: state, proposals: map[uint64]pendingProposal{}, reads: map[uint64]pendingRead{},
+		memberByReplica: map[consensus.ReplicaID]string{}, outgoingTransfers: map[consensus.ReplicaID]*outgoingTransfer{},
+		unflushed: unflushedRecords{},
 	}
 	h.Groups = append(h.Groups, group)
 	slices.SortFunc(h.Groups, func(a, b *Group) int { return int(a.ID) - int(b.ID) })
 	return group, nil
 }
 
-// RemoveGroup stops hosting a group; the caller deletes what the disk holds.
+// RemoveGroup stops hosting a group. The caller deletes its state on disk.
 func (h *Host) RemoveGroup(id storage.GroupID) {
 	h.Groups = slices.DeleteFunc(h.Groups, func(group *Group) bool { return group.ID == id })
 }
 
-// FindGroup returns a hosted group, nil where there is none.
+// FindGroup returns a hosted group, nil if there is none.
 func (h *Host) FindGroup(id storage.GroupID) *Group {
 	for _, group := range h.Groups {
 		if group.ID == id {
@@ -111,7 +112,7 @@
 // IsLeader reports whether this process leads the group.
 func (g *Group) IsLeader() bool { return g.Node.Role() == consensus.Leader }
 
-// LeaderMember returns the member that leads the group, "" where unknown.
+// LeaderMember returns the member that leads the group, "" if it is unknown.
 func (g *Group) LeaderMember() string {
 	replica, ok := g.Node.Configuration().Find(g.Node.Leader())
 	if !ok {
@@ -120,61 +121,61 @@
 	return replica.Member
 }
 
-// Step takes the consensus messages of a batch that are for this process.
+// Step processes the messages of a batch that are addressed to this process.
 func (h *Host) Step(batch protocol.PeerBatch) {
 	for _, message := range batch.Messages {
 		group := h.FindGroup(storage.GroupID(message.Group))
 		if group == nil {
 			continue
 		}
-		h.note(h.stepOne(group, batch.From, message))
+		h.deferError(h.stepMessage(group, batch.From, message))
 	}
 }
 
-// note remembers a disk's failure for the next Flush, which returns it.
-func (h *Host) note(err error) {
-	if h.failure == nil {
-		h.failure = err
+// deferError keeps the first disk error, which ProcessReady returns from then on.
+func (h *Host) deferError(err error) {
+	if h.deferredErr == nil {
+		h.deferredErr = err
 	}
 }
 
-func (h *Host) stepOne(group *Group, from string, message protocol.PeerMessage) error {
+func (h *Host) stepMessage(group *Group, from string, message protocol.PeerMessage) error {
 	if part := message.Part; part != nil {
 		if part.To != h.storage.Replica() {
 			return nil
 		}
-		group.senders[part.From] = from
+		group.memberByReplica[part.From] = from
 		return h.stepPart(group, part)
 	}
 	if message.Message.To != h.storage.Replica() {
 		return nil
 	}
-	group.senders[message.Message.From] = from
-	if message.Message.Kind != consensus.MessageSnapshot || h.mayInstall(group, &message.Message) {
+	group.memberByReplica[message.Message.From] = from
+	if message.Message.Kind != consensus.MessageSnapshot || h.canInstall(group, &message.Message) {
 		group.Node.Step(message.Message)
 	}
 	return nil
 }
 
-// queuePeer gathers a consensus message for its member's batch.
-func (h *Host) queuePeer(group *Group, message consensus.Message) {
+// queueMessage adds a consensus message to the outgoing batch of its member.
+func (h *Host) queueMessage(group *Group, message consensus.Message) {
 	replica, ok := group.Node.Configuration().Find(message.To)
 	member := replica.Member
 	if !ok {
-		member = group.senders[message.To]
+		member = group.memberByReplica[message.To]
 	}
 	if member == "" {
 		return
 	}
-	h.outgoing[member] = append(h.outgoing[member], protocol.PeerMessage{Group: uint32(group.ID), Message: message})
+	h.outbox[member] = append(h.outbox[member], protocol.PeerMessage{Group: uint32(group.ID), Message: message})
 }
 
-// sendPeers sends what is gathered: to each member its parts of snapshots apart from
-// everything else, which must not wait for them.
-func (h *Host) sendPeers() {
-	for _, member := range SortedKeys(h.outgoing) {
+// sendQueued sends the queued messages. Snapshot parts for a member are sent in a separate batch,
+// so that other messages do not wait for them.
+func (h *Host) sendQueued() {
+	for _, member := range SortedKeys(h.outbox) {
 		var messages, parts []protocol.PeerMessage
-		for _, message := range h.outgoing[member] {
+		for _, message := range h.outbox[member] {
 			if message.Part != nil {
 				parts = append(parts, message)
 				continue
@@ -187,5 +188,5 @@
 			}
 		}
 	}
-	clear(h.outgoing)
+	clear(h.outbox)
 }
--- a/internal/replication/terms_test.go
+++ b/internal/replication/terms_test.go
@@ -16,15 +16,15 @@
 const (
 	termsGroup          = storage.GroupID(0)
 	termsProposalWaitMs = 5000
-	// termsPeerB and termsPeerC are the other voters, which the test plays.
+	// termsPeerB and termsPeerC are the other voters, which the test simulates.
 	termsPeerB = consensus.ReplicaID(1)
 	termsPeerC = consensus.ReplicaID(2)
 )
 
-// countingMachine remembers the commands that it applied.
-type countingMachine struct{ applied []string }
+// recordingStateMachine records the applied commands.
+type recordingStateMachine struct{ applied []string }
 
-func (m *countingMachine) Apply(_ uint64, data []byte) (any, []storage.Record) {
+func (m *recordingStateMachine) Apply(_ uint64, data []byte) (any, []storage.Record) {
 	var command string
 	if err := protocol.Decode(data, &command); err != nil {
 		return result.New(result.Internal, "%v", err), nil
@@ -33,18 +33,18 @@
 	return command, nil
 }
 
-func (m *countingMachine) Snapshot() ([]byte, error) { return nil, nil }
-func (m *countingMachine) Restore([]byte) error      { return nil }
+func (m *recordingStateMachine) Snapshot() ([]byte, error) { return nil, nil }
+func (m *recordingStateMachine) Restore([]byte) error      { return nil }
 
-// loneVoter is a host whose peers are played by the test, message by message.
-type loneVoter struct {
-	t       testing.TB
-	host    *Host
-	group   *Group
-	machine *countingMachine
+// testVoter is a host whose peers are simulated by the test, message by message.
+type testVoter struct {
+	t            testing.TB
+	host         *Host
+	group        *Group
+	stateMachine *recordingStateMachine
 }
 
-// emptyDisk remembers nothing: these hosts never restart.
+// emptyDisk stores nothing: these hosts never restart.
 type emptyDisk struct{}
 
 func (emptyDisk) Replica() consensus.ReplicaID { return 7 }
@@ -59,17 +59,17 @@
 	return nil, false, nil
 }
 
-func newLoneVoter(t testing.TB) *loneVoter {
+func newTestVoter(t testing.TB) *testVoter {
 	options := Options{
 		Name: "a", ElectionTicks: 10, HeartbeatTicks: 2, MaxAppendBytes: 1 << 16, MaxInflight: 8,
 		ProposalTimeoutMs: termsProposalWaitMs, CompactAfterEntries: 1000,
 	}
-	v := &loneVoter{t: t, machine: &countingMachine{}}
+	v := &testVoter{t: t, stateMachine: &recordingStateMachine{}}
 	v.host = NewHost(options, emptyDisk{}, func(string, []protocol.PeerMessage) {})
 	configuration := consensus.Configuration{Replicas: []consensus.Replica{
 		{ID: emptyDisk{}.Replica(), Member: "a"}, {ID: termsPeerB, Member: "b"}, {ID: termsPeerC, Member: "c"},
 	}}
-	group, err := v.host.AddGroup(termsGroup, v.machine, configuration)
+	group, err := v.host.AddGroup(termsGroup, v.stateMachine, configuration)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -77,44 +77,45 @@
 	return v
 }
 
-func (v *loneVoter) step(message consensus.Message) {
+func (v *testVoter) step(message consensus.Message) {
 	message.To = v.group.Node.ID()
 	v.host.Step(protocol.PeerBatch{From: "b", Messages: []protocol.PeerMessage{{Group: uint32(termsGroup), Message: message}}})
 }
 
-func (v *loneVoter) flush() {
+func (v *testVoter) flush() {
 	if err := v.host.ProcessReady(); err != nil {
 		v.t.Fatal(err)
 	}
 }
 
-// lead has the voter elected in the next term, as a hand-over does it: without a tick.
-func (v *loneVoter) lead() {
+// becomeLeader gets the voter elected in the next term without a tick, as a leader transfer does.
+func (v *testVoter) becomeLeader() {
 	v.step(consensus.Message{Kind: consensus.MessageTimeoutNow, From: termsPeerB, Term: v.group.Node.Term()})
 	v.step(consensus.Message{Kind: consensus.MessageVoteResponse, From: termsPeerC, Term: v.group.Node.Term()})
 	if !v.group.IsLeader() {
-		v.t.Fatal("the voter does not lead")
+		v.t.Fatal("the voter is not the leader")
 	}
 }
 
-// loseLead has peer B lead the next term.
-func (v *loneVoter) loseLead() {
+// stepDown makes peer B the leader of the next term.
+func (v *testVoter) stepDown() {
 	v.step(consensus.Message{Kind: consensus.MessageHeartbeat, From: termsPeerB, Term: v.group.Node.Term() + 1})
 	if v.group.IsLeader() {
-		v.t.Fatal("the voter still leads")
+		v.t.Fatal("the voter is still the leader")
 	}
 }
 
-// overwrite has peer B, which leads, put an entry of its own after an index.
-func (v *loneVoter) overwrite(after uint64) {
+// overwriteAfter makes peer B, the leader, write an entry of its own at the index after the given
+// one.
+func (v *testVoter) overwriteAfter(after uint64) {
 	v.step(consensus.Message{
 		Kind: consensus.MessageAppend, From: termsPeerB, Term: v.group.Node.Term(), Index: after, LogTerm: v.group.Node.TermAt(after),
 		Entries: []consensus.Entry{{Index: after + 1, Term: v.group.Node.Term(), Kind: consensus.EntryBarrier}},
 	})
 }
 
-// confirm has peer B hold the whole log and answer a heartbeat of the latest round.
-func (v *loneVoter) confirm() {
+// confirmLog makes peer B acknowledge the whole log and a heartbeat of the latest round.
+func (v *testVoter) confirmLog() {
 	v.flush()
 	v.step(consensus.Message{Kind: consensus.MessageAppendResponse, From: termsPeerB, Term: v.group.Node.Term(), Index: v.group.Node.LastIndex()})
 	v.flush()
@@ -123,160 +124,161 @@
 	v.flush()
 }
 
-func (v *loneVoter) propose(command string, answer func(reply any)) {
-	if failure := v.host.Propose(v.group, command, answer); failure != nil {
-		v.t.Fatal(failure)
+func (v *testVoter) propose(command string, onReply func(reply any)) {
+	if err := v.host.Propose(v.group, command, onReply); err != nil {
+		v.t.Fatal(err)
 	}
 }
 
-// TestReadsOfAnEarlierTerm answers a leader that is frozen, loses the lead and has it handed
-// back before it looks at its timers.
+// TestReadsOfAnEarlierTerm covers a leader that is frozen, loses the leadership and regains it by
+// a transfer before it checks its timers.
 func TestReadsOfAnEarlierTerm(t *testing.T) {
-	for _, begun := range []bool{false, true} {
-		Convey(fmt.Sprintf("a read ends with its term; the leader had committed: %v", begun), t, func() {
-			voter := newLoneVoter(t)
-			voter.lead()
-			if begun {
-				voter.confirm()
+	for _, hasCommitted := range []bool{false, true} {
+		Convey(fmt.Sprintf("a read fails when its term ends (leader had committed: %v)", hasCommitted), t, func() {
+			voter := newTestVoter(t)
+			voter.becomeLeader()
+			if hasCommitted {
+				voter.confirmLog()
 			}
-			var answers []*result.Error
-			voter.host.LinearizableRead(voter.group, func(failure *result.Error) { answers = append(answers, failure) })
+			var results []*result.Error
+			voter.host.LinearizableRead(voter.group, func(failure *result.Error) { results = append(results, failure) })
 			voter.flush()
-			So(answers, ShouldBeEmpty)
-			voter.loseLead()
-			voter.lead()
+			So(results, ShouldBeEmpty)
+			voter.stepDown()
+			voter.becomeLeader()
 			voter.flush()
-			So(answers, ShouldHaveLength, 1)
-			So(answers[0].Code, ShouldEqual, result.NotLeader)
-			Convey("and is answered once", func() {
-				voter.confirm()
+			So(results, ShouldHaveLength, 1)
+			So(results[0].Code, ShouldEqual, result.NotLeader)
+			Convey("the read is answered once", func() {
+				voter.confirmLog()
 				voter.host.NowMs += 2 * termsProposalWaitMs
 				voter.host.ExpirePending()
-				So(answers, ShouldHaveLength, 1)
+				So(results, ShouldHaveLength, 1)
 			})
-			Convey("and the next one of the new term is confirmed", func() {
-				voter.host.LinearizableRead(voter.group, func(failure *result.Error) { answers = append(answers, failure) })
-				voter.confirm()
-				So(answers, ShouldHaveLength, 2)
-				So(answers[1], ShouldBeNil)
+			Convey("the next read of the new term is confirmed", func() {
+				voter.host.LinearizableRead(voter.group, func(failure *result.Error) { results = append(results, failure) })
+				voter.confirmLog()
+				So(results, ShouldHaveLength, 2)
+				So(results[1], ShouldBeNil)
 			})
 		})
 	}
-	Convey("a read that a quorum has confirmed is answered though the lead is lost before the flush", t, func() {
-		voter := newLoneVoter(t)
-		voter.lead()
-		voter.confirm()
-		var answers []*result.Error
-		voter.host.LinearizableRead(voter.group, func(failure *result.Error) { answers = append(answers, failure) })
+	Convey("a read that a quorum has confirmed succeeds although the leadership is lost before the ready state is processed", t, func() {
+		voter := newTestVoter(t)
+		voter.becomeLeader()
+		voter.confirmLog()
+		var results []*result.Error
+		voter.host.LinearizableRead(voter.group, func(failure *result.Error) { results = append(results, failure) })
 		voter.step(consensus.Message{Kind: consensus.MessageHeartbeatResponse, From: termsPeerB, Term: voter.group.Node.Term(), Context: 1 << 40})
-		voter.loseLead()
+		voter.stepDown()
 		voter.flush()
-		So(answers, ShouldResemble, []*result.Error{nil})
+		So(results, ShouldResemble, []*result.Error{nil})
 	})
 }
 
-// TestProposalsOfAnEarlierTerm holds what becomes of a proposal whose leader lost the lead
-// and regained it between two looks.
+// TestProposalsOfAnEarlierTerm checks proposals whose leader lost and regained the leadership
+// between two checks of its timers.
 func TestProposalsOfAnEarlierTerm(t *testing.T) {
-	Convey("one whose entry is still in the log waits for it", t, func() {
-		voter := newLoneVoter(t)
-		voter.lead()
-		voter.confirm()
+	Convey("a proposal whose entry is still in the log waits for it", t, func() {
+		voter := newTestVoter(t)
+		voter.becomeLeader()
+		voter.confirmLog()
 		var replies []any
 		voter.propose("first", func(reply any) { replies = append(replies, reply) })
-		voter.loseLead()
-		voter.lead()
+		voter.stepDown()
+		voter.becomeLeader()
 		voter.flush()
 		So(replies, ShouldBeEmpty)
-		voter.confirm()
+		voter.confirmLog()
 		So(replies, ShouldResemble, []any{"first"})
 	})
-	Convey("one whose entry the log has lost ends at once, its outcome unknown", t, func() {
-		voter := newLoneVoter(t)
-		voter.lead()
-		voter.confirm()
+	Convey("a proposal whose entry was overwritten fails at once with an unknown outcome", t, func() {
+		voter := newTestVoter(t)
+		voter.becomeLeader()
+		voter.confirmLog()
 		var codes []result.Code
-		note := func(reply any) { codes = append(codes, reply.(*result.Error).Code) }
+		recordCode := func(reply any) { codes = append(codes, reply.(*result.Error).Code) }
 		before := voter.group.Node.LastIndex()
-		voter.propose("first", note)
-		voter.propose("second", note)
-		voter.propose("third", note)
-		voter.loseLead()
-		voter.overwrite(before)
-		voter.lead()
+		voter.propose("first", recordCode)
+		voter.propose("second", recordCode)
+		voter.propose("third", recordCode)
+		voter.stepDown()
+		voter.overwriteAfter(before)
+		voter.becomeLeader()
 		voter.flush()
 		So(codes, ShouldResemble, []result.Code{result.NoQuorum, result.NoQuorum, result.NoQuorum})
 	})
-	Convey("one whose place a proposal of the new term takes is answered all the same", t, func() {
-		voter := newLoneVoter(t)
-		voter.lead()
-		voter.confirm()
-		var old, taken []any
+	Convey("a proposal whose index is taken by a proposal of the new term is still answered", t, func() {
+		voter := newTestVoter(t)
+		voter.becomeLeader()
+		voter.confirmLog()
+		var oldReplies, newReplies []any
 		before := voter.group.Node.LastIndex()
 		for range 4 {
-			voter.propose("old", func(reply any) { old = append(old, reply) })
+			voter.propose("old", func(reply any) { oldReplies = append(oldReplies, reply) })
 		}
-		voter.loseLead()
-		voter.overwrite(before)
-		voter.lead()
+		voter.stepDown()
+		voter.overwriteAfter(before)
+		voter.becomeLeader()
 		for range 4 {
-			voter.propose("new", func(reply any) { taken = append(taken, reply) })
+			voter.propose("new", func(reply any) { newReplies = append(newReplies, reply) })
 		}
-		voter.confirm()
-		So(old, ShouldHaveLength, 4)
-		So(taken, ShouldResemble, []any{"new", "new", "new", "new"})
-		So(voter.machine.applied, ShouldResemble, []string{"new", "new", "new", "new"})
+		voter.confirmLog()
+		So(oldReplies, ShouldHaveLength, 4)
+		So(newReplies, ShouldResemble, []any{"new", "new", "new", "new"})
+		So(voter.stateMachine.applied, ShouldResemble, []string{"new", "new", "new", "new"})
 	})
-	Convey("an answer may propose again", t, func() {
-		voter := newLoneVoter(t)
-		voter.lead()
-		voter.confirm()
+	Convey("a reply may propose again", t, func() {
+		voter := newTestVoter(t)
+		voter.becomeLeader()
+		voter.confirmLog()
 		before := voter.group.Node.LastIndex()
-		again := 0
+		reproposed := 0
 		for range 3 {
-			voter.propose("old", func(any) { voter.propose("again", func(any) { again++ }) })
+			voter.propose("old", func(any) { voter.propose("again", func(any) { reproposed++ }) })
 		}
-		voter.loseLead()
-		voter.overwrite(before)
-		voter.lead()
+		voter.stepDown()
+		voter.overwriteAfter(before)
+		voter.becomeLeader()
 		voter.flush()
-		voter.confirm()
-		So(again, ShouldEqual, 3)
+		voter.confirmLog()
+		So(reproposed, ShouldEqual, 3)
 	})
 }
 
-// TestEachWaitingIsAnsweredOnce plays leads won and lost in any order between looks: whatever
-// waits is answered exactly once, at the latest when its time is up.
+// TestEachWaitingIsAnsweredOnce checks that every pending read and proposal is answered exactly
+// once, at the latest after its timeout, for any sequence of leaderships won and lost between
+// checks of the timers.
 func TestEachWaitingIsAnsweredOnce(t *testing.T) {
 	rapid.Check(t, func(run *rapid.T) {
-		voter := newLoneVoter(t)
-		voter.lead()
-		voter.confirm()
-		asked, answered := 0, map[int]int{}
-		next := func() func() {
-			asked++
-			number := asked
+		voter := newTestVoter(t)
+		voter.becomeLeader()
+		voter.confirmLog()
+		issued, answered := 0, map[int]int{}
+		newCallback := func() func() {
+			issued++
+			number := issued
 			return func() { answered[number]++ }
 		}
 		steps := rapid.SliceOfN(rapid.IntRange(0, 7), 1, 40).Draw(run, "steps")
 		for _, step := range steps {
-			leads := voter.group.IsLeader()
+			isLeader := voter.group.IsLeader()
 			switch {
 			case step == 0:
-				done := next()
+				done := newCallback()
 				voter.host.LinearizableRead(voter.group, func(*result.Error) { done() })
-			case step <= 3 && leads:
-				done := next()
+			case step <= 3 && isLeader:
+				done := newCallback()
 				voter.propose("x", func(any) { done() })
-			case step <= 5 && leads:
-				voter.loseLead()
+			case step <= 5 && isLeader:
+				voter.stepDown()
 				if step == 5 && voter.group.Node.LastIndex() > voter.group.Node.Commit() {
-					voter.overwrite(voter.group.Node.Commit())
+					voter.overwriteAfter(voter.group.Node.Commit())
 				}
-			case step <= 5 && !leads:
-				voter.lead()
-			case step == 6 && leads:
-				voter.confirm()
+			case step <= 5 && !isLeader:
+				voter.becomeLeader()
+			case step == 6 && isLeader:
+				voter.confirmLog()
 			case step == 7:
 				voter.host.NowMs += 50
 				voter.host.ExpirePending()
@@ -285,9 +287,9 @@
 		voter.flush()
 		voter.host.NowMs += 2 * termsProposalWaitMs
 		voter.host.ExpirePending()
-		for number := 1; number <= asked; number++ {
+		for number := 1; number <= issued; number++ {
 			if answered[number] != 1 {
-				run.Fatalf("of %d that waited number %d was answered %d times", asked, number, answered[number])
+				run.Fatalf("of %d pending reads and proposals, number %d was answered %d times, want once", issued, number, answered[number])
 			}
 		}
 	})
--- a/internal/replication/transfer.go
+++ b/internal/replication/transfer.go
@@ -9,39 +9,41 @@
 )
 
 const (
-	// partBytes bounds the records in one part of a snapshot, so that neither side ever
-	// holds a whole group's records in memory. A host on an empty disk gets a part of each of
-	// its groups at once: eight parts take 0.09 s of a link of 47 Mbit/s, which leaves
-	// heartbeats within an election timeout (0.3 s); at four times the size they don't.
-	partBytes = 64 << 10
-	// partWaitMs is how long an answer to a part may take before it is sent again: above
-	// what a crowded link takes, since parts sent twice would crowd it more.
-	partWaitMs = 1000
-	// partsNotNeeded answers a part of a snapshot whose entries the replica has.
+	// maxPartBytes bounds the records in one part of a snapshot, so that neither side holds all
+	// records of a group in memory. A host with an empty disk receives a part of each of its
+	// groups at once. Eight parts take 0.09 s on a link of 47 Mbit/s, which keeps heartbeats
+	// within an election timeout (0.3 s); parts of four times the size do not.
+	maxPartBytes = 64 << 10
+	// partResendMs is how long the reply to a part may take before the part is sent again. It is
+	// longer than the time a part takes on a congested link, because resent parts would add to
+	// the congestion.
+	partResendMs = 1000
+	// partsNotNeeded is the reply to a part of a snapshot whose entries the replica already has.
 	partsNotNeeded = -1
 )
 
-// snapshotState is the data of a snapshot on the wire. Its records went before it, in
-// Parts parts.
+// snapshotState is the data of a snapshot on the wire. Its records were sent before it, in Parts
+// parts.
 type snapshotState struct {
 	State []byte `msgpack:"s"`
 	Parts int    `msgpack:"p"`
 }
 
-// outgoingTransfer is a snapshot on its way to a replica: its records in parts, one at a
-// time, and then the snapshot itself.
+// outgoingTransfer is a snapshot that is being sent to a replica: first its records in parts, one
+// at a time, then the snapshot itself.
 type outgoingTransfer struct {
 	snapshot consensus.Snapshot
 	state    []byte
-	// number is the part that awaits its answer, after the key that it follows.
-	number int
-	after  storage.RecordKey
-	sentMs int64
-	// last is the key that ends the part, more whether others follow it.
-	last storage.RecordKey
-	more bool
-	// complete says that the replica has all parts.
-	complete bool
+	// partNumber is the part that awaits its reply. Its records follow afterKey.
+	partNumber int
+	afterKey   storage.RecordKey
+	sentMs     int64
+	// lastKey is the key of the last record in the part, and hasMore whether other records follow
+	// it.
+	lastKey storage.RecordKey
+	hasMore bool
+	// allPartsReceived means that the replica has all parts.
+	allPartsReceived bool
 }
 
 // incomingTransfer is a snapshot that is being received from a leader.
@@ -50,29 +52,29 @@
 	term         uint64
 	index        uint64
 	snapshotTerm uint64
-	// next is the part expected next.
-	next     int
+	// nextPart is the number of the next expected part.
+	nextPart int
 	complete bool
 }
 
 // covers reports whether all parts of a snapshot are staged.
 func (t *incomingTransfer) covers(snapshot *consensus.Snapshot, parts int) bool {
-	return t != nil && t.complete && t.index == snapshot.Index && t.snapshotTerm == snapshot.Term && t.next == parts
+	return t != nil && t.complete && t.index == snapshot.Index && t.snapshotTerm == snapshot.Term && t.nextPart == parts
 }
 
-// startTransfer begins to send a snapshot to a replica; where one is on its way already,
-// only its end is sent again.
+// startTransfer starts to send a snapshot to a replica. If a transfer is already in progress, it
+// only resends the snapshot itself, once all parts were received.
 func (h *Host) startTransfer(group *Group, to consensus.ReplicaID) error {
-	if transfer, known := group.outgoing[to]; known {
-		if transfer.complete {
-			h.finishTransfer(group, to, transfer)
+	if transfer, known := group.outgoingTransfers[to]; known {
+		if transfer.allPartsReceived {
+			h.sendSnapshot(group, to, transfer)
 		}
 		return nil
 	}
-	// Invariant: the disk holds the records of every entry that the snapshot covers
-	// before the first part is read.
-	if len(group.unsaved) > 0 {
-		if err := h.storage.Write([]storage.GroupWrite{{Group: group.ID, Records: group.takeUnsaved()}}); err != nil {
+	// Invariant: before the first part is read, the disk holds the records of every entry that
+	// the snapshot covers.
+	if len(group.unflushed) > 0 {
+		if err := h.storage.Write([]storage.GroupWrite{{Group: group.ID, Records: group.takeUnflushed()}}); err != nil {
 			return err
 		}
 	}
@@ -84,40 +86,40 @@
 	transfer := &outgoingTransfer{state: state, snapshot: consensus.Snapshot{
 		Index: index, Term: group.Node.TermAt(index), Configuration: group.Node.ConfigurationAt(index),
 	}}
-	group.outgoing[to] = transfer
+	group.outgoingTransfers[to] = transfer
 	return h.sendPart(group, to, transfer)
 }
 
-// sendPart reads the part that is due from the disk and sends it.
+// sendPart reads the current part from disk and sends it.
 func (h *Host) sendPart(group *Group, to consensus.ReplicaID, transfer *outgoingTransfer) error {
-	records, more, err := h.storage.RecordsAfter(group.ID, transfer.after, partBytes)
+	records, more, err := h.storage.RecordsAfter(group.ID, transfer.afterKey, maxPartBytes)
 	if err != nil {
 		return err
 	}
 	transfer.sentMs = h.NowMs
-	transfer.more = more
+	transfer.hasMore = more
 	if len(records) == 0 {
-		transfer.complete = true
-		h.finishTransfer(group, to, transfer)
+		transfer.allPartsReceived = true
+		h.sendSnapshot(group, to, transfer)
 		return nil
 	}
-	transfer.last = records[len(records)-1].Key()
+	transfer.lastKey = records[len(records)-1].Key()
 	data, err := msgpack.Marshal(records)
 	if err != nil {
 		return err
 	}
 	h.queuePart(group, &protocol.SnapshotPart{
 		From: group.Node.ID(), To: to, Term: group.Node.Term(), Index: transfer.snapshot.Index, SnapshotTerm: transfer.snapshot.Term,
-		Number: transfer.number, Last: !more, Records: data,
+		Number: transfer.partNumber, Last: !more, Records: data,
 	})
 	return nil
 }
 
-// finishTransfer sends the snapshot itself, once the replica has its records.
-func (h *Host) finishTransfer(group *Group, to consensus.ReplicaID, transfer *outgoingTransfer) {
-	data, err := msgpack.Marshal(&snapshotState{State: transfer.state, Parts: transfer.number})
+// sendSnapshot sends the snapshot itself, once the replica has its records.
+func (h *Host) sendSnapshot(group *Group, to consensus.ReplicaID, transfer *outgoingTransfer) {
+	data, err := msgpack.Marshal(&snapshotState{State: transfer.state, Parts: transfer.partNumber})
 	if err != nil {
-		delete(group.outgoing, to)
+		delete(group.outgoingTransfers, to)
 		return
 	}
 	snapshot := transfer.snapshot
@@ -129,99 +131,101 @@
 	replica, ok := group.Node.Configuration().Find(part.To)
 	member := replica.Member
 	if !ok {
-		member = group.senders[part.To]
+		member = group.memberByReplica[part.To]
 	}
 	if member != "" {
-		h.outgoing[member] = append(h.outgoing[member], protocol.PeerMessage{Group: uint32(group.ID), Part: part})
+		h.outbox[member] = append(h.outbox[member], protocol.PeerMessage{Group: uint32(group.ID), Part: part})
 	}
 }
 
-// stepPart takes a part of a snapshot, or the answer to one.
+// stepPart processes a part of a snapshot, or the reply to a part.
 func (h *Host) stepPart(group *Group, part *protocol.SnapshotPart) error {
 	if part.Answer {
-		return h.partAnswered(group, part)
+		return h.handlePartReply(group, part)
 	}
-	h.partReceived(group, part)
+	h.receivePart(group, part)
 	return nil
 }
 
-// partAnswered sends what follows the part that a replica has. A replica that has lost
-// what it had asks for the first part: then the transfer starts over.
-func (h *Host) partAnswered(group *Group, answer *protocol.SnapshotPart) error {
-	transfer, known := group.outgoing[answer.From]
-	if !known || !group.IsLeader() || answer.Term != group.Node.Term() || answer.Index != transfer.snapshot.Index {
+// handlePartReply sends the next part, or the snapshot itself after the last part. A replica that
+// has lost its staged records asks for the first part, which restarts the transfer.
+func (h *Host) handlePartReply(group *Group, reply *protocol.SnapshotPart) error {
+	transfer, known := group.outgoingTransfers[reply.From]
+	if !known || !group.IsLeader() || reply.Term != group.Node.Term() || reply.Index != transfer.snapshot.Index {
 		return nil
 	}
 	switch {
-	case answer.Number == partsNotNeeded:
-		transfer.complete = true
-		h.finishTransfer(group, answer.From, transfer)
+	case reply.Number == partsNotNeeded:
+		transfer.allPartsReceived = true
+		h.sendSnapshot(group, reply.From, transfer)
 		return nil
-	case answer.Number == 0:
-		delete(group.outgoing, answer.From)
-		return h.startTransfer(group, answer.From)
-	case transfer.complete || answer.Number != transfer.number+1:
+	case reply.Number == 0:
+		delete(group.outgoingTransfers, reply.From)
+		return h.startTransfer(group, reply.From)
+	case transfer.allPartsReceived || reply.Number != transfer.partNumber+1:
 		return nil
 	}
-	transfer.number++
-	transfer.after = transfer.last
-	if transfer.more {
-		return h.sendPart(group, answer.From, transfer)
+	transfer.partNumber++
+	transfer.afterKey = transfer.lastKey
+	if transfer.hasMore {
+		return h.sendPart(group, reply.From, transfer)
 	}
-	transfer.complete = true
-	h.finishTransfer(group, answer.From, transfer)
+	transfer.allPartsReceived = true
+	h.sendSnapshot(group, reply.From, transfer)
 	return nil
 }
 
-// partReceived stages a part and answers, after the sync, which part is wanted next.
-func (h *Host) partReceived(group *Group, part *protocol.SnapshotPart) {
+// receivePart stages a part and, after the sync, replies with the number of the next wanted part.
+func (h *Host) receivePart(group *Group, part *protocol.SnapshotPart) {
 	if part.Term < group.Node.Term() {
 		return
 	}
 	if part.Index <= group.Node.Commit() {
-		// The leader doesn't know how far this replica is; the snapshot itself tells it.
-		group.answers = append(group.answers, h.partAnswer(group, part.From, part.Term, part.Index, partsNotNeeded))
+		// The leader does not know how far this replica has got; the snapshot itself lets it find
+		// out.
+		group.partReplies = append(group.partReplies, h.newPartReply(group, part.From, part.Term, part.Index, partsNotNeeded))
 		return
 	}
-	current := group.incoming
-	if current == nil || current.from != part.From || current.term != part.Term || current.index != part.Index {
-		current = &incomingTransfer{from: part.From, term: part.Term, index: part.Index, snapshotTerm: part.SnapshotTerm}
-		group.incoming = current
+	incoming := group.incomingTransfer
+	if incoming == nil || incoming.from != part.From || incoming.term != part.Term || incoming.index != part.Index {
+		incoming = &incomingTransfer{from: part.From, term: part.Term, index: part.Index, snapshotTerm: part.SnapshotTerm}
+		group.incomingTransfer = incoming
 		group.resetStaged = true
-		group.staged = nil
+		group.stagedRecords = nil
 	}
-	if part.Number == current.next {
+	if part.Number == incoming.nextPart {
 		var records []storage.Record
 		if msgpack.Unmarshal(part.Records, &records) != nil {
 			return
 		}
-		group.staged = append(group.staged, records...)
-		current.next++
-		current.complete = part.Last
+		group.stagedRecords = append(group.stagedRecords, records...)
+		incoming.nextPart++
+		incoming.complete = part.Last
 	}
-	group.answers = append(group.answers, h.partAnswer(group, part.From, part.Term, part.Index, current.next))
+	group.partReplies = append(group.partReplies, h.newPartReply(group, part.From, part.Term, part.Index, incoming.nextPart))
 }
 
-func (h *Host) partAnswer(group *Group, to consensus.ReplicaID, term, index uint64, next int) *protocol.SnapshotPart {
-	return &protocol.SnapshotPart{From: group.Node.ID(), To: to, Term: term, Index: index, Number: next, Answer: true}
+func (h *Host) newPartReply(group *Group, to consensus.ReplicaID, term, index uint64, wantedPart int) *protocol.SnapshotPart {
+	return &protocol.SnapshotPart{From: group.Node.ID(), To: to, Term: term, Index: index, Number: wantedPart, Answer: true}
 }
 
-// mayInstall reports whether a snapshot can be handed to the replica: its records are
-// staged, or it has none. Otherwise the leader is asked for the first part.
-func (h *Host) mayInstall(group *Group, message *consensus.Message) bool {
+// canInstall reports whether a snapshot can be passed to the consensus node: all its records are
+// staged, it has none, or the replica does not need it. Otherwise the leader is asked for the
+// first part.
+func (h *Host) canInstall(group *Group, message *consensus.Message) bool {
 	var state snapshotState
 	if message.Snapshot == nil || msgpack.Unmarshal(message.Snapshot.Data, &state) != nil {
 		return false
 	}
-	if state.Parts == 0 || message.Snapshot.Index <= group.Node.Commit() || group.incoming.covers(message.Snapshot, state.Parts) {
+	if state.Parts == 0 || message.Snapshot.Index <= group.Node.Commit() || group.incomingTransfer.covers(message.Snapshot, state.Parts) {
 		return true
 	}
-	group.incoming = nil
-	group.answers = append(group.answers, h.partAnswer(group, message.From, message.Term, message.Snapshot.Index, 0))
+	group.incomingTransfer = nil
+	group.partReplies = append(group.partReplies, h.newPartReply(group, message.From, message.Term, message.Snapshot.Index, 0))
 	return false
 }
 
-// installSnapshot puts a received snapshot in the place of the group's state.
+// installSnapshot replaces the group's state by a received snapshot.
 func (h *Host) installSnapshot(group *Group, snapshot *consensus.Snapshot, write *storage.GroupWrite) error {
 	var received snapshotState
 	if err := msgpack.Unmarshal(snapshot.Data, &received); err != nil {
@@ -238,22 +242,22 @@
 		write.ResetStaged = true
 		write.Staged = nil
 	}
-	group.incoming = nil
-	clear(group.unsaved)
+	group.incomingTransfer = nil
+	clear(group.unflushed)
 	return nil
 }
 
-// tendTransfers sends parts again that were not answered and forgets transfers that
-// have ended or that this replica can't see through.
-func (h *Host) tendTransfers(group *Group) error {
-	for _, to := range SortedKeys(group.outgoing) {
-		transfer := group.outgoing[to]
-		_, counts := group.Node.Configuration().Find(to)
-		if !group.IsLeader() || !counts || group.Node.Match(to) >= transfer.snapshot.Index {
-			delete(group.outgoing, to)
+// maintainTransfers resends parts that were not acknowledged, and removes transfers that have
+// ended or that this replica cannot complete.
+func (h *Host) maintainTransfers(group *Group) error {
+	for _, to := range SortedKeys(group.outgoingTransfers) {
+		transfer := group.outgoingTransfers[to]
+		_, isMember := group.Node.Configuration().Find(to)
+		if !group.IsLeader() || !isMember || group.Node.Match(to) >= transfer.snapshot.Index {
+			delete(group.outgoingTransfers, to)
 			continue
 		}
-		if !transfer.complete && h.NowMs-transfer.sentMs >= partWaitMs {
+		if !transfer.allPartsReceived && h.NowMs-transfer.sentMs >= partResendMs {
 			if err := h.sendPart(group, to, transfer); err != nil {
 				return err
 			}
