--- a/internal/membership/advertised.go
+++ b/internal/membership/advertised.go
@@ -8,30 +8,31 @@
 )
 
 const (
-	// leastNear is how many engines of a back end in a zone the gateways of that zone are
-	// told of at the least: enough that some stay when several fail at once. The fewer there
-	// are, the more often a shared part of a prompt is found in an engine's memory: of 10,000
-	// engines 32 in 100 tokens read were shared parts read again, 68 while each of 865 gateways
-	// used 24 of its own (docs/design/0009-fleet.md). Other numbers were not measured.
-	leastNear = 12
-	// leastFar is how many of them the gateways of other zones are told of at the least: with
-	// two to six other zones 8 to 24 engines for the one in three that a request compares
-	// outside its zone.
-	leastFar = 4
-	// keptWithdrawals bounds the withdrawals that a fleet remembers for its followers; one that is
-	// further behind is told the whole.
-	keptWithdrawals = 4096
+	// minLocalSubset is the minimum number of engines of a back end in a zone that are
+	// advertised to the gateways of that zone. It is large enough that some engines remain
+	// when several fail at once. The smaller the subset, the more often an engine has a shared
+	// prompt prefix in its cache: with a fleet of 10,000 engines, 32 of 100 prefilled tokens
+	// were shared prefixes computed again, against 68 where each of 865 gateways used 24
+	// engines of its own (docs/design/0009-fleet.md).
+	minLocalSubset = 12
+	// minRemoteSubset is the minimum number of these engines that are advertised to the
+	// gateways of other zones. With two to six other zones it leaves 8 to 24 engines for the
+	// third of the candidates that a request takes from outside its zone.
+	minRemoteSubset = 4
+	// maxWithdrawals bounds the withdrawals that a fleet retains for its followers. A follower
+	// that lags further behind receives the full state.
+	maxWithdrawals = 4096
 )
 
-// Scope says what of a fleet a follower is told of besides ledger hosts and groups: no
-// engines, or those advertised to the gateways of a zone.
+// Scope selects the part of a fleet that a follower receives in addition to the ledger hosts
+// and groups: no engines, or the engines advertised to the gateways of a zone.
 type Scope struct {
 	IncludesEngines bool
 	Zone            string
 }
 
-// SubsetSize is how many engines of a back end in a zone are advertised to the gateways of
-// the zone and to those of other zones.
+// SubsetSize is the number of engines of a back end in a zone that are advertised to the
+// gateways of the zone (Local) and to the gateways of other zones (Remote).
 type SubsetSize struct {
 	Backend string `msgpack:"b"`
 	Zone    string `msgpack:"z"`
@@ -39,13 +40,13 @@
 	Remote  int    `msgpack:"f"`
 }
 
-// poolKey names the engines of one back end in one zone.
+// poolKey identifies the engines of one back end in one zone.
 type poolKey struct {
 	backend string
 	zone    string
 }
 
-// rankedEngine is an engine's place in the order of its pool.
+// rankedEngine is an engine with its rank, by which its pool is sorted.
 type rankedEngine struct {
 	rank uint64
 	id   string
@@ -55,205 +56,208 @@
 	return cmp.Or(cmp.Compare(a.rank, b.rank), cmp.Compare(a.id, b.id))
 }
 
-// audience says to which gateways an engine is advertised.
+// audience distinguishes the groups of gateways to which an engine is advertised.
 type audience uint8
 
 const (
-	// nearAudience are the gateways of the engine's zone, farAudience those of all others.
-	nearAudience audience = iota
-	farAudience
+	// localAudience is the gateways in the engine's zone, remoteAudience those in all other
+	// zones.
+	localAudience audience = iota
+	remoteAudience
 	audienceCount
 )
 
-// audiences lists them all.
-var audiences = [audienceCount]audience{nearAudience, farAudience}
+// audiences lists every audience.
+var audiences = [audienceCount]audience{localAudience, remoteAudience}
 
-// zonePool holds the engines of one back end in one zone that take work, in an order by
-// the hash of their ids. The first of them are advertised, so that the engines advertised
-// depend only on which engines there are and not on what happened before: all control
-// processes agree on them, also after a snapshot.
+// zonePool holds the engines of one back end in one zone that accept work, sorted by the hash
+// of their ids. The first ones are advertised. The subset therefore depends only on the set of
+// engines and not on the order of past changes, so that all control processes select the same
+// subset, also after a restore from a snapshot.
 type zonePool struct {
 	ranked []rankedEngine
 	sizes  [audienceCount]int
 }
 
-// advertisement holds the fleet versions at which what each audience is told of an engine
-// last changed, 0 where it is not told of it.
-type advertisement [audienceCount]uint64
+// advertisedVersions holds, for each audience, the fleet version at which the engine's
+// advertisement last changed, or 0 if the engine is not advertised to that audience.
+type advertisedVersions [audienceCount]uint64
 
-// withdrawal is a key that an audience is told of no more. Those of ledger hosts concern
-// every follower.
+// withdrawal is a key that is no longer advertised to an audience. The withdrawal of a ledger
+// host applies to all followers.
 type withdrawal struct {
-	version  uint64
-	key      string
-	everyone bool
-	zone     string
-	audience audience
+	version      uint64
+	key          string
+	allFollowers bool
+	zone         string
+	audience     audience
 }
 
-// concerns reports whether a follower may hold the key.
-func (w withdrawal) concerns(scope Scope) bool {
-	return w.everyone || (scope.IncludesEngines && scope.audienceOf(w.zone) == w.audience)
+// appliesTo reports whether a follower with this scope may hold the key.
+func (w withdrawal) appliesTo(scope Scope) bool {
+	return w.allFollowers || (scope.IncludesEngines && scope.audienceOf(w.zone) == w.audience)
 }
 
-// audienceOf returns the audience to which a follower belongs for engines of a zone.
+// audienceOf returns the audience to which a follower belongs for the engines of a zone.
 func (s Scope) audienceOf(zone string) audience {
 	if s.Zone == zone {
-		return nearAudience
+		return localAudience
 	}
-	return farAudience
+	return remoteAudience
 }
 
-// advertised is what followers of a fleet are told. It follows from the replicated state,
-// so that no snapshot holds it. A change costs as many steps as it has effects, however
-// many engines there are, but for the shift of a sorted slice.
-type advertised struct {
+// advertisements is the state sent to the followers of a fleet. It is derived from the
+// replicated state and therefore not part of a snapshot. The cost of a change is proportional
+// to the number of its effects, independent of the number of engines, except for the shift of
+// elements in a sorted slice.
+type advertisements struct {
 	pools   map[poolKey]*zonePool
-	engines map[string]advertisement
-	// withdrawals are the latest, oldest first.
+	engines map[string]advertisedVersions
+	// withdrawals holds the latest withdrawals, oldest first.
 	withdrawals []withdrawal
-	// horizon is the version below which a follower is told the whole.
-	horizon uint64
-	// placement, far and near are the versions at which ledger hosts and groups, the engines
-	// advertised to other zones and those advertised within a zone last changed.
-	placement uint64
-	far       uint64
-	near      map[string]uint64
+	// minDeltaVersion is the version below which a follower receives the full state.
+	minDeltaVersion uint64
+	// placementVersion, remoteVersion and localVersions are the versions at which the ledger
+	// hosts and groups, the engines advertised to other zones, and the engines advertised
+	// within each zone last changed.
+	placementVersion uint64
+	remoteVersion    uint64
+	localVersions    map[string]uint64
 }
 
-func newAdvertised() advertised {
-	return advertised{pools: map[poolKey]*zonePool{}, engines: map[string]advertisement{}, near: map[string]uint64{}}
+func newAdvertisements() advertisements {
+	return advertisements{pools: map[poolKey]*zonePool{}, engines: map[string]advertisedVersions{}, localVersions: map[string]uint64{}}
 }
 
-// pool returns the engines of a back end in a zone.
-func (a *advertised) pool(key poolKey) *zonePool {
+// pool returns the pool of a back end in a zone and creates it if necessary.
+func (a *advertisements) pool(key poolKey) *zonePool {
 	pool := a.pools[key]
 	if pool == nil {
-		pool = &zonePool{sizes: [audienceCount]int{nearAudience: leastNear, farAudience: leastFar}}
+		pool = &zonePool{sizes: [audienceCount]int{localAudience: minLocalSubset, remoteAudience: minRemoteSubset}}
 		a.pools[key] = pool
 	}
 	return pool
 }
 
-// add takes an engine that takes work.
-func (a *advertised) add(version uint64, engine ServingEngine) {
+// add inserts an engine that accepts work.
+func (a *advertisements) add(version uint64, engine ServingEngine) {
 	key := poolKey{engine.Backend, engine.Zone}
 	pool := a.pool(key)
 	entry := rankedEngine{xxhash.Sum64String(engine.ID), engine.ID}
-	position, known := slices.BinarySearchFunc(pool.ranked, entry, rankedEngine.compare)
-	if known {
+	position, found := slices.BinarySearchFunc(pool.ranked, entry, rankedEngine.compare)
+	if found {
 		return
 	}
 	pool.ranked = slices.Insert(pool.ranked, position, entry)
-	for _, told := range audiences {
-		size := pool.sizes[told]
+	for _, to := range audiences {
+		size := pool.sizes[to]
 		if position >= size {
 			continue
 		}
-		a.enter(version, key.zone, entry.id, told)
+		a.advertise(version, key.zone, entry.id, to)
 		if len(pool.ranked) > size {
-			a.leave(version, key.zone, pool.ranked[size].id, told)
+			a.withdraw(version, key.zone, pool.ranked[size].id, to)
 		}
 	}
 }
 
-// remove takes an engine out that takes no work any more.
-func (a *advertised) remove(version uint64, engine ServingEngine) {
+// remove deletes an engine that no longer accepts work.
+func (a *advertisements) remove(version uint64, engine ServingEngine) {
 	key := poolKey{engine.Backend, engine.Zone}
 	pool := a.pool(key)
 	entry := rankedEngine{xxhash.Sum64String(engine.ID), engine.ID}
-	position, known := slices.BinarySearchFunc(pool.ranked, entry, rankedEngine.compare)
-	if !known {
-		a.dropEmpty(key)
+	position, found := slices.BinarySearchFunc(pool.ranked, entry, rankedEngine.compare)
+	if !found {
+		a.deleteIfEmpty(key)
 		return
 	}
 	pool.ranked = slices.Delete(pool.ranked, position, position+1)
-	for _, told := range audiences {
-		size := pool.sizes[told]
+	for _, to := range audiences {
+		size := pool.sizes[to]
 		if position >= size {
 			continue
 		}
-		a.leave(version, key.zone, entry.id, told)
+		a.withdraw(version, key.zone, entry.id, to)
 		if len(pool.ranked) >= size {
-			a.enter(version, key.zone, pool.ranked[size-1].id, told)
+			a.advertise(version, key.zone, pool.ranked[size-1].id, to)
 		}
 	}
-	a.dropEmpty(key)
+	a.deleteIfEmpty(key)
 }
 
-// dropEmpty forgets a pool without engines of which nothing is to be remembered.
-func (a *advertised) dropEmpty(key poolKey) {
+// deleteIfEmpty deletes a pool that has no engines and only the minimum subset sizes.
+func (a *advertisements) deleteIfEmpty(key poolKey) {
 	pool := a.pools[key]
-	if len(pool.ranked) == 0 && pool.sizes[nearAudience] == leastNear && pool.sizes[farAudience] == leastFar {
+	if len(pool.ranked) == 0 && pool.sizes[localAudience] == minLocalSubset && pool.sizes[remoteAudience] == minRemoteSubset {
 		delete(a.pools, key)
 	}
 }
 
-// resize changes how many engines of a pool are advertised.
-func (a *advertised) resize(version uint64, size SubsetSize) {
+// resize changes the number of engines of a pool that are advertised.
+func (a *advertisements) resize(version uint64, size SubsetSize) {
 	key := poolKey{size.Backend, size.Zone}
 	pool := a.pool(key)
-	wanted := [audienceCount]int{nearAudience: max(size.Local, leastNear), farAudience: max(size.Remote, leastFar)}
-	wanted[farAudience] = min(wanted[farAudience], wanted[nearAudience])
+	wanted := [audienceCount]int{localAudience: max(size.Local, minLocalSubset), remoteAudience: max(size.Remote, minRemoteSubset)}
+	wanted[remoteAudience] = min(wanted[remoteAudience], wanted[localAudience])
 	count := len(pool.ranked)
-	for _, told := range audiences {
-		before, after := min(pool.sizes[told], count), min(wanted[told], count)
+	for _, to := range audiences {
+		before, after := min(pool.sizes[to], count), min(wanted[to], count)
 		for _, entry := range pool.ranked[before:max(before, after)] {
-			a.enter(version, key.zone, entry.id, told)
+			a.advertise(version, key.zone, entry.id, to)
 		}
 		for _, entry := range pool.ranked[after:max(before, after)] {
-			a.leave(version, key.zone, entry.id, told)
+			a.withdraw(version, key.zone, entry.id, to)
 		}
 	}
 	pool.sizes = wanted
-	a.dropEmpty(key)
+	a.deleteIfEmpty(key)
 }
 
-func (a *advertised) enter(version uint64, zone, id string, to audience) {
-	told := a.engines[id]
-	told[to] = version
-	a.engines[id] = told
-	a.changed(version, zone, to)
+func (a *advertisements) advertise(version uint64, zone, id string, to audience) {
+	versions := a.engines[id]
+	versions[to] = version
+	a.engines[id] = versions
+	a.recordChange(version, zone, to)
 }
 
-func (a *advertised) leave(version uint64, zone, id string, to audience) {
-	told := a.engines[id]
-	if told[to] == 0 {
+func (a *advertisements) withdraw(version uint64, zone, id string, to audience) {
+	versions := a.engines[id]
+	if versions[to] == 0 {
 		return
 	}
-	told[to] = 0
-	a.engines[id] = told
-	if told == (advertisement{}) {
+	versions[to] = 0
+	a.engines[id] = versions
+	if versions == (advertisedVersions{}) {
 		delete(a.engines, id)
 	}
-	a.withdraw(withdrawal{version: version, key: id, zone: zone, audience: to})
-	a.changed(version, zone, to)
+	a.recordWithdrawal(withdrawal{version: version, key: id, zone: zone, audience: to})
+	a.recordChange(version, zone, to)
 }
 
-// changed notes that an audience has something new to hear.
-func (a *advertised) changed(version uint64, zone string, to audience) {
-	if to == nearAudience {
-		a.near[zone] = version
+// recordChange records the version of a change that affects an audience.
+func (a *advertisements) recordChange(version uint64, zone string, to audience) {
+	if to == localAudience {
+		a.localVersions[zone] = version
 		return
 	}
-	a.far = version
+	a.remoteVersion = version
 }
 
-func (a *advertised) withdraw(gone withdrawal) {
-	a.withdrawals = append(a.withdrawals, gone)
-	if len(a.withdrawals) <= keptWithdrawals {
+func (a *advertisements) recordWithdrawal(added withdrawal) {
+	a.withdrawals = append(a.withdrawals, added)
+	if len(a.withdrawals) <= maxWithdrawals {
 		return
 	}
-	dropped := len(a.withdrawals) - keptWithdrawals/2
-	a.horizon = max(a.horizon, a.withdrawals[dropped-1].version)
+	dropped := len(a.withdrawals) - maxWithdrawals/2
+	a.minDeltaVersion = max(a.minDeltaVersion, a.withdrawals[dropped-1].version)
 	a.withdrawals = slices.Clone(a.withdrawals[dropped:])
 }
 
-// latest returns the version at which what a follower is told last changed.
-func (a *advertised) latest(scope Scope) uint64 {
-	latest := max(a.horizon, a.placement)
+// latestVersion returns the version at which the state sent to a follower last changed.
+func (a *advertisements) latestVersion(scope Scope) uint64 {
+	latest := max(a.minDeltaVersion, a.placementVersion)
 	if scope.IncludesEngines {
-		latest = max(latest, a.far, a.near[scope.Zone])
+		latest = max(latest, a.remoteVersion, a.localVersions[scope.Zone])
 	}
 	return latest
 }
--- a/internal/membership/advertised_test.go
+++ b/internal/membership/advertised_test.go
@@ -13,36 +13,36 @@
 	"pgregory.net/rapid"
 )
 
-// advertisedBy is what a follower should be told, by looking at all engines.
-func advertisedBy(fleet *Fleet, scope Scope, sizes map[poolKey]SubsetSize) map[string]ServingEngine {
+// expectedAdvertised computes from all engines which of them a follower should receive.
+func expectedAdvertised(fleet *Fleet, scope Scope, sizes map[poolKey]SubsetSize) map[string]ServingEngine {
 	pools := map[poolKey][]ServingEngine{}
 	for _, engine := range fleet.Engines() {
 		if key := (poolKey{engine.Backend, engine.Zone}); !engine.Draining {
 			pools[key] = append(pools[key], engine)
 		}
 	}
-	told := map[string]ServingEngine{}
+	expected := map[string]ServingEngine{}
 	for key, engines := range pools {
 		slices.SortFunc(engines, func(a, b ServingEngine) int {
 			return cmp.Compare(xxhash.Sum64String(a.ID), xxhash.Sum64String(b.ID))
 		})
-		size := max(sizes[key].Local, leastNear)
+		size := max(sizes[key].Local, minLocalSubset)
 		if key.zone != scope.Zone {
-			size = min(max(sizes[key].Remote, leastFar), size)
+			size = min(max(sizes[key].Remote, minRemoteSubset), size)
 		}
 		for _, engine := range engines[:min(size, len(engines))] {
-			told[engine.ID] = engine
+			expected[engine.ID] = engine
 		}
 	}
 	if !scope.IncludesEngines {
 		return map[string]ServingEngine{}
 	}
-	return told
+	return expected
 }
 
-// TestFollowProperty holds that a follower which takes news from any version ends with the
-// engines that it is to know, whatever happened between and whichever of two replicas of
-// the fleet it asks, and that it never steps back.
+// TestFollowProperty checks that a follower that applies deltas from any version ends with
+// exactly the engines advertised to it, regardless of the changes in between and of which of
+// two replicas of the fleet it polls, and that its version never decreases.
 func TestFollowProperty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		zones := []string{"a", "b", "c"}
@@ -60,7 +60,7 @@
 			}
 			next, _ := views[position].ApplyDelta(replica.DeltaSince(version, scopes[position]))
 			if stale, changed := next.ApplyDelta(FleetDelta{Version: version, IsFull: true}); changed || stale != next {
-				t.Fatal("older news were taken")
+				t.Fatal("an older delta was applied")
 			}
 			views[position] = next
 		}
@@ -106,77 +106,77 @@
 			if views[position] != nil {
 				known = views[position].Engines
 			}
-			want := advertisedBy(replicas[1], scope, sizes)
+			want := expectedAdvertised(replicas[1], scope, sizes)
 			if !slices.Equal(replicas[1].AdvertisedEngineIDs(scope), slices.Sorted(maps.Keys(want))) {
-				t.Fatalf("%+v is told of %v instead of %v", scope, replicas[1].AdvertisedEngineIDs(scope), slices.Sorted(maps.Keys(want)))
+				t.Fatalf("scope %+v: advertised engines are %v, want %v", scope, replicas[1].AdvertisedEngineIDs(scope), slices.Sorted(maps.Keys(want)))
 			}
 			if !slices.Equal(slices.Sorted(maps.Keys(known)), slices.Sorted(maps.Keys(want))) {
-				t.Fatalf("%+v knows %v instead of %v", scope, slices.Sorted(maps.Keys(known)), slices.Sorted(maps.Keys(want)))
+				t.Fatalf("scope %+v: the follower has engines %v, want %v", scope, slices.Sorted(maps.Keys(known)), slices.Sorted(maps.Keys(want)))
 			}
 			for id, engine := range want {
 				if known[id].withoutSequence() != engine.withoutSequence() {
-					t.Fatalf("%+v instead of %+v", known[id], engine)
+					t.Fatalf("the follower has %+v, want %+v", known[id], engine)
 				}
 			}
 		}
 	})
 }
 
-// fleetOf returns a fleet of engines in five zones.
-func fleetOf(engines int) *Fleet {
+// newFleetWithEngines returns a fleet with this number of engines in five zones.
+func newFleetWithEngines(engines int) *Fleet {
 	fleet := NewFleet()
 	for number := range engines {
-		fleet.Apply(FleetUpdate{PutEngines: []ServingEngine{engineAt(number)}})
+		fleet.Apply(FleetUpdate{PutEngines: []ServingEngine{testEngine(number)}})
 	}
 	return fleet
 }
 
-func engineAt(number int) ServingEngine {
+func testEngine(number int) ServingEngine {
 	return ServingEngine{
 		ID: fmt.Sprintf("i-%06d", number), Backend: "b", Zone: fmt.Sprint("zone-", number%5), Slots: 6, Sequence: 1,
 		Address: fmt.Sprintf("10.1.%d.%d:1", number/200, number%200),
 	}
 }
 
-// TestAdvertised holds that what a change costs does not grow with the fleet.
+// TestAdvertised checks that the cost of a change does not grow with the fleet.
 func TestAdvertised(t *testing.T) {
 	gateway := Scope{IncludesEngines: true, Zone: "zone-1"}
-	Convey("what a follower is told does not grow with the fleet", t, func() {
+	Convey("the full state sent to a follower does not grow with the fleet", t, func() {
 		for _, engines := range []int{1000, 10_000} {
-			So(len(fleetOf(engines).DeltaSince(0, gateway).Engines), ShouldEqual, leastNear+4*leastFar)
-			So(fleetOf(engines).DeltaSince(0, Scope{}).Engines, ShouldBeEmpty)
+			So(len(newFleetWithEngines(engines).DeltaSince(0, gateway).Engines), ShouldEqual, minLocalSubset+4*minRemoteSubset)
+			So(newFleetWithEngines(engines).DeltaSince(0, Scope{}).Engines, ShouldBeEmpty)
 		}
 	})
-	Convey("an engine that is not advertised is news for nobody, one that is, for its audience", t, func() {
+	Convey("the loss of an engine causes deltas only for the audiences to which it is advertised", t, func() {
 		for _, engines := range []int{1000, 10_000} {
-			fleet := fleetOf(engines)
-			heard := func(id string) map[string]FleetDelta {
+			fleet := newFleetWithEngines(engines)
+			deltasAfterLoss := func(id string) map[string]FleetDelta {
 				version := fleet.Version()
 				fleet.Apply(FleetUpdate{LostEngines: []string{id}})
-				news := map[string]FleetDelta{}
+				deltas := map[string]FleetDelta{}
 				for _, scope := range []Scope{{}, {IncludesEngines: true, Zone: "zone-1"}, {IncludesEngines: true, Zone: "zone-2"}} {
 					if fleet.ChangedSince(version, scope) {
-						news[scope.Zone] = fleet.DeltaSince(version, scope)
+						deltas[scope.Zone] = fleet.DeltaSince(version, scope)
 					}
 				}
-				return news
+				return deltas
 			}
-			ranked := slices.Clone(fleet.advertised.pools[poolKey{"b", "zone-1"}].ranked)
-			So(heard(ranked[len(ranked)-1].id), ShouldBeEmpty)
-			near := heard(ranked[leastNear-1].id)
-			So(len(near), ShouldEqual, 1)
-			So(len(near["zone-1"].Engines)+len(near["zone-1"].Removed), ShouldEqual, 2)
-			everywhere := heard(ranked[0].id)
-			So(len(everywhere), ShouldEqual, 2)
-			So(len(everywhere["zone-2"].Engines)+len(everywhere["zone-2"].Removed), ShouldEqual, 2)
+			ranked := slices.Clone(fleet.advertisements.pools[poolKey{"b", "zone-1"}].ranked)
+			So(deltasAfterLoss(ranked[len(ranked)-1].id), ShouldBeEmpty)
+			localDeltas := deltasAfterLoss(ranked[minLocalSubset-1].id)
+			So(len(localDeltas), ShouldEqual, 1)
+			So(len(localDeltas["zone-1"].Engines)+len(localDeltas["zone-1"].Removed), ShouldEqual, 2)
+			allDeltas := deltasAfterLoss(ranked[0].id)
+			So(len(allDeltas), ShouldEqual, 2)
+			So(len(allDeltas["zone-2"].Engines)+len(allDeltas["zone-2"].Removed), ShouldEqual, 2)
 		}
 	})
-	Convey("a change allocates as much with 10,000 engines as with 1,000", t, func() {
+	Convey("a change allocates no more memory with 10,000 engines than with 1,000", t, func() {
 		allocations := map[int]float64{}
 		for _, engines := range []int{1000, 10_000} {
-			fleet := fleetOf(engines)
-			victim := fleet.advertised.pools[poolKey{"b", "zone-1"}].ranked[0].id
-			engine, _ := fleet.Engine(victim)
+			fleet := newFleetWithEngines(engines)
+			firstID := fleet.advertisements.pools[poolKey{"b", "zone-1"}].ranked[0].id
+			engine, _ := fleet.Engine(firstID)
 			sequence := engine.Sequence
 			allocations[engines] = testing.AllocsPerRun(50, func() {
 				for _, draining := range []bool{true, false} {
@@ -190,87 +190,87 @@
 		}
 		So(allocations[10_000], ShouldBeLessThanOrEqualTo, allocations[1000]+2)
 	})
-	Convey("engines that drain or leave are replaced by others in the same change", t, func() {
-		fleet := fleetOf(1000)
+	Convey("an engine that drains is replaced by another one in the same change", t, func() {
+		fleet := newFleetWithEngines(1000)
 		for range 100 {
-			pool := fleet.advertised.pools[poolKey{"b", "zone-1"}]
+			pool := fleet.advertisements.pools[poolKey{"b", "zone-1"}]
 			leaving, _ := fleet.Engine(pool.ranked[3].id)
 			leaving.Draining = true
 			leaving.Sequence++
 			fleet.Apply(FleetUpdate{PutEngines: []ServingEngine{leaving}})
-			news := fleet.DeltaSince(0, gateway)
-			So(len(news.Engines), ShouldEqual, leastNear+4*leastFar)
-			for _, engine := range news.Engines {
+			delta := fleet.DeltaSince(0, gateway)
+			So(len(delta.Engines), ShouldEqual, minLocalSubset+4*minRemoteSubset)
+			for _, engine := range delta.Engines {
 				So(engine.ID, ShouldNotEqual, leaving.ID)
 			}
 		}
 	})
-	Convey("a follower that lacks more than is remembered is told the whole", t, func() {
-		fleet := fleetOf(20)
+	Convey("a follower that lacks more withdrawals than are retained receives the full state", t, func() {
+		fleet := newFleetWithEngines(20)
 		version := fleet.Version()
-		for number := range keptWithdrawals + 1 {
+		for number := range maxWithdrawals + 1 {
 			engine := ServingEngine{ID: fmt.Sprint("gone-", number), Backend: "b", Zone: "few"}
 			fleet.Apply(FleetUpdate{PutEngines: []ServingEngine{engine}})
 			fleet.Apply(FleetUpdate{LostEngines: []string{engine.ID}})
 		}
 		So(fleet.DeltaSince(version, gateway).IsFull, ShouldBeTrue)
-		So(len(fleet.advertised.withdrawals), ShouldBeLessThanOrEqualTo, keptWithdrawals)
+		So(len(fleet.advertisements.withdrawals), ShouldBeLessThanOrEqualTo, maxWithdrawals)
 	})
 }
 
-// TestSizes holds that more engines are advertised before those that are have too much to
-// do, and fewer only after long.
+// TestSizes checks that more engines are advertised before the advertised ones are overloaded,
+// and fewer only after a long time.
 func TestSizes(t *testing.T) {
 	key := poolKey{"b", "zone-1"}
-	// at has requests under way at each advertised engine, and more at those that other zones
-	// know; it returns the sizes that follow.
-	at := func(fleet *Fleet, tracker *FleetTracker, each, fromOthers float64, nowMs int64) SubsetSize {
-		near := fleet.AdvertisedEngineIDs(Scope{IncludesEngines: true, Zone: key.zone})
-		far := fleet.AdvertisedEngineIDs(Scope{IncludesEngines: true, Zone: "another"})
+	// resizeAtLoad puts perEngine requests in flight at each advertised engine, and
+	// fromOtherZones more at those advertised to other zones, and returns the resulting sizes.
+	resizeAtLoad := func(fleet *Fleet, tracker *FleetTracker, perEngine, fromOtherZones float64, nowMs int64) SubsetSize {
+		localIDs := fleet.AdvertisedEngineIDs(Scope{IncludesEngines: true, Zone: key.zone})
+		remoteIDs := fleet.AdvertisedEngineIDs(Scope{IncludesEngines: true, Zone: "another"})
 		inFlight := func(id string) float64 {
 			switch {
-			case slices.Contains(far, id):
-				return each + fromOthers
-			case slices.Contains(near, id):
-				return each
+			case slices.Contains(remoteIDs, id):
+				return perEngine + fromOtherZones
+			case slices.Contains(localIDs, id):
+				return perEngine
 			}
 			return 0
 		}
 		fleet.Apply(FleetUpdate{PutSubsetSizes: tracker.PlanSubsetSizes(fleet, inFlight, nowMs)})
-		pool := fleet.advertised.pools[key]
-		return SubsetSize{Local: pool.sizes[nearAudience], Remote: pool.sizes[farAudience]}
+		pool := fleet.advertisements.pools[key]
+		return SubsetSize{Local: pool.sizes[localAudience], Remote: pool.sizes[remoteAudience]}
 	}
-	Convey("the number of engines advertised follows what is under way", t, func() {
-		fleet := fleetOf(1000)
-		tracker := NewFleetTracker(fleetOptions(), 0)
-		So(at(fleet, tracker, 1.4, 0, 100), ShouldResemble, SubsetSize{Local: leastNear, Remote: leastFar})
-		So(at(fleet, tracker, 3, 0, 200), ShouldResemble, SubsetSize{Local: 24, Remote: leastFar})
-		So(at(fleet, tracker, 6, 0, 300), ShouldResemble, SubsetSize{Local: 96, Remote: leastFar})
-		Convey("up to all that there are, and to no others where all are as full", func() {
-			So(at(fleet, tracker, 50, 0, 400), ShouldResemble, SubsetSize{Local: 200, Remote: leastFar})
-			So(at(fleet, tracker, 50, 0, 500), ShouldResemble, SubsetSize{Local: 200, Remote: leastFar})
+	Convey("the number of advertised engines follows the requests in flight", t, func() {
+		fleet := newFleetWithEngines(1000)
+		tracker := NewFleetTracker(testFleetOptions(), 0)
+		So(resizeAtLoad(fleet, tracker, 1.4, 0, 100), ShouldResemble, SubsetSize{Local: minLocalSubset, Remote: minRemoteSubset})
+		So(resizeAtLoad(fleet, tracker, 3, 0, 200), ShouldResemble, SubsetSize{Local: 24, Remote: minRemoteSubset})
+		So(resizeAtLoad(fleet, tracker, 6, 0, 300), ShouldResemble, SubsetSize{Local: 96, Remote: minRemoteSubset})
+		Convey("it grows up to all engines, and the remote subset stays if all engines are equally utilized", func() {
+			So(resizeAtLoad(fleet, tracker, 50, 0, 400), ShouldResemble, SubsetSize{Local: 200, Remote: minRemoteSubset})
+			So(resizeAtLoad(fleet, tracker, 50, 0, 500), ShouldResemble, SubsetSize{Local: 200, Remote: minRemoteSubset})
 		})
-		Convey("to other zones where these crowd the few that they know", func() {
-			So(at(fleet, tracker, 0.1, 4.4, 400), ShouldResemble, SubsetSize{Local: 96, Remote: 12})
+		Convey("the remote subset grows if the other zones crowd the few engines advertised to them", func() {
+			So(resizeAtLoad(fleet, tracker, 0.1, 4.4, 400), ShouldResemble, SubsetSize{Local: 96, Remote: 12})
 		})
-		Convey("and down again by half, after a minute of calm", func() {
-			So(at(fleet, tracker, 0.1, 0, 1000).Local, ShouldEqual, 96)
-			So(at(fleet, tracker, 0.1, 0, 1000+calmMs-1).Local, ShouldEqual, 96)
-			So(at(fleet, tracker, 0.1, 0, 1000+calmMs).Local, ShouldEqual, 48)
-			So(at(fleet, tracker, 0.1, 0, 1000+calmMs+1).Local, ShouldEqual, 48)
+		Convey("it is halved after a minute of low load", func() {
+			So(resizeAtLoad(fleet, tracker, 0.1, 0, 1000).Local, ShouldEqual, 96)
+			So(resizeAtLoad(fleet, tracker, 0.1, 0, 1000+shrinkDelayMs-1).Local, ShouldEqual, 96)
+			So(resizeAtLoad(fleet, tracker, 0.1, 0, 1000+shrinkDelayMs).Local, ShouldEqual, 48)
+			So(resizeAtLoad(fleet, tracker, 0.1, 0, 1000+shrinkDelayMs+1).Local, ShouldEqual, 48)
 		})
 	})
-	Convey("what was heard of engines that are gone does not add up", t, func() {
-		fleet := fleetOf(100)
-		tracker := NewFleetTracker(fleetOptions(), 0)
+	Convey("records of engines that are gone do not accumulate", t, func() {
+		fleet := newFleetWithEngines(100)
+		tracker := NewFleetTracker(testFleetOptions(), 0)
 		for nowMs := int64(1); nowMs < 20_000; nowMs += 10 {
 			tracker.RecordEngineAlive(fmt.Sprint("gone-", nowMs), nowMs)
 			tracker.Plan(fleet, nowMs)
 		}
-		So(len(tracker.heard), ShouldBeLessThanOrEqualTo, 2*100+100)
+		So(len(tracker.lastReportMs), ShouldBeLessThanOrEqualTo, 2*100+100)
 	})
-	Convey("sizes outlive a snapshot", t, func() {
-		fleet := fleetOf(1000)
+	Convey("subset sizes are restored from a snapshot", t, func() {
+		fleet := newFleetWithEngines(1000)
 		fleet.Apply(FleetUpdate{PutSubsetSizes: []SubsetSize{{Backend: "b", Zone: "zone-1", Local: 30, Remote: 10}}})
 		raw, err := fleet.Snapshot()
 		So(err, ShouldBeNil)
--- a/internal/membership/directory.go
+++ b/internal/membership/directory.go
@@ -1,7 +1,7 @@
-// Package membership decides which daemons are alive and which scheduler owns
-// which engine (design section 4). Directory is replicated by the settings
-// group; Tracker is the soft state of that group's leader: it turns heartbeats
-// and the platform's lagging list into proposals for the Directory.
+// Package membership tracks which daemons are alive and which scheduler owns which engine
+// (design section 4). Directory is replicated by the settings group. Tracker is the soft state
+// of that group's leader: it derives proposals for the Directory from heartbeats and from the
+// platform's instance list, which lags behind the actual state.
 package membership
 
 import (
@@ -11,32 +11,32 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Scheduler is one scheduler that holds a lease.
+// Scheduler is a scheduler that holds a lease.
 type Scheduler struct {
 	Name    string `json:"name" msgpack:"n"`
 	Zone    string `json:"zone" msgpack:"z"`
 	Address string `json:"address" msgpack:"a"`
-	// Incarnation identifies the process; it changes when the daemon restarts.
+	// Incarnation identifies the process. It changes when the daemon restarts.
 	Incarnation uint64 `json:"start" msgpack:"s"`
-	// Draining marks a scheduler that stops as planned.
+	// Draining marks a scheduler in a planned shutdown.
 	Draining bool `json:"draining,omitempty" msgpack:"d,omitempty"`
 }
 
-// Engine is one engine and its owner.
+// Engine is an engine and its owner.
 type Engine struct {
 	Name    string `json:"name" msgpack:"n"`
 	Zone    string `json:"zone" msgpack:"z"`
 	Address string `json:"address" msgpack:"a"`
 	Pool    string `json:"pool" msgpack:"p"`
-	// Leaving marks a machine that the platform takes away.
+	// Leaving marks a machine that the platform is about to remove.
 	Leaving bool   `json:"leaving,omitempty" msgpack:"l,omitempty"`
 	Owner   string `json:"owner" msgpack:"o"`
-	// Epoch fences the owner's orders: the directory version at which the
-	// engine got its owner.
+	// Epoch fences the owner's orders. It is the directory version at which the engine was
+	// assigned to its owner.
 	Epoch uint64 `json:"epoch" msgpack:"e"`
 }
 
-// Update is one change of the directory.
+// Update is one change to the directory.
 type Update struct {
 	Schedulers       []Scheduler `msgpack:"s,omitempty"`
 	RemoveSchedulers []string    `msgpack:"r,omitempty"`
@@ -55,64 +55,65 @@
 	Schedulers map[string]Scheduler `json:"schedulers" msgpack:"s"`
 	Engines    map[string]Engine    `json:"engines" msgpack:"e"`
 
-	// The rest says what changed when; it is not replicated, since a follower
-	// whose version is unknown here gets everything.
-	roster       *Roster
-	ownerChanged map[string]uint64
-	ownersBase   uint64
+	// The remaining fields record the versions of changes. They are not replicated, because a
+	// follower at a version that is unknown here receives the full state.
+	roster           *Roster
+	engineVersions   map[string]uint64
+	minEngineVersion uint64
 }
 
 // NewDirectory returns an empty directory.
 func NewDirectory() *Directory {
 	return &Directory{
 		Schedulers: map[string]Scheduler{}, Engines: map[string]Engine{},
-		roster: NewRoster(), ownerChanged: map[string]uint64{},
+		roster: NewRoster(), engineVersions: map[string]uint64{},
 	}
 }
 
-// Apply carries out one update.
+// Apply applies one update.
 func (d *Directory) Apply(update Update) {
 	d.Version++
 	d.roster.version = d.Version
 	for _, scheduler := range update.Schedulers {
 		if _, known := d.Schedulers[scheduler.Name]; !known {
-			// One that comes back may own engines still, where nobody was left to take them over.
-			d.ownerChanged[scheduler.Name] = d.Version
+			// A returning scheduler may still own engines, if no other scheduler was left to
+			// take them over.
+			d.engineVersions[scheduler.Name] = d.Version
 		}
 		d.Schedulers[scheduler.Name] = scheduler
 		d.roster.put(scheduler, d.Version)
 	}
 	for _, name := range update.RemoveSchedulers {
 		delete(d.Schedulers, name)
-		delete(d.ownerChanged, name)
+		delete(d.engineVersions, name)
 		d.roster.remove(name, d.Version)
 	}
 	for _, engine := range update.Engines {
 		previous, ok := d.Engines[engine.Name]
 		engine.Epoch = previous.Epoch
-		// Invariant: a new owner has a higher epoch than any owner before it.
+		// Invariant: a new owner has a higher epoch than all previous owners.
 		if !ok || previous.Owner != engine.Owner {
 			engine.Epoch = d.Version
 		}
 		d.Engines[engine.Name] = engine
-		d.ownerChanged[previous.Owner] = d.Version
-		d.ownerChanged[engine.Owner] = d.Version
+		d.engineVersions[previous.Owner] = d.Version
+		d.engineVersions[engine.Owner] = d.Version
 	}
 	for _, name := range update.RemoveEngines {
-		d.ownerChanged[d.Engines[name].Owner] = d.Version
+		d.engineVersions[d.Engines[name].Owner] = d.Version
 		delete(d.Engines, name)
 	}
 }
 
-// Roster returns the schedulers with what changed when.
+// Roster returns the list of schedulers with the versions of its changes.
 func (d *Directory) Roster() *Roster { return d.roster }
 
-// OwnedEnginesVersion is the version at which a scheduler's engines changed last.
+// OwnedEnginesVersion returns the version at which a scheduler's set of engines last changed.
 func (d *Directory) OwnedEnginesVersion(scheduler string) uint64 {
-	return max(d.ownersBase, d.ownerChanged[scheduler])
+	return max(d.minEngineVersion, d.engineVersions[scheduler])
 }
 
-// OwnedBy returns a scheduler's engines in ascending order of name.
+// OwnedBy returns a scheduler's engines, sorted by name.
 func (d *Directory) OwnedBy(scheduler string) []Engine {
 	var owned []Engine
 	for _, engine := range d.Engines {
@@ -124,18 +125,18 @@
 	return owned
 }
 
-// SchedulerList returns the schedulers in ascending order of name.
+// SchedulerList returns the schedulers, sorted by name.
 func (d *Directory) SchedulerList() []Scheduler {
 	return d.roster.List()
 }
 
-// EngineList returns the engines in ascending order of name.
+// EngineList returns the engines, sorted by name.
 func (d *Directory) EngineList() []Engine {
 	return sortedEngines(d.Engines)
 }
 
-// snapshot is the encoded form, the same on every replica.
-type snapshot struct {
+// directorySnapshot is the encoded form, which is identical on every replica.
+type directorySnapshot struct {
 	Version    uint64      `msgpack:"v"`
 	Schedulers []Scheduler `msgpack:"s"`
 	Engines    []Engine    `msgpack:"e"`
@@ -143,12 +144,12 @@
 
 // Snapshot encodes the directory.
 func (d *Directory) Snapshot() ([]byte, error) {
-	return msgpack.Marshal(&snapshot{Version: d.Version, Schedulers: d.SchedulerList(), Engines: sortedEngines(d.Engines)})
+	return msgpack.Marshal(&directorySnapshot{Version: d.Version, Schedulers: d.SchedulerList(), Engines: sortedEngines(d.Engines)})
 }
 
-// Restore replaces the directory by a snapshot; empty data gives an empty one.
+// Restore replaces the directory with a snapshot. Empty data yields an empty directory.
 func (d *Directory) Restore(data []byte) error {
-	var encoded snapshot
+	var encoded directorySnapshot
 	if len(data) > 0 {
 		if err := msgpack.Unmarshal(data, &encoded); err != nil {
 			return err
@@ -163,6 +164,6 @@
 		d.Engines[engine.Name] = engine
 	}
 	d.roster.replace(encoded.Schedulers, encoded.Version)
-	d.ownersBase = encoded.Version
+	d.minEngineVersion = encoded.Version
 	return nil
 }
--- a/internal/membership/fleet.go
+++ b/internal/membership/fleet.go
@@ -9,83 +9,90 @@
 	"github.com/ochrebay/ochrebay/internal/consensus"
 )
 
-// keptLeftEngines bounds the engines that a fleet knows to have left.
-const keptLeftEngines = 4096
+// maxLeftEngines bounds the ids that a fleet retains of engines that have left.
+const maxLeftEngines = 4096
 
-// ServingEngine is one start of an engine that registered itself.
+// ServingEngine is one incarnation of an engine that registered itself.
 type ServingEngine struct {
-	// ID is mostly new at every start.
+	// ID usually changes at every start of the engine.
 	ID         string `msgpack:"i" json:"id"`
 	Backend    string `msgpack:"b" json:"backend"`
 	Address    string `msgpack:"a" json:"address"`
 	Zone       string `msgpack:"z" json:"zone"`
 	Generation string `msgpack:"g,omitempty" json:"generation,omitempty"`
 	Slots      int    `msgpack:"s" json:"slots"`
-	// Draining engines get no new work.
+	// Draining engines receive no new work.
 	Draining bool `msgpack:"d,omitempty" json:"draining,omitempty"`
 	// Sequence orders the reports of one incarnation.
 	Sequence uint64 `msgpack:"q" json:"sequence"`
-	// StartedMs tells the incarnations of an id apart and orders them: when the engine started by
-	// its own clock, Unix milliseconds; 0 where the engine does not say.
+	// StartedMs distinguishes and orders the incarnations of an id. It is the time at which
+	// the engine started by its own clock, in Unix milliseconds, or 0 if the engine does not
+	// report it.
 	StartedMs int64 `msgpack:"n,omitempty" json:"born,omitempty"`
 }
 
-// Gateway is one process that takes callers' requests.
+// Gateway is one process that accepts callers' requests.
 type Gateway struct {
 	Name string `msgpack:"n" json:"name"`
 	Zone string `msgpack:"z" json:"zone"`
-	// Region is the zone's region.
+	// Region is the region of the zone.
 	Region string `msgpack:"r,omitempty" json:"region,omitempty"`
-	// Address is where callers reach it.
+	// Address is the address at which callers reach the gateway.
 	Address string `msgpack:"a" json:"address"`
-	// IsReady gateways are told to callers.
+	// IsReady gateways are returned to callers that look up gateways.
 	IsReady bool `msgpack:"e" json:"ready"`
-	// Capacity is the share of a core that it may use, 0 where it does not say.
+	// Capacity is the share of a processor core that the gateway may use, or 0 if the gateway
+	// does not report it.
 	Capacity float64 `msgpack:"c,omitempty" json:"capacity,omitempty"`
-	// OverloadLevel is how hot it is: each step halves what callers bring it.
+	// OverloadLevel is the gateway's level of overload. Each level halves the share of callers
+	// that it receives.
 	OverloadLevel uint8 `msgpack:"b,omitempty" json:"busy,omitempty"`
 }
 
-// room returns what part of its capacity is left to callers that ask where to go.
-func (g Gateway) room() float64 { return 1 / float64(uint64(1)<<min(g.OverloadLevel, mostBusy)) }
+// capacityFactor returns the fraction of the gateway's capacity that counts when callers are
+// distributed.
+func (g Gateway) capacityFactor() float64 {
+	return 1 / float64(uint64(1)<<min(g.OverloadLevel, maxOverloadLevel))
+}
 
-// mostBusy bounds how little of its capacity a hot gateway is given: one in eight.
-const mostBusy = 3
+// maxOverloadLevel bounds the reduction for an overloaded gateway at one eighth of its
+// capacity.
+const maxOverloadLevel = 3
 
-// LedgerHost is one process that may hold ledger replicas; its inner address is
-// its name in the groups' configurations.
+// LedgerHost is one process that may hold ledger replicas. Its internal address is its name in
+// the configurations of the groups.
 type LedgerHost struct {
 	Member string `msgpack:"m" json:"member"`
 	Name   string `msgpack:"n" json:"name"`
 	Zone   string `msgpack:"z" json:"zone"`
-	// Replica is the identity of its disk.
+	// Replica is the identity of the host's disk.
 	Replica  consensus.ReplicaID `msgpack:"r" json:"replica"`
 	Retiring bool                `msgpack:"t,omitempty" json:"retiring,omitempty"`
 }
 
-// Placement says which ledger hosts should hold a group.
+// Placement lists the ledger hosts on which the replicas of a group are placed.
 type Placement struct {
 	Group   uint32   `msgpack:"g" json:"group"`
 	Members []string `msgpack:"m" json:"members"`
-	// Initial is the configuration by which the group is first made.
+	// Initial is the configuration with which the group is bootstrapped.
 	Initial consensus.Configuration `msgpack:"i" json:"initial"`
 }
 
-// FleetUpdate is one command that changes a fleet; it is applied as a whole.
+// FleetUpdate is one command that changes a fleet. It is applied atomically.
 type FleetUpdate struct {
 	PutEngines []ServingEngine `msgpack:"e,omitempty"`
-	// LeftEngines said that they end; that incarnation never comes back.
+	// LeftEngines announced their shutdown. The incarnation that left never returns.
 	LeftEngines []string `msgpack:"l,omitempty"`
-	// EndedIncarnations are incarnations that are over, those of LeftEngines among them.
+	// EndedIncarnations are incarnations that have ended, including those of LeftEngines.
 	EndedIncarnations []Incarnation `msgpack:"b,omitempty"`
-	// LostEngines fell silent; they may come back.
+	// LostEngines timed out. They may return.
 	LostEngines    []string     `msgpack:"o,omitempty"`
 	PutGateways    []Gateway    `msgpack:"g,omitempty"`
 	RemoveGateways []string     `msgpack:"h,omitempty"`
 	PutLedgers     []LedgerHost `msgpack:"d,omitempty"`
 	RemoveLedgers  []string     `msgpack:"c,omitempty"`
 	PutGroups      []Placement  `msgpack:"p,omitempty"`
-	// PutSubsetSizes change how many engines are advertised.
+	// PutSubsetSizes changes the number of engines that are advertised.
 	PutSubsetSizes []SubsetSize `msgpack:"z,omitempty"`
 }
 
@@ -101,76 +108,77 @@
 	Value   T      `msgpack:"x"`
 }
 
-// fleetState is what a snapshot holds.
+// fleetState is the content of a snapshot.
 type fleetState struct {
 	Version  uint64                              `msgpack:"v"`
 	Engines  map[string]versioned[ServingEngine] `msgpack:"e"`
 	Gateways map[string]versioned[Gateway]       `msgpack:"g"`
 	Ledgers  map[string]versioned[LedgerHost]    `msgpack:"l"`
 	Groups   map[uint32]versioned[Placement]     `msgpack:"p"`
-	// Left are the ids of engines that ended.
-	Left []string `msgpack:"f"`
-	// Ended are, for ids whose engines say when they started, the latest incarnations that
-	// are over. Oldest entry first.
-	Ended []Incarnation `msgpack:"b,omitempty"`
-	// Superseded are the ids of engines that ended without a word: others have taken their
-	// addresses since. Oldest first.
+	// LeftEngines holds the ids of engines that left.
+	LeftEngines []string `msgpack:"f"`
+	// EndedIncarnations holds the latest ended incarnation of each id whose engine reports its
+	// start time, oldest entry first.
+	EndedIncarnations []Incarnation `msgpack:"b,omitempty"`
+	// Superseded holds the ids of engines that ended without a leave message and whose
+	// addresses other engines have since taken, oldest first.
 	Superseded []string `msgpack:"u,omitempty"`
-	// Sizes are the pools of which more engines than the least are advertised.
-	Sizes []SubsetSize `msgpack:"z,omitempty"`
+	// SubsetSizes holds the pools of which more engines than the minimum are advertised.
+	SubsetSizes []SubsetSize `msgpack:"z,omitempty"`
 }
 
-// Fleet is the replicated list of engines that registered themselves, gateways,
-// ledger hosts and the placement of ledger groups.
+// Fleet is the replicated list of engines that registered themselves, of gateways and of
+// ledger hosts, together with the placement of the ledger groups.
 type Fleet struct {
 	state fleetState
 	left  map[string]bool
-	// ended are the latest incarnations that are over, and begun the versions at which ids
-	// were last taken up by another incarnation.
-	ended map[string]int64
-	begun map[string]uint64
-	// advertised is what followers are told.
-	advertised advertised
-	// addresses are the engines by their addresses.
-	addresses map[string]string
-	// gatewaysChanged is the version at which the gateways last changed.
-	gatewaysChanged uint64
+	// ended maps ids to the start times of their latest ended incarnations.
+	// incarnationVersions maps ids to the versions at which another incarnation last took over
+	// the id.
+	ended               map[string]int64
+	incarnationVersions map[string]uint64
+	// advertisements is the state sent to followers.
+	advertisements advertisements
+	// engineByAddress maps addresses to engine ids.
+	engineByAddress map[string]string
+	// gatewaysVersion is the version at which the gateways last changed.
+	gatewaysVersion uint64
 }
 
 // NewFleet returns an empty fleet.
 func NewFleet() *Fleet {
-	return &Fleet{left: map[string]bool{}, ended: map[string]int64{}, begun: map[string]uint64{}, advertised: newAdvertised(), addresses: map[string]string{}, state: fleetState{
+	return &Fleet{left: map[string]bool{}, ended: map[string]int64{}, incarnationVersions: map[string]uint64{}, advertisements: newAdvertisements(), engineByAddress: map[string]string{}, state: fleetState{
 		Engines: map[string]versioned[ServingEngine]{}, Gateways: map[string]versioned[Gateway]{},
 		Ledgers: map[string]versioned[LedgerHost]{}, Groups: map[uint32]versioned[Placement]{},
 	}}
 }
 
-// Version grows with every update that changed something.
+// Version returns the version of the fleet, which increases with every update.
 func (f *Fleet) Version() uint64 { return f.state.Version }
 
-// GatewaysVersion is the version at which the gateways last changed.
-func (f *Fleet) GatewaysVersion() uint64 { return f.gatewaysChanged }
+// GatewaysVersion returns the version at which the gateways last changed.
+func (f *Fleet) GatewaysVersion() uint64 { return f.gatewaysVersion }
 
-// Apply carries out an update.
+// Apply applies an update.
 func (f *Fleet) Apply(update FleetUpdate) {
 	f.state.Version++
 	f.applyEngines(update)
 	f.applyGateways(update)
 	f.applyLedgers(update)
 	for _, size := range update.PutSubsetSizes {
-		f.putSize(size)
+		f.putSubsetSize(size)
 	}
 }
 
 func (f *Fleet) applyEngines(update FleetUpdate) {
-	for _, over := range update.EndedIncarnations {
-		f.noteEnded(over)
+	for _, ended := range update.EndedIncarnations {
+		f.recordEnded(ended)
 	}
 	for _, engine := range update.PutEngines {
 		f.putEngine(engine)
 	}
 	for _, id := range update.LeftEngines {
-		if known, ok := f.state.Engines[id]; ok && f.outlives(known.Value) {
+		if current, ok := f.state.Engines[id]; ok && f.survivesLeave(current.Value) {
 			continue
 		}
 		f.markLeft(id)
@@ -181,16 +189,16 @@
 	}
 }
 
-// applyGateways changes the gateways. Nobody follows them, so that their coming and going
-// is news for none.
+// applyGateways changes the gateways. Followers do not receive gateways, so these changes
+// produce no deltas.
 func (f *Fleet) applyGateways(update FleetUpdate) {
 	for _, gateway := range update.PutGateways {
 		f.state.Gateways[gateway.Name] = versioned[Gateway]{f.state.Version, gateway}
-		f.gatewaysChanged = f.state.Version
+		f.gatewaysVersion = f.state.Version
 	}
 	for _, name := range update.RemoveGateways {
 		delete(f.state.Gateways, name)
-		f.gatewaysChanged = f.state.Version
+		f.gatewaysVersion = f.state.Version
 	}
 }
 
@@ -198,64 +206,65 @@
 	version := f.state.Version
 	for _, host := range update.PutLedgers {
 		f.state.Ledgers[host.Member] = versioned[LedgerHost]{version, host}
-		f.advertised.placement = version
+		f.advertisements.placementVersion = version
 	}
 	for _, member := range update.RemoveLedgers {
 		if _, known := f.state.Ledgers[member]; known {
 			delete(f.state.Ledgers, member)
-			f.advertised.withdraw(withdrawal{version: version, key: member, everyone: true})
-			f.advertised.placement = version
+			f.advertisements.recordWithdrawal(withdrawal{version: version, key: member, allFollowers: true})
+			f.advertisements.placementVersion = version
 		}
 	}
 	for _, placement := range update.PutGroups {
 		f.state.Groups[placement.Group] = versioned[Placement]{version, placement}
-		f.advertised.placement = version
+		f.advertisements.placementVersion = version
 	}
 }
 
-// putSize changes how many engines of a pool are advertised.
-func (f *Fleet) putSize(size SubsetSize) {
-	f.state.Sizes = slices.DeleteFunc(f.state.Sizes, func(known SubsetSize) bool {
-		return known.Backend == size.Backend && known.Zone == size.Zone
+// putSubsetSize changes the number of engines of a pool that are advertised.
+func (f *Fleet) putSubsetSize(size SubsetSize) {
+	f.state.SubsetSizes = slices.DeleteFunc(f.state.SubsetSizes, func(other SubsetSize) bool {
+		return other.Backend == size.Backend && other.Zone == size.Zone
 	})
-	if size.Local > leastNear || size.Remote > leastFar {
-		f.state.Sizes = append(f.state.Sizes, size)
+	if size.Local > minLocalSubset || size.Remote > minRemoteSubset {
+		f.state.SubsetSizes = append(f.state.SubsetSizes, size)
 	}
-	f.advertised.resize(f.state.Version, size)
+	f.advertisements.resize(f.state.Version, size)
 }
 
-// putEngine takes a report. Invariant: an older report never undoes a newer one, and an
-// incarnation that has left, or that another one has followed, does not come back.
+// putEngine applies a report. Invariant: an older report never reverts a newer one, and an
+// incarnation that has left or has been replaced by a later one does not return.
 func (f *Fleet) putEngine(engine ServingEngine) {
 	if f.IsOutdated(engine) {
 		return
 	}
-	known, ok := f.state.Engines[engine.ID]
-	f.begin(engine)
-	f.takeAddress(engine)
-	if ok && known.Value.withoutSequence() != engine.withoutSequence() {
-		f.advertised.remove(f.state.Version, known.Value)
+	current, ok := f.state.Engines[engine.ID]
+	f.recordIncarnation(engine)
+	f.claimAddress(engine)
+	if ok && current.Value.withoutSequence() != engine.withoutSequence() {
+		f.advertisements.remove(f.state.Version, current.Value)
 	}
 	f.state.Engines[engine.ID] = versioned[ServingEngine]{f.state.Version, engine}
-	if !engine.Draining && known.Value.withoutSequence() != engine.withoutSequence() {
-		f.advertised.add(f.state.Version, engine)
+	if !engine.Draining && current.Value.withoutSequence() != engine.withoutSequence() {
+		f.advertisements.add(f.state.Version, engine)
 	}
 }
 
-// withoutSequence returns what of an engine matters to those who send to it.
+// withoutSequence returns the engine without its report sequence number, for comparing the
+// state that matters to senders of requests.
 func (e ServingEngine) withoutSequence() ServingEngine {
 	e.Sequence = 0
 	return e
 }
 
 func (f *Fleet) removeEngine(id string) {
-	if known, ok := f.state.Engines[id]; ok {
+	if current, ok := f.state.Engines[id]; ok {
 		delete(f.state.Engines, id)
-		if f.addresses[known.Value.Address] == id {
-			delete(f.addresses, known.Value.Address)
+		if f.engineByAddress[current.Value.Address] == id {
+			delete(f.engineByAddress, current.Value.Address)
 		}
-		delete(f.begun, id)
-		f.advertised.remove(f.state.Version, known.Value)
+		delete(f.incarnationVersions, id)
+		f.advertisements.remove(f.state.Version, current.Value)
 	}
 }
 
@@ -264,42 +273,42 @@
 		return
 	}
 	f.left[id] = true
-	f.state.Left = append(f.state.Left, id)
-	if len(f.state.Left) > keptLeftEngines {
-		for _, old := range f.state.Left[:keptLeftEngines/2] {
-			delete(f.left, old)
+	f.state.LeftEngines = append(f.state.LeftEngines, id)
+	if len(f.state.LeftEngines) > maxLeftEngines {
+		for _, oldest := range f.state.LeftEngines[:maxLeftEngines/2] {
+			delete(f.left, oldest)
 		}
-		f.state.Left = slices.Clone(f.state.Left[keptLeftEngines/2:])
+		f.state.LeftEngines = slices.Clone(f.state.LeftEngines[maxLeftEngines/2:])
 	}
 }
 
-// Engine returns an engine; false where it is unknown.
+// Engine returns an engine, or false if the id is unknown.
 func (f *Fleet) Engine(id string) (ServingEngine, bool) {
 	entry, ok := f.state.Engines[id]
 	return entry.Value, ok
 }
 
-// EngineCount returns how many engines there are.
+// EngineCount returns the number of engines.
 func (f *Fleet) EngineCount() int { return len(f.state.Engines) }
 
-// GatewayCount returns how many gateways there are.
+// GatewayCount returns the number of gateways.
 func (f *Fleet) GatewayCount() int { return len(f.state.Gateways) }
 
-// LedgerCount returns how many ledger hosts there are.
+// LedgerCount returns the number of ledger hosts.
 func (f *Fleet) LedgerCount() int { return len(f.state.Ledgers) }
 
-// AdvertisedCount returns how many engines gateways are told of.
-func (f *Fleet) AdvertisedCount() int { return len(f.advertised.engines) }
+// AdvertisedCount returns the number of engines that are advertised to gateways.
+func (f *Fleet) AdvertisedCount() int { return len(f.advertisements.engines) }
 
-// Engines returns all engines in ascending order of their ids.
+// Engines returns all engines, sorted by id.
 func (f *Fleet) Engines() []ServingEngine {
 	return sortedValues(f.state.Engines)
 }
 
-// Gateways returns all gateways in ascending order of their names.
+// Gateways returns all gateways, sorted by name.
 func (f *Fleet) Gateways() []Gateway { return sortedValues(f.state.Gateways) }
 
-// Ledgers returns all ledger hosts in ascending order of their members.
+// Ledgers returns all ledger hosts, sorted by member.
 func (f *Fleet) Ledgers() []LedgerHost { return sortedValues(f.state.Ledgers) }
 
 // Gateway returns a gateway by name.
@@ -314,7 +323,7 @@
 	return entry.Value, ok
 }
 
-// Placements returns the placement of all groups in ascending order.
+// Placements returns the placements of all groups, sorted by group.
 func (f *Fleet) Placements() []Placement { return sortedValues(f.state.Groups) }
 
 func sortedValues[K cmp.Ordered, T any](entries map[K]versioned[T]) []T {
@@ -336,41 +345,41 @@
 // Snapshot encodes the fleet.
 func (f *Fleet) Snapshot() ([]byte, error) { return msgpack.Marshal(&f.state) }
 
-// Restore replaces the fleet by a snapshot; empty data gives an empty fleet.
+// Restore replaces the fleet with a snapshot. Empty data yields an empty fleet.
 func (f *Fleet) Restore(data []byte) error {
-	fresh := NewFleet()
+	restored := NewFleet()
 	if len(data) > 0 {
-		if err := msgpack.Unmarshal(data, &fresh.state); err != nil {
+		if err := msgpack.Unmarshal(data, &restored.state); err != nil {
 			return err
 		}
 	}
-	for _, id := range fresh.state.Left {
-		fresh.left[id] = true
+	for _, id := range restored.state.LeftEngines {
+		restored.left[id] = true
 	}
-	for _, over := range fresh.state.Ended {
-		fresh.ended[over.ID] = over.StartedMs
+	for _, ended := range restored.state.EndedIncarnations {
+		restored.ended[ended.ID] = ended.StartedMs
 	}
-	for id, entry := range fresh.state.Engines {
-		fresh.addresses[entry.Value.Address] = id
+	for id, entry := range restored.state.Engines {
+		restored.engineByAddress[entry.Value.Address] = id
 		if !entry.Value.Draining {
-			fresh.advertised.add(fresh.state.Version, entry.Value)
+			restored.advertisements.add(restored.state.Version, entry.Value)
 		}
 	}
-	for _, size := range fresh.state.Sizes {
-		fresh.advertised.resize(fresh.state.Version, size)
+	for _, size := range restored.state.SubsetSizes {
+		restored.advertisements.resize(restored.state.Version, size)
 	}
-	fresh.gatewaysChanged = fresh.state.Version
-	// What changed last is unknown, so that followers are told the whole.
-	fresh.advertised.withdrawals = nil
-	fresh.advertised.horizon = fresh.state.Version
-	*f = *fresh
+	restored.gatewaysVersion = restored.state.Version
+	// The versions of past changes are unknown, so followers receive the full state.
+	restored.advertisements.withdrawals = nil
+	restored.advertisements.minDeltaVersion = restored.state.Version
+	*f = *restored
 	return nil
 }
 
-// FleetDelta is what a follower lacks of a fleet.
+// FleetDelta is the difference between a follower's state and the fleet.
 type FleetDelta struct {
 	Version uint64 `msgpack:"v"`
-	// IsFull news replace all that the follower has.
+	// IsFull marks a delta that replaces the follower's entire state.
 	IsFull  bool            `msgpack:"w,omitempty"`
 	Engines []ServingEngine `msgpack:"e,omitempty"`
 	Ledgers []LedgerHost    `msgpack:"l,omitempty"`
@@ -378,44 +387,44 @@
 	Removed []string        `msgpack:"r,omitempty"`
 }
 
-// LatestVersion returns the version at which what a follower is told last changed, 0 where nothing
-// ever did. It is asked for each held heartbeat at each change, so that it must cost next to
-// nothing.
-func (f *Fleet) LatestVersion(scope Scope) uint64 { return f.advertised.latest(scope) }
+// LatestVersion returns the version at which the state sent to a follower last changed, or 0
+// if it never changed. It is evaluated for every pending long poll at every change and must
+// therefore be cheap.
+func (f *Fleet) LatestVersion(scope Scope) uint64 { return f.advertisements.latestVersion(scope) }
 
-// DeltaSince returns what a follower at a version lacks. Gateways are no part of it: only
-// directories need them, and those read the replicated fleet itself. Its version is the latest
-// that matters to the follower, so that all that come back while gateways are listed one after
-// the other are told the same.
+// DeltaSince returns the changes that a follower at a version lacks. Gateways are not
+// included: only the directories need them, and they read the replicated fleet directly. The
+// version of the delta is the latest one that affects the follower, so that all followers that
+// poll while gateways are added one by one receive the same delta.
 func (f *Fleet) DeltaSince(version uint64, scope Scope) FleetDelta {
-	news := FleetDelta{Version: f.LatestVersion(scope)}
-	if version < f.advertised.horizon || version > f.state.Version || version == 0 {
-		news.IsFull = true
+	delta := FleetDelta{Version: f.LatestVersion(scope)}
+	if version < f.advertisements.minDeltaVersion || version > f.state.Version || version == 0 {
+		delta.IsFull = true
 		version = 0
 	}
 	if scope.IncludesEngines {
-		news.Engines = f.advertisedSince(version, scope)
+		delta.Engines = f.advertisedSince(version, scope)
 	}
-	news.Ledgers = changedSince(f.state.Ledgers, version)
-	news.Groups = changedSince(f.state.Groups, version)
-	if news.IsFull {
-		return news
+	delta.Ledgers = changedSince(f.state.Ledgers, version)
+	delta.Groups = changedSince(f.state.Groups, version)
+	if delta.IsFull {
+		return delta
 	}
-	for _, gone := range f.advertised.withdrawals {
-		if gone.version > version && gone.concerns(scope) {
-			news.Removed = append(news.Removed, gone.key)
+	for _, withdrawn := range f.advertisements.withdrawals {
+		if withdrawn.version > version && withdrawn.appliesTo(scope) {
+			delta.Removed = append(delta.Removed, withdrawn.key)
 		}
 	}
-	return news
+	return delta
 }
 
-// AdvertisedEngineIDs returns the ids of the engines that a follower is told of, in ascending order.
+// AdvertisedEngineIDs returns the ids of the engines advertised to a follower, sorted.
 func (f *Fleet) AdvertisedEngineIDs(scope Scope) []string {
 	if !scope.IncludesEngines {
 		return nil
 	}
 	var ids []string
-	for key, pool := range f.advertised.pools {
+	for key, pool := range f.advertisements.pools {
 		size := pool.sizes[scope.audienceOf(key.zone)]
 		for _, entry := range pool.ranked[:min(size, len(pool.ranked))] {
 			ids = append(ids, entry.id)
@@ -425,13 +434,13 @@
 	return ids
 }
 
-// advertisedSince returns the engines advertised to a follower that changed after a
-// version, in ascending order of their ids.
+// advertisedSince returns the engines advertised to a follower that changed after a version,
+// sorted by id.
 func (f *Fleet) advertisedSince(version uint64, scope Scope) []ServingEngine {
 	changed := map[string]versioned[ServingEngine]{}
-	for id, told := range f.advertised.engines {
+	for id, versions := range f.advertisements.engines {
 		engine := f.state.Engines[id]
-		if told[scope.audienceOf(engine.Value.Zone)] > version {
+		if versions[scope.audienceOf(engine.Value.Zone)] > version {
 			changed[id] = engine
 		}
 	}
@@ -448,7 +457,7 @@
 	return sortedValues(changed)
 }
 
-// ChangedSince reports whether a follower may lack something.
+// ChangedSince reports whether a follower at a version may lack changes.
 func (f *Fleet) ChangedSince(version uint64, scope Scope) bool {
 	return version < f.LatestVersion(scope)
 }
--- a/internal/membership/fleet_test.go
+++ b/internal/membership/fleet_test.go
@@ -9,16 +9,16 @@
 	"github.com/ochrebay/ochrebay/internal/consensus"
 )
 
-func hostAt(number int, zone string) LedgerHost {
+func testHost(number int, zone string) LedgerHost {
 	return LedgerHost{Member: fmt.Sprintf("10.0.0.%d:1", number), Name: fmt.Sprintf("ledger-%d", number), Zone: zone, Replica: consensus.ReplicaID(number)}
 }
 
-func fleetOptions() FleetOptions {
+func testFleetOptions() FleetOptions {
 	return FleetOptions{Groups: 2, Replicas: 3, EngineTimeoutMs: 1000, GatewayTimeoutMs: 1000, GatewayRepollTimeoutMs: 200, LedgerTimeoutMs: 1000, LedgerRetentionMs: 5000, InitialPlacementDelayMs: 100}
 }
 
 func TestFleet(t *testing.T) {
-	Convey("reports are taken by their sequence, and an engine that left does not come back", t, func() {
+	Convey("reports are applied in the order of their sequence numbers, an engine that left does not return, and a lost one does", t, func() {
 		fleet := NewFleet()
 		fleet.Apply(FleetUpdate{PutEngines: []ServingEngine{{ID: "e", Sequence: 5, Draining: true}}})
 		fleet.Apply(FleetUpdate{PutEngines: []ServingEngine{{ID: "e", Sequence: 4}}})
@@ -34,9 +34,9 @@
 		_, known = fleet.Engine("f")
 		So(known, ShouldBeTrue)
 	})
-	Convey("a late report of an engine does not bring it back beside the one at its address", t, func() {
+	Convey("a late report does not restore an engine beside the one that took its address", t, func() {
 		fleet := NewFleet()
-		tracker := NewFleetTracker(fleetOptions(), 0)
+		tracker := NewFleetTracker(testFleetOptions(), 0)
 		report := func(id string) {
 			engine := ServingEngine{ID: id, Address: "10.0.0.1:1"}
 			if tracker.AcceptsReport(fleet, engine, 0) {
@@ -50,22 +50,22 @@
 		report("old")
 		report("new")
 		So(known("old"), ShouldBeFalse)
-		for range doubtfulReports - 1 {
+		for range requiredContradictions - 1 {
 			report("old")
 		}
 		So(known("old"), ShouldBeFalse)
 		So(known("new"), ShouldBeTrue)
-		Convey("also after a snapshot", func() {
+		Convey("nor after a restore from a snapshot", func() {
 			raw, err := fleet.Snapshot()
 			So(err, ShouldBeNil)
 			So(fleet.Restore(raw), ShouldBeNil)
-			tracker = NewFleetTracker(fleetOptions(), 0)
+			tracker = NewFleetTracker(testFleetOptions(), 0)
 			report("old")
 			So(known("old"), ShouldBeFalse)
 			report("newest")
 			So(known("new"), ShouldBeFalse)
 		})
-		Convey("but one that goes on reporting is the one that is there", func() {
+		Convey("an engine that continues to report is accepted and keeps its address", func() {
 			report("old")
 			So(known("old"), ShouldBeTrue)
 			So(known("new"), ShouldBeFalse)
@@ -73,10 +73,10 @@
 			So(known("old"), ShouldBeTrue)
 		})
 	})
-	Convey("a ledger host that is gone for good is forgotten once it holds nothing, and known again when it reports", t, func() {
+	Convey("a silent ledger host is removed once no group is placed on it, and is added again when it reports", t, func() {
 		fleet := NewFleet()
-		tracker := NewFleetTracker(fleetOptions(), 0)
-		holding, idle := hostAt(1, "a"), hostAt(2, "b")
+		tracker := NewFleetTracker(testFleetOptions(), 0)
+		holding, idle := testHost(1, "a"), testHost(2, "b")
 		fleet.Apply(FleetUpdate{
 			PutLedgers: []LedgerHost{holding, idle},
 			PutGroups:  []Placement{{Group: 1, Members: []string{holding.Member}}, {Group: 2, Members: []string{holding.Member}}},
@@ -91,34 +91,34 @@
 		_, known = fleet.Ledger(idle.Member)
 		So(known, ShouldBeTrue)
 	})
-	Convey("a gateway that does not come back after an answer is lost soon, one whose heartbeat is held is not", t, func() {
+	Convey("a gateway that does not poll again after a reply is lost soon, and one with a pending long poll only after the longer timeout", t, func() {
 		fleet := NewFleet()
-		tracker := NewFleetTracker(fleetOptions(), 0)
+		tracker := NewFleetTracker(testFleetOptions(), 0)
 		for _, name := range []string{"frozen", "held", "impatient", "unheard"} {
 			fleet.Apply(FleetUpdate{PutGateways: []Gateway{{Name: name}}})
 		}
 		frozen := tracker.RecordGatewayHeartbeat("frozen", 100)
 		tracker.RecordGatewayHeartbeat("held", 100)
-		given := tracker.RecordGatewayHeartbeat("impatient", 100)
+		number := tracker.RecordGatewayHeartbeat("impatient", 100)
 		tracker.RecordGatewayHeartbeat("impatient", 150)
 		tracker.RecordGatewayReply("frozen", frozen, false, 300)
-		tracker.RecordGatewayReply("impatient", given, false, 300)
+		tracker.RecordGatewayReply("impatient", number, false, 300)
 		So(tracker.Plan(fleet, 500).RemoveGateways, ShouldBeEmpty)
 		So(tracker.Plan(fleet, 501).RemoveGateways, ShouldResemble, []string{"frozen"})
 		So(tracker.Plan(fleet, 1000).RemoveGateways, ShouldResemble, []string{"frozen"})
 		So(tracker.Plan(fleet, 1001).RemoveGateways, ShouldResemble, []string{"frozen", "unheard"})
 		So(tracker.Plan(fleet, 1101).RemoveGateways, ShouldResemble, []string{"frozen", "held", "unheard"})
 	})
-	Convey("a leader that was paused does not take its own silence for that of the gateways", t, func() {
+	Convey("the pause of a leader does not count towards the timeouts of gateways", t, func() {
 		fleet := NewFleet()
-		tracker := NewFleetTracker(fleetOptions(), 0)
+		tracker := NewFleetTracker(testFleetOptions(), 0)
 		fleet.Apply(FleetUpdate{PutGateways: []Gateway{{Name: "g"}}})
 		tracker.RecordGatewayReply("g", tracker.RecordGatewayHeartbeat("g", 100), false, 100)
 		tracker.RecordPause(3000)
 		So(tracker.Plan(fleet, 3200).RemoveGateways, ShouldBeEmpty)
 		So(tracker.Plan(fleet, 3301).RemoveGateways, ShouldResemble, []string{"g"})
 	})
-	Convey("gateways that come and go are no news for followers", t, func() {
+	Convey("adding and removing gateways causes no deltas for followers", t, func() {
 		fleet := NewFleet()
 		fleet.Apply(FleetUpdate{PutEngines: []ServingEngine{{ID: "e", Sequence: 1}}})
 		version := fleet.Version()
@@ -127,11 +127,11 @@
 		So(fleet.Gateways(), ShouldBeEmpty)
 		So(fleet.ChangedSince(version, Scope{IncludesEngines: true}), ShouldBeFalse)
 	})
-	Convey("groups are placed over zones once no further host comes, and each once", t, func() {
+	Convey("groups are placed once, across zones, after no further ledger host has appeared for the initial delay", t, func() {
 		fleet := NewFleet()
-		tracker := NewFleetTracker(fleetOptions(), 0)
+		tracker := NewFleetTracker(testFleetOptions(), 0)
 		for number, zone := range []string{"a", "a", "b", "c"} {
-			host := hostAt(number+1, zone)
+			host := testHost(number+1, zone)
 			tracker.RecordLedgerReport(LedgerReport{Host: host}, 10)
 			fleet.Apply(FleetUpdate{PutLedgers: []LedgerHost{host}})
 		}
@@ -150,51 +150,51 @@
 		}
 		So(tracker.Plan(fleet, 300).PutGroups, ShouldBeEmpty)
 	})
-	Convey("a silent host is replaced where another one is there, and stays where none is", t, func() {
+	Convey("a silent ledger host is replaced if another one is available, and otherwise keeps its placements", t, func() {
 		fleet := NewFleet()
-		tracker := NewFleetTracker(fleetOptions(), 0)
-		heard := func(nowMs int64, numbers ...int) {
+		tracker := NewFleetTracker(testFleetOptions(), 0)
+		reportHosts := func(nowMs int64, numbers ...int) {
 			for _, number := range numbers {
-				host := hostAt(number, fmt.Sprint(number))
+				host := testHost(number, fmt.Sprint(number))
 				tracker.RecordLedgerReport(LedgerReport{Host: host}, nowMs)
 				fleet.Apply(FleetUpdate{PutLedgers: []LedgerHost{host}})
 			}
 		}
-		heard(0, 1, 2, 3)
+		reportHosts(0, 1, 2, 3)
 		fleet.Apply(tracker.Plan(fleet, 200))
-		heard(1900, 1, 2)
+		reportHosts(1900, 1, 2)
 		So(tracker.Plan(fleet, 2000).PutGroups, ShouldBeEmpty)
-		heard(2100, 1, 2, 4)
+		reportHosts(2100, 1, 2, 4)
 		update := tracker.Plan(fleet, 2200)
 		So(len(update.PutGroups), ShouldEqual, 2)
 		fleet.Apply(update)
 		for _, placement := range fleet.Placements() {
-			So(placement.Members, ShouldContain, hostAt(4, "").Member)
-			So(placement.Members, ShouldNotContain, hostAt(3, "").Member)
+			So(placement.Members, ShouldContain, testHost(4, "").Member)
+			So(placement.Members, ShouldNotContain, testHost(3, "").Member)
 		}
 	})
-	Convey("a host is emptied when no group is placed on it and every leader says so", t, func() {
+	Convey("a ledger host is drained when no group is placed on it and every group's leader has confirmed it", t, func() {
 		fleet := NewFleet()
-		tracker := NewFleetTracker(fleetOptions(), 0)
+		tracker := NewFleetTracker(testFleetOptions(), 0)
 		for number := 1; number <= 3; number++ {
-			host := hostAt(number, fmt.Sprint(number))
+			host := testHost(number, fmt.Sprint(number))
 			tracker.RecordLedgerReport(LedgerReport{Host: host}, 0)
 			fleet.Apply(FleetUpdate{PutLedgers: []LedgerHost{host}})
 		}
 		fleet.Apply(tracker.Plan(fleet, 200))
-		retiring := hostAt(3, "3")
-		So(tracker.CanRetire(fleet, retiring.Member, 300), ShouldBeFalse)
-		spare := hostAt(4, "4")
-		tracker.RecordLedgerReport(LedgerReport{Host: spare}, 300)
-		fleet.Apply(FleetUpdate{PutLedgers: []LedgerHost{spare}})
-		So(tracker.CanRetire(fleet, retiring.Member, 300), ShouldBeTrue)
-		retiring.Retiring = true
-		fleet.Apply(FleetUpdate{PutLedgers: []LedgerHost{retiring}})
+		third := testHost(3, "3")
+		So(tracker.CanRetire(fleet, third.Member, 300), ShouldBeFalse)
+		fourth := testHost(4, "4")
+		tracker.RecordLedgerReport(LedgerReport{Host: fourth}, 300)
+		fleet.Apply(FleetUpdate{PutLedgers: []LedgerHost{fourth}})
+		So(tracker.CanRetire(fleet, third.Member, 300), ShouldBeTrue)
+		third.Retiring = true
+		fleet.Apply(FleetUpdate{PutLedgers: []LedgerHost{third}})
 		fleet.Apply(tracker.Plan(fleet, 400))
-		So(tracker.IsDrained(fleet, retiring.Member), ShouldBeFalse)
+		So(tracker.IsDrained(fleet, third.Member), ShouldBeFalse)
 		for _, placement := range fleet.Placements() {
-			tracker.RecordLedgerReport(LedgerReport{Host: spare, LedGroups: []GroupReport{{Group: placement.Group, Members: placement.Members, IsStable: true}}}, 500)
+			tracker.RecordLedgerReport(LedgerReport{Host: fourth, LedGroups: []GroupReport{{Group: placement.Group, Members: placement.Members, IsStable: true}}}, 500)
 		}
-		So(tracker.IsDrained(fleet, retiring.Member), ShouldBeTrue)
+		So(tracker.IsDrained(fleet, third.Member), ShouldBeTrue)
 	})
 }
--- a/internal/membership/fleet_tracker.go
+++ b/internal/membership/fleet_tracker.go
@@ -8,108 +8,111 @@
 	"github.com/ochrebay/ochrebay/internal/consensus"
 )
 
-// FleetOptions configure how a leader looks after the fleet. Times are in
-// milliseconds.
+// FleetOptions configure how a leader manages the fleet. Times are in milliseconds.
 type FleetOptions struct {
-	// Groups is how many ledger groups there are, Replicas how many ledger hosts
-	// hold each.
+	// Groups is the number of ledger groups. Replicas is the number of ledger hosts that hold
+	// each group.
 	Groups   int
 	Replicas int
-	// EngineTimeoutMs is how long an engine may be silent before it counts as lost,
-	// GatewaySilentMs and LedgerSilentMs the same for ochrebay's own processes.
+	// EngineTimeoutMs is the time without a report after which an engine is considered lost.
+	// GatewayTimeoutMs and LedgerTimeoutMs are the same for ochrebay's own processes.
 	EngineTimeoutMs  int64
 	GatewayTimeoutMs int64
 	LedgerTimeoutMs  int64
-	// GatewayRepollTimeoutMs is how long a gateway may take for its next heartbeat once the last
-	// one was answered. A heartbeat is held for a while and the next follows at once, so
-	// that a gateway that does not come back is frozen or cut off. GatewayLightReturnMs is the
-	// same after an answer that is light: it takes next to nothing to be put in force.
+	// GatewayRepollTimeoutMs is the time within which a gateway must send its next heartbeat
+	// after a reply. A heartbeat is a long poll and the next one follows its reply
+	// immediately, so a gateway that does not poll again is frozen or disconnected.
+	// GatewaySmallDeltaRepollTimeoutMs is the same after a reply with a small delta, which
+	// takes almost no time to apply.
 	GatewayRepollTimeoutMs           int64
 	GatewaySmallDeltaRepollTimeoutMs int64
-	// LedgerRetentionMs is how long a ledger host that holds nothing may be silent before
-	// it is forgotten; it is known again once it reports.
+	// LedgerRetentionMs is the time without a report after which a ledger host that holds no
+	// replicas is removed. It is added again when it reports.
 	LedgerRetentionMs int64
-	// InitialPlacementDelayMs is how long the first placement waits for further ledger hosts.
+	// InitialPlacementDelayMs is the time that the first placement waits for further ledger
+	// hosts.
 	InitialPlacementDelayMs int64
 }
 
-// LedgerReport is what a ledger host says of itself.
+// LedgerReport is the report of a ledger host.
 type LedgerReport struct {
 	Host LedgerHost `msgpack:"h"`
-	// LedGroups are the configurations of the groups that the host leads.
+	// LedGroups holds the configurations of the groups that the host leads.
 	LedGroups []GroupReport `msgpack:"l,omitempty"`
 }
 
-// GroupReport is a group's configuration as its leader knows it.
+// GroupReport is the configuration of a group as seen by its leader.
 type GroupReport struct {
 	Group   uint32   `msgpack:"g"`
 	Term    uint64   `msgpack:"t"`
 	Members []string `msgpack:"m"`
-	// IsStable says that all members vote and no change is pending.
+	// IsStable reports that all members vote and that no configuration change is pending.
 	IsStable bool `msgpack:"s"`
 }
 
-// FleetTracker is a leader's soft state of the fleet; a new leader starts with an
-// empty one, in which everybody was heard of just now.
+// FleetTracker is a leader's soft state about the fleet. A new leader starts with an empty one
+// and measures every timeout from the start of its leadership.
 type FleetTracker struct {
-	options FleetOptions
-	startMs int64
-	heard   map[string]int64
-	// gateways are the latest heartbeats of gateways.
+	options      FleetOptions
+	startMs      int64
+	lastReportMs map[string]int64
+	// gateways holds the latest heartbeat of each gateway.
 	gateways map[string]gatewayHeartbeat
-	// led holds the last word of the groups' leaders.
-	led map[uint32]GroupReport
-	// lastNewLedgerMs is when a ledger host was last seen for the first time.
+	// groupReports holds the latest report of each group's leader.
+	groupReports map[uint32]GroupReport
+	// lastNewLedgerMs is the time at which a new ledger host last appeared.
 	lastNewLedgerMs int64
-	// enginesCheckedMs is when silent engines were last looked for.
+	// enginesCheckedMs is the time of the last check for engines that timed out.
 	enginesCheckedMs int64
-	// doubts are the engines whose reports contradict what is known.
-	doubts map[string]doubt
-	// newest are the latest incarnations that were heard of lately.
-	newest latestIncarnations
-	// calmSinceMs is since when the pools that are larger than they need be are so.
-	calmSinceMs map[poolKey]int64
+	// contradictions holds the engines whose reports contradict the known state.
+	contradictions map[string]contradiction
+	// latest holds the latest incarnations that reported recently.
+	latest latestIncarnations
+	// oversizedSinceMs holds the times since which pools have advertised more engines than
+	// they need.
+	oversizedSinceMs map[poolKey]int64
 }
 
-// engineCheckEveryMs is how often silent engines are looked for, milliseconds: a tenth of
-// the time that they may be silent for.
-const engineCheckEveryMs = 1000
+// engineCheckIntervalMs is the interval between checks for engines that timed out, in
+// milliseconds: a tenth of the engine timeout.
+const engineCheckIntervalMs = 1000
 
-// gatewayHeartbeat is a gateway's latest heartbeat. A gateway may give one up and send
-// another, so that the answer to an older one says nothing.
+// gatewayHeartbeat is the latest heartbeat of a gateway. A gateway may abandon a heartbeat and
+// send another one, so the reply to an older heartbeat carries no information.
 type gatewayHeartbeat struct {
-	number   uint64
-	answered bool
-	// light says that the answer held no news, or few.
-	light bool
-	// sinceMs is when the heartbeat came, or was answered.
+	number     uint64
+	isAnswered bool
+	// isSmallDelta reports that the reply contained no changes or only a few.
+	isSmallDelta bool
+	// sinceMs is the time at which the heartbeat arrived or was answered.
 	sinceMs int64
 }
 
-// NewFleetTracker returns the tracker of a leader that began to lead at nowMs.
+// NewFleetTracker returns the tracker of a leader whose leadership began at nowMs.
 func NewFleetTracker(options FleetOptions, nowMs int64) *FleetTracker {
 	return &FleetTracker{
-		options: options, startMs: nowMs, heard: map[string]int64{}, gateways: map[string]gatewayHeartbeat{},
-		led: map[uint32]GroupReport{}, lastNewLedgerMs: nowMs, enginesCheckedMs: nowMs, doubts: map[string]doubt{}, newest: latestIncarnations{}, calmSinceMs: map[poolKey]int64{},
+		options: options, startMs: nowMs, lastReportMs: map[string]int64{}, gateways: map[string]gatewayHeartbeat{},
+		groupReports: map[uint32]GroupReport{}, lastNewLedgerMs: nowMs, enginesCheckedMs: nowMs, contradictions: map[string]contradiction{}, latest: latestIncarnations{}, oversizedSinceMs: map[poolKey]int64{},
 	}
 }
 
-// RecordGatewayHeartbeat notes a gateway's heartbeat and returns its number.
+// RecordGatewayHeartbeat records a gateway's heartbeat and returns its number.
 func (t *FleetTracker) RecordGatewayHeartbeat(name string, nowMs int64) uint64 {
 	number := t.gateways[name].number + 1
 	t.gateways[name] = gatewayHeartbeat{number: number, sinceMs: nowMs}
 	return number
 }
 
-// RecordGatewayReply notes that the heartbeat of a number is answered, light where that takes next to nothing to put in force.
-func (t *FleetTracker) RecordGatewayReply(name string, number uint64, light bool, nowMs int64) {
-	if latest := t.gateways[name]; latest.number == number && !latest.answered {
-		t.gateways[name] = gatewayHeartbeat{number: number, answered: true, light: light, sinceMs: nowMs}
+// RecordGatewayReply records that the heartbeat with this number was answered. smallDelta reports
+// that the reply takes almost no time to apply.
+func (t *FleetTracker) RecordGatewayReply(name string, number uint64, smallDelta bool, nowMs int64) {
+	if latest := t.gateways[name]; latest.number == number && !latest.isAnswered {
+		t.gateways[name] = gatewayHeartbeat{number: number, isAnswered: true, isSmallDelta: smallDelta, sinceMs: nowMs}
 	}
 }
 
-// RecordPause notes that the leader itself did nothing for a time: what gateways sent
-// meanwhile still waits for it, so that their silence does not count.
+// RecordPause records that the leader itself was paused for a time. Messages that gateways
+// sent in the meantime are still queued, so the pause does not count towards their timeouts.
 func (t *FleetTracker) RecordPause(forMs int64) {
 	for name, latest := range t.gateways {
 		latest.sinceMs += forMs
@@ -117,93 +120,94 @@
 	}
 }
 
-// gatewaySilent reports whether a gateway is taken for lost. One that this leader has
-// not heard yet gets the longer time: it may still look for the leader.
-func (t *FleetTracker) gatewaySilent(name string, nowMs int64) bool {
+// isGatewayLost reports whether a gateway is considered lost. A gateway from which this leader
+// has not yet received a heartbeat has the longer timeout, because it may still be looking for
+// the leader.
+func (t *FleetTracker) isGatewayLost(name string, nowMs int64) bool {
 	latest, known := t.gateways[name]
 	if !known {
 		return nowMs-t.startMs > t.options.GatewayTimeoutMs
 	}
 	switch {
-	case latest.answered && latest.light:
+	case latest.isAnswered && latest.isSmallDelta:
 		return nowMs-latest.sinceMs > t.options.GatewaySmallDeltaRepollTimeoutMs
-	case latest.answered:
+	case latest.isAnswered:
 		return nowMs-latest.sinceMs > t.options.GatewayRepollTimeoutMs
 	}
 	return nowMs-latest.sinceMs > t.options.GatewayTimeoutMs
 }
 
-// RecordEngineAlive notes that an engine is alive.
-func (t *FleetTracker) RecordEngineAlive(key string, nowMs int64) { t.heard[key] = nowMs }
+// RecordEngineAlive records that an engine is alive.
+func (t *FleetTracker) RecordEngineAlive(key string, nowMs int64) { t.lastReportMs[key] = nowMs }
 
-// RecordLedgerReport notes a ledger host's report.
+// RecordLedgerReport records a ledger host's report.
 func (t *FleetTracker) RecordLedgerReport(report LedgerReport, nowMs int64) {
-	if _, known := t.heard[report.Host.Member]; !known {
+	if _, known := t.lastReportMs[report.Host.Member]; !known {
 		t.lastNewLedgerMs = nowMs
 	}
-	t.heard[report.Host.Member] = nowMs
-	for _, led := range report.LedGroups {
-		if known, ok := t.led[led.Group]; !ok || led.Term >= known.Term {
-			t.led[led.Group] = led
+	t.lastReportMs[report.Host.Member] = nowMs
+	for _, reported := range report.LedGroups {
+		if previous, ok := t.groupReports[reported.Group]; !ok || reported.Term >= previous.Term {
+			t.groupReports[reported.Group] = reported
 		}
 	}
 }
 
-func (t *FleetTracker) silentMs(key string, nowMs int64) int64 {
-	heard, ok := t.heard[key]
-	if !ok {
-		heard = t.startMs
+func (t *FleetTracker) sinceReportMs(key string, nowMs int64) int64 {
+	lastMs, known := t.lastReportMs[key]
+	if !known {
+		lastMs = t.startMs
 	}
-	return nowMs - heard
+	return nowMs - lastMs
 }
 
-// Plan returns what should change of the fleet now.
+// Plan returns the changes that the fleet needs now.
 func (t *FleetTracker) Plan(fleet *Fleet, nowMs int64) FleetUpdate {
 	return FleetUpdate{
 		LostEngines:    t.lostEngines(fleet, nowMs),
 		RemoveGateways: t.lostGateways(fleet, nowMs),
-		RemoveLedgers:  t.forgotten(fleet, nowMs),
-		PutGroups:      t.place(fleet, nowMs),
+		RemoveLedgers:  t.removableLedgers(fleet, nowMs),
+		PutGroups:      t.planPlacements(fleet, nowMs),
 	}
 }
 
-// lostEngines returns the engines that fell silent, in ascending order.
+// lostEngines returns the engines that timed out, sorted.
 func (t *FleetTracker) lostEngines(fleet *Fleet, nowMs int64) []string {
-	if nowMs-t.enginesCheckedMs < engineCheckEveryMs {
+	if nowMs-t.enginesCheckedMs < engineCheckIntervalMs {
 		return nil
 	}
 	t.enginesCheckedMs = nowMs
 	var lost []string
 	for id := range fleet.state.Engines {
-		if t.silentMs(id, nowMs) > t.options.EngineTimeoutMs {
+		if t.sinceReportMs(id, nowMs) > t.options.EngineTimeoutMs {
 			lost = append(lost, id)
 		}
 	}
 	slices.Sort(lost)
-	t.forgetGone(fleet)
+	t.deleteUnlisted(fleet)
 	return lost
 }
 
-// forgetGone drops what was heard of engines that are in the fleet no more, once they are as
-// many as those that are.
-func (t *FleetTracker) forgetGone(fleet *Fleet) {
-	if len(t.heard) <= 2*len(fleet.state.Engines)+len(fleet.state.Ledgers) {
+// deleteUnlisted deletes the records of engines that are no longer in the fleet, once the
+// records outnumber the listed engines by a factor of two.
+func (t *FleetTracker) deleteUnlisted(fleet *Fleet) {
+	if len(t.lastReportMs) <= 2*len(fleet.state.Engines)+len(fleet.state.Ledgers) {
 		return
 	}
-	gone := func(key string) bool {
+	isUnlisted := func(key string) bool {
 		_, engine := fleet.state.Engines[key]
 		_, host := fleet.state.Ledgers[key]
 		return !engine && !host
 	}
-	maps.DeleteFunc(t.heard, func(key string, _ int64) bool { return gone(key) })
-	maps.DeleteFunc(t.newest, func(key string, _ int64) bool { return gone(key) })
+	maps.DeleteFunc(t.lastReportMs, func(key string, _ int64) bool { return isUnlisted(key) })
+	maps.DeleteFunc(t.latest, func(key string, _ int64) bool { return isUnlisted(key) })
 }
 
-// lostGateways returns the gateways that fell silent, in ascending order.
+// lostGateways returns the gateways that timed out, sorted.
 func (t *FleetTracker) lostGateways(fleet *Fleet, nowMs int64) []string {
 	var lost []string
 	for name := range fleet.state.Gateways {
-		if t.gatewaySilent(name, nowMs) {
+		if t.isGatewayLost(name, nowMs) {
 			lost = append(lost, name)
 		}
 	}
@@ -211,36 +215,36 @@
 	return lost
 }
 
-// forgotten returns the ledger hosts that are gone for good: silent for long, and no
-// group is placed on them.
-func (t *FleetTracker) forgotten(fleet *Fleet, nowMs int64) []string {
+// removableLedgers returns the ledger hosts that have sent no report for the retention time
+// and on which no group is placed.
+func (t *FleetTracker) removableLedgers(fleet *Fleet, nowMs int64) []string {
 	holds := map[string]bool{}
 	for _, placement := range fleet.Placements() {
 		for _, member := range placement.Members {
 			holds[member] = true
 		}
 	}
-	var gone []string
+	var removable []string
 	for _, host := range fleet.Ledgers() {
-		if !holds[host.Member] && t.silentMs(host.Member, nowMs) > t.options.LedgerRetentionMs {
-			gone = append(gone, host.Member)
+		if !holds[host.Member] && t.sinceReportMs(host.Member, nowMs) > t.options.LedgerRetentionMs {
+			removable = append(removable, host.Member)
 		}
 	}
-	return gone
+	return removable
 }
 
-// IsLedgerHostAlive reports whether a ledger host was heard of lately.
+// IsLedgerHostAlive reports whether a ledger host has reported within its timeout.
 func (t *FleetTracker) IsLedgerHostAlive(member string, nowMs int64) bool {
-	return t.silentMs(member, nowMs) <= t.options.LedgerTimeoutMs
+	return t.sinceReportMs(member, nowMs) <= t.options.LedgerTimeoutMs
 }
 
-// place returns the placements that should change: the first ones together, later
-// the replacement of members that are lost or retire.
-func (t *FleetTracker) place(fleet *Fleet, nowMs int64) []Placement {
-	usable := t.usable(fleet, nowMs)
+// planPlacements returns the placements that need to change: initially all of them together,
+// later the replacement of members that are lost or retiring.
+func (t *FleetTracker) planPlacements(fleet *Fleet, nowMs int64) []Placement {
+	usable := t.usableHosts(fleet, nowMs)
 	existing := fleet.Placements()
 	if len(existing) == 0 {
-		return t.placeFirst(usable, nowMs)
+		return t.planInitialPlacements(usable, nowMs)
 	}
 	load := map[string]int{}
 	for _, placement := range existing {
@@ -250,14 +254,14 @@
 	}
 	var changed []Placement
 	for _, placement := range existing {
-		if next, ok := t.repair(fleet, placement, usable, load, nowMs); ok {
+		if next, ok := t.repairPlacement(fleet, placement, usable, load, nowMs); ok {
 			changed = append(changed, next)
 		}
 	}
 	return changed
 }
 
-func (t *FleetTracker) usable(fleet *Fleet, nowMs int64) []LedgerHost {
+func (t *FleetTracker) usableHosts(fleet *Fleet, nowMs int64) []LedgerHost {
 	var usable []LedgerHost
 	for _, host := range fleet.Ledgers() {
 		if !host.Retiring && t.IsLedgerHostAlive(host.Member, nowMs) {
@@ -267,7 +271,7 @@
 	return usable
 }
 
-func (t *FleetTracker) placeFirst(usable []LedgerHost, nowMs int64) []Placement {
+func (t *FleetTracker) planInitialPlacements(usable []LedgerHost, nowMs int64) []Placement {
 	waited := nowMs-t.lastNewLedgerMs >= t.options.InitialPlacementDelayMs
 	if len(usable) == 0 || !waited {
 		return nil
@@ -277,7 +281,7 @@
 	for group := 1; group <= t.options.Groups; group++ {
 		placement := Placement{Group: uint32(group)}
 		for len(placement.Members) < min(t.options.Replicas, len(usable)) {
-			host, ok := choose(usable, placement.Members, usable, load)
+			host, ok := chooseHost(usable, placement.Members, usable, load)
 			if !ok {
 				break
 			}
@@ -290,10 +294,10 @@
 	return placements
 }
 
-// repair replaces one lost or retiring member of a group, or adds one where the
-// group is short. Invariant: a member is only replaced once the group's leader has
-// said that the placement before is in force, so that repairs never pile up.
-func (t *FleetTracker) repair(fleet *Fleet, placement Placement, usable []LedgerHost, load map[string]int, nowMs int64) (Placement, bool) {
+// repairPlacement replaces one lost or retiring member of a group, or adds a member to a group
+// that has too few. Invariant: a member is replaced only after the group's leader has reported
+// the previous placement as applied, so that repairs do not accumulate.
+func (t *FleetTracker) repairPlacement(fleet *Fleet, placement Placement, usable []LedgerHost, load map[string]int, nowMs int64) (Placement, bool) {
 	next := placement
 	next.Members = slices.Clone(placement.Members)
 	for position, member := range placement.Members {
@@ -302,7 +306,7 @@
 			continue
 		}
 		others := slices.Delete(slices.Clone(placement.Members), position, position+1)
-		replacement, ok := choose(usable, placement.Members, hostsOf(fleet, others), load)
+		replacement, ok := chooseHost(usable, placement.Members, findHosts(fleet, others), load)
 		if !ok {
 			continue
 		}
@@ -312,7 +316,7 @@
 		return next, true
 	}
 	if len(next.Members) < t.options.Replicas {
-		if host, ok := choose(usable, next.Members, hostsOf(fleet, next.Members), load); ok {
+		if host, ok := chooseHost(usable, next.Members, findHosts(fleet, next.Members), load); ok {
 			load[host.Member]++
 			next.Members = append(next.Members, host.Member)
 			return next, true
@@ -321,7 +325,7 @@
 	return placement, false
 }
 
-func hostsOf(fleet *Fleet, members []string) []LedgerHost {
+func findHosts(fleet *Fleet, members []string) []LedgerHost {
 	var hosts []LedgerHost
 	for _, member := range members {
 		if host, ok := fleet.Ledger(member); ok {
@@ -331,9 +335,9 @@
 	return hosts
 }
 
-// choose returns the usable host that is not taken whose zone has the fewest of
-// the others, and among those the one with the least load.
-func choose(usable []LedgerHost, taken []string, others []LedgerHost, load map[string]int) (LedgerHost, bool) {
+// chooseHost returns the usable host, among those not taken, whose zone has the fewest of the
+// other members. Ties are resolved by the lowest load.
+func chooseHost(usable []LedgerHost, taken []string, others []LedgerHost, load map[string]int) (LedgerHost, bool) {
 	inZone := map[string]int{}
 	for _, other := range others {
 		if slices.Contains(taken, other.Member) {
@@ -362,27 +366,27 @@
 	return best, found
 }
 
-// CanRetire decides on a request to empty a ledger host: false where too few would be
-// left.
+// CanRetire reports whether a ledger host may be retired, which requires that enough usable
+// hosts remain.
 func (t *FleetTracker) CanRetire(fleet *Fleet, member string, nowMs int64) bool {
-	left := 0
-	for _, host := range t.usable(fleet, nowMs) {
+	remaining := 0
+	for _, host := range t.usableHosts(fleet, nowMs) {
 		if host.Member != member {
-			left++
+			remaining++
 		}
 	}
-	return left >= t.options.Replicas
+	return remaining >= t.options.Replicas
 }
 
-// IsDrained reports whether no group has a member any more: none is placed on it and
-// every group's leader said so.
+// IsDrained reports whether no group has a replica on the member: no group is placed on it,
+// and the leader of every group has confirmed that.
 func (t *FleetTracker) IsDrained(fleet *Fleet, member string) bool {
 	for _, placement := range fleet.Placements() {
 		if slices.Contains(placement.Members, member) {
 			return false
 		}
-		led, ok := t.led[placement.Group]
-		if !ok || !led.IsStable || slices.Contains(led.Members, member) {
+		reported, ok := t.groupReports[placement.Group]
+		if !ok || !reported.IsStable || slices.Contains(reported.Members, member) {
 			return false
 		}
 	}
--- a/internal/membership/fleetsize_bench_test.go
+++ b/internal/membership/fleetsize_bench_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// BenchmarkPlan is what the leader does each 0.1 s, over ten rounds.
+// BenchmarkPlan measures ten rounds of the plan that the leader makes every 0.1 s.
 func BenchmarkPlan(b *testing.B) {
 	for _, engines := range []int{1000, 10_000, 20_000} {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
@@ -13,7 +13,7 @@
 			for number := range engines {
 				fleet.Apply(FleetUpdate{PutEngines: []ServingEngine{{ID: fmt.Sprintf("i-%06d", number), Backend: "b", Zone: fmt.Sprint("z", number%5), Sequence: 1}}})
 			}
-			options := fleetOptions()
+			options := testFleetOptions()
 			options.EngineTimeoutMs = 1 << 40
 			tracker := NewFleetTracker(options, 0)
 			nowMs := int64(0)
@@ -28,7 +28,7 @@
 	}
 }
 
-// BenchmarkRegistration is one engine that joins a fleet, and leaves it.
+// BenchmarkRegistration measures one engine that joins a fleet and leaves it.
 func BenchmarkRegistration(b *testing.B) {
 	for _, engines := range []int{1000, 10_000, 20_000} {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
--- a/internal/membership/heat.go
+++ b/internal/membership/heat.go
@@ -3,50 +3,54 @@
 import "math"
 
 const (
-	// hotAbove is the share of its processor from which a gateway is hot: bursts come within
-	// a second, and requests wait for the processor long before it is used up.
-	hotAbove = 0.7
-	// coolBelow is the share below which a hot one may get twice as much again. Invariant: twice
-	// as much stays below hotAbove, so that a constant demand does not swing it.
-	coolBelow = 0.3
-	// heatHalfLifeMs is after what time a measured use counts half, and heatStepMs how long a level
-	// stands before the next: callers hold what they were named for a second, some for three.
-	heatHalfLifeMs = 700
-	heatStepMs     = 3000
+	// overloadThreshold is the processor utilization above which a gateway is overloaded.
+	// Bursts arrive within a second, and requests wait for the processor long before it is
+	// fully used.
+	overloadThreshold = 0.7
+	// recoveryThreshold is the utilization below which an overloaded gateway may receive twice
+	// as much again. Invariant: twice this utilization stays below overloadThreshold, so that
+	// a constant demand does not cause oscillation.
+	recoveryThreshold = 0.3
+	// utilizationHalfLifeMs is the half-life of a utilization sample. levelChangeIntervalMs is
+	// the minimum time between two changes of the level: callers hold the selected gateways
+	// for one second, some for three.
+	utilizationHalfLifeMs = 700
+	levelChangeIntervalMs = 3000
 )
 
-// OverloadTracker tells from the processor time that a gateway uses how much of its capacity callers should
-// bring. The zero value is a gateway that is cool. Times are in milliseconds.
+// OverloadTracker derives, from the processor time that a gateway uses, the share of its
+// capacity that callers should be sent to. The zero value is a gateway that is not overloaded.
+// Times are in milliseconds.
 type OverloadTracker struct {
 	level uint8
-	// use is the decaying mean of the share of its processor that is taken.
-	use       float64
-	atMs      int64
-	changedMs int64
+	// utilization is the exponentially decayed mean of the processor utilization.
+	utilization float64
+	atMs        int64
+	changedMs   int64
 }
 
-// Observe takes the share of its processor that a gateway has used since the last time, and returns
-// its level: each one halves what callers bring.
-func (h *OverloadTracker) Observe(use float64, nowMs int64) uint8 {
+// Observe records the processor utilization since the last call and returns the overload
+// level. Each level halves the share of callers that the gateway receives.
+func (h *OverloadTracker) Observe(utilization float64, nowMs int64) uint8 {
 	if h.atMs == 0 {
-		h.atMs, h.changedMs, h.use = nowMs, nowMs-heatStepMs, use
+		h.atMs, h.changedMs, h.utilization = nowMs, nowMs-levelChangeIntervalMs, utilization
 	}
-	kept := math.Exp2(-float64(nowMs-h.atMs) / heatHalfLifeMs)
-	h.use = kept*h.use + (1-kept)*use
+	decay := math.Exp2(-float64(nowMs-h.atMs) / utilizationHalfLifeMs)
+	h.utilization = decay*h.utilization + (1-decay)*utilization
 	h.atMs = nowMs
-	if nowMs-h.changedMs < heatStepMs {
+	if nowMs-h.changedMs < levelChangeIntervalMs {
 		return h.level
 	}
 	switch {
-	case h.use > hotAbove && h.level < mostBusy:
+	case h.utilization > overloadThreshold && h.level < maxOverloadLevel:
 		h.level++
 		h.changedMs = nowMs
-	case h.use < coolBelow && h.level > 0:
+	case h.utilization < recoveryThreshold && h.level > 0:
 		h.level--
 		h.changedMs = nowMs
 	}
 	return h.level
 }
 
-// Utilization returns the share of its processor that a gateway has used lately.
-func (h *OverloadTracker) Utilization() float64 { return h.use }
+// Utilization returns the gateway's recent processor utilization.
+func (h *OverloadTracker) Utilization() float64 { return h.utilization }
--- a/internal/membership/incarnation.go
+++ b/internal/membership/incarnation.go
@@ -5,124 +5,125 @@
 	"strconv"
 )
 
-// Incarnation is one life of an engine that says when it started.
+// Incarnation identifies one run of an engine that reports its start time.
 type Incarnation struct {
 	ID        string `msgpack:"i" json:"id"`
 	StartedMs int64  `msgpack:"b" json:"born"`
 }
 
 const (
-	// keptEnded bounds the incarnations that a fleet knows to be over.
-	keptEnded = 4096
-	// incarnationMark stands between the id and the incarnation in an engine's key.
-	incarnationMark = "@"
-	incarnationBase = 36
+	// maxEndedIncarnations bounds the ended incarnations that a fleet retains.
+	maxEndedIncarnations = 4096
+	// incarnationSeparator separates the id from the incarnation in an engine's key.
+	incarnationSeparator = "@"
+	incarnationRadix     = 36
 )
 
-// Incarnation returns which life of the engine this is.
+// Incarnation returns the engine's incarnation.
 func (e ServingEngine) Incarnation() Incarnation {
 	return Incarnation{ID: e.ID, StartedMs: e.StartedMs}
 }
 
-// IncarnationKey names an engine's incarnation, for what is remembered of it elsewhere: what it holds in
-// memory is gone with it. It is the id alone where the engine does not say when it started.
+// IncarnationKey identifies an engine's incarnation in state kept elsewhere, because the
+// content of its memory ends with the incarnation. It is the id alone if the engine does not
+// report its start time.
 func (e ServingEngine) IncarnationKey() string {
 	if e.StartedMs == 0 {
 		return e.ID
 	}
-	return e.ID + incarnationMark + strconv.FormatInt(e.StartedMs, incarnationBase)
+	return e.ID + incarnationSeparator + strconv.FormatInt(e.StartedMs, incarnationRadix)
 }
 
-// MatchesKey reports whether a key names this incarnation. The id alone, which a process that
-// knows no incarnations remembers, names any.
+// MatchesKey reports whether a key identifies this incarnation. The id alone, which is the key
+// in processes that do not support incarnations, matches any incarnation.
 func (e ServingEngine) MatchesKey(key string) bool { return key == e.ID || key == e.IncarnationKey() }
 
-// IsOutdated reports whether a report says nothing of how things are: its incarnation has left
-// or has been followed by another one, or has reported later than that.
+// IsOutdated reports whether a report no longer describes the current state: its incarnation
+// has left or was replaced by a later one, or a later report of it has been applied.
 func (f *Fleet) IsOutdated(engine ServingEngine) bool {
-	if f.isOver(engine.Incarnation()) {
+	if f.hasEnded(engine.Incarnation()) {
 		return true
 	}
-	known, ok := f.state.Engines[engine.ID]
-	if !ok || engine.StartedMs > known.Value.StartedMs {
+	current, ok := f.state.Engines[engine.ID]
+	if !ok || engine.StartedMs > current.Value.StartedMs {
 		return false
 	}
-	return engine.StartedMs < known.Value.StartedMs || engine.Sequence < known.Value.Sequence
+	return engine.StartedMs < current.Value.StartedMs || engine.Sequence < current.Value.Sequence
 }
 
-// isOver reports whether an incarnation is known to be over.
-func (f *Fleet) isOver(incarnation Incarnation) bool {
-	born, lived := f.ended[incarnation.ID]
+// hasEnded reports whether an incarnation is known to have ended.
+func (f *Fleet) hasEnded(incarnation Incarnation) bool {
+	endedStartMs, known := f.ended[incarnation.ID]
 	if incarnation.StartedMs == 0 {
-		return lived || f.left[incarnation.ID]
+		return known || f.left[incarnation.ID]
 	}
-	return lived && incarnation.StartedMs <= born
+	return known && incarnation.StartedMs <= endedStartMs
 }
 
-// HasLeft reports whether an incarnation said that it ends; of one that does not say when it
-// started the id decides.
+// HasLeft reports whether an incarnation has left. For an incarnation without a start time the
+// id decides.
 func (f *Fleet) HasLeft(incarnation Incarnation) bool {
-	_, there := f.state.Engines[incarnation.ID]
-	return f.isOver(incarnation) && !(there && incarnation.StartedMs == 0)
+	_, listed := f.state.Engines[incarnation.ID]
+	return f.hasEnded(incarnation) && !(listed && incarnation.StartedMs == 0)
 }
 
-// IncarnationVersion returns the version at which another incarnation last took up an id, 0 where that
-// is not known: what was said of the id before is void.
-func (f *Fleet) IncarnationVersion(id string) uint64 { return f.begun[id] }
+// IncarnationVersion returns the version at which another incarnation last took over an id, or
+// 0 if it is unknown. Everything recorded about the id before that version is void.
+func (f *Fleet) IncarnationVersion(id string) uint64 { return f.incarnationVersions[id] }
 
-// outlives reports whether a known engine is of a later life than the one that is over.
-func (f *Fleet) outlives(known ServingEngine) bool {
-	return known.StartedMs > 0 && !f.isOver(known.Incarnation())
+// survivesLeave reports whether a listed engine is a later incarnation than the ended one.
+func (f *Fleet) survivesLeave(current ServingEngine) bool {
+	return current.StartedMs > 0 && !f.hasEnded(current.Incarnation())
 }
 
-// noteEnded remembers that an incarnation, and with it all before it, is over.
-func (f *Fleet) noteEnded(over Incarnation) {
-	if over.StartedMs == 0 || f.isOver(over) {
+// recordEnded records that an incarnation and all previous ones have ended.
+func (f *Fleet) recordEnded(ended Incarnation) {
+	if ended.StartedMs == 0 || f.hasEnded(ended) {
 		return
 	}
-	if _, known := f.ended[over.ID]; known {
-		f.state.Ended = slices.DeleteFunc(f.state.Ended, func(earlier Incarnation) bool { return earlier.ID == over.ID })
+	if _, known := f.ended[ended.ID]; known {
+		f.state.EndedIncarnations = slices.DeleteFunc(f.state.EndedIncarnations, func(earlier Incarnation) bool { return earlier.ID == ended.ID })
 	}
-	f.ended[over.ID] = over.StartedMs
-	f.state.Ended = append(f.state.Ended, over)
-	if len(f.state.Ended) > keptEnded {
-		for _, old := range f.state.Ended[:keptEnded/2] {
-			delete(f.ended, old.ID)
+	f.ended[ended.ID] = ended.StartedMs
+	f.state.EndedIncarnations = append(f.state.EndedIncarnations, ended)
+	if len(f.state.EndedIncarnations) > maxEndedIncarnations {
+		for _, oldest := range f.state.EndedIncarnations[:maxEndedIncarnations/2] {
+			delete(f.ended, oldest.ID)
 		}
-		f.state.Ended = slices.Clone(f.state.Ended[keptEnded/2:])
+		f.state.EndedIncarnations = slices.Clone(f.state.EndedIncarnations[maxEndedIncarnations/2:])
 	}
 }
 
-// begin takes note that an incarnation takes up an id that another one had. Invariant: with a
-// newer one all that was known of the older ones is void.
-func (f *Fleet) begin(engine ServingEngine) {
-	if known, there := f.state.Engines[engine.ID]; there {
-		if !engine.restarted(known.Value) {
+// recordIncarnation records that an incarnation takes over an id from another one. Invariant:
+// a newer incarnation voids everything known about the older ones.
+func (f *Fleet) recordIncarnation(engine ServingEngine) {
+	if current, listed := f.state.Engines[engine.ID]; listed {
+		if !engine.isRestartOf(current.Value) {
 			return
 		}
-		f.noteEnded(known.Value.Incarnation())
-	} else if _, lived := f.ended[engine.ID]; !lived && !f.left[engine.ID] {
+		f.recordEnded(current.Value.Incarnation())
+	} else if _, hasPrevious := f.ended[engine.ID]; !hasPrevious && !f.left[engine.ID] {
 		return
 	}
-	f.begun[engine.ID] = f.state.Version
+	f.incarnationVersions[engine.ID] = f.state.Version
 	if f.left[engine.ID] {
 		delete(f.left, engine.ID)
-		f.state.Left = slices.DeleteFunc(f.state.Left, func(id string) bool { return id == engine.ID })
+		f.state.LeftEngines = slices.DeleteFunc(f.state.LeftEngines, func(id string) bool { return id == engine.ID })
 	}
 }
 
-// restarted reports whether a report is of a later life than the one that is known. Where it
-// is the first to say when the engine started, its place in the order of reports decides.
-func (e ServingEngine) restarted(known ServingEngine) bool {
-	if known.StartedMs == 0 {
-		return e.StartedMs > 0 && e.Sequence < known.Sequence
+// isRestartOf reports whether a report belongs to a later incarnation than the current one. If
+// it is the first report with a start time, its sequence number decides.
+func (e ServingEngine) isRestartOf(current ServingEngine) bool {
+	if current.StartedMs == 0 {
+		return e.StartedMs > 0 && e.Sequence < current.Sequence
 	}
-	return e.StartedMs > known.StartedMs
+	return e.StartedMs > current.StartedMs
 }
 
-// PreviousIncarnation reports whether an engine is known that a report says has started again, and
-// returns the life that is over.
+// PreviousIncarnation returns the incarnation that ended if a report shows that a listed
+// engine has restarted, and false otherwise.
 func (f *Fleet) PreviousIncarnation(engine ServingEngine) (Incarnation, bool) {
-	known, there := f.state.Engines[engine.ID]
-	return known.Value.Incarnation(), there && engine.restarted(known.Value)
+	current, listed := f.state.Engines[engine.ID]
+	return current.Value.Incarnation(), listed && engine.isRestartOf(current.Value)
 }
--- a/internal/membership/lookups.go
+++ b/internal/membership/lookups.go
@@ -1,58 +1,60 @@
 package membership
 
 const (
-	// leastHeldMs and mostHeldMs bound how long callers may hold an answer that names gateways.
-	// What a caller sends to a gateway that has been lost is lost until it asks again, and its
-	// next request waits for a look-up once its answer is over: at 250 ms programs took 2 to 4 %
-	// longer than at 1 s, with a third of that more look-ups at 500 ms, which has three quarters of
-	// what 250 ms save (docs/design/0017-uneven-demand.md).
-	leastHeldMs = 500
-	mostHeldMs  = 1000
-	// darkHeldMs is how long they may hold it while another process that answers look-ups is silent.
-	// A caller that asks that one first waits a second for nothing, each time that it asks.
-	darkHeldMs = 2000
-	// lookUpsPerSecond is how many look-ups a process answers a second where callers may ask again
-	// sooner: at 0.1 ms each 2 % of a core.
-	lookUpsPerSecond = 200
-	// lookUpWindowMs is the span over which look-ups are counted.
-	lookUpWindowMs = 1000
+	// minTTLMs and maxTTLMs bound the time for which callers may cache the gateways of a
+	// lookup answer. Requests to a lost gateway fail until the caller looks up again, and the
+	// caller's next request waits for a lookup once its answer has expired. At 250 ms,
+	// programs took 2 to 4 % longer than at 1 s. 500 ms needs a third of the additional
+	// lookups and retains three quarters of the savings of 250 ms
+	// (docs/design/0017-uneven-demand.md).
+	minTTLMs = 500
+	maxTTLMs = 1000
+	// peerSilentTTLMs is the TTL while another process that answers lookups does not respond.
+	// A caller that asks that process first waits one second in vain at every lookup.
+	peerSilentTTLMs = 2000
+	// targetLookupsPerSecond is the rate of lookups that a process accepts in order to shorten
+	// the TTL. At 0.1 ms each this uses 2 % of a processor core.
+	targetLookupsPerSecond = 200
+	// lookupWindowMs is the length of the window in which lookups are counted.
+	lookupWindowMs = 1000
 )
 
-// LookupTTL decides how long callers may hold an answer of the directory: as short as the process
-// that answers can afford to be asked again. The zero value has seen nobody. Times are in milliseconds.
+// LookupTTL determines the time to live of the directory's lookup answers: as short as the
+// answering process can afford, given that callers then ask again. The zero value has recorded
+// no lookups. Times are in milliseconds.
 type LookupTTL struct {
-	windowMs int64
-	// heldMs is for how long the answers of this window may be held in sum.
-	heldMs int64
-	// callers is how many hold an answer of this process at a time: by Little's law the answers a
-	// millisecond times how long each is held.
-	callers float64
-	known   bool
+	windowStartMs int64
+	// ttlSumMs is the sum of the TTLs of the answers in this window.
+	ttlSumMs int64
+	// callers is the number of callers that hold an answer of this process at any time: by
+	// Little's law, the rate of answers per millisecond times their TTL.
+	callers     float64
+	isEstimated bool
 }
 
-// RecordLookup notes a look-up and returns how long its answer may be held; dark says that another
-// process that answers look-ups is silent.
-func (l *LookupTTL) RecordLookup(dark bool, nowMs int64) int64 {
-	if l.windowMs == 0 {
-		l.windowMs = nowMs
+// RecordLookup records a lookup and returns the TTL of its answer. peerSilent reports that
+// another process that answers lookups does not respond.
+func (l *LookupTTL) RecordLookup(peerSilent bool, nowMs int64) int64 {
+	if l.windowStartMs == 0 {
+		l.windowStartMs = nowMs
 	}
-	if span := nowMs - l.windowMs; span >= lookUpWindowMs {
-		l.callers = float64(l.heldMs) / float64(span)
-		l.known = true
-		l.windowMs, l.heldMs = nowMs, 0
+	if elapsedMs := nowMs - l.windowStartMs; elapsedMs >= lookupWindowMs {
+		l.callers = float64(l.ttlSumMs) / float64(elapsedMs)
+		l.isEstimated = true
+		l.windowStartMs, l.ttlSumMs = nowMs, 0
 	}
-	held := l.holdMs()
-	if dark {
-		held = max(held, darkHeldMs)
+	ttl := l.ttlMs()
+	if peerSilent {
+		ttl = max(ttl, peerSilentTTLMs)
 	}
-	l.heldMs += held
-	return held
+	l.ttlSumMs += ttl
+	return ttl
 }
 
-func (l *LookupTTL) holdMs() int64 {
-	if !l.known {
-		return mostHeldMs
+func (l *LookupTTL) ttlMs() int64 {
+	if !l.isEstimated {
+		return maxTTLMs
 	}
-	afforded := int64(l.callers * 1000 / lookUpsPerSecond)
-	return min(max(afforded, leastHeldMs), mostHeldMs)
+	affordable := int64(l.callers * 1000 / targetLookupsPerSecond)
+	return min(max(affordable, minTTLMs), maxTTLMs)
 }
--- a/internal/membership/lookups_test.go
+++ b/internal/membership/lookups_test.go
@@ -7,72 +7,74 @@
 	"pgregory.net/rapid"
 )
 
-// askers are the times at which callers ask next.
-type askers []int64
+// lookupTimes is a heap of the times of the callers' next lookups.
+type lookupTimes []int64
 
-func (a askers) Len() int           { return len(a) }
-func (a askers) Less(i, j int) bool { return a[i] < a[j] }
-func (a askers) Swap(i, j int)      { a[i], a[j] = a[j], a[i] }
-func (a *askers) Push(next any)     { *a = append(*a, next.(int64)) }
-func (a *askers) Pop() any {
+func (a lookupTimes) Len() int           { return len(a) }
+func (a lookupTimes) Less(i, j int) bool { return a[i] < a[j] }
+func (a lookupTimes) Swap(i, j int)      { a[i], a[j] = a[j], a[i] }
+func (a *lookupTimes) Push(next any)     { *a = append(*a, next.(int64)) }
+func (a *lookupTimes) Pop() any {
 	last := (*a)[len(*a)-1]
 	*a = (*a)[:len(*a)-1]
 	return last
 }
 
-// TestLookUpsAsOftenAsAfforded holds that few callers ask often, and that many ask one process no
-// more often than it can answer or than they would by answers held for long. The load: up to 1,500
-// callers of one process that ask again as soon as they may, some of them only after three times that.
+// TestLookUpsAsOftenAsAfforded checks that a few callers look up often, and that many callers
+// do not exceed the rate that one process can answer or the rate that the maximum TTL causes.
+// The load is up to 1,500 callers of one process that look up again as soon as the TTL
+// expires, some of them only after three times the TTL.
 func TestLookUpsAsOftenAsAfforded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		callers := rapid.IntRange(1, 1500).Draw(t, "callers")
-		patient := rapid.IntRange(0, 10).Draw(t, "patient in ten")
-		var lookUps LookupTTL
-		next := &askers{}
+		slowInTen := rapid.IntRange(0, 10).Draw(t, "patient in ten")
+		var lookupTTL LookupTTL
+		next := &lookupTimes{}
 		for number := range callers {
-			heap.Push(next, int64(1+number%mostHeldMs))
+			heap.Push(next, int64(1+number%maxTTLMs))
 		}
-		const settledMs, endMs = 8_000, 12_000
-		answers, held := 0, int64(0)
+		const measureFromMs, endMs = 8_000, 12_000
+		answers, ttl := 0, int64(0)
 		for number := 0; (*next)[0] < endMs; number++ {
 			nowMs := heap.Pop(next).(int64)
-			held = lookUps.RecordLookup(false, nowMs)
-			if held < leastHeldMs || held > mostHeldMs {
-				t.Fatalf("held for %d ms", held)
+			ttl = lookupTTL.RecordLookup(false, nowMs)
+			if ttl < minTTLMs || ttl > maxTTLMs {
+				t.Fatalf("TTL is %d ms", ttl)
 			}
-			if nowMs >= settledMs {
+			if nowMs >= measureFromMs {
 				answers++
 			}
-			again := held
-			if number%10 < patient {
-				again *= 3
+			delay := ttl
+			if number%10 < slowInTen {
+				delay *= 3
 			}
-			heap.Push(next, nowMs+again)
+			heap.Push(next, nowMs+delay)
 		}
-		rate := float64(answers) * 1000 / (endMs - settledMs)
-		if most := max(1.5*lookUpsPerSecond, 1.3*float64(callers)*1000/mostHeldMs); rate > most {
-			t.Fatalf("%.0f look-ups a second of %d callers", rate, callers)
+		rate := float64(answers) * 1000 / (endMs - measureFromMs)
+		if limit := max(1.5*targetLookupsPerSecond, 1.3*float64(callers)*1000/maxTTLMs); rate > limit {
+			t.Fatalf("%.0f lookups per second from %d callers", rate, callers)
 		}
-		if callers <= lookUpsPerSecond*leastHeldMs/1000/2 && held != leastHeldMs {
-			t.Fatalf("%d callers may hold an answer for %d ms", callers, held)
+		if callers <= targetLookupsPerSecond*minTTLMs/1000/2 && ttl != minTTLMs {
+			t.Fatalf("%d callers receive a TTL of %d ms", callers, ttl)
 		}
 	})
 }
 
-// TestLookUpsWhileADirectoryIsDark holds that callers come less often while they may ask a process
-// that is silent first, and as often as before once it is back.
+// TestLookUpsWhileADirectoryIsDark checks that callers look up less often while another
+// process that they may ask first does not respond, and as often as before once it responds
+// again.
 func TestLookUpsWhileADirectoryIsDark(t *testing.T) {
-	var lookUps LookupTTL
-	answer := func(dark bool, fromMs int64) (held int64) {
-		for nowMs := fromMs; nowMs < fromMs+3*lookUpWindowMs; nowMs += leastHeldMs {
-			held = lookUps.RecordLookup(dark, nowMs)
+	var lookupTTL LookupTTL
+	lookUpRepeatedly := func(peerSilent bool, fromMs int64) (ttl int64) {
+		for nowMs := fromMs; nowMs < fromMs+3*lookupWindowMs; nowMs += minTTLMs {
+			ttl = lookupTTL.RecordLookup(peerSilent, nowMs)
 		}
-		return held
+		return ttl
 	}
-	for position, dark := range []bool{false, true, false} {
-		held := answer(dark, int64(1+position*10*lookUpWindowMs))
-		if want := map[bool]int64{false: leastHeldMs, true: darkHeldMs}[dark]; held != want {
-			t.Fatalf("dark %v: held for %d ms", dark, held)
+	for position, peerSilent := range []bool{false, true, false} {
+		ttl := lookUpRepeatedly(peerSilent, int64(1+position*10*lookupWindowMs))
+		if want := map[bool]int64{false: minTTLMs, true: peerSilentTTLMs}[peerSilent]; ttl != want {
+			t.Fatalf("TTL with peerSilent %v is %d ms", peerSilent, ttl)
 		}
 	}
 }
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -10,11 +10,11 @@
 
 const leaseMs = 1000
 
-func heartbeat(name, zone string) Heartbeat {
+func testHeartbeat(name, zone string) Heartbeat {
 	return Heartbeat{Scheduler: Scheduler{Name: name, Zone: zone, Address: "127.0.0.1:1", Incarnation: 1}}
 }
 
-func instances(count int) []Instance {
+func testInstances(count int) []Instance {
 	var list []Instance
 	for position := range count {
 		list = append(list, Instance{Name: fmt.Sprint("engine-", position), Zone: []string{"a", "b"}[position%2], Pool: "p"})
@@ -23,40 +23,40 @@
 }
 
 func TestTakeover(t *testing.T) {
-	Convey("engines go to schedulers of their zone, and a lost scheduler's are taken over under a higher epoch", t, func() {
+	Convey("engines are assigned to schedulers in their zone, and those of a lost scheduler are taken over with a higher epoch", t, func() {
 		directory := NewDirectory()
 		tracker := NewTracker(leaseMs, 0)
-		tracker.RecordHeartbeat(heartbeat("s1", "a"), 0)
-		tracker.RecordHeartbeat(heartbeat("s2", "b"), 0)
-		tracker.SetInstances(instances(6))
+		tracker.RecordHeartbeat(testHeartbeat("s1", "a"), 0)
+		tracker.RecordHeartbeat(testHeartbeat("s2", "b"), 0)
+		tracker.SetInstances(testInstances(6))
 		directory.Apply(tracker.Plan(directory, 0))
 		So(len(directory.OwnedBy("s1")), ShouldEqual, 3)
 		So(directory.OwnedBy("s2")[0].Zone, ShouldEqual, "b")
 		epoch := directory.OwnedBy("s1")[0].Epoch
-		tracker.RecordHeartbeat(heartbeat("s2", "b"), 900)
+		tracker.RecordHeartbeat(testHeartbeat("s2", "b"), 900)
 		So(tracker.Plan(directory, 1000).IsEmpty(), ShouldBeTrue)
 		directory.Apply(tracker.Plan(directory, 1100))
 		So(len(directory.OwnedBy("s2")), ShouldEqual, 6)
 		So(directory.Engines["engine-0"].Epoch, ShouldBeGreaterThan, epoch)
-		tracker.RecordHeartbeat(heartbeat("s1", "a"), 1200)
+		tracker.RecordHeartbeat(testHeartbeat("s1", "a"), 1200)
 		directory.Apply(tracker.Plan(directory, 1200))
 		So(len(directory.OwnedBy("s1")), ShouldEqual, 3)
 	})
-	Convey("a new leader waits a whole lease before it drops anybody", t, func() {
+	Convey("a new leader removes a scheduler only after a full lease", t, func() {
 		directory := NewDirectory()
-		directory.Apply(Update{Schedulers: []Scheduler{heartbeat("s1", "a").Scheduler}})
+		directory.Apply(Update{Schedulers: []Scheduler{testHeartbeat("s1", "a").Scheduler}})
 		tracker := NewTracker(leaseMs, 5000)
 		So(tracker.Plan(directory, 5900).IsEmpty(), ShouldBeTrue)
 		So(tracker.Plan(directory, 6100).RemoveSchedulers, ShouldResemble, []string{"s1"})
 	})
-	Convey("a draining scheduler hands its engines over", t, func() {
+	Convey("the engines of a draining scheduler move to other schedulers", t, func() {
 		directory := NewDirectory()
 		tracker := NewTracker(leaseMs, 0)
-		tracker.RecordHeartbeat(heartbeat("s1", "a"), 0)
-		tracker.RecordHeartbeat(heartbeat("s2", "b"), 0)
-		tracker.SetInstances(instances(4))
+		tracker.RecordHeartbeat(testHeartbeat("s1", "a"), 0)
+		tracker.RecordHeartbeat(testHeartbeat("s2", "b"), 0)
+		tracker.SetInstances(testInstances(4))
 		directory.Apply(tracker.Plan(directory, 0))
-		leaving := heartbeat("s1", "a")
+		leaving := testHeartbeat("s1", "a")
 		leaving.Scheduler.Draining = true
 		tracker.RecordHeartbeat(leaving, 10)
 		directory.Apply(tracker.Plan(directory, 10))
@@ -64,8 +64,8 @@
 	})
 }
 
-// TestPlanSettles: whatever came before, planning twice in a row changes
-// nothing more, every engine has a live owner, and epochs never fall.
+// TestPlanSettles checks, after any history, that repeated planning ends without further
+// changes, that every engine has a live owner, and that epochs never decrease.
 func TestPlanSettles(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		directory := NewDirectory()
@@ -76,9 +76,9 @@
 			name := fmt.Sprint("s", rapid.IntRange(1, 4).Draw(t, "scheduler"))
 			switch rapid.IntRange(0, 3).Draw(t, "event") {
 			case 0:
-				tracker.SetInstances(instances(rapid.IntRange(0, 12).Draw(t, "engines")))
+				tracker.SetInstances(testInstances(rapid.IntRange(0, 12).Draw(t, "engines")))
 			default:
-				tracker.RecordHeartbeat(heartbeat(name, rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "zone")), now)
+				tracker.RecordHeartbeat(testHeartbeat(name, rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "zone")), now)
 			}
 			epochs := map[string]uint64{}
 			for _, engine := range directory.Engines {
@@ -90,13 +90,13 @@
 					break
 				}
 				if round > 20 {
-					t.Fatalf("the plan doesn't settle: %+v", update)
+					t.Fatalf("the plan does not settle: %+v", update)
 				}
 				directory.Apply(update)
 			}
 			for _, engine := range directory.Engines {
 				if engine.Epoch < epochs[engine.Name] {
-					t.Fatalf("epoch of %s fell", engine.Name)
+					t.Fatalf("epoch of %s decreased", engine.Name)
 				}
 				if _, ok := directory.Schedulers[engine.Owner]; !ok && len(directory.Schedulers) > 0 {
 					t.Fatalf("%s is owned by %q, which is not alive", engine.Name, engine.Owner)
--- a/internal/membership/owners.go
+++ b/internal/membership/owners.go
@@ -5,25 +5,25 @@
 	"strings"
 )
 
-// poolCount counts one scheduler's engines of one pool.
-type poolCount struct {
+// ownerPool identifies one scheduler's engines of one pool.
+type ownerPool struct {
 	owner string
 	pool  string
 }
 
-// assignment is the state of giving engines to schedulers.
+// assignment is the working state of assigning engines to schedulers.
 type assignment struct {
 	alive map[string]Scheduler
-	// candidates are the schedulers that may get engines, in ascending order of
-	// name, and byZone the same by zone.
-	candidates []string
-	byZone     map[string][]string
-	owned      map[string]int
-	inPool     map[poolCount]int
+	// candidates holds the schedulers that may receive engines, sorted by name. byZone holds
+	// the same schedulers by zone.
+	candidates      []string
+	byZone          map[string][]string
+	engineCount     map[string]int
+	poolEngineCount map[ownerPool]int
 }
 
 func newAssignment(engines map[string]Engine, alive map[string]Scheduler) *assignment {
-	a := &assignment{alive: alive, byZone: map[string][]string{}, owned: map[string]int{}, inPool: map[poolCount]int{}}
+	a := &assignment{alive: alive, byZone: map[string][]string{}, engineCount: map[string]int{}, poolEngineCount: map[ownerPool]int{}}
 	for name, scheduler := range alive {
 		if !scheduler.Draining {
 			a.candidates = append(a.candidates, name)
@@ -34,73 +34,72 @@
 		a.byZone[alive[name].Zone] = append(a.byZone[alive[name].Zone], name)
 	}
 	for _, engine := range engines {
-		if a.holds(engine) {
-			a.count(engine, 1)
+		if a.hasLiveOwner(engine) {
+			a.addCount(engine, 1)
 		}
 	}
 	return a
 }
 
-// holds reports whether an engine has an owner that lives and doesn't drain.
-func (a *assignment) holds(engine Engine) bool {
-	holder, ok := a.alive[engine.Owner]
-	return ok && !holder.Draining
+// hasLiveOwner reports whether an engine's owner is alive and not draining.
+func (a *assignment) hasLiveOwner(engine Engine) bool {
+	owner, ok := a.alive[engine.Owner]
+	return ok && !owner.Draining
 }
 
-func (a *assignment) count(engine Engine, by int) {
-	a.owned[engine.Owner] += by
-	a.inPool[poolCount{engine.Owner, engine.Pool}] += by
+func (a *assignment) addCount(engine Engine, by int) {
+	a.engineCount[engine.Owner] += by
+	a.poolEngineCount[ownerPool{engine.Owner, engine.Pool}] += by
 }
 
-// assignOwners gives each engine without a live owner to the scheduler with the
-// fewest engines of its pool, one of its own zone first, and moves engines where
-// a zone's schedulers are out of balance by more than one.
+// assignOwners assigns each engine without a live owner to the scheduler with the fewest
+// engines of its pool, preferring schedulers in the engine's zone. It also moves engines where
+// the schedulers of a zone differ by more than one engine.
 func assignOwners(engines map[string]Engine, alive map[string]Scheduler) {
 	a := newAssignment(engines, alive)
 	if len(a.candidates) == 0 {
 		return
 	}
 	for _, engine := range sortedEngines(engines) {
-		best := a.best(engine)
-		held := a.holds(engine)
-		if held && !a.worthMoving(engine, best) {
+		best := a.leastLoaded(engine)
+		hasOwner := a.hasLiveOwner(engine)
+		if hasOwner && !a.shouldMove(engine, best) {
 			continue
 		}
-		if held {
-			a.count(engine, -1)
+		if hasOwner {
+			a.addCount(engine, -1)
 		}
 		engine.Owner = best
-		a.count(engine, 1)
+		a.addCount(engine, 1)
 		engines[engine.Name] = engine
 	}
 }
 
-// best returns the least loaded scheduler of the engine's zone, or of all where
-// the zone has none.
-func (a *assignment) best(engine Engine) string {
+// leastLoaded returns the least loaded scheduler in the engine's zone, or among all schedulers
+// if the zone has none.
+func (a *assignment) leastLoaded(engine Engine) string {
 	candidates := a.byZone[engine.Zone]
 	if len(candidates) == 0 {
 		candidates = a.candidates
 	}
 	best := candidates[0]
-	bestCount := a.inPool[poolCount{best, engine.Pool}]
+	bestCount := a.poolEngineCount[ownerPool{best, engine.Pool}]
 	for _, name := range candidates[1:] {
-		count := a.inPool[poolCount{name, engine.Pool}]
-		if count < bestCount || (count == bestCount && a.owned[name] < a.owned[best]) {
+		count := a.poolEngineCount[ownerPool{name, engine.Pool}]
+		if count < bestCount || (count == bestCount && a.engineCount[name] < a.engineCount[best]) {
 			best, bestCount = name, count
 		}
 	}
 	return best
 }
 
-// worthMoving reports whether an engine with a live owner should move: home to
-// its own zone, or within its zone where that evens out a difference of more
-// than one.
-func (a *assignment) worthMoving(engine Engine, best string) bool {
+// shouldMove reports whether an engine with a live owner should move: to a scheduler in its
+// own zone, or within its zone if that reduces a difference of more than one engine.
+func (a *assignment) shouldMove(engine Engine, best string) bool {
 	ownerLocal := a.alive[engine.Owner].Zone == engine.Zone
 	bestLocal := a.alive[best].Zone == engine.Zone
 	if ownerLocal != bestLocal {
 		return bestLocal
 	}
-	return a.inPool[poolCount{engine.Owner, engine.Pool}] > a.inPool[poolCount{best, engine.Pool}]+1
+	return a.poolEngineCount[ownerPool{engine.Owner, engine.Pool}] > a.poolEngineCount[ownerPool{best, engine.Pool}]+1
 }
--- a/internal/membership/owners_return_test.go
+++ b/internal/membership/owners_return_test.go
@@ -2,9 +2,10 @@
 
 import "testing"
 
-// TestOwnersThatReturnHearOfTheirEngines drops all schedulers of a directory at once, as after a
-// freeze of the leader, so that nobody is left to take their engines over, and lets them come
-// back: who starts again knows nothing and must be told which engines are its own.
+// TestOwnersThatReturnHearOfTheirEngines guards against a returning scheduler that never
+// receives its engines. All schedulers of a directory are removed at once, as after a freeze
+// of the leader, so that no scheduler is left to take over their engines. A scheduler that
+// starts again has no state and must receive the list of its engines.
 func TestOwnersThatReturnHearOfTheirEngines(t *testing.T) {
 	directory := NewDirectory()
 	scheduler := Scheduler{Name: "s", Zone: "z", Incarnation: 1}
@@ -15,6 +16,6 @@
 		t.Fatal("the engine has another owner")
 	}
 	if changed := directory.OwnedEnginesVersion("s"); changed != directory.Version {
-		t.Fatalf("the engines of s changed at %d, at version %d it came back", changed, directory.Version)
+		t.Fatalf("version of the engines of s is %d, but s returned at version %d", changed, directory.Version)
 	}
 }
--- a/internal/membership/reports.go
+++ b/internal/membership/reports.go
@@ -1,89 +1,94 @@
 package membership
 
-// ReportOutcome says what became of a report of an engine, or of its word that it ends.
+// ReportOutcome is the outcome of handling an engine's report or leave message.
 type ReportOutcome uint8
 
-// The verdicts.
+// Outcomes of a report.
 const (
 	// ReportAccepted changes the fleet.
 	ReportAccepted ReportOutcome = iota
-	// ReportUnchanged says only that the engine is alive.
+	// ReportUnchanged only confirms that the engine is alive.
 	ReportUnchanged
-	// ReportOutdated is of an incarnation that is over, or older than one that was taken.
+	// ReportOutdated belongs to an incarnation that has ended, or is older than an accepted
+	// report.
 	ReportOutdated
-	// ReportUnknownBackend is of an unknown engine for a back end that no table names.
+	// ReportUnknownBackend belongs to an unknown engine of a back end that no routing table
+	// lists.
 	ReportUnknownBackend
-	// ReportContradictory speaks against an engine that is known.
+	// ReportContradictory contradicts the state of a listed engine.
 	ReportContradictory
-	// ReportAwaitsUpgrade is of an id that has left, while some of the control processes would
-	// take it for the engine that left.
+	// ReportAwaitsUpgrade belongs to an id that has left, while some control processes would
+	// still take it for the engine that left.
 	ReportAwaitsUpgrade
 )
 
-// String returns the verdict as logs and metrics name it.
+// String returns the outcome as used in logs and metrics.
 func (v ReportOutcome) String() string {
 	return [...]string{"taken", "unchanged", "outdated", "unknown_backend", "contradicts", "awaits_upgrade"}[v]
 }
 
-// IsRejected reports whether what was said changes nothing and says nothing of the engine.
+// IsRejected reports whether the report neither changed the fleet nor confirmed its state.
 func (v ReportOutcome) IsRejected() bool { return v > ReportUnchanged }
 
-// ReportContext is what a leader knows beside the fleet when it takes a report.
+// ReportContext is the information that a leader uses for a report in addition to the fleet.
 type ReportContext struct {
-	// IsRelayed says that a process which knows no incarnations passed the report on, so that
-	// its lack of one says nothing.
+	// IsRelayed reports that a process without support for incarnations forwarded the report,
+	// so that a missing incarnation carries no information.
 	IsRelayed bool
-	// IsBackendKnown says that a routing table names the back end, or that there is none.
+	// IsBackendKnown reports that a routing table lists the back end, or that there is no
+	// routing table.
 	IsBackendKnown bool
-	// AllSupportIncarnations says that all processes that apply updates know incarnations.
+	// AllSupportIncarnations reports that all processes that apply updates support
+	// incarnations.
 	AllSupportIncarnations bool
 	NowMs                  int64
 }
 
-// HandleReport returns the updates that a report of an engine calls for, one after the other.
-// Invariant: what is written by others, or comes late, neither brings back an incarnation that
-// is over nor takes down or changes one that is there.
-func (t *FleetTracker) HandleReport(fleet *Fleet, engine ServingEngine, terms ReportContext) ([]FleetUpdate, ReportOutcome) {
-	known, there := fleet.Engine(engine.ID)
-	if terms.IsRelayed && engine.StartedMs == 0 {
-		engine.StartedMs = known.StartedMs
+// HandleReport returns the updates that an engine's report requires, in order. Invariant: a
+// report that another process wrote, or a late one, neither revives an ended incarnation nor
+// removes or changes a running one.
+func (t *FleetTracker) HandleReport(fleet *Fleet, engine ServingEngine, reportContext ReportContext) ([]FleetUpdate, ReportOutcome) {
+	current, listed := fleet.Engine(engine.ID)
+	if reportContext.IsRelayed && engine.StartedMs == 0 {
+		engine.StartedMs = current.StartedMs
 	}
 	switch {
-	case !there && !terms.IsBackendKnown:
+	case !listed && !reportContext.IsBackendKnown:
 		return nil, ReportUnknownBackend
-	case fleet.IsOutdated(engine) || !t.newest.take(engine):
-		if there && engine.StartedMs == 0 && known.StartedMs == 0 {
-			t.RecordEngineAlive(engine.ID, terms.NowMs)
+	case fleet.IsOutdated(engine) || !t.latest.observe(engine):
+		if listed && engine.StartedMs == 0 && current.StartedMs == 0 {
+			t.RecordEngineAlive(engine.ID, reportContext.NowMs)
 		}
 		return nil, ReportOutdated
 	case fleet.IsUnchanged(engine):
-		t.RecordEngineAlive(engine.ID, terms.NowMs)
+		t.RecordEngineAlive(engine.ID, reportContext.NowMs)
 		return nil, ReportUnchanged
-	case !t.AcceptsReport(fleet, engine, terms.NowMs):
+	case !t.AcceptsReport(fleet, engine, reportContext.NowMs):
 		return nil, ReportContradictory
-	case !there && fleet.left[engine.ID] && !terms.AllSupportIncarnations:
+	case !listed && fleet.left[engine.ID] && !reportContext.AllSupportIncarnations:
 		return nil, ReportAwaitsUpgrade
 	}
-	t.RecordEngineAlive(engine.ID, terms.NowMs)
+	t.RecordEngineAlive(engine.ID, reportContext.NowMs)
 	var updates []FleetUpdate
-	if over, restarted := fleet.PreviousIncarnation(engine); restarted {
-		// A replica that knows no incarnations would take the new one's first reports for late.
-		updates = append(updates, FleetUpdate{LostEngines: []string{engine.ID}, EndedIncarnations: []Incarnation{over}})
+	if previous, restarted := fleet.PreviousIncarnation(engine); restarted {
+		// A replica without support for incarnations would treat the first reports of the new
+		// incarnation as late.
+		updates = append(updates, FleetUpdate{LostEngines: []string{engine.ID}, EndedIncarnations: []Incarnation{previous}})
 	}
 	return append(updates, FleetUpdate{PutEngines: []ServingEngine{engine}}), ReportAccepted
 }
 
-// HandleLeave returns the updates that an engine's word that it ends calls for. Where the word
-// does not say which incarnation it is of, it is taken to be of the one that is known.
+// HandleLeave returns the updates that an engine's leave message requires. A leave message
+// without an incarnation is attributed to the listed one.
 func (t *FleetTracker) HandleLeave(fleet *Fleet, incarnation Incarnation) ([]FleetUpdate, ReportOutcome) {
-	known, there := fleet.Engine(incarnation.ID)
+	current, listed := fleet.Engine(incarnation.ID)
 	if incarnation.StartedMs == 0 {
-		incarnation.StartedMs = known.StartedMs
+		incarnation.StartedMs = current.StartedMs
 	}
 	switch {
 	case fleet.HasLeft(incarnation):
 		return nil, ReportUnchanged
-	case there && incarnation.StartedMs < known.StartedMs, incarnation.StartedMs > 0 && incarnation.StartedMs < t.newest[incarnation.ID]:
+	case listed && incarnation.StartedMs < current.StartedMs, incarnation.StartedMs > 0 && incarnation.StartedMs < t.latest[incarnation.ID]:
 		return nil, ReportOutdated
 	}
 	update := FleetUpdate{LeftEngines: []string{incarnation.ID}}
@@ -93,18 +98,18 @@
 	return []FleetUpdate{update}, ReportAccepted
 }
 
-// IsUnchanged reports whether a report says nothing that is not replicated already.
+// IsUnchanged reports whether the replicated state already contains everything in the report.
 func (f *Fleet) IsUnchanged(engine ServingEngine) bool {
-	known, ok := f.Engine(engine.ID)
-	return ok && engine.Sequence >= known.Sequence && known.withoutSequence() == engine.withoutSequence()
+	current, ok := f.Engine(engine.ID)
+	return ok && engine.Sequence >= current.Sequence && current.withoutSequence() == engine.withoutSequence()
 }
 
-// latestIncarnations are the latest incarnations that were heard of, by id, those whose reports are
-// not applied yet included.
+// latestIncarnations maps ids to the start times of the latest incarnations that reported,
+// including incarnations whose reports are not applied yet.
 type latestIncarnations map[string]int64
 
-// take reports whether no later incarnation than the engine's was heard of, and notes it.
-func (n latestIncarnations) take(engine ServingEngine) bool {
+// observe records the engine's incarnation and reports whether no later one has reported.
+func (n latestIncarnations) observe(engine ServingEngine) bool {
 	if engine.StartedMs < n[engine.ID] {
 		return false
 	}
--- a/internal/membership/roster.go
+++ b/internal/membership/roster.go
@@ -5,25 +5,25 @@
 	"strings"
 )
 
-// keptRemovals bounds how many removals a roster can still tell of one by one.
-const keptRemovals = 512
+// maxRemovals bounds the removals that a roster can include in a delta.
+const maxRemovals = 512
 
-// Roster is the list of schedulers as it fans out from control to schedulers to
-// sidecars. It can tell what has changed since a version, so that one scheduler
-// that comes or goes costs each follower one line and not the whole list.
+// Roster is the list of schedulers that control distributes to the schedulers and these to
+// their sidecars. It can compute the changes since a version, so that adding or removing one
+// scheduler costs each follower one entry instead of the full list.
 type Roster struct {
-	version uint64
-	changed uint64
-	entries map[string]rosterEntry
-	removed []removal
-	// forgotten is the version up to which removals are no longer known.
-	forgotten uint64
-	sorted    []Scheduler
+	version       uint64
+	changeVersion uint64
+	entries       map[string]rosterEntry
+	removed       []removal
+	// minDeltaVersion is the version up to which removals are no longer retained.
+	minDeltaVersion uint64
+	sorted          []Scheduler
 }
 
 type rosterEntry struct {
-	scheduler Scheduler
-	changed   uint64
+	scheduler     Scheduler
+	changeVersion uint64
 }
 
 type removal struct {
@@ -31,26 +31,26 @@
 	version uint64
 }
 
-// RosterDelta is what a follower at an older version lacks.
+// RosterDelta is the difference between a follower's older version and the roster.
 type RosterDelta struct {
-	// Version is the sender's version after these changes.
+	// Version is the sender's version, which includes these changes.
 	Version uint64 `msgpack:"v"`
-	// IsFull says that Changed is the whole list.
+	// IsFull reports that Changed contains the full list.
 	IsFull  bool        `msgpack:"w,omitempty"`
 	Changed []Scheduler `msgpack:"c,omitempty"`
 	Removed []string    `msgpack:"r,omitempty"`
 }
 
-// NewRoster returns an empty list.
+// NewRoster returns an empty roster.
 func NewRoster() *Roster { return &Roster{entries: map[string]rosterEntry{}} }
 
-// Version is the directory version that the list is of.
+// Version returns the directory version of the list.
 func (r *Roster) Version() uint64 { return r.version }
 
-// ChangeVersion is the version at which the list itself changed last.
-func (r *Roster) ChangeVersion() uint64 { return r.changed }
+// ChangeVersion returns the version at which the list itself last changed.
+func (r *Roster) ChangeVersion() uint64 { return r.changeVersion }
 
-// List returns the schedulers in ascending order of name; it must not be changed.
+// List returns the schedulers, sorted by name. The caller must not modify the slice.
 func (r *Roster) List() []Scheduler {
 	if r.sorted == nil {
 		r.sorted = make([]Scheduler, 0, len(r.entries))
@@ -69,76 +69,76 @@
 }
 
 func (r *Roster) put(scheduler Scheduler, version uint64) {
-	r.entries[scheduler.Name] = rosterEntry{scheduler: scheduler, changed: version}
-	r.removed = slices.DeleteFunc(r.removed, func(known removal) bool { return known.name == scheduler.Name })
-	r.changed = version
+	r.entries[scheduler.Name] = rosterEntry{scheduler: scheduler, changeVersion: version}
+	r.removed = slices.DeleteFunc(r.removed, func(removed removal) bool { return removed.name == scheduler.Name })
+	r.changeVersion = version
 	r.sorted = nil
 }
 
 func (r *Roster) remove(name string, version uint64) {
 	delete(r.entries, name)
 	r.removed = append(r.removed, removal{name: name, version: version})
-	if len(r.removed) > keptRemovals {
-		r.forgotten = r.removed[0].version
+	if len(r.removed) > maxRemovals {
+		r.minDeltaVersion = r.removed[0].version
 		r.removed = r.removed[1:]
 	}
-	r.changed = version
+	r.changeVersion = version
 	r.sorted = nil
 }
 
-// replace takes a whole list; what was removed before is not known.
+// replace installs a full list. Removals before this version are unknown.
 func (r *Roster) replace(schedulers []Scheduler, version uint64) {
 	r.entries = map[string]rosterEntry{}
 	r.removed = nil
-	r.forgotten = version
-	r.changed = version
+	r.minDeltaVersion = version
+	r.changeVersion = version
 	r.version = version
 	r.sorted = nil
 	for _, scheduler := range schedulers {
-		r.entries[scheduler.Name] = rosterEntry{scheduler: scheduler, changed: version}
+		r.entries[scheduler.Name] = rosterEntry{scheduler: scheduler, changeVersion: version}
 	}
 }
 
-// DeltaSince returns what a follower at a version lacks.
+// DeltaSince returns the changes that a follower at a version lacks.
 func (r *Roster) DeltaSince(version uint64) RosterDelta {
-	news := RosterDelta{Version: r.version}
-	if version >= r.changed {
-		return news
+	delta := RosterDelta{Version: r.version}
+	if version >= r.changeVersion {
+		return delta
 	}
-	if version < r.forgotten || version == 0 {
-		news.IsFull = true
-		news.Changed = r.List()
-		return news
+	if version < r.minDeltaVersion || version == 0 {
+		delta.IsFull = true
+		delta.Changed = r.List()
+		return delta
 	}
 	for _, scheduler := range r.List() {
-		if r.entries[scheduler.Name].changed > version {
-			news.Changed = append(news.Changed, scheduler)
+		if r.entries[scheduler.Name].changeVersion > version {
+			delta.Changed = append(delta.Changed, scheduler)
 		}
 	}
-	for _, known := range r.removed {
-		if known.version > version {
-			news.Removed = append(news.Removed, known.name)
+	for _, removed := range r.removed {
+		if removed.version > version {
+			delta.Removed = append(delta.Removed, removed.name)
 		}
 	}
-	return news
+	return delta
 }
 
-// ApplyDelta applies news and reports whether it was newer. Invariant: the version only
-// grows, whoever sent the news.
-func (r *Roster) ApplyDelta(news RosterDelta) bool {
-	if news.Version <= r.version {
+// ApplyDelta applies a delta and reports whether it was newer. Invariant: the version only
+// increases, regardless of the sender.
+func (r *Roster) ApplyDelta(delta RosterDelta) bool {
+	if delta.Version <= r.version {
 		return false
 	}
-	if news.IsFull {
-		r.replace(news.Changed, news.Version)
+	if delta.IsFull {
+		r.replace(delta.Changed, delta.Version)
 		return true
 	}
-	r.version = news.Version
-	for _, scheduler := range news.Changed {
-		r.put(scheduler, news.Version)
+	r.version = delta.Version
+	for _, scheduler := range delta.Changed {
+		r.put(scheduler, delta.Version)
 	}
-	for _, name := range news.Removed {
-		r.remove(name, news.Version)
+	for _, name := range delta.Removed {
+		r.remove(name, delta.Version)
 	}
 	return true
 }
--- a/internal/membership/roster_test.go
+++ b/internal/membership/roster_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestRosterFollowers lets followers take news from a directory or from each
-// other at any versions: whoever has the newest version has the same list.
+// TestRosterFollowers applies deltas from a directory or from other followers at arbitrary
+// versions and checks that all followers at the latest version have the same list.
 func TestRosterFollowers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		directory := NewDirectory()
@@ -37,7 +37,7 @@
 				before := to.Version()
 				to.ApplyDelta(from.DeltaSince(to.Version()))
 				if to.Version() < before {
-					t.Fatalf("version went back from %d to %d", before, to.Version())
+					t.Fatalf("version decreased from %d to %d", before, to.Version())
 				}
 			}
 		}
--- a/internal/membership/sizing.go
+++ b/internal/membership/sizing.go
@@ -3,58 +3,59 @@
 import "math"
 
 const (
-	// advertisedUse is which share of the slots of the advertised engines should be taken at
-	// the most: load may then rise to four times as much within the second that it takes until
-	// more engines are advertised. Chosen so, not measured against others.
-	advertisedUse = 0.25
-	// crowdedByOthers is how many times fuller than all of a pool's advertised engines those must
-	// be that gateways of other zones know, before these are told of more: where all are as full,
-	// the load comes from the zone itself, and each zone would be told of all others' engines.
-	crowdedByOthers = 1.5
-	// calmMs is how long less than half of a pool's advertised engines must have been enough
-	// before their number is halved, milliseconds.
-	calmMs = 60_000
+	// targetUtilization is the maximum share of the slots of the advertised engines that
+	// should be in use. The load may then grow to four times its value within the second that
+	// passes before more engines are advertised.
+	targetUtilization = 0.25
+	// remoteCrowdingRatio is the factor by which the utilization of the engines advertised to
+	// other zones must exceed that of all advertised engines of the pool before more engines
+	// are advertised to those zones. If all of them are equally utilized, the load comes from
+	// the zone itself, and every zone would otherwise receive the engines of all other zones.
+	remoteCrowdingRatio = 1.5
+	// shrinkDelayMs is the time for which less than half of a pool's advertised engines must
+	// have been sufficient before their number is halved, in milliseconds.
+	shrinkDelayMs = 60_000
 )
 
-// poolUse is what is under way at the engines of a pool that are advertised to an audience.
-type poolUse struct {
+// poolLoad is the load of those engines of a pool that are advertised to an audience.
+type poolLoad struct {
 	engines  int
 	slots    int
 	inFlight float64
 }
 
-// share returns which part of the slots is taken.
-func (u poolUse) share() float64 {
+// utilization returns the share of the slots that is in use.
+func (u poolLoad) utilization() float64 {
 	if u.slots == 0 {
 		return 0
 	}
 	return u.inFlight / float64(u.slots)
 }
 
-// needed returns how many engines like these should be advertised.
-func (u poolUse) needed() int {
+// requiredEngines returns the number of engines of this kind that should be advertised.
+func (u poolLoad) requiredEngines() int {
 	if u.engines == 0 || u.slots == 0 {
 		return 0
 	}
 	slotsEach := float64(u.slots) / float64(u.engines)
-	return int(math.Ceil(u.inFlight / (slotsEach * advertisedUse)))
+	return int(math.Ceil(u.inFlight / (slotsEach * targetUtilization)))
 }
 
-// PlanSubsetSizes returns the pools of which more or fewer engines should be advertised. inFlight
-// says how many requests are under way at an engine. More are advertised at once, fewer
-// after a long time in which they were not needed.
+// PlanSubsetSizes returns the pools of which more or fewer engines should be advertised.
+// inFlight returns the number of requests in flight at an engine. Subsets grow immediately and
+// shrink only after the additional engines have not been needed for a long time.
 func (t *FleetTracker) PlanSubsetSizes(fleet *Fleet, inFlight func(engine string) float64, nowMs int64) []SubsetSize {
 	var changed []SubsetSize
-	for key, pool := range fleet.advertised.pools {
-		size := SubsetSize{Backend: key.backend, Zone: key.zone, Local: pool.sizes[nearAudience], Remote: pool.sizes[farAudience]}
+	for key, pool := range fleet.advertisements.pools {
+		size := SubsetSize{Backend: key.backend, Zone: key.zone, Local: pool.sizes[localAudience], Remote: pool.sizes[remoteAudience]}
 		wanted := size
-		near := fleet.useOf(pool, size.Local, inFlight)
-		wanted.Local = max(size.Local, min(near.needed(), len(pool.ranked)))
-		if far := fleet.useOf(pool, size.Remote, inFlight); far.share() > crowdedByOthers*near.share() {
-			wanted.Remote = max(size.Remote, min(far.needed(), wanted.Local))
+		localLoad := fleet.loadOf(pool, size.Local, inFlight)
+		wanted.Local = max(size.Local, min(localLoad.requiredEngines(), len(pool.ranked)))
+		if remoteLoad := fleet.loadOf(pool, size.Remote, inFlight); remoteLoad.utilization() > remoteCrowdingRatio*localLoad.utilization() {
+			wanted.Remote = max(size.Remote, min(remoteLoad.requiredEngines(), wanted.Local))
 		}
 		if wanted == size {
-			wanted = t.shrunk(key, size, near.needed(), nowMs)
+			wanted = t.shrinkSize(key, size, localLoad.requiredEngines(), nowMs)
 		}
 		if wanted != size {
 			changed = append(changed, wanted)
@@ -63,9 +64,9 @@
 	return changed
 }
 
-// useOf adds up what is under way at the first engines of a pool.
-func (f *Fleet) useOf(pool *zonePool, size int, inFlight func(engine string) float64) poolUse {
-	var use poolUse
+// loadOf returns the load of the first engines of a pool.
+func (f *Fleet) loadOf(pool *zonePool, size int, inFlight func(engine string) float64) poolLoad {
+	var use poolLoad
 	for _, entry := range pool.ranked[:min(size, len(pool.ranked))] {
 		use.engines++
 		use.slots += max(f.state.Engines[entry.id].Value.Slots, 1)
@@ -74,23 +75,23 @@
 	return use
 }
 
-// shrunk returns half of a size where that has been enough for long.
-func (t *FleetTracker) shrunk(key poolKey, size SubsetSize, needed int, nowMs int64) SubsetSize {
+// shrinkSize returns half of a size if that has been sufficient for long enough.
+func (t *FleetTracker) shrinkSize(key poolKey, size SubsetSize, required int, nowMs int64) SubsetSize {
 	const half = 2
-	if size.Local <= leastNear && size.Remote <= leastFar || needed*half > size.Local {
-		delete(t.calmSinceMs, key)
+	if size.Local <= minLocalSubset && size.Remote <= minRemoteSubset || required*half > size.Local {
+		delete(t.oversizedSinceMs, key)
 		return size
 	}
-	since, calm := t.calmSinceMs[key]
-	if !calm {
-		t.calmSinceMs[key] = nowMs
+	sinceMs, oversized := t.oversizedSinceMs[key]
+	if !oversized {
+		t.oversizedSinceMs[key] = nowMs
 		return size
 	}
-	if nowMs-since < calmMs {
+	if nowMs-sinceMs < shrinkDelayMs {
 		return size
 	}
-	delete(t.calmSinceMs, key)
-	size.Local = max(size.Local/half, leastNear)
-	size.Remote = max(size.Remote/half, leastFar)
+	delete(t.oversizedSinceMs, key)
+	size.Local = max(size.Local/half, minLocalSubset)
+	size.Remote = max(size.Remote/half, minRemoteSubset)
 	return size
 }
--- a/internal/membership/spread.go
+++ b/internal/membership/spread.go
@@ -10,166 +10,169 @@
 )
 
 const (
-	// maxNamed bounds the gateways of one answer to a caller that asks where to go.
-	maxNamed = 64
-	// leastNamed is how many gateways an answer names at the least where there are as many: a
-	// caller still has somewhere to go when some of them are lost before it asks again.
-	leastNamed = 8
-	// fewNear is how many ready gateways of the caller's own zone are enough.
-	fewNear = 2
-	// hotZoneShare is which part of a zone's capacity may be left by hot gateways to cool ones of the
-	// zone. More goes to other zones: the way there costs a caller some milliseconds.
-	hotZoneShare = 0.2
-	// proportionMargin covers rounding where weights are equal.
-	proportionMargin = 1e-9
+	// maxSelected bounds the number of gateways in a lookup answer.
+	maxSelected = 64
+	// minSelected is the minimum number of gateways in an answer, if that many exist. A caller
+	// then still has a gateway to use if some of them are lost before its next lookup.
+	minSelected = 8
+	// minZoneGateways is the number of ready gateways below which a zone's callers also
+	// receive gateways of other zones.
+	minZoneGateways = 2
+	// zoneOverflowThreshold is the share of a zone's capacity that overloaded gateways may
+	// shift to the other gateways of the zone. A larger share goes to other zones, which costs
+	// callers some milliseconds of latency.
+	zoneOverflowThreshold = 0.2
+	// roundingMargin absorbs rounding errors where weights are equal.
+	roundingMargin = 1e-9
 )
 
-// Caller is who asks where to go.
+// Caller identifies the caller of a lookup.
 type Caller struct {
-	// Key tells callers apart; one that asks again under its key is named the same gateways as
-	// long as these and what they can take stay the same.
+	// Key distinguishes callers. Repeated lookups with the same key return the same gateways
+	// as long as the gateways and their capacities do not change.
 	Key    string
 	Zone   string
 	Region string
 }
 
-// GatewaySelector names the gateways that callers are sent to. A caller opens its connections to
-// those that it was named with equal probability, so that a gateway that can take more has to
-// be named to more callers. It is a function of the gateways alone: all control processes give
-// a caller the same answer.
+// GatewaySelector selects the gateways for callers. A caller chooses among the selected
+// gateways with equal probability when it opens connections, so a gateway with a larger
+// capacity has to be selected for more callers. The selection is a function of the gateways
+// alone: all control processes return the same answer to a caller.
 type GatewaySelector struct {
 	zones map[string]*zoneGateways
-	// byRegion and all hold the ready gateways in ascending order of their names, for callers
-	// whose zone has few.
+	// byRegion and all hold the ready gateways, sorted by name, for callers whose zone has few
+	// gateways.
 	byRegion map[string][]Gateway
 	all      []Gateway
 }
 
-// zoneGateways are the ready gateways of one zone.
+// zoneGateways are the ready gateways that callers of one zone may receive.
 type zoneGateways struct {
 	gateways []Gateway
-	// named is how many of them are in an answer, and shares which part of the answers each
-	// should be in.
-	named  int
-	shares []float64
-	// seeds are the hashes of their names, and everyone all of the addresses where an answer
-	// names all.
-	seeds    []uint64
-	everyone []string
+	// sampleSize is the number of gateways in an answer. inclusionProbabilities holds the
+	// share of the answers in which each gateway should be.
+	sampleSize             int
+	inclusionProbabilities []float64
+	// seeds holds the hashes of the gateways' names. allAddresses holds all addresses, for
+	// answers that contain every gateway.
+	seeds        []uint64
+	allAddresses []string
 }
 
-// NewGatewaySelector returns the spread over gateways, of which those that are not ready are left out.
+// NewGatewaySelector returns the selector for those of the gateways that are ready.
 func NewGatewaySelector(gateways []Gateway) *GatewaySelector {
-	spread := &GatewaySelector{zones: map[string]*zoneGateways{}, byRegion: map[string][]Gateway{}}
+	selector := &GatewaySelector{zones: map[string]*zoneGateways{}, byRegion: map[string][]Gateway{}}
 	for _, gateway := range gateways {
 		if !gateway.IsReady {
 			continue
 		}
-		zone := spread.zones[gateway.Zone]
+		zone := selector.zones[gateway.Zone]
 		if zone == nil {
 			zone = &zoneGateways{}
-			spread.zones[gateway.Zone] = zone
+			selector.zones[gateway.Zone] = zone
 		}
 		zone.gateways = append(zone.gateways, gateway)
-		spread.byRegion[gateway.Region] = append(spread.byRegion[gateway.Region], gateway)
-		spread.all = append(spread.all, gateway)
+		selector.byRegion[gateway.Region] = append(selector.byRegion[gateway.Region], gateway)
+		selector.all = append(selector.all, gateway)
 	}
-	names := slices.Sorted(maps.Keys(spread.zones))
-	own := map[string][]float64{}
+	names := slices.Sorted(maps.Keys(selector.zones))
+	weightsByZone := map[string][]float64{}
 	for _, name := range names {
-		own[name] = weightsOf(spread.zones[name].gateways)
+		weightsByZone[name] = gatewayWeights(selector.zones[name].gateways)
 	}
-	answers := map[string]*zoneGateways{}
+	selections := map[string]*zoneGateways{}
 	for _, name := range names {
-		answers[name] = spread.answer(name, names, own)
+		selections[name] = selector.zoneSelection(name, names, weightsByZone)
 	}
-	spread.zones = answers
-	return spread
+	selector.zones = selections
+	return selector
 }
 
-// answer returns what callers of a zone are named: its gateways, and those of the region's other
-// zones for what the zone's own can't take while many of them are hot.
-func (s *GatewaySelector) answer(name string, names []string, own map[string][]float64) *zoneGateways {
+// zoneSelection returns the gateways for callers of a zone: those of the zone, and gateways of
+// the region's other zones for the capacity that the zone lacks while many of its gateways are
+// overloaded.
+func (s *GatewaySelector) zoneSelection(name string, names []string, weightsByZone map[string][]float64) *zoneGateways {
 	zone := s.zones[name]
-	answer := &zoneGateways{gateways: zone.gateways}
-	weights := own[name]
-	short := shortOf(zone.gateways, weights)
-	if short > 0 {
-		spare, others := 0.0, slices.Clone(zone.gateways)
+	selection := &zoneGateways{gateways: zone.gateways}
+	weights := weightsByZone[name]
+	shortfall := capacityShortfall(zone.gateways, weights)
+	if shortfall > 0 {
+		spareCapacity, gateways := 0.0, slices.Clone(zone.gateways)
 		weights = slices.Clone(weights)
 		for _, other := range names {
 			candidates := s.zones[other].gateways
-			if other == name || candidates[0].Region != zone.gateways[0].Region || shortOf(candidates, own[other]) > 0 {
+			if other == name || candidates[0].Region != zone.gateways[0].Region || capacityShortfall(candidates, weightsByZone[other]) > 0 {
 				continue
 			}
 			for position, gateway := range candidates {
 				if gateway.OverloadLevel == 0 {
-					others = append(others, gateway)
-					weights = append(weights, own[other][position])
-					spare += own[other][position]
+					gateways = append(gateways, gateway)
+					weights = append(weights, weightsByZone[other][position])
+					spareCapacity += weightsByZone[other][position]
 				}
 			}
 		}
 		for position := len(zone.gateways); position < len(weights); position++ {
-			weights[position] *= min(short/spare, 1)
+			weights[position] *= min(shortfall/spareCapacity, 1)
 		}
-		answer.gateways = others
+		selection.gateways = gateways
 	}
-	answer.named = namedOf(weights)
-	answer.shares = inclusion(weights, answer.named)
-	for _, gateway := range answer.gateways {
-		answer.seeds = append(answer.seeds, xxhash.Sum64String(gateway.Name))
-		answer.everyone = append(answer.everyone, gateway.Address)
+	selection.sampleSize = sampleSizeFor(weights)
+	selection.inclusionProbabilities = inclusionProbabilities(weights, selection.sampleSize)
+	for _, gateway := range selection.gateways {
+		selection.seeds = append(selection.seeds, xxhash.Sum64String(gateway.Name))
+		selection.allAddresses = append(selection.allAddresses, gateway.Address)
 	}
-	return answer
+	return selection
 }
 
-// shortOf returns what the gateways of a zone lack where too many of them are hot for the others
-// to take what they leave, 0 elsewhere.
-func shortOf(gateways []Gateway, weights []float64) float64 {
-	short, total := 0.0, 0.0
+// capacityShortfall returns the capacity that the gateways of a zone lack if too many of them
+// are overloaded for the others to absorb the difference, otherwise 0.
+func capacityShortfall(gateways []Gateway, weights []float64) float64 {
+	shortfall, total := 0.0, 0.0
 	for position, gateway := range gateways {
-		whole := weights[position] / gateway.room()
-		total += whole
-		short += whole - weights[position]
+		fullWeight := weights[position] / gateway.capacityFactor()
+		total += fullWeight
+		shortfall += fullWeight - weights[position]
 	}
-	if short < hotZoneShare*total {
+	if shortfall < zoneOverflowThreshold*total {
 		return 0
 	}
-	return short
+	return shortfall
 }
 
-// ReadyCount returns how many gateways take requests.
+// ReadyCount returns the number of gateways that accept requests.
 func (s *GatewaySelector) ReadyCount() int { return len(s.all) }
 
-// Select returns the addresses of the gateways that a caller should use: of its own zone, and
-// of others too where that has few.
+// Select returns the addresses of the gateways that a caller should use: those of its own
+// zone, and others if that zone has too few.
 func (s *GatewaySelector) Select(caller Caller) []string {
 	zone := s.zones[caller.Zone]
-	if zone != nil && len(zone.gateways) >= fewNear {
+	if zone != nil && len(zone.gateways) >= minZoneGateways {
 		return zone.sample(caller.Key)
 	}
 	var addresses []string
-	named := func(gateways []Gateway) {
+	add := func(gateways []Gateway) {
 		for _, gateway := range gateways {
-			if len(addresses) < maxNamed && !slices.Contains(addresses, gateway.Address) {
+			if len(addresses) < maxSelected && !slices.Contains(addresses, gateway.Address) {
 				addresses = append(addresses, gateway.Address)
 			}
 		}
 	}
 	if zone != nil {
-		named(zone.gateways)
+		add(zone.gateways)
 	}
-	named(s.byRegion[caller.Region])
-	if len(addresses) < fewNear {
-		named(s.all)
+	add(s.byRegion[caller.Region])
+	if len(addresses) < minZoneGateways {
+		add(s.all)
 	}
 	return addresses
 }
 
-// weightsOf returns what gateways can take in proportion. One that does not say is taken to be
-// like the others.
-func weightsOf(gateways []Gateway) []float64 {
+// gatewayWeights returns the relative capacities of the gateways. A gateway that does not
+// report its capacity has the average of the others.
+func gatewayWeights(gateways []Gateway) []float64 {
 	total, known := 0.0, 0
 	for _, gateway := range gateways {
 		if gateway.Capacity > 0 {
@@ -177,70 +180,72 @@
 			known++
 		}
 	}
-	usual := 1.0
+	average := 1.0
 	if known > 0 {
-		usual = total / float64(known)
+		average = total / float64(known)
 	}
 	weights := make([]float64, 0, len(gateways))
 	for _, gateway := range gateways {
 		weight := gateway.Capacity
 		if weight <= 0 {
-			weight = usual
+			weight = average
 		}
-		weights = append(weights, weight*gateway.room())
+		weights = append(weights, weight*gateway.capacityFactor())
 	}
 	return weights
 }
 
-// namedOf returns how many gateways an answer names: as many as can all be named in proportion to
-// their weights, which is all of them where these are equal, within the bounds of an answer.
-func namedOf(weights []float64) int {
+// sampleSizeFor returns the number of gateways in an answer: the largest number for which
+// every gateway can be selected in proportion to its weight, within the bounds of an answer.
+// With equal weights this is all of them.
+func sampleSizeFor(weights []float64) int {
 	total, largest := 0.0, 0.0
 	for _, weight := range weights {
 		total += weight
 		largest = max(largest, weight)
 	}
 	if largest <= 0 {
-		return min(len(weights), maxNamed)
+		return min(len(weights), maxSelected)
 	}
-	named := int(total/largest + proportionMargin)
-	return min(max(named, leastNamed), maxNamed, len(weights))
+	size := int(total/largest + roundingMargin)
+	return min(max(size, minSelected), maxSelected, len(weights))
 }
 
-// inclusion returns for each weight the part of the answers of a number of gateways that it
-// should be in: in proportion to the weights, and all of the answers where that is more.
-func inclusion(weights []float64, named int) []float64 {
-	shares := make([]float64, len(weights))
-	left, total := float64(named), 0.0
+// inclusionProbabilities returns, for each weight, the share of the answers of the given size
+// that should contain its gateway: proportional to the weight and at most 1.
+func inclusionProbabilities(weights []float64, sampleSize int) []float64 {
+	probabilities := make([]float64, len(weights))
+	remaining, total := float64(sampleSize), 0.0
 	for _, weight := range weights {
 		total += weight
 	}
 	for capped := true; capped; {
 		capped = false
 		for position, weight := range weights {
-			if shares[position] < 1 && weight*left >= total*(1-proportionMargin) {
-				shares[position] = 1
-				left--
+			if probabilities[position] < 1 && weight*remaining >= total*(1-roundingMargin) {
+				probabilities[position] = 1
+				remaining--
 				total -= weight
 				capped = true
 			}
 		}
 	}
 	for position, weight := range weights {
-		if shares[position] < 1 && total > 0 {
-			shares[position] = min(weight*left/total, 1)
+		if probabilities[position] < 1 && total > 0 {
+			probabilities[position] = min(weight*remaining/total, 1)
 		}
 	}
-	return shares
+	return probabilities
 }
 
-// sample returns the gateways for a caller: the first in an order of its own in which each is
-// among them with its share of probability (Rosén, On Sampling with Probability Proportional to
-// Size, 1997; Pareto sampling). A gateway that comes or goes, or whose share changes a little,
-// changes few answers by one gateway, since nothing else in a caller's order moves.
+// sample returns the gateways for a caller: the first ones in an order that depends on the
+// caller, in which each gateway is included with its inclusion probability (Pareto sampling;
+// Rosén, On Sampling with Probability Proportional to Size, 1997). Adding or removing a
+// gateway, or a small change of its probability, changes few answers and each of them by one
+// gateway, because the other gateways keep their positions in the caller's order.
 func (z *zoneGateways) sample(key string) []string {
-	if z.named == len(z.gateways) {
-		return z.everyone
+	if z.sampleSize == len(z.gateways) {
+		return z.allAddresses
 	}
 	type ranked struct {
 		rank    float64
@@ -249,24 +254,25 @@
 	order := make([]ranked, 0, len(z.gateways))
 	for position, gateway := range z.gateways {
 		rank := 0.0
-		if share := z.shares[position]; share < 1 {
-			place := placeOf(key, z.seeds[position])
-			rank = place / (1 - place) * (1 - share) / max(share, math.SmallestNonzeroFloat32)
+		if probability := z.inclusionProbabilities[position]; probability < 1 {
+			uniform := uniformHash(key, z.seeds[position])
+			rank = uniform / (1 - uniform) * (1 - probability) / max(probability, math.SmallestNonzeroFloat32)
 		}
 		order = append(order, ranked{rank, gateway.Address})
 	}
 	slices.SortFunc(order, func(a, b ranked) int {
 		return cmp.Or(cmp.Compare(a.rank, b.rank), cmp.Compare(a.address, b.address))
 	})
-	addresses := make([]string, 0, z.named)
-	for _, entry := range order[:z.named] {
+	addresses := make([]string, 0, z.sampleSize)
+	for _, entry := range order[:z.sampleSize] {
 		addresses = append(addresses, entry.address)
 	}
 	return addresses
 }
 
-// placeOf returns where a gateway stands for a caller, evenly spread over [0, 1).
-func placeOf(key string, gateway uint64) float64 {
+// uniformHash returns a value for the pair of caller and gateway, uniformly distributed over
+// [0, 1).
+func uniformHash(key string, gateway uint64) float64 {
 	const fractionBits = 53
 	var digest xxhash.Digest
 	digest.ResetWithSeed(gateway)
--- a/internal/membership/spread_test.go
+++ b/internal/membership/spread_test.go
@@ -10,8 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// gatewaysOf returns ready gateways of one zone with the capacities given.
-func gatewaysOf(zone string, capacities ...float64) []Gateway {
+// testGateways returns ready gateways of one zone with the given capacities.
+func testGateways(zone string, capacities ...float64) []Gateway {
 	var gateways []Gateway
 	for number, capacity := range capacities {
 		name := fmt.Sprintf("%s-%d", zone, number+1)
@@ -20,49 +20,49 @@
 	return gateways
 }
 
-// repeated returns a capacity a number of times.
-func repeated(capacity float64, times int) []float64 {
+// repeatCapacity returns a slice that repeats a capacity.
+func repeatCapacity(capacity float64, times int) []float64 {
 	return slices.Repeat([]float64{capacity}, times)
 }
 
-// loadsOf returns the part of all connections that each address gets from a number of callers
-// that open as many each.
-func loadsOf(spread *GatewaySelector, zone string, callers int) map[string]float64 {
+// connectionShares returns each address's share of all connections, for callers that each open
+// the same number.
+func connectionShares(selector *GatewaySelector, zone string, callers int) map[string]float64 {
 	loads := map[string]float64{}
 	for number := range callers {
-		named := spread.Select(Caller{Key: fmt.Sprintf("10.0.%d.%d", number/256, number%256), Zone: zone, Region: "r"})
-		for _, address := range named {
-			loads[address] += 1 / float64(len(named)) / float64(callers)
+		selected := selector.Select(Caller{Key: fmt.Sprintf("10.0.%d.%d", number/256, number%256), Zone: zone, Region: "r"})
+		for _, address := range selected {
+			loads[address] += 1 / float64(len(selected)) / float64(callers)
 		}
 	}
 	return loads
 }
 
-// TestCallersSpreadByCapacity holds that what a gateway gets of a zone's connections is in
-// proportion to what it can take. The load: 20 gateways with 0.144 of a core and 6 with 0.48.
+// TestCallersSpreadByCapacity checks that a gateway's share of a zone's connections is
+// proportional to its capacity. The load is 20 gateways with 0.144 of a core and 6 with 0.48.
 func TestCallersSpreadByCapacity(t *testing.T) {
-	Convey("two kinds of gateways", t, func() {
-		gateways := gatewaysOf("a", append(repeated(0.144, 20), repeated(0.48, 6)...)...)
+	Convey("gateways with two capacities", t, func() {
+		gateways := testGateways("a", append(repeatCapacity(0.144, 20), repeatCapacity(0.48, 6)...)...)
 		const total = 20*0.144 + 6*0.48
-		Convey("each gets its share", func() {
-			loads := loadsOf(NewGatewaySelector(gateways), "a", 20_000)
+		Convey("each gateway receives its share", func() {
+			loads := connectionShares(NewGatewaySelector(gateways), "a", 20_000)
 			for _, gateway := range gateways {
 				So(loads[gateway.Address], ShouldAlmostEqual, gateway.Capacity/total, 0.05*gateway.Capacity/total)
 			}
 		})
-		Convey("a hot one gets half of what the others like it get", func() {
+		Convey("an overloaded gateway receives half the share of its equals", func() {
 			gateways[25].OverloadLevel = 1
-			loads := loadsOf(NewGatewaySelector(gateways), "a", 20_000)
+			loads := connectionShares(NewGatewaySelector(gateways), "a", 20_000)
 			So(loads["a-26:1"]/loads["a-25:1"], ShouldAlmostEqual, 0.5, 0.05)
 		})
 	})
-	Convey("gateways that are alike are all named to everybody", t, func() {
-		named := NewGatewaySelector(gatewaysOf("a", repeated(0.192, 20)...)).Select(Caller{Key: "c", Zone: "a"})
-		So(named, ShouldHaveLength, 20)
-		So(NewGatewaySelector(gatewaysOf("a", repeated(0, 20)...)).Select(Caller{Key: "c", Zone: "a"}), ShouldResemble, named)
+	Convey("gateways with equal capacities are all selected for every caller", t, func() {
+		selected := NewGatewaySelector(testGateways("a", repeatCapacity(0.192, 20)...)).Select(Caller{Key: "c", Zone: "a"})
+		So(selected, ShouldHaveLength, 20)
+		So(NewGatewaySelector(testGateways("a", repeatCapacity(0, 20)...)).Select(Caller{Key: "c", Zone: "a"}), ShouldResemble, selected)
 	})
-	Convey("of very many each caller has its own, and all are used", t, func() {
-		loads := loadsOf(NewGatewaySelector(gatewaysOf("a", repeated(0.192, 300)...)), "a", 5000)
+	Convey("callers receive different subsets of very many gateways, and all gateways are used", t, func() {
+		loads := connectionShares(NewGatewaySelector(testGateways("a", repeatCapacity(0.192, 300)...)), "a", 5000)
 		So(loads, ShouldHaveLength, 300)
 		for _, load := range loads {
 			So(load, ShouldBeBetween, 0.8/300, 1.2/300)
@@ -70,52 +70,53 @@
 	})
 }
 
-// TestHotZoneOverflows holds that what a zone's gateways can't take goes to other zones of the region,
-// near ones first, and comes back. The load: clients of other zones have moved to this one.
+// TestHotZoneOverflows checks that the load that a zone's gateways cannot take goes to other
+// zones of the region and to no other region. The load is callers of other zones that have
+// moved to this one.
 func TestHotZoneOverflows(t *testing.T) {
 	const callers = 5000
-	far := func(gateways []Gateway) float64 {
+	remoteShare := func(gateways []Gateway) float64 {
 		share := 0.0
-		for address, load := range loadsOf(NewGatewaySelector(gateways), "a", callers) {
+		for address, load := range connectionShares(NewGatewaySelector(gateways), "a", callers) {
 			if address[0] != 'a' {
 				share += load
 			}
 		}
 		return share
 	}
-	heated := func(hot int, busy uint8) []Gateway {
-		gateways := slices.Concat(gatewaysOf("a", repeated(0.192, 20)...), gatewaysOf("b", repeated(0.192, 20)...), gatewaysOf("c", repeated(0.192, 20)...))
-		for position := range hot {
-			gateways[position].OverloadLevel = busy
+	withOverloaded := func(overloaded int, level uint8) []Gateway {
+		gateways := slices.Concat(testGateways("a", repeatCapacity(0.192, 20)...), testGateways("b", repeatCapacity(0.192, 20)...), testGateways("c", repeatCapacity(0.192, 20)...))
+		for position := range overloaded {
+			gateways[position].OverloadLevel = level
 		}
 		return gateways
 	}
-	Convey("nothing is hot, or one gateway of the zone: its callers stay", t, func() {
-		So(far(heated(0, 0)), ShouldEqual, 0)
-		So(far(heated(1, mostBusy)), ShouldEqual, 0)
+	Convey("callers stay in their zone if none or only one of its gateways is overloaded", t, func() {
+		So(remoteShare(withOverloaded(0, 0)), ShouldEqual, 0)
+		So(remoteShare(withOverloaded(1, maxOverloadLevel)), ShouldEqual, 0)
 	})
-	Convey("all of the zone's gateways are hot: half goes elsewhere", t, func() {
-		So(far(heated(20, 1)), ShouldAlmostEqual, 0.5, 0.03)
+	Convey("half of the callers go to other zones if all gateways of the zone are overloaded", t, func() {
+		So(remoteShare(withOverloaded(20, 1)), ShouldAlmostEqual, 0.5, 0.03)
 	})
-	Convey("other zones are as hot: nobody is sent there", t, func() {
-		So(far(heated(60, 1)), ShouldEqual, 0)
+	Convey("no caller goes to zones that are equally overloaded", t, func() {
+		So(remoteShare(withOverloaded(60, 1)), ShouldEqual, 0)
 	})
-	Convey("a zone of another region takes nothing", t, func() {
-		gateways := heated(20, 1)
+	Convey("no caller goes to a zone of another region", t, func() {
+		gateways := withOverloaded(20, 1)
 		for position := 20; position < len(gateways); position++ {
 			gateways[position].Region = "elsewhere"
 		}
-		So(far(gateways), ShouldEqual, 0)
+		So(remoteShare(gateways), ShouldEqual, 0)
 	})
 }
 
-// TestSpreadHolds holds what is true of every answer, whatever the gateways are.
+// TestSpreadHolds checks the properties of every selection, for arbitrary gateways.
 func TestSpreadHolds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		capacities := rapid.SliceOfN(rapid.SampledFrom([]float64{0, 0.144, 0.192, 0.48, 1}), 1, 120).Draw(t, "capacities")
-		gateways := gatewaysOf("a", capacities...)
+		gateways := testGateways("a", capacities...)
 		for position := range gateways {
-			gateways[position].OverloadLevel = uint8(rapid.SampledFrom([]int{0, 0, 0, 1, mostBusy, 255}).Draw(t, "busy"))
+			gateways[position].OverloadLevel = uint8(rapid.SampledFrom([]int{0, 0, 0, 1, maxOverloadLevel, 255}).Draw(t, "busy"))
 			gateways[position].IsReady = rapid.SampledFrom([]bool{true, true, true, false}).Draw(t, "ready")
 		}
 		ready := 0
@@ -124,52 +125,52 @@
 				ready++
 			}
 		}
-		spread := NewGatewaySelector(gateways)
+		selector := NewGatewaySelector(gateways)
 		caller := Caller{Key: rapid.String().Draw(t, "caller"), Zone: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "zone"), Region: "r"}
-		named := spread.Select(caller)
+		selected := selector.Select(caller)
 		distinct := map[string]bool{}
-		for _, address := range named {
+		for _, address := range selected {
 			distinct[address] = true
 		}
-		if len(distinct) != len(named) || len(named) > maxNamed || len(named) < min(ready, leastNamed) {
-			t.Fatalf("%d of %d ready gateways named, %d of them distinct", len(named), ready, len(distinct))
+		if len(distinct) != len(selected) || len(selected) > maxSelected || len(selected) < min(ready, minSelected) {
+			t.Fatalf("%d of %d ready gateways selected, %d of them distinct", len(selected), ready, len(distinct))
 		}
 		for _, gateway := range gateways {
 			if distinct[gateway.Address] && !gateway.IsReady {
-				t.Fatalf("%s is not ready and named", gateway.Name)
+				t.Fatalf("gateway %s is selected but not ready", gateway.Name)
 			}
 		}
-		if !slices.Equal(named, NewGatewaySelector(gateways).Select(caller)) {
-			t.Fatal("two answers to one caller differ")
+		if !slices.Equal(selected, NewGatewaySelector(gateways).Select(caller)) {
+			t.Fatal("two selections for one caller differ")
 		}
-		// A gateway that goes changes an answer in itself and what takes its place.
-		gone := rapid.IntRange(0, len(gateways)-1).Draw(t, "gone")
-		after := NewGatewaySelector(slices.Delete(slices.Clone(gateways), gone, gone+1)).Select(caller)
-		lost := 0
-		for _, address := range named {
+		// Removing a gateway changes a selection only by that gateway and its replacement.
+		removed := rapid.IntRange(0, len(gateways)-1).Draw(t, "gone")
+		after := NewGatewaySelector(slices.Delete(slices.Clone(gateways), removed, removed+1)).Select(caller)
+		changed := 0
+		for _, address := range selected {
 			if !slices.Contains(after, address) {
-				lost++
+				changed++
 			}
 		}
-		// It may also lower how many are named, and the shares by which they are.
-		if allowed := 2 + max(len(named)-len(after), 0); lost > allowed+len(named)/4 {
-			t.Fatalf("%d of %d addresses are gone with one gateway of %d", lost, len(named), ready)
+		// It may also reduce the sample size and change the inclusion probabilities.
+		if allowed := 2 + max(len(selected)-len(after), 0); changed > allowed+len(selected)/4 {
+			t.Fatalf("%d of %d addresses changed with the removal of one gateway of %d", changed, len(selected), ready)
 		}
 	})
 }
 
-// TestInclusionInProportion holds that the parts of answers add up to the answer's length and
-// are in proportion to the weights wherever none is in all answers.
+// TestInclusionInProportion checks that the probabilities add up to the sample size and are
+// proportional to the weights, except those that are 1.
 func TestInclusionInProportion(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		weights := rapid.SliceOfN(rapid.Float64Range(0.01, 10), 1, 80).Draw(t, "weights")
-		named := namedOf(weights)
-		shares := inclusion(weights, named)
+		sampleSize := sampleSizeFor(weights)
+		probabilities := inclusionProbabilities(weights, sampleSize)
 		sum, ratio := 0.0, 0.0
-		for position, share := range shares {
+		for position, share := range probabilities {
 			sum += share
 			if share > 1 || share < 0 {
-				t.Fatalf("share %g", share)
+				t.Fatalf("probability is %g", share)
 			}
 			if share == 1 {
 				continue
@@ -178,22 +179,22 @@
 				ratio = share / weights[position]
 			}
 			if math.Abs(share/weights[position]-ratio) > 1e-9*ratio {
-				t.Fatalf("shares %v are not in proportion to %v", shares, weights)
+				t.Fatalf("probabilities %v are not proportional to weights %v", probabilities, weights)
 			}
 		}
-		if math.Abs(sum-float64(named)) > 1e-6 {
-			t.Fatalf("shares add up to %g of %d", sum, named)
+		if math.Abs(sum-float64(sampleSize)) > 1e-6 {
+			t.Fatalf("probabilities add up to %g, want %d", sum, sampleSize)
 		}
 	})
 }
 
-// BenchmarkNamed is what a look-up costs among the gateways of a large zone.
+// BenchmarkNamed measures a lookup among the gateways of a large zone.
 func BenchmarkNamed(b *testing.B) {
 	for _, size := range []int{26, 300, 1000} {
-		spread := NewGatewaySelector(gatewaysOf("a", append(repeated(0.144, size-size/4), repeated(0.48, size/4)...)...))
+		selector := NewGatewaySelector(testGateways("a", append(repeatCapacity(0.144, size-size/4), repeatCapacity(0.48, size/4)...)...))
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			for number := range b.N {
-				spread.Select(Caller{Key: fmt.Sprint(number), Zone: "a"})
+				selector.Select(Caller{Key: fmt.Sprint(number), Zone: "a"})
 			}
 		})
 	}
--- a/internal/membership/superseded.go
+++ b/internal/membership/superseded.go
@@ -3,95 +3,97 @@
 import "slices"
 
 const (
-	// doubtfulReports is how many reports that contradict what is known must come before they
-	// are believed. A cut holds back fewer; an engine that is alive gets there.
-	doubtfulReports = 4
-	// keptDoubts bounds the engines whose reports are doubted; beyond it all are counted anew.
-	keptDoubts = 1024
-	// keptSuperseded bounds the engines that a fleet remembers as superseded.
-	keptSuperseded = 1024
+	// requiredContradictions is the number of contradictory reports that must arrive before
+	// they are accepted. A network partition delays fewer reports, while an engine that is
+	// alive reaches this number.
+	requiredContradictions = 4
+	// maxContradictions bounds the engines with contradictory reports. When it is reached, all
+	// counts restart.
+	maxContradictions = 1024
+	// maxSuperseded bounds the ids of superseded engines that a fleet retains.
+	maxSuperseded = 1024
 )
 
-// doubt is what speaks against an engine's reports.
-type doubt struct {
+// contradiction counts an engine's contradictory reports.
+type contradiction struct {
 	reports int
 	lastMs  int64
 }
 
-// AcceptsReport reports whether what an engine reports is taken for true. What contradicts an
-// engine that is known is late, or was written by others, unless it is said again and again
-// while that engine is silent.
+// AcceptsReport reports whether an engine's report is accepted as true, and counts
+// contradictory ones. A report that contradicts a listed engine is late or was written by
+// another process, unless it is repeated while that engine is silent.
 func (t *FleetTracker) AcceptsReport(fleet *Fleet, engine ServingEngine, nowMs int64) bool {
-	contradicted, doubtful := fleet.contradicts(engine)
-	if !doubtful {
-		delete(t.doubts, engine.ID)
+	contradicted, contradictory := fleet.contradictedEngine(engine)
+	if !contradictory {
+		delete(t.contradictions, engine.ID)
 		return true
 	}
-	known := t.doubts[engine.ID]
-	if heard, ok := t.heard[contradicted]; ok && known.reports > 0 && heard >= known.lastMs {
-		known.reports = 0
+	record := t.contradictions[engine.ID]
+	if lastReportMs, ok := t.lastReportMs[contradicted]; ok && record.reports > 0 && lastReportMs >= record.lastMs {
+		record.reports = 0
 	}
-	known.reports++
-	known.lastMs = nowMs
-	if len(t.doubts) >= keptDoubts {
-		clear(t.doubts)
+	record.reports++
+	record.lastMs = nowMs
+	if len(t.contradictions) >= maxContradictions {
+		clear(t.contradictions)
 	}
-	t.doubts[engine.ID] = known
-	if known.reports < doubtfulReports {
+	t.contradictions[engine.ID] = record
+	if record.reports < requiredContradictions {
 		return false
 	}
-	delete(t.doubts, engine.ID)
+	delete(t.contradictions, engine.ID)
 	return true
 }
 
-// contradicts returns which known engine a report contradicts: the one at its address, where
-// that one has taken the address since or has started later; the engine itself, where one
-// incarnation would be at two places; or an engine of the id that has left, where nobody
-// knows which incarnation that was.
-func (f *Fleet) contradicts(engine ServingEngine) (id string, doubtful bool) {
-	holder := f.addresses[engine.Address]
-	held := holder != "" && holder != engine.ID
-	switch known, there := f.state.Engines[engine.ID]; {
+// contradictedEngine returns the listed engine that a report contradicts: the engine at the
+// same address, if it took over the address or has a later start time; the engine itself, if
+// one incarnation would be at two locations; or an engine of the same id that has left, if its
+// incarnation is unknown.
+func (f *Fleet) contradictedEngine(engine ServingEngine) (id string, contradictory bool) {
+	holder := f.engineByAddress[engine.Address]
+	isTaken := holder != "" && holder != engine.ID
+	switch current, listed := f.state.Engines[engine.ID]; {
 	case slices.Contains(f.state.Superseded, engine.ID):
 		return holder, true
-	case held && engine.StartedMs <= f.state.Engines[holder].Value.StartedMs && f.state.Engines[holder].Value.StartedMs > 0:
+	case isTaken && engine.StartedMs <= f.state.Engines[holder].Value.StartedMs && f.state.Engines[holder].Value.StartedMs > 0:
 		return holder, true
-	case there && known.Value.StartedMs == 0 && engine.restarted(known.Value):
+	case listed && current.Value.StartedMs == 0 && engine.isRestartOf(current.Value):
 		return engine.ID, true
-	case there && engine.StartedMs > 0 && engine.StartedMs == known.Value.StartedMs:
-		return engine.ID, !engine.samePlace(known.Value)
-	case !there && f.left[engine.ID]:
-		_, lived := f.ended[engine.ID]
-		return engine.ID, !lived
+	case listed && engine.StartedMs > 0 && engine.StartedMs == current.Value.StartedMs:
+		return engine.ID, !engine.isSameLocation(current.Value)
+	case !listed && f.left[engine.ID]:
+		_, hasIncarnation := f.ended[engine.ID]
+		return engine.ID, !hasIncarnation
 	}
 	return "", false
 }
 
-// samePlace reports whether two reports are of an engine at the same place, which no
-// incarnation changes.
-func (e ServingEngine) samePlace(other ServingEngine) bool {
+// isSameLocation reports whether two reports describe an engine at the same location, which
+// does not change within an incarnation.
+func (e ServingEngine) isSameLocation(other ServingEngine) bool {
 	return e.Backend == other.Backend && e.Address == other.Address && e.Zone == other.Zone
 }
 
-// takeAddress gives an engine its address and takes out the one that held it. Invariant: a
-// report of an engine that has crashed, held back by a cut, does not bring it back beside the
-// one that has started at its address since.
-func (f *Fleet) takeAddress(engine ServingEngine) {
+// claimAddress assigns an address to an engine and removes the engine that held it. Invariant:
+// a report of a crashed engine, delayed by a network partition, does not restore that engine
+// beside the one that has since started at its address.
+func (f *Fleet) claimAddress(engine ServingEngine) {
 	f.state.Superseded = slices.DeleteFunc(f.state.Superseded, func(id string) bool { return id == engine.ID })
 	if engine.Address == "" {
 		return
 	}
-	if known, ok := f.state.Engines[engine.ID]; ok && known.Value.Address != engine.Address && f.addresses[known.Value.Address] == engine.ID {
-		delete(f.addresses, known.Value.Address)
+	if current, ok := f.state.Engines[engine.ID]; ok && current.Value.Address != engine.Address && f.engineByAddress[current.Value.Address] == engine.ID {
+		delete(f.engineByAddress, current.Value.Address)
 	}
-	holder, held := f.addresses[engine.Address]
-	f.addresses[engine.Address] = engine.ID
-	if !held || holder == engine.ID {
+	holder, isTaken := f.engineByAddress[engine.Address]
+	f.engineByAddress[engine.Address] = engine.ID
+	if !isTaken || holder == engine.ID {
 		return
 	}
 	f.state.Superseded = append(f.state.Superseded, holder)
-	if len(f.state.Superseded) > keptSuperseded {
-		f.state.Superseded = slices.Clone(f.state.Superseded[keptSuperseded/2:])
+	if len(f.state.Superseded) > maxSuperseded {
+		f.state.Superseded = slices.Clone(f.state.Superseded[maxSuperseded/2:])
 	}
 	f.removeEngine(holder)
 }
--- a/internal/membership/tracker.go
+++ b/internal/membership/tracker.go
@@ -5,25 +5,25 @@
 	"strings"
 )
 
-// Heartbeat is what a scheduler reports to the leader of the settings group.
+// Heartbeat is the message that a scheduler sends to the leader of the settings group.
 type Heartbeat struct {
 	Scheduler Scheduler `msgpack:"s"`
 	// Revision is the settings revision in force at the scheduler.
 	Revision uint64 `msgpack:"r"`
-	// SidecarCount counts the sidecars that follow the tree through this scheduler;
-	// SidecarRevision is the lowest revision in force among them, and Lagging
-	// names some of those below the scheduler's own.
+	// SidecarCount is the number of sidecars that follow the settings tree through this
+	// scheduler. SidecarRevision is the lowest revision in force among them, and
+	// LaggingSidecars lists some of those below the scheduler's own revision.
 	SidecarCount    int      `msgpack:"c"`
 	SidecarRevision uint64   `msgpack:"m"`
 	LaggingSidecars []string `msgpack:"l,omitempty"`
-	// ReadyEngines counts engines ready to serve, by pool.
+	// ReadyEngines is the number of engines ready to serve, by pool.
 	ReadyEngines map[string]int `msgpack:"e,omitempty"`
-	// QueueLength and InFlight sum up the cell.
+	// QueueLength and InFlight are totals over the scheduler's cell.
 	QueueLength int `msgpack:"q"`
 	InFlight    int `msgpack:"f"`
 }
 
-// Instance is one machine on the platform's list.
+// Instance is one machine in the platform's list.
 type Instance struct {
 	Name    string `json:"name"`
 	Zone    string `json:"zone"`
@@ -32,49 +32,49 @@
 	Leaving bool   `json:"leaving"`
 }
 
-// Report is the last heartbeat of a scheduler and when it came.
+// Report is a scheduler's last heartbeat and its receive time.
 type Report struct {
 	Heartbeat  Heartbeat
 	ReceivedMs int64
 }
 
-// Tracker is the leader's soft state; a new leader starts with an empty one.
+// Tracker is the leader's soft state. A new leader starts with an empty one.
 type Tracker struct {
-	leaseMs   int64
-	startMs   int64
-	reports   map[string]Report
-	instances []Instance
-	listed    bool
-	// changed is set when something was heard that may call for an update;
-	// planned is the directory version that was found in line.
-	changed bool
-	planned uint64
+	leaseMs      int64
+	startMs      int64
+	reports      map[string]Report
+	instances    []Instance
+	hasInstances bool
+	// hasChanged is set when a message may require an update. plannedVersion is the directory
+	// version that needed no update.
+	hasChanged     bool
+	plannedVersion uint64
 }
 
-// NewTracker returns the tracker of a leader that began to lead at nowMs.
+// NewTracker returns the tracker of a leader whose leadership began at nowMs.
 func NewTracker(leaseMs, nowMs int64) *Tracker {
-	return &Tracker{leaseMs: leaseMs, startMs: nowMs, reports: map[string]Report{}, changed: true}
+	return &Tracker{leaseMs: leaseMs, startMs: nowMs, reports: map[string]Report{}, hasChanged: true}
 }
 
-// RecordHeartbeat notes a heartbeat.
+// RecordHeartbeat records a heartbeat.
 func (t *Tracker) RecordHeartbeat(heartbeat Heartbeat, nowMs int64) {
 	previous, known := t.reports[heartbeat.Scheduler.Name]
 	if !known || previous.Heartbeat.Scheduler != heartbeat.Scheduler || nowMs-previous.ReceivedMs > t.leaseMs {
-		t.changed = true
+		t.hasChanged = true
 	}
 	t.reports[heartbeat.Scheduler.Name] = Report{Heartbeat: heartbeat, ReceivedMs: nowMs}
 }
 
-// SetInstances notes the platform's list of engines.
+// SetInstances records the platform's list of engines.
 func (t *Tracker) SetInstances(instances []Instance) {
-	if !t.listed || !slices.Equal(t.instances, instances) {
-		t.changed = true
+	if !t.hasInstances || !slices.Equal(t.instances, instances) {
+		t.hasChanged = true
 	}
 	t.instances = instances
-	t.listed = true
+	t.hasInstances = true
 }
 
-// LiveReports returns the last report of each scheduler that is alive.
+// LiveReports returns the last report of each scheduler within its lease.
 func (t *Tracker) LiveReports(nowMs int64) map[string]Report {
 	alive := map[string]Report{}
 	for name, report := range t.reports {
@@ -85,7 +85,7 @@
 	return alive
 }
 
-// ReadyEngines sums up the ready engines of a pool over all live schedulers.
+// ReadyEngines returns the number of ready engines of a pool over all live schedulers.
 func (t *Tracker) ReadyEngines(pool string, nowMs int64) int {
 	ready := 0
 	for _, report := range t.LiveReports(nowMs) {
@@ -94,22 +94,22 @@
 	return ready
 }
 
-// Plan returns the update that brings the directory into line with what was
-// heard. A scheduler is dropped only when this leader has itself waited a whole
-// lease for its heartbeat.
+// Plan returns the update that aligns the directory with the recorded heartbeats and
+// instances. A scheduler is removed only after this leader itself has waited for its heartbeat
+// for a full lease.
 func (t *Tracker) Plan(directory *Directory, nowMs int64) Update {
 	var update Update
-	if !t.changed && t.planned == directory.Version && !t.anyExpired(directory, nowMs) {
+	if !t.hasChanged && t.plannedVersion == directory.Version && !t.hasExpiredLease(directory, nowMs) {
 		return update
 	}
 	alive := map[string]Scheduler{}
 	for _, scheduler := range directory.SchedulerList() {
-		report, heard := t.reports[scheduler.Name]
-		since := t.startMs
-		if heard {
-			since = report.ReceivedMs
+		report, reported := t.reports[scheduler.Name]
+		sinceMs := t.startMs
+		if reported {
+			sinceMs = report.ReceivedMs
 		}
-		if nowMs-since > t.leaseMs {
+		if nowMs-sinceMs > t.leaseMs {
 			update.RemoveSchedulers = append(update.RemoveSchedulers, scheduler.Name)
 			continue
 		}
@@ -125,21 +125,21 @@
 	slices.SortFunc(update.Schedulers, func(a, b Scheduler) int { return strings.Compare(a.Name, b.Name) })
 	t.planEngines(directory, alive, &update)
 	if update.IsEmpty() {
-		t.changed = false
-		t.planned = directory.Version
+		t.hasChanged = false
+		t.plannedVersion = directory.Version
 	}
 	return update
 }
 
-// anyExpired reports whether a scheduler of the directory has been silent for a
-// lease.
-func (t *Tracker) anyExpired(directory *Directory, nowMs int64) bool {
+// hasExpiredLease reports whether a scheduler in the directory has sent no heartbeat for a
+// full lease.
+func (t *Tracker) hasExpiredLease(directory *Directory, nowMs int64) bool {
 	for name := range directory.Schedulers {
-		since := t.startMs
-		if report, heard := t.reports[name]; heard {
-			since = report.ReceivedMs
+		sinceMs := t.startMs
+		if report, reported := t.reports[name]; reported {
+			sinceMs = report.ReceivedMs
 		}
-		if nowMs-since > t.leaseMs {
+		if nowMs-sinceMs > t.leaseMs {
 			return true
 		}
 	}
@@ -151,8 +151,8 @@
 	for _, engine := range directory.Engines {
 		desired[engine.Name] = engine
 	}
-	if t.listed {
-		desired = t.fromList(directory)
+	if t.hasInstances {
+		desired = t.enginesFromInstances(directory)
 		for name := range directory.Engines {
 			if _, ok := desired[name]; !ok {
 				update.RemoveEngines = append(update.RemoveEngines, name)
@@ -168,7 +168,7 @@
 	}
 }
 
-func (t *Tracker) fromList(directory *Directory) map[string]Engine {
+func (t *Tracker) enginesFromInstances(directory *Directory) map[string]Engine {
 	engines := map[string]Engine{}
 	for _, instance := range t.instances {
 		current := directory.Engines[instance.Name]
