--- a/internal/program/close.go
+++ b/internal/program/close.go
@@ -2,18 +2,18 @@
 
 import "github.com/ochrebay/ochrebay/internal/result"
 
-// openWithFence returns the program if fence is that of its open turn.
-func (l *Ledger) openWithFence(id string, fence uint64) (*Header, bool) {
+// findOpen returns the program if the fence is that of its open turn.
+func (l *Ledger) findOpen(id string, fence uint64) (*Header, bool) {
 	header, ok := l.programs[id]
 	if !ok || header.Open == nil {
 		return nil, false
 	}
-	// Invariant: only the newest attempt of a turn can close it.
+	// Invariant: only the latest attempt of a turn can close it.
 	return header, header.Open.Fence == fence || l.DisableFence
 }
 
-// closedAlready answers a commit or abort that was carried out before.
-func (l *Ledger) closedAlready(id string, fence uint64, byAbort bool) (Reply, bool) {
+// replyIfClosed returns the reply to a commit or abort that has already been applied.
+func (l *Ledger) replyIfClosed(id string, fence uint64, byAbort bool) (Reply, bool) {
 	header, ok := l.programs[id]
 	if !ok || fence == 0 || header.ClosedFence != fence || header.ClosedByAbort != byAbort {
 		return Reply{}, false
@@ -22,12 +22,12 @@
 }
 
 func (l *Ledger) commit(nowMs int64, commit *Commit) (Reply, Effects) {
-	if reply, done := l.closedAlready(commit.Program, commit.Fence, false); done {
+	if reply, done := l.replyIfClosed(commit.Program, commit.Fence, false); done {
 		return reply, Effects{}
 	}
-	header, ok := l.openWithFence(commit.Program, commit.Fence)
+	header, ok := l.findOpen(commit.Program, commit.Fence)
 	if !ok {
-		return refuse(result.StaleFence, "fence %d of program %s is not in force", commit.Fence, commit.Program)
+		return refuse(result.StaleFence, "fence %d is not the fence of the open turn of program %s", commit.Fence, commit.Program)
 	}
 	open := header.Open
 	header.Open = nil
@@ -37,7 +37,7 @@
 	header.SpentTokens += min(commit.NewTokens+commit.Usage.CompletionTokens, open.Reserved)
 	header.LastActiveMs = nowMs
 	header.Engine = commit.Engine
-	header.remember(open)
+	header.recordClosedRequest(open)
 	thread := header.findThread(open.Thread)
 	thread.Messages += len(commit.Messages) + 1
 	thread.Digest = ChainDigest(ChainDigest(thread.Digest, commit.Messages...), commit.Answer)
@@ -55,18 +55,18 @@
 }
 
 func (l *Ledger) abort(nowMs int64, abort *Abort) (Reply, Effects) {
-	if reply, done := l.closedAlready(abort.Program, abort.Fence, true); done {
+	if reply, done := l.replyIfClosed(abort.Program, abort.Fence, true); done {
 		return reply, Effects{}
 	}
-	header, ok := l.openWithFence(abort.Program, abort.Fence)
+	header, ok := l.findOpen(abort.Program, abort.Fence)
 	if !ok {
-		return refuse(result.StaleFence, "fence %d of program %s is not in force", abort.Fence, abort.Program)
+		return refuse(result.StaleFence, "fence %d is not the fence of the open turn of program %s", abort.Fence, abort.Program)
 	}
 	open := header.Open
 	header.ClosedFence = abort.Fence
 	header.ClosedByAbort = true
 	if open.AtMostOnce && !abort.NotRun {
-		effects := header.closeUnknown(nowMs)
+		effects := header.closeWithUnknownOutcome(nowMs)
 		return Reply{Turn: header.LastTurn, RemainingTokens: header.RemainingTokens()}, effects
 	}
 	if !abort.NotRun {
@@ -80,10 +80,10 @@
 func (l *Ledger) end(nowMs int64, end *End) (Reply, Effects) {
 	header, ok := l.programs[end.Program]
 	if !ok {
-		return refuse(result.NotFound, "no program %s", end.Program)
+		return refuse(result.NotFound, "program %s does not exist", end.Program)
 	}
 	if end.Tenant != "" && header.Tenant != end.Tenant {
-		return refuse(result.ForeignProgram, "program %s is not of tenant %q", end.Program, end.Tenant)
+		return refuse(result.ForeignProgram, "program %s does not belong to tenant %q", end.Program, end.Tenant)
 	}
 	if header.Ended {
 		return Reply{Turn: header.LastTurn, Ended: true, RemainingTokens: header.RemainingTokens()}, Effects{}
@@ -92,11 +92,11 @@
 	return Reply{Turn: header.LastTurn, Ended: true, RemainingTokens: header.RemainingTokens()}, effects
 }
 
-// close ends the program; a call under way loses its turn.
+// close ends the program. A call in progress loses its turn.
 func (h *Header) close(nowMs int64, reason string) Effects {
 	var effects Effects
 	if h.Open != nil && h.Open.AtMostOnce {
-		effects = h.closeUnknown(nowMs)
+		effects = h.closeWithUnknownOutcome(nowMs)
 	} else if h.Open != nil {
 		h.SpentTokens += h.Open.Reserved
 		h.Open = nil
@@ -107,19 +107,19 @@
 	return effects
 }
 
-// IsSweepDue reports whether a Sweep now would change anything.
+// IsSweepDue reports whether a Sweep would change anything now.
 func (l *Ledger) IsSweepDue(nowMs, retainMs int64) bool {
 	for _, header := range l.programs {
-		if header.idle(nowMs) || header.forgettable(nowMs, retainMs) {
+		if header.isIdle(nowMs) || header.isExpired(nowMs, retainMs) {
 			return true
 		}
 	}
 	return false
 }
 
-// idle reports whether nobody has used the program for its idle time. A turn that
-// is open past its caller's deadline has lost its scheduler and doesn't count.
-func (h *Header) idle(nowMs int64) bool {
+// isIdle reports whether the program has been unused for its idle timeout. A turn that is open
+// past its caller's deadline has lost its scheduler and does not count as use.
+func (h *Header) isIdle(nowMs int64) bool {
 	sinceMs := h.LastActiveMs
 	if h.Open != nil {
 		sinceMs = max(sinceMs, h.Open.DeadlineMs)
@@ -127,7 +127,7 @@
 	return !h.Ended && h.Limits.IdleTimeoutMs > 0 && nowMs-sinceMs > h.Limits.IdleTimeoutMs
 }
 
-func (h *Header) forgettable(nowMs, retainMs int64) bool {
+func (h *Header) isExpired(nowMs, retainMs int64) bool {
 	return h.Ended && nowMs-h.LastActiveMs > retainMs
 }
 
@@ -135,15 +135,15 @@
 	var effects Effects
 	for _, id := range l.IDs() {
 		header := l.programs[id]
-		if header.idle(nowMs) {
+		if header.isIdle(nowMs) {
 			effects = header.close(nowMs, "idle")
 			if effects.Write != nil {
-				// One record a command: the next sweep goes on.
+				// A command can write only one record, so the next sweep continues.
 				return Reply{}, effects
 			}
 			continue
 		}
-		if header.forgettable(nowMs, sweep.RetentionMs) {
+		if header.isExpired(nowMs, sweep.RetentionMs) {
 			effects.DeletePrograms = append(effects.DeletePrograms, DeletedProgram{Program: id, LastTurn: header.LastTurn})
 			delete(l.programs, id)
 		}
--- a/internal/program/compat_test.go
+++ b/internal/program/compat_test.go
@@ -6,9 +6,10 @@
 	"github.com/ochrebay/ochrebay/internal/compat"
 )
 
-// TestEarlierReleases holds what this package sends and stores against earlier releases.
+// TestEarlierReleases checks the encodings that this package sends and stores against earlier
+// releases.
 func TestEarlierReleases(t *testing.T) {
 	compat.Hold(t, map[string]any{
-		"headers": &[]*Header{}, "turnsSnapshot": &turnsSnapshot{}, "Command": &Command{}, "TurnCommand": &TurnCommand{}, "TurnRecord": &TurnRecord{},
+		"headers": &[]*Header{}, "turnsSnapshot": &turnLedgerSnapshot{}, "Command": &Command{}, "TurnCommand": &TurnCommand{}, "TurnRecord": &TurnRecord{},
 	})
 }
--- a/internal/program/digest.go
+++ b/internal/program/digest.go
@@ -6,8 +6,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// ChainDigest extends the digest of a conversation by messages. The chain after
-// n messages depends on all n of them and their order.
+// ChainDigest extends the digest of a conversation by messages. The digest after n messages
+// depends on all n of them and on their order.
 func ChainDigest(digest uint64, messages ...Message) uint64 {
 	for _, message := range messages {
 		hash := xxhash.New()
@@ -21,7 +21,7 @@
 	return digest
 }
 
-// PrefixDigests returns the chain digest after 0, 1, ... n messages.
+// PrefixDigests returns the chain digests after 0, 1, ... n messages.
 func PrefixDigests(messages []Message) []uint64 {
 	digests := make([]uint64, 1, len(messages)+1)
 	for _, message := range messages {
@@ -30,15 +30,15 @@
 	return digests
 }
 
-// ContentDigest identifies the content of one call, so that a request id that
-// is used again with other content is seen.
+// ContentDigest identifies the content of one call, so that the reuse of a request id with
+// different content is detected.
 func ContentDigest(service, thread string, messages []Message) uint64 {
 	identity := ChainDigest(0, Message{Role: service, Content: thread})
 	return ChainDigest(identity, messages...)
 }
 
-// IncludesHistory reports whether messages hold an answer of a model, which
-// means that the caller sent its conversation whole and not just what is new.
+// IncludesHistory reports whether messages contain an answer of the model, which means that
+// the caller sent its full conversation and not only the new messages.
 func IncludesHistory(messages []Message) bool {
 	for _, message := range messages {
 		if message.Role == "assistant" {
@@ -48,7 +48,7 @@
 	return false
 }
 
-// Conversation joins the records of a thread in turn order.
+// Conversation concatenates the messages of a thread's records in turn order.
 func Conversation(lineage []ThreadPrefix, records []TurnRecord) []Message {
 	var messages []Message
 	for _, record := range records {
@@ -62,15 +62,15 @@
 }
 
 func inLineage(lineage []ThreadPrefix, record TurnRecord) bool {
-	for _, span := range lineage {
-		if span.Thread == record.Thread && record.Turn <= span.Last {
+	for _, prefix := range lineage {
+		if prefix.Thread == record.Thread && record.Turn <= prefix.Last {
 			return true
 		}
 	}
 	return false
 }
 
-// GroupOf returns the ledger group, 1 to groups, that a program belongs to.
+// GroupOf returns the ledger group of a program, from 1 to groups.
 func GroupOf(id string, groups uint32) uint32 {
 	return uint32(xxhash.Sum64String(id)%uint64(groups)) + 1
 }
--- a/internal/program/ledger.go
+++ b/internal/program/ledger.go
@@ -8,7 +8,7 @@
 	"github.com/ochrebay/ochrebay/internal/result"
 )
 
-// Thread is one conversation of a program; the main one is named "".
+// Thread is one conversation of a program. The main thread has an empty name.
 type Thread struct {
 	Name     string `msgpack:"n"`
 	Parent   string `msgpack:"p"`
@@ -17,7 +17,7 @@
 	Digest   uint64 `msgpack:"d"`
 }
 
-// OpenTurn is the call that is under way.
+// OpenTurn is the turn of the call in progress.
 type OpenTurn struct {
 	Turn       uint64 `msgpack:"t"`
 	Fence      uint64 `msgpack:"f"`
@@ -28,16 +28,16 @@
 	Reserved   int64  `msgpack:"v"`
 	Scheduler  string `msgpack:"s"`
 	OpenedMs   int64  `msgpack:"n"`
-	// Incarnation identifies the holder's process, and UntilMs is when its caller stops
-	// waiting.
+	// Incarnation identifies the process of the scheduler that holds the turn. DeadlineMs is
+	// the time at which the caller stops waiting.
 	Incarnation  uint64 `msgpack:"st,omitempty" json:"-"`
 	DeadlineMs   int64  `msgpack:"un,omitempty" json:"until_ms,omitempty"`
 	Nonce        uint64 `msgpack:"z"`
 	SkipMessages int    `msgpack:"k"`
 }
 
-// answered remembers one finished request in 16 bytes.
-type answered struct {
+// closedRequest identifies the request of a closed turn in 16 bytes.
+type closedRequest struct {
 	Request uint64 `msgpack:"r"`
 	Digest  uint32 `msgpack:"d"`
 	Turn    uint32 `msgpack:"t"`
@@ -45,48 +45,48 @@
 
 // Header is the state of one program.
 type Header struct {
-	ID             string     `msgpack:"i" json:"id"`
-	Tenant         string     `msgpack:"t" json:"tenant"`
-	Service        string     `msgpack:"s" json:"service"`
-	Limits         Limits     `msgpack:"l" json:"limits"`
-	SpentTokens    int64      `msgpack:"p" json:"spent_tokens"`
-	LastTurn       uint64     `msgpack:"n" json:"turn"`
-	Open           *OpenTurn  `msgpack:"o" json:"-"`
-	Threads        []*Thread  `msgpack:"h" json:"-"`
-	ClosedRequests []answered `msgpack:"a" json:"-"`
-	Scheduler      string     `msgpack:"w" json:"scheduler"`
-	Engine         string     `msgpack:"e" json:"engine"`
-	CreatedMs      int64      `msgpack:"c" json:"created_ms"`
-	LastActiveMs   int64      `msgpack:"m" json:"last_ms"`
-	// ClosedFence is the fence of the turn closed last, so that a commit which
-	// is proposed again gets its first answer.
+	ID             string          `msgpack:"i" json:"id"`
+	Tenant         string          `msgpack:"t" json:"tenant"`
+	Service        string          `msgpack:"s" json:"service"`
+	Limits         Limits          `msgpack:"l" json:"limits"`
+	SpentTokens    int64           `msgpack:"p" json:"spent_tokens"`
+	LastTurn       uint64          `msgpack:"n" json:"turn"`
+	Open           *OpenTurn       `msgpack:"o" json:"-"`
+	Threads        []*Thread       `msgpack:"h" json:"-"`
+	ClosedRequests []closedRequest `msgpack:"a" json:"-"`
+	Scheduler      string          `msgpack:"w" json:"scheduler"`
+	Engine         string          `msgpack:"e" json:"engine"`
+	CreatedMs      int64           `msgpack:"c" json:"created_ms"`
+	LastActiveMs   int64           `msgpack:"m" json:"last_ms"`
+	// ClosedFence is the fence of the last closed turn, so that a commit that is proposed
+	// again receives its original reply.
 	ClosedFence uint64 `msgpack:"g" json:"-"`
-	// ClosedByAbort tells how it was closed.
+	// ClosedByAbort reports whether an abort closed that turn.
 	ClosedByAbort bool   `msgpack:"ca,omitempty" json:"-"`
 	Ended         bool   `msgpack:"d" json:"ended"`
 	EndReason     string `msgpack:"r" json:"end_reason"`
 }
 
-// RemainingTokens returns the budget that is neither spent nor reserved.
+// RemainingTokens returns the part of the budget that is neither spent nor reserved.
 func (h *Header) RemainingTokens() int64 {
-	left := h.Limits.BudgetTokens - h.SpentTokens
+	remaining := h.Limits.BudgetTokens - h.SpentTokens
 	if h.Open != nil {
-		left -= h.Open.Reserved
+		remaining -= h.Open.Reserved
 	}
-	return left
+	return remaining
 }
 
 // Ledger is the state of one ledger group.
 type Ledger struct {
 	programs map[string]*Header
 
-	// DisableFence accepts the result of any attempt, and DisableBudget refuses
-	// no call for its budget; for runs that show what each is for.
+	// DisableFence accepts the result of any attempt. DisableBudget accepts calls beyond the
+	// budget. Both serve runs that show the effect of the mechanism.
 	DisableFence  bool
 	DisableBudget bool
-	// DisableAtMostOnce lets a call that is not repeatable run again.
+	// DisableAtMostOnce allows a call that is not repeatable to run again.
 	DisableAtMostOnce bool
-	// DisableTurnOrder opens a turn although another is open.
+	// DisableTurnOrder opens a turn while another one is open.
 	DisableTurnOrder bool
 }
 
@@ -95,13 +95,13 @@
 	return &Ledger{programs: map[string]*Header{}}
 }
 
-// Get returns a program's header for reading.
+// Get returns a program's header, which the caller must not modify.
 func (l *Ledger) Get(id string) (*Header, bool) {
 	header, ok := l.programs[id]
 	return header, ok
 }
 
-// Len returns how many programs the ledger knows.
+// Len returns the number of programs in the ledger.
 func (l *Ledger) Len() int {
 	return len(l.programs)
 }
@@ -116,8 +116,8 @@
 	return ids
 }
 
-// EndedOrUnknown returns which of the programs given hold no engine memory by right:
-// they have ended, or the ledger has forgotten them.
+// EndedOrUnknown returns those of the given programs that have no claim to engine memory,
+// because they have ended or are no longer in the ledger.
 func (l *Ledger) EndedOrUnknown(ids []string) []string {
 	var released []string
 	for _, id := range ids {
@@ -129,8 +129,8 @@
 	return released
 }
 
-// Apply carries out one command. index is its position in the log and becomes
-// the fence of a turn that it grants.
+// Apply applies one command. index is the command's position in the log and becomes the fence
+// of the turn that it grants.
 func (l *Ledger) Apply(index uint64, command Command) (Reply, Effects) {
 	switch {
 	case command.Begin != nil:
@@ -152,10 +152,10 @@
 }
 
 func (l *Ledger) begin(index uint64, nowMs int64, begin *Begin) (Reply, Effects) {
-	header, known := l.programs[begin.Program]
-	if !known {
+	header, exists := l.programs[begin.Program]
+	if !exists {
 		if !begin.Create {
-			return refuse(result.NotFound, "no program %s", begin.Program)
+			return refuse(result.NotFound, "program %s does not exist", begin.Program)
 		}
 		header = &Header{
 			ID: begin.Program, Tenant: begin.Tenant, Service: begin.Service, Limits: begin.Limits,
@@ -163,20 +163,20 @@
 		}
 	}
 	if header.Tenant != begin.Tenant || header.Service != begin.Service {
-		return refuse(result.ForeignProgram, "program %s is not of tenant %q and service %q", begin.Program, begin.Tenant, begin.Service)
+		return refuse(result.ForeignProgram, "program %s does not belong to tenant %q and service %q", begin.Program, begin.Tenant, begin.Service)
 	}
-	if reply, done := header.answeredBefore(begin); done {
+	if reply, done := header.replyIfRecorded(begin); done {
 		return reply, Effects{}
 	}
 	if header.Ended {
-		return refuse(result.ProgramClosed, "program %s ended: %s", begin.Program, header.EndReason)
+		return refuse(result.ProgramClosed, "program %s has ended: %s", begin.Program, header.EndReason)
 	}
 	if header.Open != nil && begin.Nonce != 0 && header.Open.Nonce == begin.Nonce {
-		return header.granted(begin.Thread), Effects{}
+		return header.grantReply(begin.Thread), Effects{}
 	}
-	lost := header.Open
-	if lost != nil {
-		reply, effects, done := l.resolveOpen(header, nowMs, begin)
+	lostTurn := header.Open
+	if lostTurn != nil {
+		reply, effects, done := l.resolveOpenTurn(header, nowMs, begin)
 		if done {
 			return reply, effects
 		}
@@ -186,19 +186,19 @@
 		l.programs[begin.Program] = header
 		return reply, effects
 	}
-	if lost != nil && lost.Request == begin.Request {
-		return header.refuseRetry(nowMs, lost, reply)
+	if lostTurn != nil && lostTurn.Request == begin.Request {
+		return header.refuseRetry(nowMs, lostTurn, reply)
 	}
 	return reply, effects
 }
 
-// refuseRetry closes the turn of a request whose earlier attempt was lost and
-// which may not be tried again. Invariant: "not run" is never said of a request
-// that an engine may have started, not at a later resend either.
-func (h *Header) refuseRetry(nowMs int64, lost *OpenTurn, reply Reply) (Reply, Effects) {
-	lost.Reserved = 0
-	h.Open = lost
-	effects := h.closeUnknown(nowMs)
+// refuseRetry closes the turn of a request whose earlier attempt was lost and which may not be
+// retried. Invariant: a request that an engine may have started is never reported as not run,
+// not even when it is sent again later.
+func (h *Header) refuseRetry(nowMs int64, lostTurn *OpenTurn, reply Reply) (Reply, Effects) {
+	lostTurn.Reserved = 0
+	h.Open = lostTurn
+	effects := h.closeWithUnknownOutcome(nowMs)
 	reply.Error = reply.Error.WithOutcome(result.Unknown)
 	return reply, effects
 }
@@ -207,15 +207,15 @@
 	return xxhash.Sum64String(request)
 }
 
-// answeredBefore gives the recorded answer to a request that was answered.
-func (h *Header) answeredBefore(begin *Begin) (Reply, bool) {
+// replyIfRecorded returns the recorded result of a request whose turn is closed.
+func (h *Header) replyIfRecorded(begin *Begin) (Reply, bool) {
 	hash := requestHash(begin.Request)
 	for _, previous := range h.ClosedRequests {
 		if previous.Request != hash {
 			continue
 		}
 		if previous.Digest != uint32(begin.Digest) {
-			reply, _ := refuse(result.RequestConflict, "request %s was used with other content", begin.Request)
+			reply, _ := refuse(result.RequestConflict, "request %s was already used with different content", begin.Request)
 			return reply, true
 		}
 		return Reply{ClosedTurn: uint64(previous.Turn), Ended: h.Ended, RemainingTokens: h.RemainingTokens()}, true
@@ -223,54 +223,54 @@
 	return Reply{}, false
 }
 
-// resolveOpen decides what a new Begin means for the turn that is open. It
-// returns done where the Begin gets no turn.
-func (l *Ledger) resolveOpen(header *Header, nowMs int64, begin *Begin) (Reply, Effects, bool) {
+// resolveOpenTurn handles a new Begin while a turn is open. It returns true if the Begin gets
+// no turn.
+func (l *Ledger) resolveOpenTurn(header *Header, nowMs int64, begin *Begin) (Reply, Effects, bool) {
 	open := header.Open
-	same := open.Request == begin.Request
-	if same && open.Digest != begin.Digest {
-		reply, effects := refuse(result.RequestConflict, "request %s is under way with other content", begin.Request)
+	sameRequest := open.Request == begin.Request
+	if sameRequest && open.Digest != begin.Digest {
+		reply, effects := refuse(result.RequestConflict, "request %s is in progress with different content", begin.Request)
 		return reply, effects, true
 	}
 	ownRetry := begin.RetryOf != 0 && begin.RetryOf == open.Fence
 	if !ownRetry && !begin.TakeOver && !l.DisableTurnOrder {
-		reply, effects := refuse(result.TurnOpen, "turn %d of program %s is open", open.Turn, header.ID)
+		reply, effects := refuse(result.TurnOpen, "turn %d of program %s is still open", open.Turn, header.ID)
 		reply.Holder = open.Scheduler
 		reply.HolderIncarnation = open.Incarnation
 		reply.OpenRequest = open.Request
 		return reply, effects, true
 	}
 	if open.AtMostOnce && !l.DisableAtMostOnce {
-		// Invariant: a call that is not repeatable is sent at most once; its
-		// intent was durable before the send, so a lost attempt may have run.
-		effects := header.closeUnknown(nowMs)
-		if same {
-			reply, _ := refuse(result.OutcomeUnknown, "request %s may have run", begin.Request)
+		// Invariant: a call that is not repeatable is sent at most once. Its intent was
+		// durable before it was sent, so a lost attempt may have run.
+		effects := header.closeWithUnknownOutcome(nowMs)
+		if sameRequest {
+			reply, _ := refuse(result.OutcomeUnknown, "request %s may have run, its outcome is unknown", begin.Request)
 			return reply, effects, true
 		}
-		// The record of the unknown turn must be written before the next turn,
-		// so the caller of this Begin comes back.
-		reply, _ := refuse(result.TurnOpen, "turn %d was closed with its outcome unknown", header.LastTurn)
+		// The record of the turn with the unknown outcome must be written before the next turn
+		// starts, so the caller has to send this Begin again.
+		reply, _ := refuse(result.TurnOpen, "turn %d was closed with an unknown outcome", header.LastTurn)
 		return reply, effects, true
 	}
-	lost := open.Reserved
+	lostTokens := open.Reserved
 	if ownRetry {
-		lost = min(begin.LostTokens, open.Reserved)
+		lostTokens = min(begin.LostTokens, open.Reserved)
 	}
-	// Invariant: tokens of lost attempts are charged; what is not known is
-	// charged at its upper bound, the reservation.
-	header.SpentTokens += lost
+	// Invariant: the tokens of lost attempts are charged. An unknown number is charged at its
+	// upper bound, the reservation.
+	header.SpentTokens += lostTokens
 	header.Open = nil
 	return Reply{}, Effects{}, false
 }
 
-// closeUnknown closes the open turn with a record that says so.
-func (h *Header) closeUnknown(nowMs int64) Effects {
+// closeWithUnknownOutcome closes the open turn with a record of its unknown outcome.
+func (h *Header) closeWithUnknownOutcome(nowMs int64) Effects {
 	open := h.Open
 	h.SpentTokens += open.Reserved
 	h.Open = nil
 	h.LastTurn = open.Turn
-	h.remember(open)
+	h.recordClosedRequest(open)
 	h.LastActiveMs = nowMs
 	return Effects{Program: h.ID, Write: &TurnRecord{
 		Turn: open.Turn, Thread: open.Thread, Request: open.Request,
@@ -278,29 +278,29 @@
 	}}
 }
 
-func (h *Header) remember(open *OpenTurn) {
-	h.ClosedRequests = append(h.ClosedRequests, answered{
+func (h *Header) recordClosedRequest(open *OpenTurn) {
+	h.ClosedRequests = append(h.ClosedRequests, closedRequest{
 		Request: requestHash(open.Request), Digest: uint32(open.Digest), Turn: uint32(open.Turn),
 	})
 }
 
 func (l *Ledger) grant(index uint64, nowMs int64, header *Header, begin *Begin) (Reply, Effects) {
-	if code := header.overLimit(nowMs); code != result.OK {
-		return refuse(code, "program %s is over its limit after %d turns", header.ID, header.LastTurn)
+	if code := header.exceededLimit(nowMs); code != result.OK {
+		return refuse(code, "program %s reached its limit after %d turns", header.ID, header.LastTurn)
 	}
 	reserved := begin.NewTokens + begin.MaxTokens
 	if reserved > header.RemainingTokens() && !l.DisableBudget {
-		reply, effects := refuse(result.BudgetExhausted, "call needs up to %d tokens, %d are left", reserved, header.RemainingTokens())
+		reply, effects := refuse(result.BudgetExhausted, "call needs up to %d tokens, the budget has %d left", reserved, header.RemainingTokens())
 		reply.RemainingTokens = header.RemainingTokens()
 		return reply, effects
 	}
-	thread, code := header.thread(begin)
+	thread, code := header.threadFor(begin)
 	if code != result.OK {
-		return refuse(code, "no parent thread %q in program %s", begin.Parent, header.ID)
+		return refuse(code, "parent thread %q does not exist in program %s", begin.Parent, header.ID)
 	}
-	skip, code := thread.skip(begin.PrefixDigests)
+	skipMessages, code := thread.matchHistory(begin.PrefixDigests)
 	if code != result.OK {
-		return refuse(code, "the history sent differs from the %d messages of thread %q", thread.Messages, begin.Thread)
+		return refuse(code, "history in the request does not match the %d recorded messages of thread %q", thread.Messages, begin.Thread)
 	}
 	header.addThread(thread)
 	header.Scheduler = begin.Scheduler
@@ -308,20 +308,20 @@
 	header.Open = &OpenTurn{
 		Turn: header.LastTurn + 1, Fence: index, Request: begin.Request, Digest: begin.Digest, Thread: begin.Thread,
 		AtMostOnce: begin.AtMostOnce, Reserved: reserved, Scheduler: begin.Scheduler, OpenedMs: nowMs,
-		Nonce: begin.Nonce, SkipMessages: skip, Incarnation: begin.Incarnation, DeadlineMs: nowMs + begin.TimeoutMs,
+		Nonce: begin.Nonce, SkipMessages: skipMessages, Incarnation: begin.Incarnation, DeadlineMs: nowMs + begin.TimeoutMs,
 	}
-	return header.granted(begin.Thread), Effects{}
+	return header.grantReply(begin.Thread), Effects{}
 }
 
-// granted describes the open turn to the scheduler that holds it.
-func (h *Header) granted(thread string) Reply {
+// grantReply returns the reply that grants the open turn to its scheduler.
+func (h *Header) grantReply(thread string) Reply {
 	return Reply{
 		Turn: h.Open.Turn, Fence: h.Open.Fence, SkipMessages: h.Open.SkipMessages,
 		Lineage: h.lineage(thread), RemainingTokens: h.RemainingTokens(),
 	}
 }
 
-func (h *Header) overLimit(nowMs int64) result.Code {
+func (h *Header) exceededLimit(nowMs int64) result.Code {
 	if h.Limits.MaxTurns > 0 && int64(h.LastTurn) >= h.Limits.MaxTurns {
 		return result.TurnLimit
 	}
@@ -346,8 +346,8 @@
 	}
 }
 
-// thread returns the call's thread, a new one forked from its parent at need.
-func (h *Header) thread(begin *Begin) (*Thread, result.Code) {
+// threadFor returns the call's thread, or a new one forked from its parent.
+func (h *Header) threadFor(begin *Begin) (*Thread, result.Code) {
 	if thread := h.findThread(begin.Thread); thread != nil {
 		return thread, result.OK
 	}
@@ -358,7 +358,7 @@
 	return &Thread{Name: begin.Thread, Parent: begin.Parent, ForkTurn: h.LastTurn, Messages: parent.Messages, Digest: parent.Digest}, result.OK
 }
 
-func (t *Thread) skip(prefixDigests []uint64) (int, result.Code) {
+func (t *Thread) matchHistory(prefixDigests []uint64) (int, result.Code) {
 	if prefixDigests == nil {
 		return 0, result.OK
 	}
@@ -368,23 +368,24 @@
 	return t.Messages, result.OK
 }
 
-// lineage lists the spans whose records make a thread's history, oldest first.
+// lineage returns the thread prefixes whose records form a thread's history, oldest first.
 func (h *Header) lineage(name string) []ThreadPrefix {
-	last := h.LastTurn
-	var spans []ThreadPrefix
+	lastTurn := h.LastTurn
+	var prefixes []ThreadPrefix
 	for {
-		spans = append(spans, ThreadPrefix{Thread: name, Last: last})
+		prefixes = append(prefixes, ThreadPrefix{Thread: name, Last: lastTurn})
 		thread := h.findThread(name)
 		if name == "" || thread == nil {
-			slices.Reverse(spans)
-			return spans
+			slices.Reverse(prefixes)
+			return prefixes
 		}
-		last = min(last, thread.ForkTurn)
+		lastTurn = min(lastTurn, thread.ForkTurn)
 		name = thread.Parent
 	}
 }
 
-// Lineage returns the spans of a thread's history; false for no such thread.
+// Lineage returns the thread prefixes of a thread's history, or false if the thread does not
+// exist.
 func (h *Header) Lineage(thread string) ([]ThreadPrefix, bool) {
 	if h.findThread(thread) == nil {
 		return nil, false
--- a/internal/program/ledger_test.go
+++ b/internal/program/ledger_test.go
@@ -10,17 +10,17 @@
 	"github.com/ochrebay/ochrebay/internal/result"
 )
 
-// harness applies commands and keeps what a test must be able to see.
+// harness applies commands and records their effects for the checks of a test.
 type harness struct {
-	ledger  *Ledger
-	index   uint64
-	records map[string][]TurnRecord
-	granted map[string]int
-	notRun  map[string]int
+	ledger       *Ledger
+	index        uint64
+	records      map[string][]TurnRecord
+	grantCounts  map[string]int
+	notRunCounts map[string]int
 }
 
 func newHarness() *harness {
-	return &harness{ledger: NewLedger(), records: map[string][]TurnRecord{}, granted: map[string]int{}, notRun: map[string]int{}}
+	return &harness{ledger: NewLedger(), records: map[string][]TurnRecord{}, grantCounts: map[string]int{}, notRunCounts: map[string]int{}}
 }
 
 func (h *harness) apply(command Command) Reply {
@@ -33,18 +33,18 @@
 	return reply
 }
 
-func limits() Limits {
+func testLimits() Limits {
 	return Limits{BudgetTokens: 100, MaxTurns: 8, WallTimeMs: 1 << 40, IdleTimeoutMs: 1 << 40}
 }
 
-func beginOf(program, request, content string) *Begin {
+func newBegin(program, request, content string) *Begin {
 	return &Begin{
-		Program: program, Tenant: "t", Service: "s", Request: request, Create: true, Limits: limits(),
+		Program: program, Tenant: "t", Service: "s", Request: request, Create: true, Limits: testLimits(),
 		Digest: ContentDigest("s", "", []Message{{Role: "user", Content: content}}), NewTokens: 2, MaxTokens: 10, Scheduler: "a",
 	}
 }
 
-func commitOf(program string, fence uint64, content string) *Commit {
+func newCommit(program string, fence uint64, content string) *Commit {
 	return &Commit{
 		Program: program, Fence: fence, Messages: []Message{{Role: "user", Content: content}},
 		Answer: Message{Role: "assistant", Content: "re " + content}, NewTokens: 2, Usage: Usage{CompletionTokens: 5},
@@ -52,53 +52,53 @@
 }
 
 func TestLedger(t *testing.T) {
-	Convey("a request is answered once, and the same id gives the recorded turn", t, func() {
+	Convey("a request is answered once, and the same request id returns the recorded turn", t, func() {
 		h := newHarness()
-		first := h.apply(Command{Begin: beginOf("p", "r1", "x")})
+		first := h.apply(Command{Begin: newBegin("p", "r1", "x")})
 		So(first.Error, ShouldBeNil)
-		So(h.apply(Command{Begin: beginOf("p", "r2", "y")}).Error.Code, ShouldEqual, result.TurnOpen)
-		So(h.apply(Command{Commit: commitOf("p", first.Fence, "x")}).Error, ShouldBeNil)
-		So(h.apply(Command{Begin: beginOf("p", "r1", "x")}).ClosedTurn, ShouldEqual, first.Turn)
-		So(h.apply(Command{Begin: beginOf("p", "r1", "other")}).Error.Code, ShouldEqual, result.RequestConflict)
-		So(h.apply(Command{Commit: commitOf("p", first.Fence, "x")}).Turn, ShouldEqual, first.Turn)
+		So(h.apply(Command{Begin: newBegin("p", "r2", "y")}).Error.Code, ShouldEqual, result.TurnOpen)
+		So(h.apply(Command{Commit: newCommit("p", first.Fence, "x")}).Error, ShouldBeNil)
+		So(h.apply(Command{Begin: newBegin("p", "r1", "x")}).ClosedTurn, ShouldEqual, first.Turn)
+		So(h.apply(Command{Begin: newBegin("p", "r1", "other")}).Error.Code, ShouldEqual, result.RequestConflict)
+		So(h.apply(Command{Commit: newCommit("p", first.Fence, "x")}).Turn, ShouldEqual, first.Turn)
 		So(len(h.records["p"]), ShouldEqual, 1)
-		So(h.apply(Command{Commit: commitOf("p", first.Fence+1, "x")}).Error.Code, ShouldEqual, result.StaleFence)
+		So(h.apply(Command{Commit: newCommit("p", first.Fence+1, "x")}).Error.Code, ShouldEqual, result.StaleFence)
 	})
-	Convey("a Begin proposed again after a lost reply gets the same grant", t, func() {
+	Convey("a Begin that is proposed again after a lost reply receives the same grant", t, func() {
 		h := newHarness()
-		begin := beginOf("p", "r1", "x")
+		begin := newBegin("p", "r1", "x")
 		begin.Nonce = 9
 		first := h.apply(Command{Begin: begin})
 		So(h.apply(Command{Begin: begin}), ShouldResemble, first)
 	})
-	Convey("a lost attempt is charged in full and its late commit is refused", t, func() {
+	Convey("a lost attempt is charged in full, and its late commit is rejected", t, func() {
 		h := newHarness()
-		first := h.apply(Command{Begin: beginOf("p", "r1", "x")})
-		again := beginOf("p", "r1", "x")
-		again.TakeOver = true
-		second := h.apply(Command{Begin: again})
+		first := h.apply(Command{Begin: newBegin("p", "r1", "x")})
+		retry := newBegin("p", "r1", "x")
+		retry.TakeOver = true
+		second := h.apply(Command{Begin: retry})
 		So(second.Error, ShouldBeNil)
 		So(second.RemainingTokens, ShouldEqual, 100-12-12)
-		So(h.apply(Command{Commit: commitOf("p", first.Fence, "x")}).Error.Code, ShouldEqual, result.StaleFence)
-		So(h.apply(Command{Commit: commitOf("p", second.Fence, "x")}).RemainingTokens, ShouldEqual, 100-12-7)
+		So(h.apply(Command{Commit: newCommit("p", first.Fence, "x")}).Error.Code, ShouldEqual, result.StaleFence)
+		So(h.apply(Command{Commit: newCommit("p", second.Fence, "x")}).RemainingTokens, ShouldEqual, 100-12-7)
 	})
 	Convey("a call that is not repeatable is never granted twice", t, func() {
 		h := newHarness()
-		once := beginOf("p", "r1", "x")
+		once := newBegin("p", "r1", "x")
 		once.AtMostOnce = true
 		So(h.apply(Command{Begin: once}).Error, ShouldBeNil)
-		again := *once
-		again.TakeOver = true
-		So(h.apply(Command{Begin: &again}).Error.Code, ShouldEqual, result.OutcomeUnknown)
-		So(h.apply(Command{Begin: &again}).ClosedTurn, ShouldEqual, 1)
+		retry := *once
+		retry.TakeOver = true
+		So(h.apply(Command{Begin: &retry}).Error.Code, ShouldEqual, result.OutcomeUnknown)
+		So(h.apply(Command{Begin: &retry}).ClosedTurn, ShouldEqual, 1)
 		So(h.records["p"][0].Code, ShouldEqual, result.OutcomeUnknown)
 	})
-	Convey("a whole history is checked against the ledger's", t, func() {
+	Convey("a full history is checked against the ledger's", t, func() {
 		h := newHarness()
-		first := h.apply(Command{Begin: beginOf("p", "r1", "x")})
-		h.apply(Command{Commit: commitOf("p", first.Fence, "x")})
+		first := h.apply(Command{Begin: newBegin("p", "r1", "x")})
+		h.apply(Command{Commit: newCommit("p", first.Fence, "x")})
 		sent := []Message{{Role: "user", Content: "x"}, {Role: "assistant", Content: "re x"}, {Role: "user", Content: "y"}}
-		begin := beginOf("p", "r2", "y")
+		begin := newBegin("p", "r2", "y")
 		begin.PrefixDigests = PrefixDigests(sent)
 		reply := h.apply(Command{Begin: begin})
 		So(reply.Error, ShouldBeNil)
@@ -110,14 +110,14 @@
 	})
 	Convey("a sub-agent sees its parent's history up to the fork and nothing later", t, func() {
 		h := newHarness()
-		first := h.apply(Command{Begin: beginOf("p", "r1", "x")})
-		h.apply(Command{Commit: commitOf("p", first.Fence, "x")})
-		child := beginOf("p", "r2", "child")
+		first := h.apply(Command{Begin: newBegin("p", "r1", "x")})
+		h.apply(Command{Commit: newCommit("p", first.Fence, "x")})
+		child := newBegin("p", "r2", "child")
 		child.Thread = "bearing"
 		forked := h.apply(Command{Begin: child})
-		h.apply(Command{Commit: commitOf("p", forked.Fence, "child")})
-		second := h.apply(Command{Begin: beginOf("p", "r3", "main")})
-		h.apply(Command{Commit: commitOf("p", second.Fence, "main")})
+		h.apply(Command{Commit: newCommit("p", forked.Fence, "child")})
+		second := h.apply(Command{Begin: newBegin("p", "r3", "main")})
+		h.apply(Command{Commit: newCommit("p", second.Fence, "main")})
 		header, _ := h.ledger.Get("p")
 		lineage, _ := header.Lineage("bearing")
 		So(len(Conversation(lineage, h.records["p"])), ShouldEqual, 4)
@@ -125,29 +125,29 @@
 		conversation := Conversation(lineage, h.records["p"])
 		So(conversation[2].Content, ShouldEqual, "main")
 		So(ChainDigest(0, conversation...), ShouldEqual, header.Threads[0].Digest)
-		orphan := beginOf("p", "r4", "z")
+		orphan := newBegin("p", "r4", "z")
 		orphan.Thread = "q"
 		orphan.Parent = "nowhere"
 		So(h.apply(Command{Begin: orphan}).Error.Code, ShouldEqual, result.UnknownThread)
 	})
-	Convey("idle programs end and are forgotten later", t, func() {
+	Convey("idle programs end and are deleted after the retention time", t, func() {
 		h := newHarness()
-		begin := beginOf("p", "r1", "x")
+		begin := newBegin("p", "r1", "x")
 		begin.Limits.IdleTimeoutMs = 50
 		first := h.apply(Command{Begin: begin})
-		h.apply(Command{Commit: commitOf("p", first.Fence, "x")})
+		h.apply(Command{Commit: newCommit("p", first.Fence, "x")})
 		h.index += 10
 		So(h.ledger.IsSweepDue(int64(h.index)*10, 1000), ShouldBeTrue)
 		h.apply(Command{Sweep: &Sweep{RetentionMs: 1000}})
 		So(h.ledger.EndedOrUnknown([]string{"p", "q"}), ShouldResemble, []string{"p", "q"})
-		So(h.apply(Command{Begin: beginOf("p", "r2", "y")}).Error.Code, ShouldEqual, result.ProgramClosed)
+		So(h.apply(Command{Begin: newBegin("p", "r2", "y")}).Error.Code, ShouldEqual, result.ProgramClosed)
 		h.index += 200
 		h.apply(Command{Sweep: &Sweep{RetentionMs: 1000}})
 		So(h.ledger.Len(), ShouldEqual, 0)
 	})
 }
 
-// TestAnySequence checks the ledger's invariants after any commands.
+// TestAnySequence checks the ledger's invariants after arbitrary commands.
 func TestAnySequence(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := newHarness()
@@ -163,7 +163,7 @@
 			}
 			switch rapid.IntRange(0, 5).Draw(t, "command") {
 			case 0, 1, 2:
-				begin := beginOf(id, request, "content of "+request)
+				begin := newBegin(id, request, "content of "+request)
 				begin.AtMostOnce = request < "r3"
 				begin.TakeOver = rapid.Bool().Draw(t, "take over")
 				if rapid.Bool().Draw(t, "retry") {
@@ -173,18 +173,18 @@
 				reply := h.apply(Command{Begin: begin})
 				if reply.Error == nil && reply.ClosedTurn == 0 {
 					fences = append(fences, reply.Fence)
-					h.granted[id+request]++
-					if begin.AtMostOnce && h.granted[id+request] > 1+h.notRun[id+request] {
-						t.Fatalf("%s of %s, not repeatable, was granted %d times", request, id, h.granted[id+request])
+					h.grantCounts[id+request]++
+					if begin.AtMostOnce && h.grantCounts[id+request] > 1+h.notRunCounts[id+request] {
+						t.Fatalf("request %s of program %s is not repeatable but was granted %d times", request, id, h.grantCounts[id+request])
 					}
 				}
 			case 3:
-				h.apply(Command{Commit: commitOf(id, fence, "c")})
+				h.apply(Command{Commit: newCommit(id, fence, "c")})
 			case 4:
 				notRun := rapid.Bool().Draw(t, "not run")
 				header, ok := h.ledger.Get(id)
 				if ok && header.Open != nil && header.Open.Fence == fence && notRun {
-					h.notRun[id+header.Open.Request]++
+					h.notRunCounts[id+header.Open.Request]++
 				}
 				h.apply(Command{Abort: &Abort{Program: id, Fence: fence, NotRun: notRun, UsedTokens: 4}})
 			default:
@@ -197,18 +197,18 @@
 				continue
 			}
 			if header.RemainingTokens() < 0 {
-				t.Fatalf("budget of %s exceeded by %d", id, -header.RemainingTokens())
+				t.Fatalf("budget of program %s is exceeded by %d tokens", id, -header.RemainingTokens())
 			}
 			if header.LastTurn < turnBefore || header.LastTurn > turnBefore+1 {
-				t.Fatalf("turn of %s went from %d to %d", id, turnBefore, header.LastTurn)
+				t.Fatalf("last turn of program %s changed from %d to %d", id, turnBefore, header.LastTurn)
 			}
 			lineage, _ := header.Lineage("")
 			if ChainDigest(0, Conversation(lineage, h.records[id])...) != header.Threads[0].Digest {
-				t.Fatalf("records of %s differ from its digest", id)
+				t.Fatalf("records of program %s differ from its digest", id)
 			}
 			for position, record := range h.records[id] {
 				if record.Turn != uint64(position+1) {
-					t.Fatalf("record %d of %s has turn %d", position, id, record.Turn)
+					t.Fatalf("record %d of program %s has turn %d", position, id, record.Turn)
 				}
 			}
 		}
@@ -220,8 +220,8 @@
 		if err := copied.Restore(data); err != nil {
 			t.Fatal(err)
 		}
-		again, _ := copied.Snapshot()
-		if string(again) != string(data) {
+		copiedData, _ := copied.Snapshot()
+		if string(copiedData) != string(data) {
 			t.Fatal("a restored ledger differs from its snapshot")
 		}
 	})
--- a/internal/program/snapshot.go
+++ b/internal/program/snapshot.go
@@ -13,7 +13,7 @@
 	return msgpack.Marshal(headers)
 }
 
-// Restore replaces the state by a snapshot; empty data gives an empty ledger.
+// Restore replaces the state with a snapshot. Empty data yields an empty ledger.
 func (l *Ledger) Restore(data []byte) error {
 	var headers []*Header
 	if len(data) > 0 {
--- a/internal/program/turns.go
+++ b/internal/program/turns.go
@@ -12,41 +12,40 @@
 )
 
 const (
-	// turnGraceMs is how much longer a turn is kept than its route asks for, so that
-	// nobody who counts from the end of the answer finds it gone.
-	turnGraceMs = 5_000
-	// budgetIdleMs is how long the budget of a program is kept that does nothing.
-	budgetIdleMs = 180_000
-	// maxChainTurns bounds one line of turns.
+	// retentionMarginMs is added to the retention time of the route, so that a caller that
+	// counts from the end of the answer still finds the turn.
+	retentionMarginMs = 5_000
+	// budgetRetentionMs is the time for which the budget of an inactive program is retained.
+	budgetRetentionMs = 180_000
+	// maxChainTurns bounds the length of a chain of turns.
 	maxChainTurns = 10_000
-	// maxSessions bounds the sessions of a program whose engines are remembered.
+	// maxSessions bounds the sessions of a program whose engines are retained.
 	maxSessions = 64
 )
 
-// Reserve opens a turn: it takes the most that the turn may generate from the
-// program's budget and checks that the turn it goes on from exists.
+// Reserve opens a turn: it reserves the maximum number of tokens that the turn may generate
+// from the program's budget and checks that the previous turn exists.
 type Reserve struct {
 	Program string `msgpack:"p"`
 	Request string `msgpack:"r"`
-	// BudgetTokens bounds the tokens that all turns of the program generate; zero is no
-	// bound. Most is what this turn may generate, tokens.
+	// BudgetTokens bounds the tokens that all turns of the program generate; zero means no
+	// bound. MaxTokens is the maximum that this turn may generate.
 	BudgetTokens int64 `msgpack:"b,omitempty"`
 	MaxTokens    int64 `msgpack:"m,omitempty"`
-	// PreviousRequest names the turn that this one goes on from, by its request.
+	// PreviousRequest identifies the turn that this one continues by its request.
 	PreviousRequest string `msgpack:"v,omitempty"`
-	// Session is the line of turns that the turn belongs to.
+	// Session is the chain of turns to which the turn belongs.
 	Session string `msgpack:"s,omitempty"`
 }
 
-// Settle closes a turn: it charges what was generated and keeps the turn where
-// asked to.
+// Settle closes a turn: it charges the generated tokens and stores the turn if requested.
 type Settle struct {
 	Program string `msgpack:"p"`
 	Request string `msgpack:"r"`
-	// UsedTokens is what was generated, tokens.
+	// UsedTokens is the number of generated tokens.
 	UsedTokens int64 `msgpack:"u,omitempty"`
-	// Session and Engine remember which engine ran the turn, whose cache may hold what
-	// it has read.
+	// Session and Engine record the engine that ran the turn, whose cache may hold the
+	// session's prompt.
 	Session string `msgpack:"s,omitempty"`
 	Engine  string `msgpack:"e,omitempty"`
 	// Retain stores Content, the turn's input and output, for RetentionMs.
@@ -56,9 +55,9 @@
 	RetentionMs     int64  `msgpack:"t,omitempty"`
 }
 
-// TurnCommand is one entry of a turn group's log; exactly one part is set.
+// TurnCommand is one entry of a turn group's log. Exactly one field besides NowMs is set.
 type TurnCommand struct {
-	// NowMs is the proposer's clock, milliseconds since 1970.
+	// NowMs is the proposer's clock, in milliseconds since 1970.
 	NowMs   int64    `msgpack:"n"`
 	Reserve *Reserve `msgpack:"r,omitempty"`
 	Settle  *Settle  `msgpack:"s,omitempty"`
@@ -67,44 +66,46 @@
 	Quota *quota.Reservation `msgpack:"q,omitempty"`
 }
 
-// TurnEffects are the writes that a command asks of the owner's disk.
+// TurnEffects are the disk writes that a command requires of the owner.
 type TurnEffects struct {
-	// WriteRequest is the request whose content is to be kept.
+	// WriteRequest is the request whose content is to be stored.
 	WriteRequest string
 	Content      []byte
-	// DeleteRequests lists requests whose content may go.
+	// DeleteRequests lists the requests whose content may be deleted.
 	DeleteRequests []string
 }
 
-// reservation is what one open turn may generate, tokens.
+// reservation is the maximum number of tokens that one open turn may generate.
 type reservation struct {
-	Request string `msgpack:"r"`
-	Most    int64  `msgpack:"m"`
+	Request   string `msgpack:"r"`
+	MaxTokens int64  `msgpack:"m"`
 }
 
-// budget is what one program has generated and may be generating.
+// budget is the number of tokens that one program has generated and may still generate in its
+// open turns.
 type budget struct {
-	Program string `msgpack:"p"`
-	Spent   int64  `msgpack:"s"`
+	Program     string `msgpack:"p"`
+	SpentTokens int64  `msgpack:"s"`
 	// Reserved holds the open turns.
-	Reserved []reservation `msgpack:"r"`
-	LastMs   int64         `msgpack:"l"`
-	// Engine ran the program's last settled turn, Engines the last one of each session.
+	Reserved     []reservation `msgpack:"r"`
+	LastActiveMs int64         `msgpack:"l"`
+	// Engine ran the program's last settled turn. Engines holds the engine of each session's
+	// last settled turn.
 	Engine  string            `msgpack:"e,omitempty"`
 	Engines map[string]string `msgpack:"n,omitempty"`
 }
 
-// engineOf returns the engine that most likely holds what a session has read: that
-// of its last turn, or for a new session that of the program's.
-func (b *budget) engineOf(session string) string {
+// affineEngine returns the engine whose cache most likely holds a session's prompt: the engine
+// of its last turn or, for a new session, that of the program's last turn.
+func (b *budget) affineEngine(session string) string {
 	if engine, known := b.Engines[session]; known {
 		return engine
 	}
 	return b.Engine
 }
 
-// noteEngine remembers the engine of a session's turn.
-func (b *budget) noteEngine(session, engine string) {
+// recordEngine records the engine of a session's turn.
+func (b *budget) recordEngine(session, engine string) {
 	if engine == "" {
 		return
 	}
@@ -117,79 +118,82 @@
 	}
 }
 
-// first reports whether nothing of the program has run, and no more than one turn is open.
-func (b *budget) first() bool { return b.Engine == "" && b.Spent == 0 && len(b.Reserved) <= 1 }
+// isFirstTurn reports whether no turn of the program has run and at most one is open.
+func (b *budget) isFirstTurn() bool {
+	return b.Engine == "" && b.SpentTokens == 0 && len(b.Reserved) <= 1
+}
 
-// reserved sums up the open turns.
-func (b *budget) reserved() int64 {
+// reservedTokens returns the number of tokens reserved by the open turns.
+func (b *budget) reservedTokens() int64 {
 	total := int64(0)
 	for _, open := range b.Reserved {
-		total += open.Most
+		total += open.MaxTokens
 	}
 	return total
 }
 
-// place returns where an open turn stands, -1 where it is not open.
-func (b *budget) place(request string) int {
+// indexOf returns the index of an open turn, or -1 if the turn is not open.
+func (b *budget) indexOf(request string) int {
 	return slices.IndexFunc(b.Reserved, func(open reservation) bool { return open.Request == request })
 }
 
-// turn is one kept turn; its content is on the owner's disk.
-type turn struct {
+// retainedTurn is one retained turn. Its content is on the owner's disk.
+type retainedTurn struct {
 	Request   string `msgpack:"r"`
 	Previous  string `msgpack:"v"`
 	ExpiresMs int64  `msgpack:"e"`
 }
 
-// TurnLedger is the ledger of opaque turns: a tree of kept turns by request, and the
-// budgets of generated tokens of their programs. It is the deterministic state of
-// one ledger group.
+// TurnLedger is the ledger of opaque turns: a tree of retained turns, keyed by request, and
+// the budgets of generated tokens of their programs. It is the deterministic state of one
+// ledger group.
 type TurnLedger struct {
 	budgets map[string]*budget
-	turns   map[string]*turn
+	turns   map[string]*retainedTurn
 
-	// DisableBudget refuses no turn for its budget, for runs that show what the
-	// check is for.
+	// DisableBudget accepts turns beyond their budget, for runs that show the effect of the
+	// check.
 	DisableBudget bool
 }
 
 // NewTurnLedger returns an empty ledger.
 func NewTurnLedger() *TurnLedger {
-	return &TurnLedger{budgets: map[string]*budget{}, turns: map[string]*turn{}}
+	return &TurnLedger{budgets: map[string]*budget{}, turns: map[string]*retainedTurn{}}
 }
 
-// Len returns how many turns are kept.
+// Len returns the number of retained turns.
 func (t *TurnLedger) Len() int { return len(t.turns) }
 
-// BudgetCount returns how many budgets are kept.
+// BudgetCount returns the number of budgets.
 func (t *TurnLedger) BudgetCount() int { return len(t.budgets) }
 
-// HasTurn reports whether a turn is kept.
+// HasTurn reports whether a turn is retained.
 func (t *TurnLedger) HasTurn(request string) bool {
 	_, ok := t.turns[request]
 	return ok
 }
 
-// TokenUse returns what a program has generated and what its open turns may.
+// TokenUse returns the tokens that a program has generated and those that its open turns have
+// reserved.
 func (t *TurnLedger) TokenUse(program string) (spent, reserved int64) {
-	known, ok := t.budgets[program]
+	account, ok := t.budgets[program]
 	if !ok {
 		return 0, 0
 	}
-	return known.Spent, known.reserved()
+	return account.SpentTokens, account.reservedTokens()
 }
 
-// Chain returns the requests of the line of turns that ends with the one given,
-// oldest first.
+// Chain returns the requests of the chain of turns that ends with the given request, oldest
+// first.
 func (t *TurnLedger) Chain(request string) []string {
 	var chain []string
 	for request != "" && len(chain) < maxChainTurns {
-		known, ok := t.turns[request]
+		current, ok := t.turns[request]
 		if !ok {
 			break
 		}
 		chain = append(chain, request)
-		request = known.Previous
+		request = current.Previous
 	}
 	slices.Reverse(chain)
 	return chain
@@ -198,22 +202,22 @@
 // TurnReply is the reply to one command.
 type TurnReply struct {
 	Error *result.Error
-	// Engine is the one that most likely holds what a reserved turn's session has read.
+	// Engine is the engine whose cache most likely holds the prompt of the session.
 	Engine string
-	// IsFirstTurn says that no turn of the program has run yet, nor is another one open.
+	// IsFirstTurn reports that no turn of the program has run yet and no other turn is open.
 	IsFirstTurn bool
 }
 
-// Apply carries out one command.
+// Apply applies one command.
 func (t *TurnLedger) Apply(command TurnCommand) (TurnReply, TurnEffects) {
 	switch {
 	case command.Reserve != nil:
 		failure := t.reserve(command.NowMs, command.Reserve)
-		outcome := TurnReply{Error: failure, Engine: t.AffineEngine(command.Reserve.Program, command.Reserve.Session)}
-		if known, ok := t.budgets[command.Reserve.Program]; ok {
-			outcome.IsFirstTurn = known.first()
+		reply := TurnReply{Error: failure, Engine: t.AffineEngine(command.Reserve.Program, command.Reserve.Session)}
+		if account, ok := t.budgets[command.Reserve.Program]; ok {
+			reply.IsFirstTurn = account.isFirstTurn()
 		}
-		return outcome, TurnEffects{}
+		return reply, TurnEffects{}
 	case command.Settle != nil:
 		return TurnReply{}, t.settle(command.NowMs, command.Settle)
 	case command.Sweep:
@@ -222,76 +226,76 @@
 	return TurnReply{Error: result.New(result.Internal, "empty command")}, TurnEffects{}
 }
 
-// AffineEngine returns the engine that most likely holds what a session has read, ""
-// where none is known.
+// AffineEngine returns the engine whose cache most likely holds a session's prompt, or an
+// empty string if none is known.
 func (t *TurnLedger) AffineEngine(program, session string) string {
-	known, ok := t.budgets[program]
+	account, ok := t.budgets[program]
 	if !ok {
 		return ""
 	}
-	return known.engineOf(session)
+	return account.affineEngine(session)
 }
 
-// reserve grants a turn. Invariant: what a program has generated and what its open
-// turns may generate stays within its budget, whichever gateways run them; a turn
-// whose end nobody reported counts at its most.
+// reserve grants a turn. Invariant: the tokens that a program has generated and those that its
+// open turns may still generate stay within its budget, regardless of the gateways that run
+// the turns. A turn whose end was not reported counts with its maximum.
 func (t *TurnLedger) reserve(nowMs int64, reserve *Reserve) *result.Error {
 	if reserve.PreviousRequest != "" && !t.HasTurn(reserve.PreviousRequest) {
-		return result.New(result.UnknownTurn, "no turn %s", reserve.PreviousRequest)
+		return result.New(result.UnknownTurn, "turn %s does not exist", reserve.PreviousRequest)
 	}
 	if reserve.BudgetTokens <= 0 {
 		return nil
 	}
-	known, ok := t.budgets[reserve.Program]
+	account, ok := t.budgets[reserve.Program]
 	if !ok {
-		known = &budget{Program: reserve.Program}
+		account = &budget{Program: reserve.Program}
 	}
-	if known.place(reserve.Request) >= 0 {
+	if account.indexOf(reserve.Request) >= 0 {
 		return nil
 	}
-	reserved := known.reserved()
-	if known.Spent+reserved+reserve.MaxTokens > reserve.BudgetTokens && !t.DisableBudget {
-		return result.New(result.BudgetExhausted, "budget %d, spent %d, reserved %d, asked %d",
-			reserve.BudgetTokens, known.Spent, reserved, reserve.MaxTokens)
+	reserved := account.reservedTokens()
+	if account.SpentTokens+reserved+reserve.MaxTokens > reserve.BudgetTokens && !t.DisableBudget {
+		return result.New(result.BudgetExhausted, "token budget is %d, spent %d, reserved %d, requested %d",
+			reserve.BudgetTokens, account.SpentTokens, reserved, reserve.MaxTokens)
 	}
-	known.Reserved = append(known.Reserved, reservation{Request: reserve.Request, Most: reserve.MaxTokens})
-	known.LastMs = max(known.LastMs, nowMs)
-	t.budgets[reserve.Program] = known
+	account.Reserved = append(account.Reserved, reservation{Request: reserve.Request, MaxTokens: reserve.MaxTokens})
+	account.LastActiveMs = max(account.LastActiveMs, nowMs)
+	t.budgets[reserve.Program] = account
 	return nil
 }
 
-// settle closes a turn; one that is settled again changes nothing.
+// settle closes a turn. Settling a turn again changes nothing.
 func (t *TurnLedger) settle(nowMs int64, settle *Settle) TurnEffects {
-	if known, ok := t.budgets[settle.Program]; ok {
-		if place := known.place(settle.Request); place >= 0 {
-			known.Reserved = slices.Delete(known.Reserved, place, place+1)
-			known.Spent += settle.UsedTokens
+	if account, ok := t.budgets[settle.Program]; ok {
+		if index := account.indexOf(settle.Request); index >= 0 {
+			account.Reserved = slices.Delete(account.Reserved, index, index+1)
+			account.SpentTokens += settle.UsedTokens
 		}
-		known.noteEngine(settle.Session, settle.Engine)
-		known.LastMs = max(known.LastMs, nowMs)
+		account.recordEngine(settle.Session, settle.Engine)
+		account.LastActiveMs = max(account.LastActiveMs, nowMs)
 	}
 	if !settle.Retain || t.HasTurn(settle.Request) {
 		return TurnEffects{}
 	}
-	expires := nowMs + settle.RetentionMs + turnGraceMs
-	t.turns[settle.Request] = &turn{Request: settle.Request, Previous: settle.PreviousRequest, ExpiresMs: expires}
-	// Invariant: a kept turn's whole chain is kept as long as the turn.
+	expiresMs := nowMs + settle.RetentionMs + retentionMarginMs
+	t.turns[settle.Request] = &retainedTurn{Request: settle.Request, Previous: settle.PreviousRequest, ExpiresMs: expiresMs}
+	// Invariant: the whole chain of a retained turn is retained as long as the turn.
 	for _, ancestor := range t.Chain(settle.Request) {
-		known := t.turns[ancestor]
-		known.ExpiresMs = max(known.ExpiresMs, expires)
+		retained := t.turns[ancestor]
+		retained.ExpiresMs = max(retained.ExpiresMs, expiresMs)
 	}
 	return TurnEffects{WriteRequest: settle.Request, Content: settle.Content}
 }
 
-// IsSweepDue reports whether a sweep would forget something.
+// IsSweepDue reports whether a sweep would delete anything.
 func (t *TurnLedger) IsSweepDue(nowMs int64) bool {
-	for _, known := range t.turns {
-		if known.ExpiresMs < nowMs {
+	for _, retained := range t.turns {
+		if retained.ExpiresMs < nowMs {
 			return true
 		}
 	}
-	for _, known := range t.budgets {
-		if known.LastMs+budgetIdleMs < nowMs {
+	for _, account := range t.budgets {
+		if account.LastActiveMs+budgetRetentionMs < nowMs {
 			return true
 		}
 	}
@@ -300,38 +304,38 @@
 
 func (t *TurnLedger) sweep(nowMs int64) TurnEffects {
 	var effects TurnEffects
-	for request, known := range t.turns {
-		if known.ExpiresMs < nowMs {
+	for request, retained := range t.turns {
+		if retained.ExpiresMs < nowMs {
 			delete(t.turns, request)
 			effects.DeleteRequests = append(effects.DeleteRequests, request)
 		}
 	}
 	slices.Sort(effects.DeleteRequests)
-	for id, known := range t.budgets {
-		if known.LastMs+budgetIdleMs < nowMs {
+	for id, account := range t.budgets {
+		if account.LastActiveMs+budgetRetentionMs < nowMs {
 			delete(t.budgets, id)
 		}
 	}
 	return effects
 }
 
-// turnsSnapshot is the encoded form, in an order that is the same on every replica.
-type turnsSnapshot struct {
-	Budgets []*budget `msgpack:"b"`
-	Turns   []*turn   `msgpack:"t"`
+// turnLedgerSnapshot is the encoded form, in an order that is identical on every replica.
+type turnLedgerSnapshot struct {
+	Budgets []*budget       `msgpack:"b"`
+	Turns   []*retainedTurn `msgpack:"t"`
 }
 
-// Snapshot encodes the ledger without the turns' content.
+// Snapshot encodes the ledger without the content of the turns.
 func (t *TurnLedger) Snapshot() ([]byte, error) {
-	var encoded turnsSnapshot
-	for _, known := range t.budgets {
-		encoded.Budgets = append(encoded.Budgets, known)
+	var encoded turnLedgerSnapshot
+	for _, account := range t.budgets {
+		encoded.Budgets = append(encoded.Budgets, account)
 	}
-	for _, known := range t.turns {
-		encoded.Turns = append(encoded.Turns, known)
+	for _, retained := range t.turns {
+		encoded.Turns = append(encoded.Turns, retained)
 	}
 	slices.SortFunc(encoded.Budgets, func(a, b *budget) int { return cmp.Compare(a.Program, b.Program) })
-	slices.SortFunc(encoded.Turns, func(a, b *turn) int { return cmp.Compare(a.Request, b.Request) })
+	slices.SortFunc(encoded.Turns, func(a, b *retainedTurn) int { return cmp.Compare(a.Request, b.Request) })
 	var buffer bytes.Buffer
 	encoder := msgpack.NewEncoder(&buffer)
 	encoder.SetSortMapKeys(true)
@@ -339,21 +343,21 @@
 	return buffer.Bytes(), err
 }
 
-// Restore replaces the ledger by a snapshot; empty data gives an empty ledger.
+// Restore replaces the ledger with a snapshot. Empty data yields an empty ledger.
 func (t *TurnLedger) Restore(data []byte) error {
-	var encoded turnsSnapshot
+	var encoded turnLedgerSnapshot
 	if len(data) > 0 {
 		if err := msgpack.Unmarshal(data, &encoded); err != nil {
 			return err
 		}
 	}
 	t.budgets = map[string]*budget{}
-	t.turns = map[string]*turn{}
-	for _, known := range encoded.Budgets {
-		t.budgets[known.Program] = known
+	t.turns = map[string]*retainedTurn{}
+	for _, account := range encoded.Budgets {
+		t.budgets[account.Program] = account
 	}
-	for _, known := range encoded.Turns {
-		t.turns[known.Request] = known
+	for _, retained := range encoded.Turns {
+		t.turns[retained.Request] = retained
 	}
 	return nil
 }
--- a/internal/program/turns_test.go
+++ b/internal/program/turns_test.go
@@ -11,15 +11,15 @@
 	"github.com/ochrebay/ochrebay/internal/result"
 )
 
-func reserveTurn(turns *TurnLedger, request string, budget, most int64, previous string) *result.Error {
-	outcome, _ := turns.Apply(TurnCommand{NowMs: 1000, Reserve: &Reserve{
-		Program: "p", Request: request, BudgetTokens: budget, MaxTokens: most, PreviousRequest: previous, Session: "s",
+func reserveTurn(turns *TurnLedger, request string, budgetTokens, maxTokens int64, previous string) *result.Error {
+	reply, _ := turns.Apply(TurnCommand{NowMs: 1000, Reserve: &Reserve{
+		Program: "p", Request: request, BudgetTokens: budgetTokens, MaxTokens: maxTokens, PreviousRequest: previous, Session: "s",
 	}})
-	return outcome.Error
+	return reply.Error
 }
 
 func TestTurns(t *testing.T) {
-	Convey("a budget counts open turns at their most and settled ones at what they used", t, func() {
+	Convey("a budget counts open turns with their maximum and settled turns with the tokens used", t, func() {
 		turns := NewTurnLedger()
 		So(reserveTurn(turns, "a", 100, 60, ""), ShouldBeNil)
 		So(reserveTurn(turns, "a", 100, 60, ""), ShouldBeNil)
@@ -31,7 +31,7 @@
 		So(reserveTurn(turns, "b", 100, 60, ""), ShouldBeNil)
 		So(reserveTurn(turns, "c", 100, 60, "").Code, ShouldEqual, result.BudgetExhausted)
 	})
-	Convey("a reservation that is settled at nothing charges nothing", t, func() {
+	Convey("a reservation that is settled with no tokens charges nothing", t, func() {
 		turns := NewTurnLedger()
 		for try := range 30 {
 			request := fmt.Sprint(try)
@@ -41,17 +41,17 @@
 		spent, reserved := turns.TokenUse("p")
 		So(spent+reserved, ShouldEqual, 0)
 	})
-	Convey("a kept turn keeps its chain as long as it is kept itself", t, func() {
+	Convey("the chain of a retained turn is retained as long as the turn", t, func() {
 		turns := NewTurnLedger()
-		keep := func(nowMs int64, request, previous string) TurnEffects {
+		retain := func(nowMs int64, request, previous string) TurnEffects {
 			_, effects := turns.Apply(TurnCommand{NowMs: nowMs, Settle: &Settle{
 				Program: "p", Request: request, PreviousRequest: previous, Retain: true, Content: []byte(request), RetentionMs: 10_000,
 			}})
 			return effects
 		}
-		So(keep(0, "a", "").WriteRequest, ShouldEqual, "a")
-		keep(9_000, "b", "a")
-		So(keep(9_000, "b", "a").WriteRequest, ShouldEqual, "")
+		So(retain(0, "a", "").WriteRequest, ShouldEqual, "a")
+		retain(9_000, "b", "a")
+		So(retain(9_000, "b", "a").WriteRequest, ShouldEqual, "")
 		_, effects := turns.Apply(TurnCommand{NowMs: 16_000, Sweep: true})
 		So(effects.DeleteRequests, ShouldBeEmpty)
 		So(turns.Chain("b"), ShouldResemble, []string{"a", "b"})
@@ -60,7 +60,7 @@
 		_, effects = turns.Apply(TurnCommand{NowMs: 25_000, Sweep: true})
 		So(effects.DeleteRequests, ShouldResemble, []string{"a", "b"})
 	})
-	Convey("a session's engine is remembered, and a new session starts from its program's", t, func() {
+	Convey("the affine engine of a session is that of its last turn, and that of a new session is the program's", t, func() {
 		turns := NewTurnLedger()
 		So(reserveTurn(turns, "a", 100, 10, ""), ShouldBeNil)
 		turns.Apply(TurnCommand{NowMs: 1001, Settle: &Settle{Program: "p", Request: "a", Session: "s", Engine: "e1"}})
@@ -70,54 +70,54 @@
 	})
 }
 
-// TestTurnsProperty holds that whatever comes in whatever order, what a program has
-// generated and may be generating stays within its budget, and that a replica which
-// is restored from a snapshot goes on like the others.
+// TestTurnsProperty checks, for any order of commands, that the tokens that a program has
+// generated and may still generate stay within its budget, and that a replica restored from a
+// snapshot continues like the others.
 func TestTurnsProperty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const budgetTokens = 500
 		turns := NewTurnLedger()
-		twin := NewTurnLedger()
+		replica := NewTurnLedger()
 		open := map[string]int64{}
-		handed := int64(0)
+		usedTokens := int64(0)
 		for step := range rapid.IntRange(1, 60).Draw(t, "steps") {
 			command := TurnCommand{NowMs: int64(step) * 10}
 			request := rapid.SampledFrom([]string{"a", "b", "c", "d", "e"}).Draw(t, "request")
 			if rapid.Bool().Draw(t, "reserve") {
-				most := rapid.Int64Range(1, 200).Draw(t, "most")
-				command.Reserve = &Reserve{Program: "p", Request: request, BudgetTokens: budgetTokens, MaxTokens: most}
-				outcome, _ := turns.Apply(command)
-				if _, already := open[request]; outcome.Error == nil && !already {
-					open[request] = most
+				maxTokens := rapid.Int64Range(1, 200).Draw(t, "most")
+				command.Reserve = &Reserve{Program: "p", Request: request, BudgetTokens: budgetTokens, MaxTokens: maxTokens}
+				reply, _ := turns.Apply(command)
+				if _, already := open[request]; reply.Error == nil && !already {
+					open[request] = maxTokens
 				}
 			} else {
 				used := rapid.Int64Range(0, open[request]).Draw(t, "used")
 				command.Settle = &Settle{Program: "p", Request: request, UsedTokens: used}
 				turns.Apply(command)
 				if _, was := open[request]; was {
-					handed += used
+					usedTokens += used
 					delete(open, request)
 				}
 			}
-			twin.Apply(command)
-			worst := handed
-			for _, most := range open {
-				worst += most
+			replica.Apply(command)
+			worstCase := usedTokens
+			for _, maxTokens := range open {
+				worstCase += maxTokens
 			}
-			if worst > budgetTokens {
-				t.Fatalf("step %d: %d may be generated of %d", step, worst, budgetTokens)
+			if worstCase > budgetTokens {
+				t.Fatalf("step %d: up to %d tokens may be generated, the budget is %d", step, worstCase, budgetTokens)
 			}
-			raw, err := twin.Snapshot()
+			raw, err := replica.Snapshot()
 			if err != nil {
 				t.Fatal(err)
 			}
-			twin = NewTurnLedger()
-			if err := twin.Restore(raw); err != nil {
+			replica = NewTurnLedger()
+			if err := replica.Restore(raw); err != nil {
 				t.Fatal(err)
 			}
-			own, _ := turns.Snapshot()
-			other, _ := twin.Snapshot()
-			if !bytes.Equal(own, other) {
+			expected, _ := turns.Snapshot()
+			actual, _ := replica.Snapshot()
+			if !bytes.Equal(expected, actual) {
 				t.Fatalf("step %d: the restored replica differs", step)
 			}
 		}
@@ -125,12 +125,12 @@
 }
 
 func TestFirstTurns(t *testing.T) {
-	Convey("a turn is its program's first until one has run; a turn that never ran leaves it so", t, func() {
+	Convey("a turn is its program's first until one has run, and a turn that never ran does not change that", t, func() {
 		turns := NewTurnLedger()
 		reserve := func(request string) bool {
-			outcome, _ := turns.Apply(TurnCommand{Reserve: &Reserve{Program: "p", Request: request, BudgetTokens: 100, MaxTokens: 10}})
-			So(outcome.Error, ShouldBeNil)
-			return outcome.IsFirstTurn
+			reply, _ := turns.Apply(TurnCommand{Reserve: &Reserve{Program: "p", Request: request, BudgetTokens: 100, MaxTokens: 10}})
+			So(reply.Error, ShouldBeNil)
+			return reply.IsFirstTurn
 		}
 		settle := func(request, engine string, used int64) {
 			turns.Apply(TurnCommand{Settle: &Settle{Program: "p", Request: request, Engine: engine, UsedTokens: used}})
