--- a/internal/gateway/admission_test.go
+++ b/internal/gateway/admission_test.go
@@ -10,15 +10,15 @@
 	"github.com/ochrebay/ochrebay/internal/scheduling"
 )
 
-// newOverloadedStand is a gateway that has learnt that its engines fall behind, whose ledger
+// newOverloadedFixture is a gateway that has learnt that its engines fall behind, whose ledger
 // says whether a turn is its program's first.
-func newOverloadedStand(t *testing.T, first bool) *gatewayStand {
-	stand := newGatewayStand(t, events(1, "", false))
-	stand.ledger.say(func(request *protocol.TurnRequest) *protocol.TurnReply {
+func newOverloadedFixture(t *testing.T, first bool) *gatewayFixture {
+	stand := newGatewayFixture(t, streamingEngine(1, "", false))
+	stand.ledger.setResponse(func(request *protocol.TurnRequest) *protocol.TurnReply {
 		return &protocol.TurnReply{First: first && request.Reserve != nil}
 	})
 	engines := stand.gateway.engines
-	learnt := entryOf(engines.admissions, "b")
+	learnt := getOrCreate(engines.admissionControllers, "b")
 	const lateStreams, concurrency = 100, 3
 	for range lateStreams {
 		learnt.ObserveStreamStart(clock.NowMs(), true)
@@ -33,9 +33,9 @@
 
 func TestAdmissionOfAGateway(t *testing.T) {
 	// Of a hundred programs a tenth is let in at the least: their ids draw it.
-	rejected := func(stand *gatewayStand, path string, headers ...string) (count int, retryAfter string) {
+	rejected := func(stand *gatewayFixture, path string, headers ...string) (count int, retryAfter string) {
 		for _, program := range []string{"p0", "p1", "p2", "p3", "p4", "p5", "p6", "p7", "p8", "p9"} {
-			response, _, err := stand.send(path, "r-"+program, append(append(headers, budget...), "Ochrebay-Program", program)...)
+			response, _, err := stand.send(path, "r-"+program, append(append(headers, budgetHeaders...), "Ochrebay-Program", program)...)
 			So(err, ShouldBeNil)
 			if response.StatusCode == 429 {
 				count++
@@ -45,7 +45,7 @@
 		return count, retryAfter
 	}
 	Convey("before engines that fall behind the first turn of most programs is rejected, runs nowhere, and is told when to come back", t, func() {
-		stand := newOverloadedStand(t, true)
+		stand := newOverloadedFixture(t, true)
 		count, retryAfter := rejected(stand, "/stream/")
 		So(count, ShouldBeGreaterThan, 5)
 		So(retryAfter, ShouldNotBeBlank)
@@ -54,19 +54,19 @@
 		So(again, ShouldEqual, count)
 	})
 	Convey("a program under way goes on, and so does one that continues a kept turn", t, func() {
-		count, _ := rejected(newOverloadedStand(t, false), "/stream/")
+		count, _ := rejected(newOverloadedFixture(t, false), "/stream/")
 		So(count, ShouldEqual, 0)
-		count, _ = rejected(newOverloadedStand(t, true), "/kept/", "Ochrebay-Previous-Turn", "t1")
+		count, _ = rejected(newOverloadedFixture(t, true), "/kept/", "Ochrebay-Previous-Turn", "t1")
 		So(count, ShouldEqual, 0)
 	})
 	Convey("without word of the other gateways nobody is rejected", t, func() {
-		stand := newOverloadedStand(t, true)
+		stand := newOverloadedFixture(t, true)
 		stand.gateway.engines.health = map[string]*scheduling.EngineHealth{}
 		count, _ := rejected(stand, "/stream/")
 		So(count, ShouldEqual, 0)
 	})
 	Convey("turned off it rejects nobody", t, func() {
-		stand := newOverloadedStand(t, true)
+		stand := newOverloadedFixture(t, true)
 		stand.gateway.engines.disabled = scheduling.DisabledMechanisms{scheduling.MechanismAdmission}
 		count, _ := rejected(stand, "/stream/")
 		So(count, ShouldEqual, 0)
@@ -75,18 +75,18 @@
 
 func TestActivity(t *testing.T) {
 	Convey("a stream that began late over a pause of the process is told from one that waited", t, func() {
-		var seen activity
+		var seen activityTracker
 		for nowMs := int64(0); nowMs <= 1000; nowMs += 20 {
-			seen.note(nowMs)
+			seen.record(nowMs)
 		}
-		So(seen.paused(1000, 900), ShouldBeFalse)
-		seen.note(5000)
-		So(seen.paused(5000, 4100), ShouldBeTrue)
-		seen.note(5010)
-		So(seen.paused(5010, 4200), ShouldBeTrue)
+		So(seen.wasIdle(1000, 900), ShouldBeFalse)
+		seen.record(5000)
+		So(seen.wasIdle(5000, 4100), ShouldBeTrue)
+		seen.record(5010)
+		So(seen.wasIdle(5010, 4200), ShouldBeTrue)
 		for nowMs := int64(5020); nowMs <= 6000; nowMs += 20 {
-			seen.note(nowMs)
+			seen.record(nowMs)
 		}
-		So(seen.paused(6000, 500), ShouldBeFalse)
+		So(seen.wasIdle(6000, 500), ShouldBeFalse)
 	})
 }
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -41,30 +41,30 @@
 type attemptOutcome struct {
 	kind   attemptKind
 	status int
-	// started says that a part of the answer has reached the caller.
-	started bool
-	// tookMs is how long the engine took for a whole answer, 0 for a stream.
-	tookMs float64
-	// events are those of a stream that went to its end.
-	events int64
-	err    error
+	// responseStarted says that a part of the answer has reached the caller.
+	responseStarted bool
+	// responseMs is how long the engine took for a whole answer, 0 for a stream.
+	responseMs float64
+	// streamEvents are those of a stream that went to its end.
+	streamEvents int64
+	err          error
 }
 
 // lowestPriority is the last rank at an engine.
 const lowestPriority = 9
 
-// demand describes the call to the choice of engines.
-func (d *Daemon) demand(c *call, avoid []string) scheduling.SelectionInput {
+// selectionInput describes the call to the choice of engines.
+func (d *Daemon) selectionInput(c *call, avoid []string) scheduling.SelectionInput {
 	demand := scheduling.SelectionInput{ExcludedEngines: avoid, NowMs: clock.NowMs(), RequestKind: c.route.Name}
 	switch {
 	case c.route.Kind == routing.KindStream:
 		demand.IsStream = true
-		demand.AffineEngine = c.home
-		demand.Prompt = c.prefix
-		demand.MaxEvents = c.most / max(c.backend.TokensPerEvent, 1)
-		demand.RequiredKVCacheTokens = scheduling.PromptTokens(c.prefix) + c.most
+		demand.AffineEngine = c.affineEngine
+		demand.Prompt = c.promptParts
+		demand.MaxEvents = c.maxTokens / max(c.backend.TokensPerEvent, 1)
+		demand.RequiredKVCacheTokens = scheduling.PromptTokens(c.promptParts) + c.maxTokens
 	case c.route.Affinity:
-		demand.AffinityKey = c.affinity
+		demand.AffinityKey = c.affinityKey
 	}
 	return demand
 }
@@ -78,13 +78,13 @@
 	defer stop()
 	bounded, cancel := context.WithCancelCause(timed)
 	defer cancel(nil)
-	c.watch = d.watch(bounded, c, cancel)
-	defer c.watch.heard()
+	c.responseTimer = d.startResponseTimer(bounded, c, cancel)
+	defer c.responseTimer.stop()
 	exchange, err := d.pool.Do(bounded, engine.Address, d.upstreamRequest(c, engine))
 	switch {
 	case err == nil:
-	case errors.Is(context.Cause(bounded), errSilent):
-		return attemptOutcome{kind: attemptBroken, err: errSilent}
+	case errors.Is(context.Cause(bounded), errResponseTimeout):
+		return attemptOutcome{kind: attemptBroken, err: errResponseTimeout}
 	case bounded.Err() != nil:
 		return attemptOutcome{kind: attemptCancelled, err: bounded.Err()}
 	case errors.Is(err, upstream.ErrNotSent):
@@ -93,28 +93,28 @@
 		return attemptOutcome{kind: attemptBroken, err: err}
 	}
 	defer exchange.Close()
-	if refusal, refused := d.refused(exchange); refused {
+	if refusal, refused := d.parseRefusal(exchange); refused {
 		return refusal
 	}
-	d.queues.leave(c, true)
+	d.waitQueues.leave(c, true)
 	outcome := deliver(exchange, c)
 	switch {
 	case outcome.kind != attemptBroken:
-	case errors.Is(context.Cause(bounded), errSilent):
-		outcome.err = errSilent
+	case errors.Is(context.Cause(bounded), errResponseTimeout):
+		outcome.err = errResponseTimeout
 	case bounded.Err() != nil:
 		outcome.kind = attemptCancelled
 	}
 	return outcome
 }
 
-// refused reports whether the engine says that it did not run the call.
-func (d *Daemon) refused(exchange *upstream.Exchange) (attemptOutcome, bool) {
+// parseRefusal reports whether the engine says that it did not run the call.
+func (d *Daemon) parseRefusal(exchange *upstream.Exchange) (attemptOutcome, bool) {
 	response := exchange.Response
-	if response.Header.Get(d.headers.NotExecuted) == "" && response.StatusCode != http.StatusMisdirectedRequest {
+	if response.Header.Get(d.headerNames.NotExecuted) == "" && response.StatusCode != http.StatusMisdirectedRequest {
 		return attemptOutcome{}, false
 	}
-	drain(exchange)
+	drainResponse(exchange)
 	err := errors.New("turned away with " + strconv.Itoa(response.StatusCode))
 	return attemptOutcome{kind: attemptRefused, status: response.StatusCode, err: err}, true
 }
@@ -127,30 +127,30 @@
 
 // upstreamRequest is the call as the engine is to get it.
 func (d *Daemon) upstreamRequest(c *call, engine membership.ServingEngine) *upstream.Request {
-	header := forwarded(c.request.Header)
-	for _, name := range d.headers.Reserved {
+	header := endToEndHeaders(c.request.Header)
+	for _, name := range d.headerNames.Reserved {
 		header.Del(name)
 	}
-	header.Del(d.headers.Priority)
-	header.Del(d.headers.APIKey)
-	header.Del(d.headers.Tenant)
+	header.Del(d.headerNames.Priority)
+	header.Del(d.headerNames.APIKey)
+	header.Del(d.headerNames.Tenant)
 	if c.tenant != nil {
-		header.Set(d.headers.Tenant, c.tenant.Name)
+		header.Set(d.headerNames.Tenant, c.tenant.Name)
 	}
-	header.Set(d.headers.DeadlineMs, strconv.FormatInt(max(c.timeLeft().Milliseconds(), 1), 10))
-	header.Set(d.headers.ExpectEngine, engine.ID)
-	if c.lastEvent > 0 {
-		header.Set(d.headers.LastEventID, strconv.FormatInt(c.lastEvent, 10))
+	header.Set(d.headerNames.DeadlineMs, strconv.FormatInt(max(c.timeLeft().Milliseconds(), 1), 10))
+	header.Set(d.headerNames.ExpectEngine, engine.ID)
+	if c.lastEventID > 0 {
+		header.Set(d.headerNames.LastEventID, strconv.FormatInt(c.lastEventID, 10))
 	}
 	if c.route.Kind == routing.KindStream && !d.process.Policy.Disable.Has(scheduling.MechanismEnginePriority) {
-		header.Set(d.headers.Priority, strconv.Itoa(c.priority()))
+		header.Set(d.headerNames.Priority, strconv.Itoa(c.priority()))
 	}
 	request := &upstream.Request{
 		Method: c.request.Method, URI: c.request.RequestURI, Host: c.request.Host, Header: header,
-		Body: c.body, HasBody: c.hasBody, ID: c.id, IDHeader: d.headers.RequestID,
+		Body: c.body, HasBody: c.hasBody, ID: c.id, IDHeader: d.headerNames.RequestID,
 	}
-	if len(c.chain) > 0 {
-		request.Body = append(append(make([]byte, 0, len(c.chain)+len(c.body)), c.chain...), c.body...)
+	if len(c.history) > 0 {
+		request.Body = append(append(make([]byte, 0, len(c.history)+len(c.body)), c.history...), c.body...)
 	}
 	return request
 }
--- a/internal/gateway/calllog.go
+++ b/internal/gateway/calllog.go
@@ -13,22 +13,22 @@
 
 // logCall writes the one line that says how a call ended. It holds what was decided and
 // measured, and no key for what the call did not come to.
-func (d *Daemon) logCall(c *call, request *http.Request, out *answer, failure *result.Error, took time.Duration) {
-	id := request.Header.Get(d.headers.RequestID)
+func (d *Daemon) logCall(c *call, request *http.Request, out *callerResponse, failure *result.Error, took time.Duration) {
+	id := request.Header.Get(d.headerNames.RequestID)
 	keyValues := []any{"request", id}
 	if c != nil {
-		keyValues = append(keyValues, "route", c.route.Name, "generation", c.generation, "backend", c.backend.Name,
-			"program", c.program, "attempts", c.attempts)
-		if c.waited > 0 {
-			keyValues = append(keyValues, "waited_ms", c.waited.Milliseconds())
+		keyValues = append(keyValues, "route", c.route.Name, "generation", c.tableGeneration, "backend", c.backend.Name,
+			"program", c.programID, "attempts", c.attemptCount)
+		if c.waitTime > 0 {
+			keyValues = append(keyValues, "waited_ms", c.waitTime.Milliseconds())
 		}
 		keyValues = append(keyValues, d.tenantFields(c)...)
-		keyValues = append(keyValues, c.choiceFields()...)
+		keyValues = append(keyValues, c.selectionFields()...)
 		keyValues = append(keyValues, c.ledgerFields()...)
 	}
 	keyValues = append(keyValues, out.streamFields(c)...)
 	keyValues = append(keyValues, "status", out.status, "events", out.events, "took", took.Round(100*time.Microsecond).String())
-	d.metrics.ended(c, failure)
+	d.metrics.recordRequest(c, failure)
 	if failure == nil {
 		telemetry.Calm(d.logger, id, "served", keyValues...)
 		return
@@ -40,56 +40,56 @@
 // tenantFields say who asked and how sure the gateway was of its keys, nothing where the
 // table has no tenants.
 func (d *Daemon) tenantFields(c *call) []any {
-	age, known := d.proofAge()
-	if !c.keyed || !known {
+	age, known := d.confirmationAge()
+	if !c.requiresKey || !known {
 		return nil
 	}
 	fields := []any{"proof_age_ms", age.Milliseconds()}
 	if c.tenant != nil {
 		fields = append(fields, "tenant", c.tenant.Name)
 	}
-	if c.granted > 0 {
-		fields = append(fields, "granted_ms", milliseconds(c.granted), "queued", c.queued)
+	if c.quotaTime > 0 {
+		fields = append(fields, "granted_ms", milliseconds(c.quotaTime), "queued", c.quotaQueued)
 	}
 	return fields
 }
 
-// choiceFields say what decided for the engine that was sent the call last, nothing where
+// selectionFields say what decided for the engine that was sent the call last, nothing where
 // none was chosen.
-func (c *call) choiceFields() []any {
-	if c.attempts == 0 {
+func (c *call) selectionFields() []any {
+	if c.attemptCount == 0 {
 		return nil
 	}
 	return []any{
-		"engine", c.engine, "home", c.home, "in_flight", c.chosen.inFlight, "candidates", c.chosen.candidates,
-		"company", int(c.chosen.company), "shared_age_ms", c.chosen.sharedAgeMs, "missing", c.chosen.missing,
-		"cost_ms", int64(c.chosen.cost), "next_cost_ms", int64(c.chosen.nextCost), "home_cost_ms", int64(c.chosen.homeCost),
-		"sent_ms", c.sent.Milliseconds(), "slowness", decimals(c.chosen.slowness), "home_slowness", decimals(c.chosen.homeSlowness),
-		"moved", c.chosen.moved, "turns_left", decimals(c.chosen.turns), "holds", c.chosen.holds, "held_tokens", c.chosen.heldTokens, "pushed", c.chosen.pushed,
+		"engine", c.engineID, "home", c.affineEngine, "in_flight", c.selection.inFlight, "candidates", c.selection.candidateCount,
+		"company", int(c.selection.estimatedInFlight), "shared_age_ms", c.selection.sharedLoadAgeMs, "missing", c.selection.prefillTokens,
+		"cost_ms", int64(c.selection.costMs), "next_cost_ms", int64(c.selection.nextBestCostMs), "home_cost_ms", int64(c.selection.affineEngineCostMs),
+		"sent_ms", c.sentAfter.Milliseconds(), "slowness", formatRatio(c.selection.slowdown), "home_slowness", formatRatio(c.selection.affineEngineSlowdown),
+		"moved", c.selection.moveReason, "turns_left", formatRatio(c.selection.remainingTurns), "holds", c.selection.requiredKVCacheTokens, "held_tokens", c.selection.reservedKVCacheTokens, "pushed", c.selection.preemptedTokens,
 	}
 }
 
-// decimals shortens a ratio for the log.
-func decimals(value float64) string { return strconv.FormatFloat(value, 'f', 2, 64) }
+// formatRatio shortens a ratio for the log.
+func formatRatio(value float64) string { return strconv.FormatFloat(value, 'f', 2, 64) }
 
 // ledgerFields say how long the ledger took for a turn.
 func (c *call) ledgerFields() []any {
 	if !c.isTurn() {
 		return nil
 	}
-	fields := []any{"opened_ms", c.opened.Milliseconds()}
-	if c.kept > 0 {
-		fields = append(fields, "kept_ms", c.kept.Milliseconds())
+	fields := []any{"opened_ms", c.openedAfter.Milliseconds()}
+	if c.retainTime > 0 {
+		fields = append(fields, "kept_ms", c.retainTime.Milliseconds())
 	}
 	return fields
 }
 
 // streamFields say when the events of a stream were passed on.
-func (a *answer) streamFields(c *call) []any {
+func (a *callerResponse) streamFields(c *call) []any {
 	if c == nil || a.events == 0 {
 		return nil
 	}
-	return []any{"first_event_ms", a.firstEvent.Sub(c.started).Milliseconds(), "events_ms", a.lastEvent.Sub(a.firstEvent).Milliseconds()}
+	return []any{"first_event_ms", a.firstEventAt.Sub(c.startedAt).Milliseconds(), "events_ms", a.lastEventAt.Sub(a.firstEventAt).Milliseconds()}
 }
 
 // logAttempt writes one line for a send that did not end well.
@@ -98,17 +98,17 @@
 	if outcome.kind == attemptAnswered {
 		return
 	}
-	telemetry.Warn(d.logger, "attempt failed", "request", c.id, "engine", engine.ID, "address", engine.Address, "attempt", c.attempts,
-		"outcome", outcome.kind.String(), "status", outcome.status, "started", outcome.started, "err", outcome.err)
+	telemetry.Warn(d.logger, "attempt failed", "request", c.id, "engine", engine.ID, "address", engine.Address, "attempt", c.attemptCount,
+		"outcome", outcome.kind.String(), "status", outcome.status, "started", outcome.responseStarted, "err", outcome.err)
 }
 
 // logRejection writes one line for a call that did not wait, or no longer, for room.
 func (d *Daemon) logRejection(c *call, rejection *waiting.Rejection) {
-	telemetry.Warn(d.logger, "wait rejected", "request", c.id, "backend", c.backend.Name, "rank", c.priority(), "begun", c.begun, "above_share", c.aboveShare,
-		"waited_ms", c.waited.Milliseconds(), "ahead", rejection.Ahead, "room_per_s", rejection.CompletionsPerSecond,
+	telemetry.Warn(d.logger, "wait rejected", "request", c.id, "backend", c.backend.Name, "rank", c.priority(), "begun", c.programInProgress, "above_share", c.aboveFairShare,
+		"waited_ms", c.waitTime.Milliseconds(), "ahead", rejection.Ahead, "room_per_s", rejection.CompletionsPerSecond,
 		"chance", rejection.Probability, "time_left_ms", c.timeLeft().Milliseconds(), "retry_after_ms", rejection.RetryAfterMs)
 }
 
 func (d *Daemon) logFailure(message string, c *call, failure *result.Error) {
-	telemetry.Warn(d.logger, message, "request", c.id, "program", c.program, "code", int(failure.Code), "err", failure.Error())
+	telemetry.Warn(d.logger, message, "request", c.id, "program", c.programID, "code", int(failure.Code), "err", failure.Error())
 }
--- a/internal/gateway/calllog_test.go
+++ b/internal/gateway/calllog_test.go
@@ -29,12 +29,12 @@
 			So(lines.String(), ShouldNotContainSubstring, "cost_ms")
 		})
 		Convey("of a turn that the ledger refused has no engine", func() {
-			stand := newGatewayStand(t, events(2, "", false))
+			stand := newGatewayFixture(t, streamingEngine(2, "", false))
 			stand.gateway.logger = log.NewLogfmtLogger(&lines)
-			stand.ledger.say(func(*protocol.TurnRequest) *protocol.TurnReply {
+			stand.ledger.setResponse(func(*protocol.TurnRequest) *protocol.TurnReply {
 				return &protocol.TurnReply{Error: result.New(result.BudgetExhausted, "spent")}
 			})
-			_, _, err := stand.send("/stream/", "poor", budget...)
+			_, _, err := stand.send("/stream/", "poor", budgetHeaders...)
 			So(err, ShouldBeNil)
 			So(lines.String(), ShouldContainSubstring, "opened_ms=")
 			So(lines.String(), ShouldNotContainSubstring, "engine=")
--- a/internal/gateway/chains.go
+++ b/internal/gateway/chains.go
@@ -8,44 +8,44 @@
 	"github.com/ochrebay/ochrebay/internal/protocol"
 )
 
-// maxCachedChains bounds the chains by number; bytes bound them before that.
-const maxCachedChains = 1 << 16
+// maxCachedHistories bounds the chains by number; bytes bound them before that.
+const maxCachedHistories = 1 << 16
 
-// chainCache keeps the content of chains that this gateway has served lately, by
+// historyCache keeps the content of chains that this gateway has served lately, by
 // the request of their last turn. A turn never changes once it is kept, so that
 // what is cached stays true.
-type chainCache struct {
+type historyCache struct {
 	mutex  sync.Mutex
-	chains *simplelru.LRU[string, []byte]
-	// sessions names the last turn of each session that is cached.
-	sessions *simplelru.LRU[string, string]
-	bytes    int
-	maxBytes int
+	byTurn *simplelru.LRU[string, []byte]
+	// lastTurnBySession names the last turn of each session that is cached.
+	lastTurnBySession *simplelru.LRU[string, string]
+	bytes             int
+	maxBytes          int
 }
 
-func newChainCache(maxBytes int) *chainCache {
-	cache := &chainCache{maxBytes: maxBytes}
-	chains, err := simplelru.NewLRU(maxCachedChains, func(_ string, chain []byte) { cache.bytes -= len(chain) })
+func newHistoryCache(maxBytes int) *historyCache {
+	cache := &historyCache{maxBytes: maxBytes}
+	chains, err := simplelru.NewLRU(maxCachedHistories, func(_ string, chain []byte) { cache.bytes -= len(chain) })
 	if err != nil {
 		panic(err) // The size is a constant above zero.
 	}
-	cache.chains = chains
-	cache.sessions, err = simplelru.NewLRU[string, string](maxCachedChains, nil)
+	cache.byTurn = chains
+	cache.lastTurnBySession, err = simplelru.NewLRU[string, string](maxCachedHistories, nil)
 	if err != nil {
 		panic(err) // As above.
 	}
 	return cache
 }
 
-// cachedChain is the content of a line of turns up to one of them.
-type cachedChain struct {
+// cachedHistory is the content of a line of turns up to one of them.
+type cachedHistory struct {
 	turn    string
 	content []byte
 }
 
-// continued returns the chain with what the ledger says that follows. The content is
+// extend returns the chain with what the ledger says that follows. The content is
 // copied: several turns may go on from one.
-func (k cachedChain) continued(reply *protocol.TurnReply) []byte {
+func (k cachedHistory) extend(reply *protocol.TurnReply) []byte {
 	if !reply.Continued {
 		return reply.Chain
 	}
@@ -54,38 +54,38 @@
 
 // get returns the chain up to a turn, or else the longest one of the same session
 // that was served here; an empty one where there is none.
-func (c *chainCache) get(turn, program, session string) cachedChain {
+func (c *historyCache) get(turn, program, session string) cachedHistory {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if content, ok := c.chains.Get(turn); ok {
-		return cachedChain{turn, content}
+	if content, ok := c.byTurn.Get(turn); ok {
+		return cachedHistory{turn, content}
 	}
-	last, ok := c.sessions.Get(program + "\x00" + session)
+	last, ok := c.lastTurnBySession.Get(program + "\x00" + session)
 	if !ok {
-		return cachedChain{}
+		return cachedHistory{}
 	}
-	content, ok := c.chains.Get(last)
+	content, ok := c.byTurn.Get(last)
 	if !ok {
-		return cachedChain{}
+		return cachedHistory{}
 	}
-	return cachedChain{last, content}
+	return cachedHistory{last, content}
 }
 
 // put keeps the chain up to a turn of a session in place of the session's earlier one,
 // which it begins with: a turn that goes on from there has the ledger send what is
 // missing.
-func (c *chainCache) put(turn, program, session string, content []byte) {
+func (c *historyCache) put(turn, program, session string, content []byte) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	key := program + "\x00" + session
-	if earlier, ok := c.sessions.Get(key); ok {
-		c.chains.Remove(earlier)
+	if earlier, ok := c.lastTurnBySession.Get(key); ok {
+		c.byTurn.Remove(earlier)
 	}
-	c.chains.Remove(turn)
-	c.chains.Add(turn, content)
-	c.sessions.Add(key, turn)
+	c.byTurn.Remove(turn)
+	c.byTurn.Add(turn, content)
+	c.lastTurnBySession.Add(key, turn)
 	c.bytes += len(content)
-	for c.bytes > c.maxBytes && c.chains.Len() > 0 {
-		c.chains.RemoveOldest()
+	for c.bytes > c.maxBytes && c.byTurn.Len() > 0 {
+		c.byTurn.RemoveOldest()
 	}
 }
--- a/internal/gateway/daemon.go
+++ b/internal/gateway/daemon.go
@@ -27,20 +27,20 @@
 )
 
 const (
-	defaultBodyBytes = 8 << 20
+	defaultMaxBodyBytes = 8 << 20
 	// headerTimeout and idleTimeout bound callers' connections; they are above what
 	// routing tables grant.
 	headerTimeout = 5 * time.Second
 	idleTimeout   = 30 * time.Second
-	sweepEvery    = time.Second
-	// quietBeforeStop is how long no request may have come before a draining gateway
+	sweepInterval = time.Second
+	// drainQuietPeriod is how long no request may have come before a draining gateway
 	// ends, and leastDrain how long it serves in any case.
-	quietBeforeStop = 1500 * time.Millisecond
-	leastDrain      = 3500 * time.Millisecond
-	drainPoll       = 50 * time.Millisecond
-	// chainShare is the part of the process's memory that chains may take.
-	chainShare        = 6
-	defaultChainBytes = 64 << 20
+	drainQuietPeriod  = 1500 * time.Millisecond
+	minDrainTime      = 3500 * time.Millisecond
+	drainPollInterval = 50 * time.Millisecond
+	// historyCacheDivisor is the part of the process's memory that chains may take.
+	historyCacheDivisor      = 6
+	defaultHistoryCacheBytes = 64 << 20
 )
 
 // view is what calls are routed by; a new one is made for every change.
@@ -54,69 +54,69 @@
 	// Frontends are served besides the daemon's own interface.
 	Frontends []daemon.Frontend
 
-	process  config.Process
-	headers  HeaderNames
-	logger   log.Logger
-	monitor  *telemetry.Monitor
-	metrics  *metrics
-	follower *daemon.Follower
-	pool     *upstream.Pool
-	engines  *engines
-	queues   *waitQueues
-	retries  *retries
-	ledgers  *ledgers
-	chains   *chainCache
-	denials  *denials
-	services *services
-	view     atomic.Pointer[view]
-	// proofAge says how old the proof is that the routing table is in force.
-	proofAge func() (time.Duration, bool)
-	// nextProof is closed once a proof has come after the latest.
-	nextProof func() <-chan struct{}
-	pauses    pauses
-	processor processorUse
-	draining  atomic.Bool
-	inFlight  atomic.Int64
-	// lastRequest is when a request last came, clock.NowMs.
-	lastRequest atomic.Int64
+	process      config.Process
+	headerNames  HeaderNames
+	logger       log.Logger
+	monitor      *telemetry.Monitor
+	metrics      *metrics
+	follower     *daemon.Follower
+	pool         *upstream.Pool
+	engines      *engineRegistry
+	waitQueues   *waitQueues
+	retries      *retryPolicy
+	ledgers      *ledgerClient
+	histories    *historyCache
+	denials      *denials
+	serviceTimes *serviceTimes
+	view         atomic.Pointer[view]
+	// confirmationAge says how old the proof is that the routing table is in force.
+	confirmationAge func() (time.Duration, bool)
+	// nextConfirmation is closed once a proof has come after the latest.
+	nextConfirmation func() <-chan struct{}
+	stalls           stallDetector
+	processorLoad    processorLoad
+	draining         atomic.Bool
+	inFlight         atomic.Int64
+	// lastRequestMs is when a request last came, clock.NowMs.
+	lastRequestMs atomic.Int64
 }
 
 // NewDaemon returns a gateway that has heard nothing yet; names are the headers it
 // speaks.
 func NewDaemon(process config.Process, names HeaderNames, logger log.Logger) *Daemon {
 	d := &Daemon{
-		process: process, headers: names, logger: logger, pool: upstream.NewPool(),
-		engines: newEngines(process.Zone, process.Policy), queues: newWaitQueues(process.Policy.Waiting, process.Policy.Disable),
-		retries: newRetries(process.Policy.Retry, process.Policy.Disable),
-		chains:  newChainCache(chainBytes(process.Limits, process.Policy.Disable)), denials: newDenials(),
-		services: newServices(),
+		process: process, headerNames: names, logger: logger, pool: upstream.NewPool(),
+		engines: newEngineRegistry(process.Zone, process.Policy), waitQueues: newWaitQueues(process.Policy.Waiting, process.Policy.Disable),
+		retries:   newRetries(process.Policy.Retry, process.Policy.Disable),
+		histories: newHistoryCache(historyCacheBytes(process.Limits, process.Policy.Disable)), denials: newDenials(),
+		serviceTimes: newServiceTimes(),
 	}
-	d.pool.OnDial = d.engines.dialed
+	d.pool.OnDial = d.engines.observeDial
 	d.monitor = telemetry.NewMonitor(d.Ready)
 	d.metrics = newMetrics(d.monitor, d)
-	d.ledgers = newLedgers(process.Zone, d.metrics.histories, process.Policy.Disable)
+	d.ledgers = newLedgerClient(process.Zone, d.metrics.historyReads, process.Policy.Disable)
 	d.follower = daemon.NewFollower(process.Cluster.Seeds, logger)
 	d.follower.WithRouting = true
-	d.follower.Report = d.report
-	d.follower.OnNews = d.follow
-	d.proofAge = d.follower.ProofAge
-	d.nextProof = d.follower.NextProof
-	d.follower.OnLoads = d.takeShared
-	d.follower.OnUsages = func(usages []scheduling.EngineUsage) { d.engines.takeSharedUsages(usages, clock.NowMs()) }
-	d.follower.OnLate = func(shares []scheduling.StreamLateness) { d.engines.takeLate(shares, clock.NowMs()) }
-	d.follower.OnUses = func(uses []admission.BackendUsage) { d.engines.takeUses(uses, clock.NowMs()) }
+	d.follower.Report = d.fillHeartbeat
+	d.follower.OnNews = d.applyUpdate
+	d.confirmationAge = d.follower.ProofAge
+	d.nextConfirmation = d.follower.NextProof
+	d.follower.OnLoads = d.applySharedLoads
+	d.follower.OnUsages = func(usages []scheduling.EngineUsage) { d.engines.applySharedUsages(usages, clock.NowMs()) }
+	d.follower.OnLate = func(shares []scheduling.StreamLateness) { d.engines.applySharedLateness(shares, clock.NowMs()) }
+	d.follower.OnUses = func(uses []admission.BackendUsage) { d.engines.applySharedTenantUsage(uses, clock.NowMs()) }
 	return d
 }
 
-// chainBytes is how much the cache of chains may hold.
-func chainBytes(limits config.Limits, disabled scheduling.DisabledMechanisms) int {
+// historyCacheBytes is how much the cache of chains may hold.
+func historyCacheBytes(limits config.Limits, disabled scheduling.DisabledMechanisms) int {
 	if disabled.Has(scheduling.MechanismHistoryCache) {
 		return 0
 	}
 	if limits.MemoryMB == 0 {
-		return defaultChainBytes
+		return defaultHistoryCacheBytes
 	}
-	return (limits.MemoryMB << 20) / chainShare
+	return (limits.MemoryMB << 20) / historyCacheDivisor
 }
 
 // Follower returns the daemon's link to control, for changed settings.
@@ -126,38 +126,38 @@
 // is not stopping.
 func (d *Daemon) Ready() bool { return d.view.Load() != nil && !d.draining.Load() }
 
-// report is the gateway's heartbeat.
-func (d *Daemon) report(request *protocol.FleetSync) {
+// fillHeartbeat is the gateway's heartbeat.
+func (d *Daemon) fillHeartbeat(request *protocol.FleetSync) {
 	request.Gateway = &membership.Gateway{
 		Name: d.process.Name, Zone: d.process.Zone, Region: d.process.Region, Address: d.process.Listen.Callers, IsReady: d.Ready(),
 	}
 	if !d.process.Policy.Disable.Has(scheduling.MechanismCapacityWeights) {
 		request.Gateway.Capacity = d.process.Limits.CPUShare
-		request.Gateway.OverloadLevel = d.busy()
+		request.Gateway.OverloadLevel = d.overloadLevel()
 	}
-	request.Loads = d.engines.takeLoads(clock.NowMs())
-	request.Usages = d.engines.takeUsages(clock.NowMs())
-	request.Failing = d.engines.failing(clock.NowMs())
-	request.Late = d.engines.lateNews(clock.NowMs())
-	request.Uses = d.engines.usesNews(clock.NowMs())
+	request.Loads = d.engines.collectLoads(clock.NowMs())
+	request.Usages = d.engines.collectUsages(clock.NowMs())
+	request.Failing = d.engines.failingEngines(clock.NowMs())
+	request.Late = d.engines.collectStreamLateness(clock.NowMs())
+	request.Uses = d.engines.collectTenantUsage(clock.NowMs())
 }
 
-// takeShared takes what all gateways together have seen of engines.
-func (d *Daemon) takeShared(loads []scheduling.EngineLoad, failing []string) {
-	for _, engine := range d.engines.takeShared(loads, failing, clock.NowMs()) {
+// applySharedLoads takes what all gateways together have seen of engines.
+func (d *Daemon) applySharedLoads(loads []scheduling.EngineLoad, failing []string) {
+	for _, engine := range d.engines.applySharedLoads(loads, failing, clock.NowMs()) {
 		telemetry.Info(d.logger, "engine fails at other gateways", "engine", engine)
 	}
 }
 
-// follow puts news of control in force.
-func (d *Daemon) follow(fleet *membership.FleetView, table *routing.Table) {
+// applyUpdate puts news of control in force.
+func (d *Daemon) applyUpdate(fleet *membership.FleetView, table *routing.Table) {
 	if fleet == nil {
 		return
 	}
-	for _, address := range d.engines.follow(fleet) {
+	for _, address := range d.engines.applyFleet(fleet) {
 		d.pool.CloseIdle(address)
 	}
-	d.ledgers.follow(fleet)
+	d.ledgers.applyFleet(fleet)
 	telemetry.Info(d.logger, "fleet in force", "version", fleet.Version, "engines", len(fleet.Engines), "ledgers", len(fleet.Ledgers),
 		"groups", len(fleet.Groups))
 	if table == nil {
@@ -178,7 +178,7 @@
 	}
 }
 
-func (d *Daemon) draw() float64 { return rand.Float64() }
+func (d *Daemon) randomFraction() float64 { return rand.Float64() }
 
 // Run serves until ctx ends, then drains.
 func (d *Daemon) Run(ctx context.Context) error {
@@ -194,7 +194,7 @@
 	tasks := daemon.NewGroup()
 	tasks.Go(d.follower.Run)
 	tasks.Go(func(ctx context.Context) error {
-		return daemon.ServeFrontends(ctx, append(d.Frontends, d.ownFrontend()))
+		return daemon.ServeFrontends(ctx, append(d.Frontends, d.monitoringFrontend()))
 	})
 	tasks.Go(d.sweep)
 	tasks.Go(func(context.Context) error {
@@ -210,21 +210,21 @@
 	return tasks.Wait(ctx, d.drain)
 }
 
-// ownFrontend serves metrics and health.
-func (d *Daemon) ownFrontend() daemon.Frontend {
+// monitoringFrontend serves metrics and health.
+func (d *Daemon) monitoringFrontend() daemon.Frontend {
 	return daemon.Frontend{Address: d.process.Listen.HTTP, Handler: d.monitor.Handler()}
 }
 
 // sweep closes engine connections that have rested too long, and notices pauses of the process.
 func (d *Daemon) sweep(ctx context.Context) error {
-	ticker := time.NewTicker(sweepEvery)
+	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case now := <-ticker.C:
-			d.pauses.step(sweepEvery, clock.NowMs())
+			d.stalls.tick(sweepInterval, clock.NowMs())
 			d.pool.CloseExpired(now)
 		}
 	}
@@ -239,9 +239,9 @@
 	began := time.Now()
 	last := began.Add(d.process.Limits.Grace())
 	for time.Now().Before(last) && ctx.Err() == nil {
-		time.Sleep(drainPoll)
-		quiet := clock.NowMs()-d.lastRequest.Load() > quietBeforeStop.Milliseconds()
-		if time.Since(began) > leastDrain && quiet && d.inFlight.Load() == 0 {
+		time.Sleep(drainPollInterval)
+		quiet := clock.NowMs()-d.lastRequestMs.Load() > drainQuietPeriod.Milliseconds()
+		if time.Since(began) > minDrainTime && quiet && d.inFlight.Load() == 0 {
 			break
 		}
 	}
--- a/internal/gateway/fleetsize_test.go
+++ b/internal/gateway/fleetsize_test.go
@@ -10,8 +10,8 @@
 	"github.com/ochrebay/ochrebay/internal/scheduling"
 )
 
-// viewOf is what control tells a gateway of a fleet.
-func viewOf(engines int) *membership.FleetView {
+// newFleetViewOfSize is what control tells a gateway of a fleet.
+func newFleetViewOfSize(engines int) *membership.FleetView {
 	fleet := membership.NewFleet()
 	for number := range engines {
 		fleet.Apply(membership.FleetUpdate{PutEngines: []membership.ServingEngine{{
@@ -28,11 +28,11 @@
 func BenchmarkFollow(b *testing.B) {
 	for _, engines := range []int{1000, 10_000, 20_000} {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
-			e := newEngines("z1", config.Policy{})
-			view := viewOf(engines)
+			e := newEngineRegistry("z1", config.Policy{})
+			view := newFleetViewOfSize(engines)
 			b.ReportAllocs()
 			for b.Loop() {
-				e.follow(view)
+				e.applyFleet(view)
 			}
 		})
 	}
@@ -42,11 +42,11 @@
 func BenchmarkChoose(b *testing.B) {
 	for _, engines := range []int{1000, 10_000, 20_000} {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
-			e := newEngines("z1", config.Policy{})
-			e.follow(viewOf(engines))
+			e := newEngineRegistry("z1", config.Policy{})
+			e.applyFleet(newFleetViewOfSize(engines))
 			b.ReportAllocs()
 			for b.Loop() {
-				if _, found := e.choose(routing.Backend{Name: "b", Slots: 6}, scheduling.SelectionInput{IsStream: true, NowMs: 1000, MaxEvents: 4}); !found {
+				if _, found := e.selectEngine(routing.Backend{Name: "b", Slots: 6}, scheduling.SelectionInput{IsStream: true, NowMs: 1000, MaxEvents: 4}); !found {
 					b.Fatal("no engine")
 				}
 			}
@@ -57,15 +57,15 @@
 // TestSharedSuspicionOfAGateway holds that a gateway takes others' word for an engine that
 // fails, and says so once.
 func TestSharedSuspicionOfAGateway(t *testing.T) {
-	e := newEngines("z1", config.Policy{})
-	if told := e.takeShared(nil, []string{"i-1"}, 1000); len(told) != 1 || !e.healthOf("i-1").IsSuspect(1000) {
+	e := newEngineRegistry("z1", config.Policy{})
+	if told := e.applySharedLoads(nil, []string{"i-1"}, 1000); len(told) != 1 || !e.healthOf("i-1").IsSuspect(1000) {
 		t.Fatalf("%v told, suspect %v", told, e.healthOf("i-1").IsSuspect(1000))
 	}
-	if told := e.takeShared(nil, []string{"i-1"}, 1500); len(told) != 0 {
+	if told := e.applySharedLoads(nil, []string{"i-1"}, 1500); len(told) != 0 {
 		t.Fatalf("%v told again", told)
 	}
-	disabled := newEngines("z1", config.Policy{Disable: scheduling.DisabledMechanisms{scheduling.MechanismSharedState}})
-	if disabled.takeShared(nil, []string{"i-1"}, 1000); disabled.healthOf("i-1").IsSuspect(1000) {
+	disabled := newEngineRegistry("z1", config.Policy{Disable: scheduling.DisabledMechanisms{scheduling.MechanismSharedState}})
+	if disabled.applySharedLoads(nil, []string{"i-1"}, 1000); disabled.healthOf("i-1").IsSuspect(1000) {
 		t.Fatal("taken although turned off")
 	}
 }
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -23,31 +23,31 @@
 	"github.com/ochrebay/ochrebay/internal/routing"
 )
 
-// patience bounds every wait of these tests; it is no measure of anything.
-const patience = 60 * time.Second
+// testTimeout bounds every wait of these tests; it is no measure of anything.
+const testTimeout = 60 * time.Second
 
 const (
-	// standBodyLimit is the largest body that the stand's table allows, and tooLargeBytes
+	// testBodyLimit is the largest body that the stand's table allows, and tooLargeBytes
 	// one above it.
-	standBodyLimit = 1 << 10
-	tooLargeBytes  = 64 << 10
-	// longerThanServersWait is above the 0.5 s after which net/http closes a connection with
+	testBodyLimit      = 1 << 10
+	oversizedBodyBytes = 64 << 10
+	// beyondServerLinger is above the 0.5 s after which net/http closes a connection with
 	// bytes unread.
-	longerThanServersWait = 1500 * time.Millisecond
+	beyondServerLinger = 1500 * time.Millisecond
 )
 
-// ledgerStand answers a gateway as its script says; a nil reply is no answer.
-type ledgerStand struct {
+// fakeLedger answers a gateway as its script says; a nil reply is no answer.
+type fakeLedger struct {
 	server   *protocol.Server
 	requests chan *protocol.TurnRequest
-	answer   atomic.Pointer[func(request *protocol.TurnRequest) *protocol.TurnReply]
+	respond  atomic.Pointer[func(request *protocol.TurnRequest) *protocol.TurnReply]
 }
 
 // testRouteTimeoutMs is how long the routes of the tests allow a request.
 const testRouteTimeoutMs = 30_000
 
-func newLedgerStand(t *testing.T) *ledgerStand {
-	stand := &ledgerStand{requests: make(chan *protocol.TurnRequest, 256)}
+func newFakeLedger(t *testing.T) *fakeLedger {
+	stand := &fakeLedger{requests: make(chan *protocol.TurnRequest, 256)}
 	server, err := protocol.Listen("127.0.0.1:0", func(connection *protocol.Connection, frame protocol.Frame) {
 		request := &protocol.TurnRequest{}
 		if protocol.Decode(frame.Body, request) != nil {
@@ -59,7 +59,7 @@
 			return
 		}
 		stand.requests <- request
-		if reply := (*stand.answer.Load())(request); reply != nil {
+		if reply := (*stand.respond.Load())(request); reply != nil {
 			_ = connection.Reply(frame.Call, protocol.KindResponse, reply, true)
 		}
 	})
@@ -68,17 +68,17 @@
 	}
 	t.Cleanup(server.Close)
 	stand.server = server
-	stand.say(func(*protocol.TurnRequest) *protocol.TurnReply { return &protocol.TurnReply{} })
+	stand.setResponse(func(*protocol.TurnRequest) *protocol.TurnReply { return &protocol.TurnReply{} })
 	return stand
 }
 
-func (l *ledgerStand) say(answer func(request *protocol.TurnRequest) *protocol.TurnReply) {
-	l.answer.Store(&answer)
+func (l *fakeLedger) setResponse(answer func(request *protocol.TurnRequest) *protocol.TurnReply) {
+	l.respond.Store(&answer)
 }
 
-// settled waits for the settling of a request.
-func (l *ledgerStand) settled(request string) *protocol.TurnRequest {
-	deadline := time.After(patience)
+// awaitSettle waits for the settling of a request.
+func (l *fakeLedger) awaitSettle(request string) *protocol.TurnRequest {
+	deadline := time.After(testTimeout)
 	for {
 		select {
 		case asked := <-l.requests:
@@ -91,23 +91,23 @@
 	}
 }
 
-// gatewayStand is a gateway before one engine and one ledger group.
-type gatewayStand struct {
+// gatewayFixture is a gateway before one engine and one ledger group.
+type gatewayFixture struct {
 	gateway *Daemon
 	server  *httptest.Server
-	ledger  *ledgerStand
+	ledger  *fakeLedger
 	runs    atomic.Int64
-	// sent, where it is set, takes the body that the engine was sent last.
-	sent *atomic.Value
+	// lastBody, where it is set, takes the body that the engine was sent last.
+	lastBody *atomic.Value
 }
 
-func newGatewayStand(t *testing.T, engine http.HandlerFunc) *gatewayStand {
-	stand := &gatewayStand{ledger: newLedgerStand(t)}
+func newGatewayFixture(t *testing.T, engine http.HandlerFunc) *gatewayFixture {
+	stand := &gatewayFixture{ledger: newFakeLedger(t)}
 	engines := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		stand.runs.Add(1)
 		body, _ := io.ReadAll(r.Body)
-		if stand.sent != nil {
-			stand.sent.Store(string(body))
+		if stand.lastBody != nil {
+			stand.lastBody.Store(string(body))
 		}
 		w.Header().Set("Ochrebay-Request", r.Header.Get("Ochrebay-Request"))
 		engine(w, r)
@@ -129,8 +129,8 @@
 			Shares: []routing.BackendShare{{Backend: "b", Weight: 1}},
 		}
 	}
-	stand.gateway.follow(fleet, &routing.Table{
-		Generation: 1, Limits: routing.Limits{MaxBodyBytes: standBodyLimit}, Backends: []routing.Backend{{Name: "b", TokensPerEvent: 10}},
+	stand.gateway.applyUpdate(fleet, &routing.Table{
+		Generation: 1, Limits: routing.Limits{MaxBodyBytes: testBodyLimit}, Backends: []routing.Backend{{Name: "b", TokensPerEvent: 10}},
 		Routes: []routing.Route{
 			route("/safe/", routing.KindSafe, false), route("/unsafe/", routing.KindUnsafe, false),
 			route("/stream/", routing.KindStream, false), resumable(route("/resumable/", routing.KindStream, false)), route("/kept/", routing.KindStream, true),
@@ -146,7 +146,7 @@
 	return route
 }
 
-func (g *gatewayStand) send(path, id string, headers ...string) (*http.Response, string, error) {
+func (g *gatewayFixture) send(path, id string, headers ...string) (*http.Response, string, error) {
 	request, err := http.NewRequest("POST", g.server.URL+path, strings.NewReader("in"))
 	if err != nil {
 		return nil, "", err
@@ -166,9 +166,9 @@
 	return response, string(body), err
 }
 
-// events is an engine that sends whole events and then a part of one, and ends or
+// streamingEngine is an engine that sends whole events and then a part of one, and ends or
 // breaks off.
-func events(count int, rest string, broken bool) http.HandlerFunc {
+func streamingEngine(count int, rest string, broken bool) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Ochrebay-Signature", "s")
 		w.Header().Set("Content-Type", "text/event-stream")
@@ -183,60 +183,60 @@
 	}
 }
 
-// budget are the headers of a turn with a budget.
-var budget = []string{"Ochrebay-Token-Budget", "1000", "Ochrebay-Tokens", "5,100"}
+// budgetHeaders are the headers of a turn with a budget.
+var budgetHeaders = []string{"Ochrebay-Token-Budget", "1000", "Ochrebay-Tokens", "5,100"}
 
 func TestTurnsOfAGateway(t *testing.T) {
 	Convey("a turn is charged for the events that were handed on", t, func() {
-		stand := newGatewayStand(t, events(3, "", false))
-		response, body, err := stand.send("/stream/", "r1", budget...)
+		stand := newGatewayFixture(t, streamingEngine(3, "", false))
+		response, body, err := stand.send("/stream/", "r1", budgetHeaders...)
 		So(err, ShouldBeNil)
 		So(response.StatusCode, ShouldEqual, 200)
 		So(strings.Count(body, "data:"), ShouldEqual, 3)
-		So(stand.ledger.settled("r1").Settle.UsedTokens, ShouldEqual, 30)
+		So(stand.ledger.awaitSettle("r1").Settle.UsedTokens, ShouldEqual, 30)
 	})
 	Convey("a reservation whose grant nobody heard is given back, and the caller told to come back", t, func() {
-		stand := newGatewayStand(t, events(3, "", false))
-		stand.ledger.say(func(request *protocol.TurnRequest) *protocol.TurnReply {
+		stand := newGatewayFixture(t, streamingEngine(3, "", false))
+		stand.ledger.setResponse(func(request *protocol.TurnRequest) *protocol.TurnReply {
 			if request.Reserve != nil {
 				return nil
 			}
 			return &protocol.TurnReply{}
 		})
-		response, _, err := stand.send("/stream/", "r1", budget...)
+		response, _, err := stand.send("/stream/", "r1", budgetHeaders...)
 		So(err, ShouldBeNil)
 		So(response.StatusCode, ShouldEqual, 503)
 		So(response.Header.Get("Retry-After"), ShouldNotBeBlank)
 		So(stand.runs.Load(), ShouldEqual, 0)
-		settled := stand.ledger.settled("r1")
+		settled := stand.ledger.awaitSettle("r1")
 		So(settled, ShouldNotBeNil)
 		So(settled.Settle.UsedTokens, ShouldEqual, 0)
 	})
 	Convey("a turn that is to be kept and was not does not end as if it were whole", t, func() {
-		stand := newGatewayStand(t, events(3, "", false))
-		stand.ledger.say(func(request *protocol.TurnRequest) *protocol.TurnReply {
+		stand := newGatewayFixture(t, streamingEngine(3, "", false))
+		stand.ledger.setResponse(func(request *protocol.TurnRequest) *protocol.TurnReply {
 			if request.Settle != nil {
 				return &protocol.TurnReply{Error: result.New(result.Internal, "no")}
 			}
 			return &protocol.TurnReply{}
 		})
-		_, _, err := stand.send("/kept/", "r1", budget...)
+		_, _, err := stand.send("/kept/", "r1", budgetHeaders...)
 		So(err, ShouldNotBeNil)
 	})
 	Convey("a kept turn holds its input and the data of its events", t, func() {
-		stand := newGatewayStand(t, events(2, "", false))
-		_, _, err := stand.send("/kept/", "r1", budget...)
+		stand := newGatewayFixture(t, streamingEngine(2, "", false))
+		_, _, err := stand.send("/kept/", "r1", budgetHeaders...)
 		So(err, ShouldBeNil)
-		settled := stand.ledger.settled("r1")
+		settled := stand.ledger.awaitSettle("r1")
 		So(string(settled.Settle.Content), ShouldEqual, "in1\n2\n")
 		So(settled.Settle.Retain, ShouldBeTrue)
 	})
 	Convey("the older turns of a chain come from the replica in the zone, and from the leader where that has them not", t, func() {
 		for _, has := range []bool{true, false} {
 			var sent atomic.Value
-			stand := newGatewayStand(t, func(w http.ResponseWriter, r *http.Request) { events(1, "", false)(w, r) })
-			stand.sent = &sent
-			stand.ledger.say(func(request *protocol.TurnRequest) *protocol.TurnReply {
+			stand := newGatewayFixture(t, func(w http.ResponseWriter, r *http.Request) { streamingEngine(1, "", false)(w, r) })
+			stand.lastBody = &sent
+			stand.ledger.setResponse(func(request *protocol.TurnRequest) *protocol.TurnReply {
 				switch {
 				case request.Reserve != nil && request.Zone == "near":
 					return &protocol.TurnReply{Older: []string{"t1", "t2"}, Chain: []byte("three ")}
@@ -245,8 +245,8 @@
 				}
 				return &protocol.TurnReply{}
 			})
-			near := newLedgerStand(t)
-			near.say(func(request *protocol.TurnRequest) *protocol.TurnReply {
+			near := newFakeLedger(t)
+			near.setResponse(func(request *protocol.TurnRequest) *protocol.TurnReply {
 				if !has || len(request.Contents) != 2 {
 					return &protocol.TurnReply{Error: result.New(result.NotLeader, "not here")}
 				}
@@ -255,7 +255,7 @@
 			fleet := *stand.gateway.view.Load().fleet
 			fleet.Ledgers = map[string]membership.LedgerHost{near.server.Address(): {Member: near.server.Address(), Zone: "near"}}
 			fleet.Groups = map[uint32]membership.Placement{1: {Group: 1, Members: []string{stand.ledger.server.Address(), near.server.Address()}}}
-			stand.gateway.ledgers.follow(&fleet)
+			stand.gateway.ledgers.applyFleet(&fleet)
 			response, _, err := stand.send("/kept/", "r4", "Ochrebay-Previous-Turn", "t3")
 			So(err, ShouldBeNil)
 			So(response.StatusCode, ShouldEqual, 200)
@@ -263,18 +263,18 @@
 		}
 	})
 	Convey("a part of an event is never passed on", t, func() {
-		stand := newGatewayStand(t, events(2, "id: 3\ndata: half", true))
-		_, body, err := stand.send("/stream/", "r1", budget...)
+		stand := newGatewayFixture(t, streamingEngine(2, "id: 3\ndata: half", true))
+		_, body, err := stand.send("/stream/", "r1", budgetHeaders...)
 		So(err, ShouldNotBeNil)
 		So(strings.Count(body, "data:"), ShouldEqual, 2)
-		So(stand.ledger.settled("r1").Settle.UsedTokens, ShouldEqual, 20)
+		So(stand.ledger.awaitSettle("r1").Settle.UsedTokens, ShouldEqual, 20)
 	})
 	Convey("a budget that is spent is 402, and nothing ran", t, func() {
-		stand := newGatewayStand(t, events(2, "", false))
-		stand.ledger.say(func(*protocol.TurnRequest) *protocol.TurnReply {
+		stand := newGatewayFixture(t, streamingEngine(2, "", false))
+		stand.ledger.setResponse(func(*protocol.TurnRequest) *protocol.TurnReply {
 			return &protocol.TurnReply{Error: result.New(result.BudgetExhausted, "spent")}
 		})
-		response, _, err := stand.send("/stream/", "r1", budget...)
+		response, _, err := stand.send("/stream/", "r1", budgetHeaders...)
 		So(err, ShouldBeNil)
 		So(response.StatusCode, ShouldEqual, 402)
 		So(stand.runs.Load(), ShouldEqual, 0)
@@ -284,7 +284,7 @@
 func TestStreamsAreTakenUp(t *testing.T) {
 	Convey("a stream that breaks off goes on at another engine, each event once, under the first head", t, func() {
 		var asked []string
-		stand := newGatewayStand(t, func(w http.ResponseWriter, r *http.Request) {
+		stand := newGatewayFixture(t, func(w http.ResponseWriter, r *http.Request) {
 			asked = append(asked, r.Header.Get("Last-Event-Id"))
 			w.Header().Set("Ochrebay-Signature", fmt.Sprint("s", len(asked)))
 			w.Header().Set("Content-Type", "text/event-stream")
@@ -305,7 +305,7 @@
 		second := fleet.Engines["e"]
 		second.ID = "f"
 		fleet.Engines["f"] = second
-		stand.gateway.engines.follow(&fleet)
+		stand.gateway.engines.applyFleet(&fleet)
 		response, body, err := stand.send("/resumable/", "r1", "Ochrebay-Token-Budget", "1000", "Ochrebay-Tokens", "5,100")
 		So(err, ShouldBeNil)
 		So(asked, ShouldResemble, []string{"", "2"})
@@ -313,10 +313,10 @@
 		for number := 1; number <= 4; number++ {
 			So(strings.Count(body, fmt.Sprintf("data: %d\n", number)), ShouldEqual, 1)
 		}
-		So(stand.ledger.settled("r1").Settle.UsedTokens, ShouldEqual, 40)
+		So(stand.ledger.awaitSettle("r1").Settle.UsedTokens, ShouldEqual, 40)
 	})
 	Convey("one that can't be taken up breaks off", t, func() {
-		stand := newGatewayStand(t, events(2, "", true))
+		stand := newGatewayFixture(t, streamingEngine(2, "", true))
 		_, _, err := stand.send("/stream/", "r1")
 		So(err, ShouldNotBeNil)
 		So(stand.runs.Load(), ShouldEqual, 1)
@@ -325,7 +325,7 @@
 
 func TestAnswersOfEngines(t *testing.T) {
 	Convey("a success without a signature is none; what may be repeated is asked for again", t, func() {
-		stand := newGatewayStand(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "forged") })
+		stand := newGatewayFixture(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "forged") })
 		for path, runs := range map[string]int64{"/unsafe/": 1, "/safe/": 1} {
 			stand.runs.Store(0)
 			response, body, err := stand.send(path, "r1")
@@ -336,14 +336,14 @@
 		}
 	})
 	Convey("a 503 that does not say that the call was not run becomes no promise", t, func() {
-		stand := newGatewayStand(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) })
+		stand := newGatewayFixture(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) })
 		response, _, err := stand.send("/unsafe/", "r1")
 		So(err, ShouldBeNil)
 		So(response.StatusCode, ShouldEqual, 502)
 		So(response.Header.Get("Retry-After"), ShouldBeBlank)
 	})
 	Convey("a failure of the engine's own passes with its signature", t, func() {
-		stand := newGatewayStand(t, func(w http.ResponseWriter, _ *http.Request) {
+		stand := newGatewayFixture(t, func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Ochrebay-Signature", "s")
 			w.WriteHeader(http.StatusInternalServerError)
 			_, _ = io.WriteString(w, "broken tool")
@@ -356,7 +356,7 @@
 	})
 	Convey("headers that only gateways set are not taken from callers, and connection headers are not passed", t, func() {
 		seen := make(chan http.Header, 1)
-		stand := newGatewayStand(t, func(w http.ResponseWriter, r *http.Request) {
+		stand := newGatewayFixture(t, func(w http.ResponseWriter, r *http.Request) {
 			seen <- r.Header.Clone()
 			w.Header().Set("Ochrebay-Signature", "s")
 		})
@@ -369,16 +369,16 @@
 		So(len(header.Get("Ochrebay-Deadline-Ms")), ShouldBeLessThanOrEqualTo, 4)
 	})
 	Convey("a caller whose body is too large gets the answer, also when it sends slowly", t, func() {
-		stand := newGatewayStand(t, events(1, "", false))
+		stand := newGatewayFixture(t, streamingEngine(1, "", false))
 		caller, err := net.Dial("tcp", stand.server.Listener.Addr().String())
 		So(err, ShouldBeNil)
 		defer caller.Close()
-		_, err = fmt.Fprintf(caller, "POST /safe/ HTTP/1.1\r\nHost: h\r\nConnection: close\r\nContent-Length: %d\r\n\r\n", tooLargeBytes)
+		_, err = fmt.Fprintf(caller, "POST /safe/ HTTP/1.1\r\nHost: h\r\nConnection: close\r\nContent-Length: %d\r\n\r\n", oversizedBodyBytes)
 		So(err, ShouldBeNil)
-		_, err = caller.Write(make([]byte, tooLargeBytes/2))
+		_, err = caller.Write(make([]byte, oversizedBodyBytes/2))
 		So(err, ShouldBeNil)
-		time.Sleep(longerThanServersWait)
-		_, err = caller.Write(make([]byte, tooLargeBytes/2))
+		time.Sleep(beyondServerLinger)
+		_, err = caller.Write(make([]byte, oversizedBodyBytes/2))
 		So(err, ShouldBeNil)
 		answer := make([]byte, 12)
 		_, err = io.ReadFull(caller, answer)
@@ -386,7 +386,7 @@
 		So(string(answer), ShouldEqual, "HTTP/1.1 413")
 	})
 	Convey("a caller's half-sent request runs nowhere", t, func() {
-		stand := newGatewayStand(t, func(http.ResponseWriter, *http.Request) {})
+		stand := newGatewayFixture(t, func(http.ResponseWriter, *http.Request) {})
 		raw, err := net.Dial("tcp", stand.server.Listener.Addr().String())
 		So(err, ShouldBeNil)
 		_, _ = io.WriteString(raw, "POST /unsafe/ HTTP/1.1\r\nHost: h\r\nContent-Length: 100\r\n\r\nhalf")
@@ -402,7 +402,7 @@
 
 func TestNotRunIsTrue(t *testing.T) {
 	Convey("a call that an engine which is gone may have run is not called not run", t, func() {
-		stand := newGatewayStand(t, func(w http.ResponseWriter, _ *http.Request) {
+		stand := newGatewayFixture(t, func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Ochrebay-Not-Run", "1")
 			w.WriteHeader(http.StatusServiceUnavailable)
 		})
@@ -420,7 +420,7 @@
 		}()
 		fleet := *stand.gateway.view.Load().fleet
 		fleet.Engines["gone"] = membership.ServingEngine{ID: "gone", Backend: "b", Zone: "near", Slots: 4, Address: listener.Addr().String()}
-		stand.gateway.engines.follow(&fleet)
+		stand.gateway.engines.applyFleet(&fleet)
 		// The other engine is suspect, so that the one that will be gone comes first.
 		stand.gateway.engines.healthOf("e").RecordFailure(clock.NowMs())
 		response, _, err := stand.send("/safe/", "r1", "Ochrebay-Deadline-Ms", "3000")
--- a/internal/gateway/headers.go
+++ b/internal/gateway/headers.go
@@ -49,21 +49,21 @@
 	}
 }
 
-// hopHeaders concern one connection only (RFC 9110, section 7.6.1).
-var hopHeaders = []string{
+// hopByHopHeaders concern one connection only (RFC 9110, section 7.6.1).
+var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 	"Proxy-Authenticate", "Proxy-Authorization", "Content-Length", "Expect",
 }
 
-// forwarded returns a copy of a header without what concerns one connection only.
-func forwarded(header http.Header) http.Header {
+// endToEndHeaders returns a copy of a header without what concerns one connection only.
+func endToEndHeaders(header http.Header) http.Header {
 	copied := header.Clone()
 	for _, line := range header.Values("Connection") {
 		for _, name := range strings.Split(line, ",") {
 			copied.Del(strings.TrimSpace(name))
 		}
 	}
-	for _, name := range hopHeaders {
+	for _, name := range hopByHopHeaders {
 		delete(copied, name)
 	}
 	return copied
--- a/internal/gateway/incarnations_test.go
+++ b/internal/gateway/incarnations_test.go
@@ -12,7 +12,7 @@
 	"github.com/ochrebay/ochrebay/internal/scheduling"
 )
 
-func incarnationsView(engines ...membership.ServingEngine) *membership.FleetView {
+func fleetViewOf(engines ...membership.ServingEngine) *membership.FleetView {
 	view := &membership.FleetView{Engines: map[string]membership.ServingEngine{}}
 	for _, engine := range engines {
 		view.Engines[engine.ID] = engine
@@ -27,50 +27,50 @@
 	first := membership.ServingEngine{ID: "e", Backend: "b", Address: "10.0.0.1:1", Slots: 4, StartedMs: 100}
 	second := first
 	second.StartedMs = 200
-	begin := func(e *engines) *call {
-		chosen, found := e.choose(routing.Backend{Name: "b", Slots: 4}, scheduling.SelectionInput{NowMs: nowMs, IsStream: true, RequestKind: "r"})
+	begin := func(e *engineRegistry) *call {
+		chosen, found := e.selectEngine(routing.Backend{Name: "b", Slots: 4}, scheduling.SelectionInput{NowMs: nowMs, IsStream: true, RequestKind: "r"})
 		So(found, ShouldBeTrue)
-		return &call{engine: chosen.engine.ID, chosen: chosen, backend: routing.Backend{Name: "b"}, route: &routing.Route{Name: "r"}}
+		return &call{engineID: chosen.engine.ID, selection: chosen, backend: routing.Backend{Name: "b"}, route: &routing.Route{Name: "r"}}
 	}
 	Convey("what was learnt of the life before is void, and its requests are counted for it alone", t, func() {
-		e := newEngines("z", config.Policy{})
-		e.follow(incarnationsView(first))
+		e := newEngineRegistry("z", config.Policy{})
+		e.applyFleet(fleetViewOf(first))
 		lost, broken := begin(e), begin(e)
-		e.ended(broken, nowMs, attemptOutcome{kind: attemptBroken})
+		e.recordAttemptEnd(broken, nowMs, attemptOutcome{kind: attemptBroken})
 		So(e.healthOf("e").IsSuspect(nowMs), ShouldBeTrue)
-		So(e.follow(incarnationsView(second)), ShouldResemble, []string{"10.0.0.1:1"})
+		So(e.applyFleet(fleetViewOf(second)), ShouldResemble, []string{"10.0.0.1:1"})
 		So(e.healthOf("e").IsSuspect(nowMs), ShouldBeFalse)
 		So(e.healthOf("e").InFlight, ShouldEqual, 0)
 		current := begin(e)
-		e.ended(lost, nowMs, attemptOutcome{kind: attemptBroken})
+		e.recordAttemptEnd(lost, nowMs, attemptOutcome{kind: attemptBroken})
 		So(e.healthOf("e").InFlight, ShouldEqual, 1)
 		So(e.healthOf("e").IsSuspect(nowMs), ShouldBeFalse)
-		e.ended(current, nowMs, attemptOutcome{kind: attemptAnswered})
+		e.recordAttemptEnd(current, nowMs, attemptOutcome{kind: attemptAnswered})
 		So(e.healthOf("e").InFlight, ShouldEqual, 0)
 	})
 	Convey("also when the engine was away in between, while requests of its earlier life are still under way", t, func() {
-		e := newEngines("z", config.Policy{})
-		e.follow(incarnationsView(first))
+		e := newEngineRegistry("z", config.Policy{})
+		e.applyFleet(fleetViewOf(first))
 		begin(e)
-		e.follow(incarnationsView())
-		e.follow(incarnationsView(second))
+		e.applyFleet(fleetViewOf())
+		e.applyFleet(fleetViewOf(second))
 		So(e.healthOf("e").InFlight, ShouldEqual, 0)
 	})
 	Convey("the first word of when an engine started, and a report without news, change nothing", t, func() {
-		e := newEngines("z", config.Policy{})
+		e := newEngineRegistry("z", config.Policy{})
 		silent := first
 		silent.StartedMs = 0
-		e.follow(incarnationsView(silent))
+		e.applyFleet(fleetViewOf(silent))
 		begin(e)
-		So(e.follow(incarnationsView(first)), ShouldBeEmpty)
-		So(e.follow(incarnationsView(first)), ShouldBeEmpty)
+		So(e.applyFleet(fleetViewOf(first)), ShouldBeEmpty)
+		So(e.applyFleet(fleetViewOf(first)), ShouldBeEmpty)
 		So(e.healthOf("e").InFlight, ShouldEqual, 1)
 	})
 	Convey("a session is bound to the incarnation that ran its last turn", t, func() {
-		So(affineEngine([]membership.ServingEngine{first}, first.IncarnationKey()), ShouldEqual, "e")
-		So(affineEngine([]membership.ServingEngine{second}, first.IncarnationKey()), ShouldNotEqual, "e")
-		So(affineEngine([]membership.ServingEngine{second}, "e"), ShouldEqual, "e")
-		So(affineEngine(nil, "e"), ShouldEqual, "e")
+		So(resolveAffineEngine([]membership.ServingEngine{first}, first.IncarnationKey()), ShouldEqual, "e")
+		So(resolveAffineEngine([]membership.ServingEngine{second}, first.IncarnationKey()), ShouldNotEqual, "e")
+		So(resolveAffineEngine([]membership.ServingEngine{second}, "e"), ShouldEqual, "e")
+		So(resolveAffineEngine(nil, "e"), ShouldEqual, "e")
 	})
 }
 
@@ -78,12 +78,12 @@
 // and the send.
 func TestCallsThatAreNotSent(t *testing.T) {
 	Convey("a call that is not sent after all is not counted at the engine", t, func() {
-		stand := newTenantStand(t, answerSigned)
+		stand := newTenantFixture(t, respondSigned)
 		looks := 0
-		stand.gateway.proofAge = func() (time.Duration, bool) {
+		stand.gateway.confirmationAge = func() (time.Duration, bool) {
 			looks++
 			if looks > 1 {
-				return testBound, true
+				return testRevokeBound, true
 			}
 			return 0, true
 		}
--- a/internal/gateway/leaders.go
+++ b/internal/gateway/leaders.go
@@ -8,10 +8,10 @@
 )
 
 const (
-	// searchPause is the first pause between rounds of a search for a leader; it grows up
+	// initialSearchBackoff is the first pause between rounds of a search for a leader; it grows up
 	// to longestSearchPause.
-	searchPause        = 20 * time.Millisecond
-	longestSearchPause = 160 * time.Millisecond
+	initialSearchBackoff = 20 * time.Millisecond
+	maxSearchBackoff     = 160 * time.Millisecond
 	// searchTimeout ends a search that nobody may wait for any more.
 	searchTimeout = 3 * time.Second
 )
@@ -20,28 +20,28 @@
 // the leader.
 type leaderProbe func(ctx context.Context, member string, group uint32) (leads bool, hint string)
 
-// leaders knows the leader of each ledger group. Invariant: however many requests wait
+// leaderCache knows the leader of each ledger group. Invariant: however many requests wait
 // for a group without a known leader, the gateway searches for it once; otherwise the
 // questions of all that wait keep busy the very hosts that are to elect one.
-type leaders struct {
+type leaderCache struct {
 	probe leaderProbe
 	// members returns where a group is placed.
 	members func(group uint32) []string
 
 	mutex    sync.Mutex
-	known    map[uint32]string
+	byGroup  map[uint32]string
 	searches map[uint32]chan struct{}
 }
 
-func newLeaders(members func(group uint32) []string, probe leaderProbe) *leaders {
-	return &leaders{probe: probe, members: members, known: map[uint32]string{}, searches: map[uint32]chan struct{}{}}
+func newLeaderCache(members func(group uint32) []string, probe leaderProbe) *leaderCache {
+	return &leaderCache{probe: probe, members: members, byGroup: map[uint32]string{}, searches: map[uint32]chan struct{}{}}
 }
 
 // find returns the leader of a group, "" where none was found before ctx ended.
-func (l *leaders) find(ctx context.Context, group uint32) string {
+func (l *leaderCache) find(ctx context.Context, group uint32) string {
 	for ctx.Err() == nil {
 		l.mutex.Lock()
-		leader := l.known[group]
+		leader := l.byGroup[group]
 		search := l.searches[group]
 		if leader == "" && search == nil {
 			search = make(chan struct{})
@@ -61,28 +61,28 @@
 }
 
 // set takes a member's word for who leads a group.
-func (l *leaders) set(group uint32, leader string) {
+func (l *leaderCache) set(group uint32, leader string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.known[group] = leader
+	l.byGroup[group] = leader
 }
 
-// lost forgets a leader that did not answer as one, where it is still taken for it.
-func (l *leaders) lost(group uint32, leader string) {
+// invalidate forgets a leader that did not answer as one, where it is still taken for it.
+func (l *leaderCache) invalidate(group uint32, leader string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if l.known[group] == leader {
-		delete(l.known, group)
+	if l.byGroup[group] == leader {
+		delete(l.byGroup, group)
 	}
 }
 
 // search asks the members of a group until one of them leads it.
-func (l *leaders) search(group uint32, done chan struct{}) {
+func (l *leaderCache) search(group uint32, done chan struct{}) {
 	ctx, cancel := context.WithTimeout(context.Background(), searchTimeout)
 	defer cancel()
 	found := ""
-	for pause := searchPause; found == "" && ctx.Err() == nil; pause = min(2*pause, longestSearchPause) {
-		if found = l.askMembers(ctx, group); found != "" {
+	for pause := initialSearchBackoff; found == "" && ctx.Err() == nil; pause = min(2*pause, maxSearchBackoff) {
+		if found = l.probeMembers(ctx, group); found != "" {
 			break
 		}
 		select {
@@ -93,15 +93,15 @@
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if found != "" {
-		l.known[group] = found
+		l.byGroup[group] = found
 	}
 	delete(l.searches, group)
 	close(done)
 }
 
-// askMembers asks each member once, in an order drawn anew, and whoever they take for the
+// probeMembers asks each member once, in an order drawn anew, and whoever they take for the
 // leader.
-func (l *leaders) askMembers(ctx context.Context, group uint32) string {
+func (l *leaderCache) probeMembers(ctx context.Context, group uint32) string {
 	members := l.members(group)
 	asked := map[string]bool{}
 	for _, position := range rand.Perm(len(members)) {
--- a/internal/gateway/leaders_test.go
+++ b/internal/gateway/leaders_test.go
@@ -16,7 +16,7 @@
 	Convey("many requests wait for one search, which follows hints", t, func() {
 		var probes atomic.Int64
 		release := make(chan struct{})
-		leaders := newLeaders(func(uint32) []string { return []string{"a", "b", "c"} }, func(_ context.Context, member string, _ uint32) (bool, string) {
+		leaders := newLeaderCache(func(uint32) []string { return []string{"a", "b", "c"} }, func(_ context.Context, member string, _ uint32) (bool, string) {
 			<-release
 			probes.Add(1)
 			return member == "spare", "spare"
@@ -35,16 +35,16 @@
 		So(leaders.find(context.Background(), 1), ShouldEqual, "spare")
 		Convey("a leader that is lost is searched for again, but not one that was replaced meanwhile", func() {
 			leaders.set(1, "new")
-			leaders.lost(1, "spare")
+			leaders.invalidate(1, "spare")
 			So(leaders.find(context.Background(), 1), ShouldEqual, "new")
-			leaders.lost(1, "new")
+			leaders.invalidate(1, "new")
 			So(leaders.find(context.Background(), 1), ShouldEqual, "spare")
 		})
 	})
 	Convey("members that take each other for the leader are each asked once a round, until the waiting ends", t, func() {
 		ctx, cancel := context.WithCancel(context.Background())
 		var probes atomic.Int64
-		leaders := newLeaders(func(uint32) []string { return []string{"a", "b"} }, func(_ context.Context, member string, _ uint32) (bool, string) {
+		leaders := newLeaderCache(func(uint32) []string { return []string{"a", "b"} }, func(_ context.Context, member string, _ uint32) (bool, string) {
 			if probes.Add(1) == 4 {
 				cancel()
 			}
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -13,15 +13,15 @@
 
 // metrics are a gateway's own figures.
 type metrics struct {
-	requests   *prometheus.HistogramVec
-	failures   *prometheus.CounterVec
-	attempts   *prometheus.CounterVec
-	opened     *prometheus.HistogramVec
-	kept       *prometheus.HistogramVec
-	firstEvent *prometheus.HistogramVec
-	histories  *prometheus.CounterVec
-	granted    *prometheus.HistogramVec
-	moved      *prometheus.CounterVec
+	requests     *prometheus.HistogramVec
+	failures     *prometheus.CounterVec
+	attempts     *prometheus.CounterVec
+	turnOpen     *prometheus.HistogramVec
+	turnRetain   *prometheus.HistogramVec
+	firstEvent   *prometheus.HistogramVec
+	historyReads *prometheus.CounterVec
+	quotaWait    *prometheus.HistogramVec
+	sessionMoves *prometheus.CounterVec
 }
 
 // newMetrics registers the figures of a gateway.
@@ -36,46 +36,46 @@
 		return 0
 	})
 	monitor.Gauge("gateway_proof_age_seconds", "How long ago the routing table was surely in force; -1 for never.", func() float64 {
-		if age, known := d.proofAge(); known {
+		if age, known := d.confirmationAge(); known {
 			return age.Seconds()
 		}
 		return -1
 	})
 	monitor.Gauge("gateway_waiting", "Requests that wait for room at engines.", func() float64 {
-		_, waitingNow := d.queues.mistakes()
+		_, waitingNow := d.waitQueues.admissionErrors()
 		return float64(waitingNow)
 	})
 	monitor.Gauge("gateway_rejected_wrongly", "Requests rejected for want of room that came in time for them after all, since the start.", func() float64 {
-		mistakes, _ := d.queues.mistakes()
+		mistakes, _ := d.waitQueues.admissionErrors()
 		return float64(mistakes.FalseRejections)
 	})
 	monitor.Gauge("gateway_held_in_vain", "Requests that waited for room and got none, since the start.", func() float64 {
-		mistakes, _ := d.queues.mistakes()
+		mistakes, _ := d.waitQueues.admissionErrors()
 		return float64(mistakes.FutileWaits)
 	})
 	monitor.Gauge("gateway_held_in_vain_seconds", "How long they waited in all.", func() float64 {
-		mistakes, _ := d.queues.mistakes()
+		mistakes, _ := d.waitQueues.admissionErrors()
 		return (time.Duration(mistakes.FutileWaitMs) * time.Millisecond).Seconds()
 	})
 	monitor.Gauge("gateway_processor_use", "Part of the share of a core that is used.", func() float64 {
-		return math.Float64frombits(d.processor.share.Load())
+		return math.Float64frombits(d.processorLoad.utilizationBits.Load())
 	})
-	monitor.Gauge("gateway_engine_slowness_spread", "Slowest over quickest engine of the back end where they differ most, by what streams have shown; 1 where they are alike.", func() float64 { return d.engines.slownessSpread() })
+	monitor.Gauge("gateway_engine_slowness_spread", "Slowest over quickest engine of the back end where they differ most, by what streams have shown; 1 where they are alike.", func() float64 { return d.engines.slowdownSpread() })
 	return &metrics{
-		requests:   monitor.Latencies("gateway_request_seconds", "Time of requests from their head to the end of the answer.", "kind", "outcome"),
-		failures:   monitor.Counters("gateway_failures_total", "Requests that no engine answered, by result code.", "code"),
-		attempts:   monitor.Counters("gateway_attempts_total", "Sends to engines, by how they ended.", "outcome"),
-		opened:     monitor.Latencies("gateway_turn_open_seconds", "Time until the ledger had opened a turn."),
-		kept:       monitor.Latencies("gateway_turn_keep_seconds", "Time until the ledger had kept a turn."),
-		firstEvent: monitor.Latencies("gateway_first_event_seconds", "Time from the send to an engine to its first event."),
-		histories:  monitor.Counters("gateway_histories_total", "Reads of the older turns of a chain, by the replica that answered.", "source"),
-		moved:      monitor.Counters("gateway_sessions_moved_total", "Turns that went to another engine than the one that holds what their session has read, by why.", "reason"),
-		granted:    monitor.Latencies("gateway_quota_seconds", "Time until the owner of a tenant's limit had answered.", "outcome"),
+		requests:     monitor.Latencies("gateway_request_seconds", "Time of requests from their head to the end of the answer.", "kind", "outcome"),
+		failures:     monitor.Counters("gateway_failures_total", "Requests that no engine answered, by result code.", "code"),
+		attempts:     monitor.Counters("gateway_attempts_total", "Sends to engines, by how they ended.", "outcome"),
+		turnOpen:     monitor.Latencies("gateway_turn_open_seconds", "Time until the ledger had opened a turn."),
+		turnRetain:   monitor.Latencies("gateway_turn_keep_seconds", "Time until the ledger had kept a turn."),
+		firstEvent:   monitor.Latencies("gateway_first_event_seconds", "Time from the send to an engine to its first event."),
+		historyReads: monitor.Counters("gateway_histories_total", "Reads of the older turns of a chain, by the replica that answered.", "source"),
+		sessionMoves: monitor.Counters("gateway_sessions_moved_total", "Turns that went to another engine than the one that holds what their session has read, by why.", "reason"),
+		quotaWait:    monitor.Latencies("gateway_quota_seconds", "Time until the owner of a tenant's limit had answered.", "outcome"),
 	}
 }
 
-// ended notes how a request ended.
-func (m *metrics) ended(c *call, failure *result.Error) {
+// recordRequest notes how a request ended.
+func (m *metrics) recordRequest(c *call, failure *result.Error) {
 	outcome := "served"
 	if failure != nil {
 		outcome = string(failure.Outcome)
@@ -84,14 +84,14 @@
 	if c == nil {
 		return
 	}
-	if c.chosen.moved != scheduling.NotMoved {
-		m.moved.WithLabelValues(string(c.chosen.moved)).Inc()
+	if c.selection.moveReason != scheduling.NotMoved {
+		m.sessionMoves.WithLabelValues(string(c.selection.moveReason)).Inc()
 	}
-	m.requests.WithLabelValues(string(c.route.Kind), outcome).Observe(time.Since(c.started).Seconds())
-	if c.opened > 0 {
-		m.opened.WithLabelValues().Observe(c.opened.Seconds())
+	m.requests.WithLabelValues(string(c.route.Kind), outcome).Observe(time.Since(c.startedAt).Seconds())
+	if c.openedAfter > 0 {
+		m.turnOpen.WithLabelValues().Observe(c.openedAfter.Seconds())
 	}
-	if c.kept > 0 {
-		m.kept.WithLabelValues().Observe(c.kept.Seconds())
+	if c.retainTime > 0 {
+		m.turnRetain.WithLabelValues().Observe(c.retainTime.Seconds())
 	}
 }
--- a/internal/gateway/pause.go
+++ b/internal/gateway/pause.go
@@ -10,66 +10,66 @@
 )
 
 const (
-	// pauseMargin is how much later than due a regular step of the process must be before the
+	// stallMargin is how much later than due a regular step of the process must be before the
 	// process is taken to have stood still: far above what a busy processor explains.
-	pauseMargin = time.Second
-	// proofWait is how long after such a pause requests wait for the first proof that the routing
+	stallMargin = time.Second
+	// confirmationWait is how long after such a pause requests wait for the first proof that the routing
 	// table is in force. It takes two ways to control and a round of the quorum, some ten
 	// milliseconds; a caller that is refused comes back only after the time that it is told.
-	proofWait = 150 * time.Millisecond
+	confirmationWait = 150 * time.Millisecond
 )
 
-// pauses notices that the process stood still, or its whole machine: control may have put
+// stallDetector notices that the process stood still, or its whole machine: control may have put
 // tables in force meanwhile, and the proofs held are old although nothing is wrong with the way
 // to it. Times are those of clock.NowMs.
-type pauses struct {
-	// lastStep is when the process last made its regular step, 0 before the first, and ended
+type stallDetector struct {
+	// lastTickMs is when the process last made its regular step, 0 before the first, and ended
 	// when the last pause ended, 0 for none.
-	lastStep atomic.Int64
-	ended    atomic.Int64
+	lastTickMs     atomic.Int64
+	lastStallEndMs atomic.Int64
 }
 
-// step notes the regular step, which is due each stepEvery.
-func (p *pauses) step(stepEvery time.Duration, nowMs int64) {
-	if since := p.pausedUntil(stepEvery, nowMs); since == nowMs {
-		p.ended.Store(nowMs)
+// tick notes the regular step, which is due each stepEvery.
+func (p *stallDetector) tick(stepEvery time.Duration, nowMs int64) {
+	if since := p.stallEndMs(stepEvery, nowMs); since == nowMs {
+		p.lastStallEndMs.Store(nowMs)
 	}
-	p.lastStep.Store(nowMs)
+	p.lastTickMs.Store(nowMs)
 }
 
-// pausedUntil returns when the last pause ended: now where the step is overdue, since a request may be
+// stallEndMs returns when the last pause ended: now where the step is overdue, since a request may be
 // taken up before it; 0 where there was none.
-func (p *pauses) pausedUntil(stepEvery time.Duration, nowMs int64) int64 {
-	last := p.lastStep.Load()
-	if last > 0 && nowMs-last > (stepEvery+pauseMargin).Milliseconds() {
+func (p *stallDetector) stallEndMs(stepEvery time.Duration, nowMs int64) int64 {
+	last := p.lastTickMs.Load()
+	if last > 0 && nowMs-last > (stepEvery+stallMargin).Milliseconds() {
 		return nowMs
 	}
-	return p.ended.Load()
+	return p.lastStallEndMs.Load()
 }
 
-// provedSoon reports whether the table held is known to have been in force within a bound. Right
+// awaitConfirmation reports whether the table held is known to have been in force within a bound. Right
 // after a pause of the process it waits for the first proof. Invariant: it never says so without
 // a proof that is young enough, and a gateway that is merely cut off from control waits for none,
 // so that its callers hear at once.
-func (d *Daemon) provedSoon(ctx context.Context, bound time.Duration) bool {
-	next := d.nextProof()
-	if d.provedWithin(bound) {
+func (d *Daemon) awaitConfirmation(ctx context.Context, bound time.Duration) bool {
+	next := d.nextConfirmation()
+	if d.confirmedWithin(bound) {
 		return true
 	}
 	nowMs := clock.NowMs()
-	ended := d.pauses.pausedUntil(sweepEvery, nowMs)
-	left := time.Duration(ended-nowMs)*time.Millisecond + proofWait
+	ended := d.stalls.stallEndMs(sweepInterval, nowMs)
+	left := time.Duration(ended-nowMs)*time.Millisecond + confirmationWait
 	if ended == 0 || left <= 0 || d.process.Policy.Disable.Has(scheduling.MechanismFreshnessWait) {
 		return false
 	}
 	timer := time.NewTimer(left)
 	defer timer.Stop()
-	for !d.provedWithin(bound) {
+	for !d.confirmedWithin(bound) {
 		select {
 		case <-next:
-			next = d.nextProof()
+			next = d.nextConfirmation()
 		case <-timer.C:
-			return d.provedWithin(bound)
+			return d.confirmedWithin(bound)
 		case <-ctx.Done():
 			return false
 		}
--- a/internal/gateway/quotas.go
+++ b/internal/gateway/quotas.go
@@ -14,54 +14,54 @@
 )
 
 const (
-	// quotaTimeout bounds the question for a tenant's quota.
-	quotaTimeout = 1200 * time.Millisecond
-	// returnTimeout bounds the giving back of a grant, for which nobody waits. One that is
+	// quotaRequestTimeout bounds the question for a tenant's quota.
+	quotaRequestTimeout = 1200 * time.Millisecond
+	// grantReturnTimeout bounds the giving back of a grant, for which nobody waits. One that is
 	// lost counts until it has left the window.
-	returnTimeout = time.Second
-	// deniedRecently is how long after a denial a tenant's turns ask for their quota before
+	grantReturnTimeout = time.Second
+	// recentDenialWindow is how long after a denial a tenant's turns ask for their quota before
 	// they are opened, in place of both at once: the opening of a turn that is then denied
 	// costs two entries of a ledger's log.
-	deniedRecently = 5 * time.Second
+	recentDenialWindow = 5 * time.Second
 )
 
 // denials remembers when tenants were last denied.
 type denials struct {
-	mutex sync.Mutex
-	last  map[string]time.Time
+	mutex        sync.Mutex
+	lastByTenant map[string]time.Time
 }
 
-func newDenials() *denials { return &denials{last: map[string]time.Time{}} }
+func newDenials() *denials { return &denials{lastByTenant: map[string]time.Time{}} }
 
-func (d *denials) note(tenant string) {
+func (d *denials) record(tenant string) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.last[tenant] = time.Now()
+	d.lastByTenant[tenant] = time.Now()
 }
 
-// recent reports whether a tenant was denied lately, and forgets what is longer ago.
-func (d *denials) recent(tenant string) bool {
+// isRecent reports whether a tenant was denied lately, and forgets what is longer ago.
+func (d *denials) isRecent(tenant string) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	last, known := d.last[tenant]
-	if known && time.Since(last) > deniedRecently {
-		delete(d.last, tenant)
+	last, known := d.lastByTenant[tenant]
+	if known && time.Since(last) > recentDenialWindow {
+		delete(d.lastByTenant, tenant)
 		return false
 	}
 	return known
 }
 
-// open takes the call's quota and, for a turn, has the ledger open it; both at once unless
+// openCall takes the call's quota and, for a turn, has the ledger open it; both at once unless
 // the tenant was denied lately.
-func (d *Daemon) open(ctx context.Context, c *call) *result.Error {
+func (d *Daemon) openCall(ctx context.Context, c *call) *result.Error {
 	if !c.isTurn() {
-		return d.takeQuota(ctx, c)
+		return d.acquireQuota(ctx, c)
 	}
 	if c.tenant == nil || !c.tenant.HasRateLimit() {
 		return d.openTurn(ctx, c)
 	}
-	if d.denials.recent(c.tenant.Name) {
-		if failure := d.takeQuota(ctx, c); failure != nil {
+	if d.denials.isRecent(c.tenant.Name) {
+		if failure := d.acquireQuota(ctx, c); failure != nil {
 			return failure
 		}
 		return d.openTurn(ctx, c)
@@ -69,7 +69,7 @@
 	waiting, cancel := context.WithCancel(ctx)
 	defer cancel()
 	taken := make(chan *result.Error, 1)
-	go func() { taken <- d.takeQuota(waiting, c) }()
+	go func() { taken <- d.acquireQuota(waiting, c) }()
 	failure := d.openTurn(ctx, c)
 	if failure != nil {
 		cancel()
@@ -79,39 +79,39 @@
 	return <-taken
 }
 
-// takeQuota has the owner of the tenant's limit grant one run of the call, and waits for it
+// acquireQuota has the owner of the tenant's limit grant one run of the call, and waits for it
 // where the call belongs to a program under way and there will be room while a grant is still
 // of use. Invariant: every run at an engine has a grant of its own, given between the caller's
 // send and the run, so that the runs of any window are at most the grants of that window.
-func (d *Daemon) takeQuota(ctx context.Context, c *call) *result.Error {
+func (d *Daemon) acquireQuota(ctx context.Context, c *call) *result.Error {
 	if c.tenant == nil || !c.tenant.HasRateLimit() {
 		return nil
 	}
 	began := time.Now()
-	ask := d.quotaAsk(c)
+	ask := d.quotaRequest(c)
 	reply := d.awaitQuota(ctx, c, ask, began)
-	c.granted = time.Since(began)
-	d.metrics.granted.WithLabelValues(quotaOutcome(reply.Error)).Observe(c.granted.Seconds())
+	c.quotaTime = time.Since(began)
+	d.metrics.quotaWait.WithLabelValues(quotaOutcome(reply.Error)).Observe(c.quotaTime.Seconds())
 	if reply.Error == nil {
 		c.grants = append(c.grants, reply.Grant)
 		return nil
 	}
 	if reply.Error.Code == result.TenantLimit {
-		d.denials.note(c.tenant.Name)
+		d.denials.record(c.tenant.Name)
 	} else {
-		d.cancelQuota(c, ask)
+		d.cancelQuotaRequest(c, ask)
 	}
 	return reply.Error
 }
 
-// quotaAsk describes the next run of a call to the owner of its tenant's limit.
-func (d *Daemon) quotaAsk(c *call) quota.Request {
+// quotaRequest describes the next run of a call to the owner of its tenant's limit.
+func (d *Daemon) quotaRequest(c *call) quota.Request {
 	const base = 36
-	ask := quota.Request{Tenant: c.tenant.Name, Limit: c.limit(), Program: c.program, Ticket: strconv.FormatUint(rand.Uint64(), base)}
+	ask := quota.Request{Tenant: c.tenant.Name, Limit: c.tenantLimit(), Program: c.programID, Ticket: strconv.FormatUint(rand.Uint64(), base)}
 	if c.route.Kind == routing.KindStream {
 		ask.Kind = c.route.Name
 	}
-	ask.ContinuesProgram = c.program != "" && (c.route.Kind != routing.KindStream || c.previous != "")
+	ask.ContinuesProgram = c.programID != "" && (c.route.Kind != routing.KindStream || c.previousTurn != "")
 	return ask
 }
 
@@ -120,10 +120,10 @@
 // gives it its place at an owner that is new.
 func (d *Daemon) awaitQuota(ctx context.Context, c *call, ask quota.Request, began time.Time) *protocol.TurnReply {
 	for {
-		ask.MaxWaitMs = (c.timeLeft() - d.services.expected(c.route.Name)).Milliseconds()
+		ask.MaxWaitMs = (c.timeLeft() - d.serviceTimes.expectedTime(c.route.Name)).Milliseconds()
 		ask.WaitedMs = time.Since(began).Milliseconds()
-		bounded, cancel := context.WithDeadline(ctx, earlier(c.deadline, time.Now().Add(quotaTimeout)))
-		reply := d.ledgers.askQuota(bounded, &ask)
+		bounded, cancel := context.WithDeadline(ctx, earlier(c.deadline, time.Now().Add(quotaRequestTimeout)))
+		reply := d.ledgers.requestQuota(bounded, &ask)
 		cancel()
 		if ctx.Err() != nil {
 			return &protocol.TurnReply{Error: result.New(result.Cancelled, "the caller left before its tenant's limit had room")}
@@ -131,15 +131,15 @@
 		if reply.Error != nil || reply.Queued == nil {
 			return reply
 		}
-		c.queued = true
+		c.quotaQueued = true
 	}
 }
 
-// cancelQuota gives a place in the queue back, or a grant whose answer did not come.
-func (d *Daemon) cancelQuota(c *call, ask quota.Request) {
+// cancelQuotaRequest gives a place in the queue back, or a grant whose answer did not come.
+func (d *Daemon) cancelQuotaRequest(c *call, ask quota.Request) {
 	ask.Cancelled = true
 	go func() {
-		if failure := d.ledgers.tellQuotaOnce(&ask); failure != nil {
+		if failure := d.ledgers.sendQuotaOnce(&ask); failure != nil {
 			d.logFailure("place in the queue not given back", c, failure)
 		}
 	}()
@@ -156,20 +156,20 @@
 	return "unanswered"
 }
 
-// limit is the tenant's, with the generation of the table by which the call was routed.
-func (c *call) limit() quota.Limit {
-	return quota.Limit{Generation: c.generation, RatePerSecond: c.tenant.RatePerSecond, Burst: c.tenant.Burst}
+// tenantLimit is the tenant's, with the generation of the table by which the call was routed.
+func (c *call) tenantLimit() quota.Limit {
+	return quota.Limit{Generation: c.tableGeneration, RatePerSecond: c.tenant.RatePerSecond, Burst: c.tenant.Burst}
 }
 
-// returnQuota gives back what was granted to a call that no engine has run.
-func (d *Daemon) returnQuota(c *call) {
+// returnGrants gives back what was granted to a call that no engine has run.
+func (d *Daemon) returnGrants(c *call) {
 	for _, grant := range c.grants {
 		if grant == nil {
 			continue
 		}
 		go func() {
-			unrun := quota.Request{Tenant: c.tenant.Name, Program: c.program, ReturnedGrant: grant}
-			if failure := d.ledgers.tellQuotaOnce(&unrun); failure != nil {
+			unrun := quota.Request{Tenant: c.tenant.Name, Program: c.programID, ReturnedGrant: grant}
+			if failure := d.ledgers.sendQuotaOnce(&unrun); failure != nil {
 				d.logFailure("quota not returned", c, failure)
 			}
 		}()
--- a/internal/gateway/quotas_test.go
+++ b/internal/gateway/quotas_test.go
@@ -14,9 +14,9 @@
 
 func TestWaitForQuota(t *testing.T) {
 	Convey("a request that waits for room asks again with its ticket and is then served", t, func() {
-		stand := newTenantStand(t, answerSigned)
+		stand := newTenantFixture(t, respondSigned)
 		var asked []quota.Request
-		stand.ledger.say(func(request *protocol.TurnRequest) *protocol.TurnReply {
+		stand.ledger.setResponse(func(request *protocol.TurnRequest) *protocol.TurnReply {
 			asked = append(asked, *request.Quota)
 			if len(asked) < 3 {
 				return &protocol.TurnReply{Queued: &quota.QueuePosition{Ahead: 1}}
@@ -32,10 +32,10 @@
 		So(stand.runs.Load(), ShouldEqual, 1)
 	})
 	Convey("a caller that leaves while its request waits gives its place back", t, func() {
-		stand := newTenantStand(t, answerSigned)
+		stand := newTenantFixture(t, respondSigned)
 		cancelled := make(chan string, 1)
 		waits := make(chan string, 100)
-		stand.ledger.say(func(request *protocol.TurnRequest) *protocol.TurnReply {
+		stand.ledger.setResponse(func(request *protocol.TurnRequest) *protocol.TurnReply {
 			if request.Quota.Cancelled {
 				cancelled <- request.Quota.Ticket
 				return &protocol.TurnReply{}
@@ -67,7 +67,7 @@
 		select {
 		case given := <-cancelled:
 			So(given, ShouldEqual, ticket)
-		case <-time.After(patience):
+		case <-time.After(testTimeout):
 			So("no place was given back", ShouldBeBlank)
 		}
 		So(stand.runs.Load(), ShouldEqual, 0)
--- a/internal/gateway/retries.go
+++ b/internal/gateway/retries.go
@@ -13,26 +13,26 @@
 )
 
 var (
-	errSilent = errors.New("the engine was silent for longer than its like")
-	errFailed = errors.New("the engine answered with a failure")
+	errResponseTimeout = errors.New("the engine was silent for longer than its like")
+	errEngineFailure   = errors.New("the engine answered with a failure")
 )
 
-// retries decide, over all calls of this gateway, how long a try may be silent and whether
+// retryPolicy decide, over all calls of this gateway, how long a try may be silent and whether
 // there may be a second one.
-type retries struct {
-	mutex    sync.Mutex
-	settings retry.Settings
-	disabled scheduling.DisabledMechanisms
-	kinds    retry.LatencyHistograms
-	budgets  map[string]*retry.Budget
+type retryPolicy struct {
+	mutex     sync.Mutex
+	settings  retry.Settings
+	disabled  scheduling.DisabledMechanisms
+	latencies retry.LatencyHistograms
+	budgets   map[string]*retry.Budget
 }
 
-func newRetries(settings retry.Settings, disabled scheduling.DisabledMechanisms) *retries {
-	return &retries{settings: settings, disabled: disabled, budgets: map[string]*retry.Budget{}}
+func newRetries(settings retry.Settings, disabled scheduling.DisabledMechanisms) *retryPolicy {
+	return &retryPolicy{settings: settings, disabled: disabled, budgets: map[string]*retry.Budget{}}
 }
 
-// budget returns a back end's; the caller holds the mutex.
-func (r *retries) budget(backend string) *retry.Budget {
+// budgetFor returns a back end's; the caller holds the mutex.
+func (r *retryPolicy) budgetFor(backend string) *retry.Budget {
 	budget, known := r.budgets[backend]
 	if !known {
 		budget = retry.NewBudget(r.settings)
@@ -41,49 +41,49 @@
 	return budget
 }
 
-// answered notes how long a try took to be answered or, for a stream, to begin to be.
-func (r *retries) answered(c *call, nowMs int64, tookMs float64) {
+// recordResponse notes how long a try took to be answered or, for a stream, to begin to be.
+func (r *retryPolicy) recordResponse(c *call, nowMs int64, tookMs float64) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.kinds.ForKind(c.route.Name).Record(nowMs, tookMs)
-	r.budget(c.backend.Name).RecordSuccess()
+	r.latencies.ForKind(c.route.Name).Record(nowMs, tookMs)
+	r.budgetFor(c.backend.Name).RecordSuccess()
 }
 
-func (r *retries) timedOut(c *call, nowMs int64, bound time.Duration) {
+func (r *retryPolicy) recordTimeout(c *call, nowMs int64, bound time.Duration) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.kinds.ForKind(c.route.Name).RecordTimeout(nowMs, milliseconds(bound))
+	r.latencies.ForKind(c.route.Name).RecordTimeout(nowMs, milliseconds(bound))
 }
 
-// bound is how long a try of a call may be silent at an engine that takes factor times as long
+// responseTimeout is how long a try of a call may be silent at an engine that takes factor times as long
 // as others, 0 for as long as it likes.
-func (r *retries) bound(c *call, nowMs int64, factor float64) time.Duration {
+func (r *retryPolicy) responseTimeout(c *call, nowMs int64, factor float64) time.Duration {
 	if r.disabled.Has(scheduling.MechanismRetry) {
 		return 0
 	}
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	boundMs, known := r.kinds.ForKind(c.route.Name).TimeoutMs(nowMs)
+	boundMs, known := r.latencies.ForKind(c.route.Name).TimeoutMs(nowMs)
 	if !known {
 		return 0
 	}
 	return time.Duration(boundMs * max(factor, 1) * float64(time.Millisecond))
 }
 
-// take takes one second try of a back end's budget.
-func (r *retries) take(backend string) bool {
+// tryTake takes one second try of a back end's budget.
+func (r *retryPolicy) tryTake(backend string) bool {
 	if r.disabled.Has(scheduling.MechanismRetry) {
 		return true
 	}
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.budget(backend).TryTake()
+	return r.budgetFor(backend).TryTake()
 }
 
-// mayTryAgain reports whether a try that an engine is at work on, or has answered with a
+// canRetry reports whether a try that an engine is at work on, or has answered with a
 // failure, may be followed by another one, the budget aside. Invariant: a call that is not
 // repeatable is never sent again once an engine may have run it.
-func (d *Daemon) mayTryAgain(c *call) bool {
+func (d *Daemon) canRetry(c *call) bool {
 	if d.process.Policy.Disable.Has(scheduling.MechanismRetry) || !c.route.IsRepeatable() {
 		return false
 	}
@@ -91,52 +91,52 @@
 		// A further run needs a grant of its own, and might be denied it.
 		return false
 	}
-	return c.tries.runs+1 < max(c.route.MaxAttempts, 1) && time.Now().Before(c.latest) &&
-		d.engines.count(c.backend.Name) > len(c.tries.avoid)+1
+	return c.attemptState.runs+1 < max(c.route.MaxAttempts, 1) && time.Now().Before(c.latestStart) &&
+		d.engines.engineCount(c.backend.Name) > len(c.attemptState.excludedEngines)+1
 }
 
-// watch waits for the first word of an engine.
-type watch struct {
-	timer *time.Timer
-	try   context.Context
+// responseTimer waits for the first word of an engine.
+type responseTimer struct {
+	timer          *time.Timer
+	attemptContext context.Context
 }
 
-// watch passes an engine over that is silent for longer than a try usually takes, and ends the
+// startResponseTimer passes an engine over that is silent for longer than a try usually takes, and ends the
 // try where there may be another one: its connection is closed before the next is made.
-func (d *Daemon) watch(try context.Context, c *call, cancel context.CancelCauseFunc) *watch {
+func (d *Daemon) startResponseTimer(try context.Context, c *call, cancel context.CancelCauseFunc) *responseTimer {
 	nowMs := clock.NowMs()
-	bound := d.retries.bound(c, nowMs, d.engines.factor(c.engine, nowMs))
+	bound := d.retries.responseTimeout(c, nowMs, d.engines.latencyRatio(c.engineID, nowMs))
 	if bound <= 0 || bound >= c.timeLeft() {
 		return nil
 	}
-	engine := c.engine
-	again := d.mayTryAgain(c)
+	engine := c.engineID
+	again := d.canRetry(c)
 	timer := time.AfterFunc(bound, func() {
 		nowMs := clock.NowMs()
-		d.engines.silent(engine, nowMs)
-		d.retries.timedOut(c, nowMs, bound)
-		if again && time.Now().Before(c.latest) && d.retries.take(c.backend.Name) {
-			cancel(errSilent)
+		d.engines.recordTimeout(engine, nowMs)
+		d.retries.recordTimeout(c, nowMs, bound)
+		if again && time.Now().Before(c.latestStart) && d.retries.tryTake(c.backend.Name) {
+			cancel(errResponseTimeout)
 		}
 	})
-	return &watch{timer: timer, try: try}
+	return &responseTimer{timer: timer, attemptContext: try}
 }
 
-// heard ends the wait for the first word.
-func (w *watch) heard() {
+// stop ends the wait for the first word.
+func (w *responseTimer) stop() {
 	if w != nil {
 		w.timer.Stop()
 	}
 }
 
-// ended ends the wait, and reports whether the try was ended for its silence before.
-func (w *watch) ended() bool {
-	w.heard()
-	return w != nil && errors.Is(context.Cause(w.try), errSilent)
+// stopAndCheck ends the wait, and reports whether the try was ended for its silence before.
+func (w *responseTimer) stopAndCheck() bool {
+	w.stop()
+	return w != nil && errors.Is(context.Cause(w.attemptContext), errResponseTimeout)
 }
 
-// isFailure reports whether a status says that the engine, and not the request, is at fault.
+// isEngineFailure reports whether a status says that the engine, and not the request, is at fault.
 // Its 504 says only that the time was over.
-func isFailure(status int) bool {
+func isEngineFailure(status int) bool {
 	return status >= http.StatusInternalServerError && status != http.StatusGatewayTimeout
 }
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -16,10 +16,10 @@
 func (d *Daemon) serve(writer http.ResponseWriter, request *http.Request) {
 	d.inFlight.Add(1)
 	defer d.inFlight.Add(-1)
-	d.lastRequest.Store(clock.NowMs())
+	d.lastRequestMs.Store(clock.NowMs())
 	began := time.Now()
-	c, failure := d.intake(writer, request)
-	out := &answer{daemon: d, writer: writer}
+	c, failure := d.readRequest(writer, request)
+	out := &callerResponse{daemon: d, writer: writer}
 	if failure == nil {
 		failure = d.run(request.Context(), c, out)
 	}
@@ -27,38 +27,38 @@
 	if failure == nil {
 		return
 	}
-	if out.started || failure.Code == result.Cancelled {
+	if out.headerWritten || failure.Code == result.Cancelled {
 		// What has been passed on must not look complete.
 		panic(http.ErrAbortHandler)
 	}
-	out.refuse(request, failure)
+	out.writeError(request, failure)
 }
 
 // run reserves a turn where the call is one, has an engine serve it, and settles.
-func (d *Daemon) run(ctx context.Context, c *call, out *answer) *result.Error {
-	if c.timeLeft() < shortestSend {
+func (d *Daemon) run(ctx context.Context, c *call, out *callerResponse) *result.Error {
+	if c.timeLeft() < minSendTime {
 		return result.New(result.DeadlinePassed, "%s left", c.timeLeft())
 	}
 	defer func() {
-		if c.reserved {
-			d.settleLater(c, out)
+		if c.turnReserved {
+			d.settleAsync(c, out)
 		}
 	}()
-	c.latest = d.latestStart(c)
-	failure := d.open(ctx, c)
+	c.latestStart = d.latestStart(c)
+	failure := d.openCall(ctx, c)
 	if c.isTurn() {
-		c.opened = time.Since(c.started)
+		c.openedAfter = time.Since(c.startedAt)
 	}
 	if failure == nil {
-		d.engines.underWay(c, 1)
-		failure = d.serveAttempts(ctx, c, out.deliver)
-		d.engines.underWay(c, -1)
+		d.engines.adjustInFlight(c, 1)
+		failure = d.runAttempts(ctx, c, out.deliver)
+		d.engines.adjustInFlight(c, -1)
 	}
 	switch {
 	case failure == nil:
-		d.services.served(c.route.Name, time.Since(c.started)-c.sent)
+		d.serviceTimes.record(c.route.Name, time.Since(c.startedAt)-c.sentAfter)
 	case failure.Outcome == result.NotRun:
-		d.returnQuota(c)
+		d.returnGrants(c)
 	}
 	return failure
 }
@@ -67,55 +67,55 @@
 func (d *Daemon) openTurn(ctx context.Context, c *call) *result.Error {
 	// A leader that is lost is replaced within the time that most callers have; no engine is
 	// worth asking after it, so there is nothing else to keep the time for.
-	bounded, cancel := context.WithDeadline(ctx, earlier(c.deadline, later(c.latest, time.Now().Add(ledgerTry))))
+	bounded, cancel := context.WithDeadline(ctx, earlier(c.deadline, later(c.latestStart, time.Now().Add(ledgerCallTimeout))))
 	defer cancel()
-	reserve := &program.Reserve{Program: c.program, Request: c.turn, BudgetTokens: c.budget, MaxTokens: c.most, Session: c.session}
-	var known cachedChain
-	if c.route.RetainTurns && c.previous != "" {
-		reserve.PreviousRequest = c.previous
-		known = d.chains.get(c.previous, c.program, c.session)
+	reserve := &program.Reserve{Program: c.programID, Request: c.turnID, BudgetTokens: c.tokenBudget, MaxTokens: c.maxTokens, Session: c.sessionID}
+	var known cachedHistory
+	if c.route.RetainTurns && c.previousTurn != "" {
+		reserve.PreviousRequest = c.previousTurn
+		known = d.histories.get(c.previousTurn, c.programID, c.sessionID)
 	}
 	reply := d.ledgers.reserve(bounded, reserve, known.turn)
 	if reply.Error != nil && reply.Error.Code == result.UnknownTurn {
-		found := d.ledgers.findElsewhere(bounded, c.previous, c.program)
+		found := d.ledgers.findInOtherGroups(bounded, c.previousTurn, c.programID)
 		if found.Error != nil {
 			return found.Error
 		}
-		c.foreign = true
-		c.chain = found.Chain
+		c.historyInOtherGroup = true
+		c.history = found.Chain
 		reserve.PreviousRequest = ""
 		reply = d.ledgers.reserve(bounded, reserve, "")
 	}
 	if reply.Error != nil {
 		// The reservation may stand although nobody said so; no engine gets the call, so
 		// nothing of it may stay charged.
-		c.reserved = c.budget > 0 && reply.Error.Code == result.LedgerUnreachable
+		c.turnReserved = c.tokenBudget > 0 && reply.Error.Code == result.LedgerUnreachable
 		return reply.Error
 	}
-	c.home = reply.Engine
-	if !c.foreign && reserve.PreviousRequest != "" {
-		c.chain = known.continued(reply)
+	c.affineEngine = reply.Engine
+	if !c.historyInOtherGroup && reserve.PreviousRequest != "" {
+		c.history = known.extend(reply)
 	}
-	c.reserved = c.budget > 0
-	c.begun = !reply.First || c.previous != ""
-	if !c.begun {
-		return d.admit(c)
+	c.turnReserved = c.tokenBudget > 0
+	c.programInProgress = !reply.First || c.previousTurn != ""
+	if !c.programInProgress {
+		return d.admitProgram(c)
 	}
 	return nil
 }
 
-// admit decides whether a program may begin. Invariant: a program that has begun is never
+// admitProgram decides whether a program may begin. Invariant: a program that has begun is never
 // rejected for want of capacity, nor one that goes on from a kept turn.
-func (d *Daemon) admit(c *call) *result.Error {
-	decision := d.engines.admit(c, c.rankPosition, c.ranks)
+func (d *Daemon) admitProgram(c *call) *result.Error {
+	decision := d.engines.decideAdmission(c, c.priorityPosition, c.priorityCount)
 	if decision.admitted {
 		return nil
 	}
 	failure := result.New(result.Overloaded, "%.1f requests an engine, begun in time up to %.1f; rank %d of %d",
-		decision.concurrency, decision.limit, c.rankPosition, c.ranks)
-	if position := decision.position; position.AboveFairShare {
+		decision.concurrency, decision.limit, c.priorityPosition, c.priorityCount)
+	if position := decision.shareStatus; position.AboveFairShare {
 		failure = result.New(result.ShareUsed, "%.1f of the tenant's requests under way, its share %.1f; %.1f requests an engine, room for %.1f",
-			position.InFlight, position.Share, decision.concurrency, decision.room)
+			position.InFlight, position.Share, decision.concurrency, decision.capacity)
 	}
 	return failure.WithRetryAfter(time.Duration(decision.retryAfterMs) * time.Millisecond)
 }
@@ -134,9 +134,9 @@
 	return b
 }
 
-// settleLater charges a turn that is not kept; the caller need not wait for it.
-func (d *Daemon) settleLater(c *call, out *answer) {
-	settle := &program.Settle{Program: c.program, Request: c.turn, UsedTokens: out.used(c), Session: c.session, Engine: c.chosen.engine.IncarnationKey()}
+// settleAsync charges a turn that is not kept; the caller need not wait for it.
+func (d *Daemon) settleAsync(c *call, out *callerResponse) {
+	settle := &program.Settle{Program: c.programID, Request: c.turnID, UsedTokens: out.usedTokens(c), Session: c.sessionID, Engine: c.selection.engine.IncarnationKey()}
 	go func() {
 		if failure := d.ledgers.settle(settle, settleTimeout); failure != nil {
 			d.logFailure("turn not settled", c, failure)
@@ -144,13 +144,13 @@
 	}()
 }
 
-// refuse answers a call that no engine has answered.
-func (a *answer) refuse(request *http.Request, failure *result.Error) {
+// writeError answers a call that no engine has answered.
+func (a *callerResponse) writeError(request *http.Request, failure *result.Error) {
 	failure = result.From(failure)
 	header := a.writer.Header()
 	header.Set("Content-Type", "application/json")
-	if id := request.Header.Get(a.daemon.headers.RequestID); id != "" {
-		header.Set(a.daemon.headers.RequestID, id)
+	if id := request.Header.Get(a.daemon.headerNames.RequestID); id != "" {
+		header.Set(a.daemon.headerNames.RequestID, id)
 	}
 	if failure.RetryAfterMs > 0 && failure.Outcome == result.NotRun {
 		header.Set("Retry-After", strconv.FormatFloat(float64(failure.RetryAfterMs)/1000, 'f', -1, 64))
--- a/internal/gateway/services.go
+++ b/internal/gateway/services.go
@@ -8,29 +8,31 @@
 	"github.com/ochrebay/ochrebay/internal/scheduling"
 )
 
-// services learns how long the requests of each route take once they are granted, so that a
+// serviceTimes learns how long the requests of each route take once they are granted, so that a
 // request waits for its grant only as long as its caller can still get the answer.
-type services struct {
+type serviceTimes struct {
 	mutex   sync.Mutex
 	byRoute map[string]*scheduling.DecayedMean
 }
 
-func newServices() *services { return &services{byRoute: map[string]*scheduling.DecayedMean{}} }
+func newServiceTimes() *serviceTimes {
+	return &serviceTimes{byRoute: map[string]*scheduling.DecayedMean{}}
+}
 
-// served notes a request that took a time from its last send to the end of its answer.
-func (s *services) served(route string, took time.Duration) {
+// record notes a request that took a time from its last send to the end of its answer.
+func (s *serviceTimes) record(route string, took time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	entryOf(s.byRoute, route).Add(clock.NowMs(), float64(took)/float64(time.Millisecond), 1)
+	getOrCreate(s.byRoute, route).Add(clock.NowMs(), float64(took)/float64(time.Millisecond), 1)
 }
 
-// expected returns how long a request takes in the mean, shortestSend at the least.
-func (s *services) expected(route string) time.Duration {
+// expectedTime returns how long a request takes in the mean, shortestSend at the least.
+func (s *serviceTimes) expectedTime(route string) time.Duration {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	known := s.byRoute[route]
 	if known == nil || known.Weight <= 0 {
-		return shortestSend
+		return minSendTime
 	}
-	return max(time.Duration(known.Sum/known.Weight*float64(time.Millisecond)), shortestSend)
+	return max(time.Duration(known.Sum/known.Weight*float64(time.Millisecond)), minSendTime)
 }
--- a/internal/gateway/shares_test.go
+++ b/internal/gateway/shares_test.go
@@ -14,15 +14,15 @@
 	"github.com/ochrebay/ochrebay/internal/scheduling"
 )
 
-// newSharedStand is a gateway whose one engine is short, of which a tenant uses more than its
+// newOversubscribedFixture is a gateway whose one engine is short, of which a tenant uses more than its
 // share and another one less.
-func newSharedStand(t *testing.T, above, below string) *tenantStand {
-	stand := newTenantStand(t, func(w http.ResponseWriter, r *http.Request) {
+func newOversubscribedFixture(t *testing.T, above, below string) *tenantFixture {
+	stand := newTenantFixture(t, func(w http.ResponseWriter, r *http.Request) {
 		// Use is counted in milliseconds: a request that takes less may count for nothing.
 		time.Sleep(5 * time.Millisecond)
-		events(1, "", false)(w, r)
+		streamingEngine(1, "", false)(w, r)
 	})
-	stand.ledger.say(func(request *protocol.TurnRequest) *protocol.TurnReply {
+	stand.ledger.setResponse(func(request *protocol.TurnRequest) *protocol.TurnReply {
 		if request.Quota != nil {
 			return &protocol.TurnReply{Grant: &quota.Grant{}}
 		}
@@ -34,11 +34,11 @@
 	for position := range table.Backends {
 		table.Backends[position].Slots = 8
 	}
-	stand.gateway.follow(view.fleet, &table)
+	stand.gateway.applyUpdate(view.fleet, &table)
 	engines := stand.gateway.engines
-	engines.fairShares = true
+	engines.fairSharesEnabled = true
 	engines.healthOf("e").ApplySharedLoad(scheduling.EngineLoad{Engine: "e", InFlight: 60}, clock.NowMs())
-	engines.takeUses([]admission.BackendUsage{{Backend: "b", InFlight: 60, Demand: 60, Tenants: []admission.TenantUsage{
+	engines.applySharedTenantUsage([]admission.BackendUsage{{Backend: "b", InFlight: 60, Demand: 60, Tenants: []admission.TenantUsage{
 		{Tenant: above, Weight: 2, InFlight: 59}, {Tenant: below, Weight: 2, InFlight: 1},
 	}}}, clock.NowMs())
 	return stand
@@ -46,8 +46,8 @@
 
 func TestSharesOfAGateway(t *testing.T) {
 	Convey("a new program of a tenant above its share is rejected, runs nowhere and is told when to come back", t, func() {
-		stand := newSharedStand(t, "beta", "alpha")
-		response, body, err := stand.send("/stream/", "r1", append(budget, "Ochrebay-Key", otherKey)...)
+		stand := newOversubscribedFixture(t, "beta", "alpha")
+		response, body, err := stand.send("/stream/", "r1", append(budgetHeaders, "Ochrebay-Key", otherKey)...)
 		So(err, ShouldBeNil)
 		So(response.StatusCode, ShouldEqual, 429)
 		So(response.Header.Get("Retry-After"), ShouldNotBeBlank)
@@ -55,39 +55,39 @@
 		So(stand.runs.Load(), ShouldEqual, 0)
 	})
 	Convey("one of a tenant within its share begins, and so does a turn of a program that has begun", t, func() {
-		stand := newSharedStand(t, "alpha", "beta")
-		response, _, err := stand.send("/stream/", "r1", append(budget, "Ochrebay-Key", otherKey)...)
+		stand := newOversubscribedFixture(t, "alpha", "beta")
+		response, _, err := stand.send("/stream/", "r1", append(budgetHeaders, "Ochrebay-Key", otherKey)...)
 		So(err, ShouldBeNil)
 		So(response.StatusCode, ShouldEqual, 200)
-		stand = newSharedStand(t, "beta", "alpha")
-		response, _, err = stand.send("/kept/", "r2", append(budget, "Ochrebay-Key", otherKey, "Ochrebay-Previous-Turn", "t1")...)
+		stand = newOversubscribedFixture(t, "beta", "alpha")
+		response, _, err = stand.send("/kept/", "r2", append(budgetHeaders, "Ochrebay-Key", otherKey, "Ochrebay-Previous-Turn", "t1")...)
 		So(err, ShouldBeNil)
 		So(response.StatusCode, ShouldEqual, 200)
 	})
 	Convey("turned off it rejects nobody", t, func() {
-		stand := newSharedStand(t, "beta", "alpha")
-		stand.gateway.engines.fairShares = false
-		response, _, err := stand.send("/stream/", "r1", append(budget, "Ochrebay-Key", otherKey)...)
+		stand := newOversubscribedFixture(t, "beta", "alpha")
+		stand.gateway.engines.fairSharesEnabled = false
+		response, _, err := stand.send("/stream/", "r1", append(budgetHeaders, "Ochrebay-Key", otherKey)...)
 		So(err, ShouldBeNil)
 		So(response.StatusCode, ShouldEqual, 200)
 	})
 	Convey("a gateway says who uses a back end that is nearly short, and names nobody while there is room", t, func() {
-		stand := newSharedStand(t, "beta", "alpha")
+		stand := newOversubscribedFixture(t, "beta", "alpha")
 		_, _, err := stand.send("/safe/", "r1", "Ochrebay-Key", otherKey)
 		So(err, ShouldBeNil)
 		// One that is under way for some time, which the request before need not have been.
-		stand.gateway.engines.meter = admission.NewUsageMeter(clock.NowMs() - 100)
-		stand.gateway.engines.meter.AdjustInFlight("b", "beta", 2, 1, clock.NowMs()-100)
-		uses := stand.gateway.engines.usesNews(clock.NowMs())
+		stand.gateway.engines.usageMeter = admission.NewUsageMeter(clock.NowMs() - 100)
+		stand.gateway.engines.usageMeter.AdjustInFlight("b", "beta", 2, 1, clock.NowMs()-100)
+		uses := stand.gateway.engines.collectTenantUsage(clock.NowMs())
 		So(uses, ShouldHaveLength, 1)
 		So(uses[0].Tenants, ShouldHaveLength, 1)
 		So(uses[0].Tenants[0].Tenant, ShouldEqual, "beta")
 		So(uses[0].Tenants[0].Weight, ShouldEqual, 2)
-		stand = newTenantStand(t, answerSigned)
-		stand.gateway.engines.fairShares = true
+		stand = newTenantFixture(t, respondSigned)
+		stand.gateway.engines.fairSharesEnabled = true
 		_, _, err = stand.send("/safe/", "r1", "Ochrebay-Key", testKey)
 		So(err, ShouldBeNil)
-		for _, use := range stand.gateway.engines.usesNews(clock.NowMs()) {
+		for _, use := range stand.gateway.engines.collectTenantUsage(clock.NowMs()) {
 			So(use.Tenants, ShouldBeEmpty)
 		}
 	})
--- a/internal/gateway/tenants_test.go
+++ b/internal/gateway/tenants_test.go
@@ -21,32 +21,32 @@
 )
 
 const (
-	testKey   = "k-alpha-0123456789"
-	otherKey  = "k-beta-0123456789"
-	testBound = 5 * time.Second
+	testKey         = "k-alpha-0123456789"
+	otherKey        = "k-beta-0123456789"
+	testRevokeBound = 5 * time.Second
 )
 
-// tenantStand is a gateway whose table has two tenants, one of them limited.
-type tenantStand struct {
-	*gatewayStand
-	// age is how old the proof is that the table is in force, nanoseconds; below zero there
+// tenantFixture is a gateway whose table has two tenants, one of them limited.
+type tenantFixture struct {
+	*gatewayFixture
+	// confirmationAge is how old the proof is that the table is in force, nanoseconds; below zero there
 	// is none.
-	age atomic.Int64
-	// seen is the header that the engine was sent last.
-	seen atomic.Pointer[http.Header]
+	confirmationAge atomic.Int64
+	// engineHeader is the header that the engine was sent last.
+	engineHeader atomic.Pointer[http.Header]
 }
 
-func newTenantStand(t *testing.T, engine http.HandlerFunc) *tenantStand {
-	stand := &tenantStand{}
-	stand.gatewayStand = newGatewayStand(t, func(w http.ResponseWriter, r *http.Request) {
+func newTenantFixture(t *testing.T, engine http.HandlerFunc) *tenantFixture {
+	stand := &tenantFixture{}
+	stand.gatewayFixture = newGatewayFixture(t, func(w http.ResponseWriter, r *http.Request) {
 		header := r.Header.Clone()
-		stand.seen.Store(&header)
+		stand.engineHeader.Store(&header)
 		engine(w, r)
 	})
-	stand.gateway.headers.Reserved = []string{"Hold", "Pin-Ms", "Kv-From"}
-	stand.gateway.process.Limits.RevokeWithinMs = float64(testBound.Milliseconds())
-	stand.gateway.proofAge = func() (time.Duration, bool) {
-		age := time.Duration(stand.age.Load())
+	stand.gateway.headerNames.Reserved = []string{"Hold", "Pin-Ms", "Kv-From"}
+	stand.gateway.process.Limits.RevokeWithinMs = float64(testRevokeBound.Milliseconds())
+	stand.gateway.confirmationAge = func() (time.Duration, bool) {
+		age := time.Duration(stand.confirmationAge.Load())
 		return age, age >= 0
 	}
 	view := stand.gateway.view.Load()
@@ -60,37 +60,37 @@
 	open := table.Routes[0]
 	open.PathPrefix, open.AllowsAnonymous = "/open/", true
 	table.Routes = append(append([]routing.Route{}, table.Routes...), open)
-	stand.gateway.follow(view.fleet, &table)
+	stand.gateway.applyUpdate(view.fleet, &table)
 	return stand
 }
 
-func answerSigned(w http.ResponseWriter, _ *http.Request) {
+func respondSigned(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Ochrebay-Signature", "s")
 	_, _ = io.WriteString(w, "out")
 }
 
 func TestKeys(t *testing.T) {
 	Convey("the engine learns the tenant's name and never the key", t, func() {
-		stand := newTenantStand(t, answerSigned)
+		stand := newTenantFixture(t, respondSigned)
 		response, _, err := stand.send("/safe/", "r1", "Ochrebay-Key", testKey, "Ochrebay-Tenant", "beta", "Hold", "h", "Ochrebay-Priority", "0")
 		So(err, ShouldBeNil)
 		So(response.StatusCode, ShouldEqual, 200)
-		seen := *stand.seen.Load()
+		seen := *stand.engineHeader.Load()
 		So(seen["Ochrebay-Tenant"], ShouldResemble, []string{"alpha"})
 		So(seen, ShouldNotContainKey, "Ochrebay-Key")
 		So(seen, ShouldNotContainKey, "Hold")
 		So(seen, ShouldNotContainKey, "Ochrebay-Priority")
 	})
 	Convey("no key, or one that nobody holds, is 401 where the table is surely in force, 503 where it may lack keys", t, func() {
-		stand := newTenantStand(t, answerSigned)
+		stand := newTenantFixture(t, respondSigned)
 		for _, key := range []string{"", "nobody's"} {
-			stand.age.Store(int64(time.Second))
+			stand.confirmationAge.Store(int64(time.Second))
 			response, body, err := stand.send("/safe/", "r1", "Ochrebay-Key", key)
 			So(err, ShouldBeNil)
 			So(response.StatusCode, ShouldEqual, 401)
 			So(body, ShouldNotContainSubstring, "nobody's")
 			for _, age := range []time.Duration{3 * time.Second, -1} {
-				stand.age.Store(int64(age))
+				stand.confirmationAge.Store(int64(age))
 				response, _, err = stand.send("/safe/", "r2", "Ochrebay-Key", key)
 				So(err, ShouldBeNil)
 				So(response.StatusCode, ShouldEqual, 503)
@@ -100,62 +100,62 @@
 		So(stand.runs.Load(), ShouldEqual, 0)
 	})
 	Convey("a gateway that has been cut off for the bound serves no key; what needs none is served on", t, func() {
-		stand := newTenantStand(t, answerSigned)
-		stand.age.Store(int64(testBound - 2*clockRateMargin))
+		stand := newTenantFixture(t, respondSigned)
+		stand.confirmationAge.Store(int64(testRevokeBound - 2*clockDriftMargin))
 		response, _, err := stand.send("/safe/", "r1", "Ochrebay-Key", testKey)
 		So(err, ShouldBeNil)
 		So(response.StatusCode, ShouldEqual, 200)
-		stand.age.Store(int64(testBound))
+		stand.confirmationAge.Store(int64(testRevokeBound))
 		response, _, err = stand.send("/safe/", "r2", "Ochrebay-Key", testKey)
 		So(err, ShouldBeNil)
 		So(response.StatusCode, ShouldEqual, 503)
 		response, _, err = stand.send("/open/", "r3", "Ochrebay-Tenant", "alpha")
 		So(err, ShouldBeNil)
 		So(response.StatusCode, ShouldEqual, 200)
-		So(*stand.seen.Load(), ShouldNotContainKey, "Ochrebay-Tenant")
+		So(*stand.engineHeader.Load(), ShouldNotContainKey, "Ochrebay-Tenant")
 		So(stand.runs.Load(), ShouldEqual, 2)
 	})
 	Convey("a process that is paused between taking a request and sending it asks again", t, func() {
-		stand := newTenantStand(t, events(1, "", false))
-		stand.ledger.say(func(request *protocol.TurnRequest) *protocol.TurnReply {
+		stand := newTenantFixture(t, streamingEngine(1, "", false))
+		stand.ledger.setResponse(func(request *protocol.TurnRequest) *protocol.TurnReply {
 			if request.Reserve != nil {
-				stand.age.Store(int64(testBound))
+				stand.confirmationAge.Store(int64(testRevokeBound))
 			}
 			return &protocol.TurnReply{}
 		})
-		response, _, err := stand.send("/stream/", "r1", append(budget, "Ochrebay-Key", testKey)...)
+		response, _, err := stand.send("/stream/", "r1", append(budgetHeaders, "Ochrebay-Key", testKey)...)
 		So(err, ShouldBeNil)
 		So(response.StatusCode, ShouldEqual, 503)
 		So(stand.runs.Load(), ShouldEqual, 0)
 	})
 	Convey("a proof that is younger than the call's table does not vouch for a key withdrawn between the two", t, func() {
-		stand := newTenantStand(t, events(1, "", false))
-		stand.ledger.say(func(request *protocol.TurnRequest) *protocol.TurnReply {
+		stand := newTenantFixture(t, streamingEngine(1, "", false))
+		stand.ledger.setResponse(func(request *protocol.TurnRequest) *protocol.TurnReply {
 			if request.Reserve != nil {
 				view := stand.gateway.view.Load()
 				table := *view.routes.Table
 				table.Generation++
 				table.Tenants = []routing.Tenant{{Name: "alpha"}, {Name: "beta", Keys: []routing.KeyDigest{routing.DigestKey(otherKey)}}}
-				stand.gateway.follow(view.fleet, &table)
+				stand.gateway.applyUpdate(view.fleet, &table)
 			}
 			return &protocol.TurnReply{}
 		})
-		response, _, err := stand.send("/stream/", "r1", append(budget, "Ochrebay-Key", testKey)...)
+		response, _, err := stand.send("/stream/", "r1", append(budgetHeaders, "Ochrebay-Key", testKey)...)
 		So(err, ShouldBeNil)
 		So(response.StatusCode, ShouldEqual, 401)
 		So(stand.runs.Load(), ShouldEqual, 0)
 	})
 	Convey("programs and turns are their tenant's: another tenant's names are other ones", t, func() {
-		stand := newTenantStand(t, events(1, "", false))
+		stand := newTenantFixture(t, streamingEngine(1, "", false))
 		var reserves []turnNames
-		stand.ledger.say(func(request *protocol.TurnRequest) *protocol.TurnReply {
+		stand.ledger.setResponse(func(request *protocol.TurnRequest) *protocol.TurnReply {
 			if request.Reserve != nil {
 				reserves = append(reserves, turnNames{request.Reserve.Program, request.Reserve.Request, request.Reserve.PreviousRequest})
 			}
 			return &protocol.TurnReply{Grant: &quota.Grant{}}
 		})
 		for _, key := range []string{testKey, otherKey} {
-			_, _, err := stand.send("/kept/", "r2", append(budget, "Ochrebay-Key", key, "Ochrebay-Previous-Turn", "r1")...)
+			_, _, err := stand.send("/kept/", "r2", append(budgetHeaders, "Ochrebay-Key", key, "Ochrebay-Previous-Turn", "r1")...)
 			So(err, ShouldBeNil)
 		}
 		So(reserves, ShouldResemble, []turnNames{{"alpha/p", "alpha/r2", "alpha/r1"}, {"beta/p", "beta/r2", "beta/r1"}})
@@ -167,8 +167,8 @@
 
 func TestQuotaOfAGateway(t *testing.T) {
 	Convey("a request beyond its tenant's limit is 429 with the time to come back, and does not run", t, func() {
-		stand := newTenantStand(t, answerSigned)
-		stand.ledger.say(func(request *protocol.TurnRequest) *protocol.TurnReply {
+		stand := newTenantFixture(t, respondSigned)
+		stand.ledger.setResponse(func(request *protocol.TurnRequest) *protocol.TurnReply {
 			return &protocol.TurnReply{Error: result.New(result.TenantLimit, "full").WithRetryAfter(250 * time.Millisecond)}
 		})
 		response, _, err := stand.send("/unsafe/", "r1", "Ochrebay-Key", otherKey)
@@ -188,26 +188,26 @@
 		So(stand.runs.Load(), ShouldEqual, 1)
 	})
 	Convey("a turn that is denied leaves nothing reserved of its program's budget", t, func() {
-		stand := newTenantStand(t, events(1, "", false))
-		stand.ledger.say(func(request *protocol.TurnRequest) *protocol.TurnReply {
+		stand := newTenantFixture(t, streamingEngine(1, "", false))
+		stand.ledger.setResponse(func(request *protocol.TurnRequest) *protocol.TurnReply {
 			if request.Quota != nil {
 				return &protocol.TurnReply{Error: result.New(result.TenantLimit, "full")}
 			}
 			return &protocol.TurnReply{}
 		})
-		response, _, err := stand.send("/stream/", "r1", append(budget, "Ochrebay-Key", otherKey)...)
+		response, _, err := stand.send("/stream/", "r1", append(budgetHeaders, "Ochrebay-Key", otherKey)...)
 		So(err, ShouldBeNil)
 		So(response.StatusCode, ShouldEqual, 429)
-		So(stand.ledger.settled("beta/r1").Settle.UsedTokens, ShouldEqual, 0)
+		So(stand.ledger.awaitSettle("beta/r1").Settle.UsedTokens, ShouldEqual, 0)
 	})
 	Convey("what was granted to a request that no engine ran is given back", t, func() {
-		stand := newTenantStand(t, func(w http.ResponseWriter, _ *http.Request) {
+		stand := newTenantFixture(t, func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Ochrebay-Not-Run", "true")
 			w.WriteHeader(http.StatusServiceUnavailable)
 		})
 		grant := quota.Grant{Term: 3, AtMs: 77}
 		returned := make(chan quota.Grant, 8)
-		stand.ledger.say(func(request *protocol.TurnRequest) *protocol.TurnReply {
+		stand.ledger.setResponse(func(request *protocol.TurnRequest) *protocol.TurnReply {
 			if request.Quota.ReturnedGrant != nil {
 				returned <- *request.Quota.ReturnedGrant
 			}
@@ -219,17 +219,17 @@
 		select {
 		case given := <-returned:
 			So(given, ShouldResemble, grant)
-		case <-time.After(patience):
+		case <-time.After(testTimeout):
 			So("nothing was returned", ShouldBeBlank)
 		}
 	})
 	Convey("a return whose answer is lost is not sent again", t, func() {
-		stand := newTenantStand(t, func(w http.ResponseWriter, _ *http.Request) {
+		stand := newTenantFixture(t, func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Ochrebay-Not-Run", "true")
 			w.WriteHeader(http.StatusServiceUnavailable)
 		})
 		returns := atomic.Int64{}
-		stand.ledger.say(func(request *protocol.TurnRequest) *protocol.TurnReply {
+		stand.ledger.setResponse(func(request *protocol.TurnRequest) *protocol.TurnReply {
 			if request.Quota.ReturnedGrant != nil {
 				returns.Add(1)
 				return nil
@@ -238,13 +238,13 @@
 		})
 		_, _, err := stand.send("/safe/", "r1", "Ochrebay-Key", otherKey, "Ochrebay-Deadline-Ms", "300")
 		So(err, ShouldBeNil)
-		time.Sleep(2 * ledgerTry)
+		time.Sleep(2 * ledgerCallTimeout)
 		So(returns.Load(), ShouldEqual, 1)
 	})
 	Convey("a second run needs a second grant; without it the answer does not say that nothing ran", t, func() {
-		stand := newTenantStand(t, events(1, "", true))
+		stand := newTenantFixture(t, streamingEngine(1, "", true))
 		grants := atomic.Int64{}
-		stand.ledger.say(func(request *protocol.TurnRequest) *protocol.TurnReply {
+		stand.ledger.setResponse(func(request *protocol.TurnRequest) *protocol.TurnReply {
 			if request.Quota != nil && grants.Add(1) > 1 {
 				return &protocol.TurnReply{Error: result.New(result.TenantLimit, "full")}
 			}
@@ -259,7 +259,7 @@
 // TestHeadersProperty sends heads written byte by byte: whatever a caller writes, an engine
 // gets its tenant's name once, no key and nothing that only gateways set.
 func TestHeadersProperty(t *testing.T) {
-	stand := newTenantStand(t, answerSigned)
+	stand := newTenantFixture(t, respondSigned)
 	address := strings.TrimPrefix(stand.server.URL, "http://")
 	forbidden := []string{"Ochrebay-Key", "Hold", "Pin-Ms", "Kv-From", "Ochrebay-Priority"}
 	names := append([]string{"Ochrebay-Tenant", "Connection", "X-Other"}, forbidden...)
@@ -278,20 +278,20 @@
 			value := rapid.SampledFrom([]string{"beta", testKey, "", "a, b", "Ochrebay-Tenant", "ochrebay-key, Hold", "close", "x\r\n Ochrebay-Tenant: beta"}).Draw(t, "value")
 			head += fmt.Sprintf("%s: %s\r\n", spelled(rapid.SampledFrom(names).Draw(t, "name")), value)
 		}
-		stand.seen.Store(nil)
+		stand.engineHeader.Store(nil)
 		connection, err := net.Dial("tcp", address)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer connection.Close()
-		_ = connection.SetDeadline(time.Now().Add(patience))
+		_ = connection.SetDeadline(time.Now().Add(testTimeout))
 		_, _ = io.WriteString(connection, head+"\r\nin")
 		response, err := http.ReadResponse(bufio.NewReader(connection), nil)
 		if err != nil {
 			t.Fatal(err)
 		}
 		_ = response.Body.Close()
-		seen := stand.seen.Load()
+		seen := stand.engineHeader.Load()
 		if seen == nil {
 			if response.StatusCode < 400 {
 				t.Fatalf("status %d and no run", response.StatusCode)
--- a/internal/gateway/tries_test.go
+++ b/internal/gateway/tries_test.go
@@ -14,8 +14,8 @@
 	"github.com/ochrebay/ochrebay/internal/retry"
 )
 
-// turnAway is the answer of an engine that did not run the request.
-func turnAway(w http.ResponseWriter) {
+// respondNotRun is the answer of an engine that did not run the request.
+func respondNotRun(w http.ResponseWriter) {
 	w.Header().Set("Ochrebay-Not-Run", "1")
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
@@ -23,33 +23,33 @@
 func TestWaitingForRoom(t *testing.T) {
 	Convey("a call that no engine has room for gets it once there is some", t, func() {
 		var refusals atomic.Int64
-		stand := newGatewayStand(t, func(w http.ResponseWriter, r *http.Request) {
+		stand := newGatewayFixture(t, func(w http.ResponseWriter, r *http.Request) {
 			if refusals.Add(1) <= 3 {
-				turnAway(w)
+				respondNotRun(w)
 				return
 			}
-			answerSigned(w, r)
+			respondSigned(w, r)
 		})
 		response, _, err := stand.send("/unsafe/", "r1", "Ochrebay-Deadline-Ms", "20000")
 		So(err, ShouldBeNil)
 		So(response.StatusCode, ShouldEqual, 200)
 		So(stand.runs.Load(), ShouldEqual, 4)
-		_, waitingNow := stand.gateway.queues.mistakes()
+		_, waitingNow := stand.gateway.waitQueues.admissionErrors()
 		So(waitingNow, ShouldEqual, 0)
 	})
 	Convey("one for which it does not come hears so with the time to come back, having run nowhere, and leaves the queue", t, func() {
-		stand := newGatewayStand(t, func(w http.ResponseWriter, _ *http.Request) { turnAway(w) })
+		stand := newGatewayFixture(t, func(w http.ResponseWriter, _ *http.Request) { respondNotRun(w) })
 		response, _, err := stand.send("/unsafe/", "r1", "Ochrebay-Deadline-Ms", "300")
 		So(err, ShouldBeNil)
 		So(response.StatusCode, ShouldEqual, 503)
 		So(response.Header.Get("Retry-After"), ShouldNotBeBlank)
-		mistakes, waitingNow := stand.gateway.queues.mistakes()
+		mistakes, waitingNow := stand.gateway.waitQueues.admissionErrors()
 		So(waitingNow, ShouldEqual, 0)
 		So(mistakes.FutileWaits, ShouldEqual, 1)
 	})
 	Convey("so does one without any engine", t, func() {
-		stand := newGatewayStand(t, answerSigned)
-		stand.gateway.engines.follow(&membership.FleetView{Version: 2})
+		stand := newGatewayFixture(t, respondSigned)
+		stand.gateway.engines.applyFleet(&membership.FleetView{Version: 2})
 		response, body, err := stand.send("/safe/", "r1", "Ochrebay-Deadline-Ms", "300")
 		So(err, ShouldBeNil)
 		So(response.StatusCode, ShouldEqual, 503)
@@ -57,27 +57,27 @@
 	})
 }
 
-// newStandOfTwo is a gateway before an engine of one behaviour and another that answers well;
+// newTwoEngineFixture is a gateway before an engine of one behaviour and another that answers well;
 // the first is asked first.
-func newStandOfTwo(t *testing.T, first http.HandlerFunc) (stand *gatewayStand, firstRuns *atomic.Int64) {
-	stand = newGatewayStand(t, answerSigned)
-	other := newGatewayStand(t, first)
+func newTwoEngineFixture(t *testing.T, first http.HandlerFunc) (stand *gatewayFixture, firstRuns *atomic.Int64) {
+	stand = newGatewayFixture(t, respondSigned)
+	other := newGatewayFixture(t, first)
 	fleet := *stand.gateway.view.Load().fleet
 	fleet.Engines["first"] = other.gateway.view.Load().fleet.Engines["e"]
 	engine := fleet.Engines["first"]
 	engine.ID = "first"
 	fleet.Engines["first"] = engine
-	stand.gateway.engines.follow(&fleet)
+	stand.gateway.engines.applyFleet(&fleet)
 	stand.gateway.engines.healthOf("e").RecordFailure(clock.NowMs())
 	return stand, &other.runs
 }
 
-// teach lets the gateway know that answers take 20 ms.
-func (g *gatewayStand) teach(routes ...string) {
+// recordLatencies lets the gateway know that answers take 20 ms.
+func (g *gatewayFixture) recordLatencies(routes ...string) {
 	const answers, tookMs = 200, 20
 	for _, route := range routes {
 		for range answers {
-			g.gateway.retries.kinds.ForKind(route).Record(clock.NowMs(), tookMs)
+			g.gateway.retries.latencies.ForKind(route).Record(clock.NowMs(), tookMs)
 		}
 	}
 }
@@ -92,8 +92,8 @@
 		}
 	}
 	Convey("a request that may be repeated leaves an engine that is silent for longer than its like", t, func() {
-		stand, runs := newStandOfTwo(t, silent)
-		stand.teach("/safe/")
+		stand, runs := newTwoEngineFixture(t, silent)
+		stand.recordLatencies("/safe/")
 		response, _, err := stand.send("/safe/", "r1", "Ochrebay-Deadline-Ms", "20000")
 		So(err, ShouldBeNil)
 		So(response.StatusCode, ShouldEqual, 200)
@@ -102,20 +102,20 @@
 		So(stand.gateway.engines.healthOf("first").IsSuspect(clock.NowMs()), ShouldBeTrue)
 	})
 	Convey("one that may not waits for it until its time is over, and the engine is passed over meanwhile", t, func() {
-		stand, runs := newStandOfTwo(t, silent)
-		stand.teach("/unsafe/")
+		stand, runs := newTwoEngineFixture(t, silent)
+		stand.recordLatencies("/unsafe/")
 		response, _, err := stand.send("/unsafe/", "r1", "Ochrebay-Deadline-Ms", "400")
 		So(err, ShouldBeNil)
 		So(response.StatusCode, ShouldEqual, 504)
 		So(runs.Load(), ShouldEqual, 1)
 		So(stand.runs.Load(), ShouldEqual, 0)
-		So(stand.gateway.engines.failing(clock.NowMs()), ShouldContain, "first")
+		So(stand.gateway.engines.failingEngines(clock.NowMs()), ShouldContain, "first")
 	})
 	Convey("without a budget nothing is sent a second time", t, func() {
-		stand, _ := newStandOfTwo(t, silent)
-		stand.teach("/safe/")
+		stand, _ := newTwoEngineFixture(t, silent)
+		stand.recordLatencies("/safe/")
 		stand.gateway.retries.settings = retry.Settings{}
-		for stand.gateway.retries.take("b") {
+		for stand.gateway.retries.tryTake("b") {
 		}
 		response, _, err := stand.send("/safe/", "r1", "Ochrebay-Deadline-Ms", "400")
 		So(err, ShouldBeNil)
@@ -130,30 +130,30 @@
 		w.WriteHeader(http.StatusInternalServerError)
 	}
 	Convey("a failure of one engine is not passed on where another may be asked, and the engine counts as failing", t, func() {
-		stand, runs := newStandOfTwo(t, fails)
+		stand, runs := newTwoEngineFixture(t, fails)
 		response, _, err := stand.send("/safe/", "r1", "Ochrebay-Deadline-Ms", "20000")
 		So(err, ShouldBeNil)
 		So(response.StatusCode, ShouldEqual, 200)
 		So(runs.Load(), ShouldEqual, 1)
-		So(stand.gateway.engines.failing(clock.NowMs()), ShouldContain, "first")
+		So(stand.gateway.engines.failingEngines(clock.NowMs()), ShouldContain, "first")
 	})
 	Convey("where none may, it is passed on as it is, and yet is no sign of a quick engine", t, func() {
-		stand, runs := newStandOfTwo(t, fails)
+		stand, runs := newTwoEngineFixture(t, fails)
 		response, _, err := stand.send("/unsafe/", "r1", "Ochrebay-Deadline-Ms", "20000")
 		So(err, ShouldBeNil)
 		So(response.StatusCode, ShouldEqual, 500)
 		So(response.Header.Get("Ochrebay-Signature"), ShouldEqual, "s")
 		So(runs.Load(), ShouldEqual, 1)
 		So(stand.runs.Load(), ShouldEqual, 0)
-		So(stand.gateway.engines.failing(clock.NowMs()), ShouldContain, "first")
+		So(stand.gateway.engines.failingEngines(clock.NowMs()), ShouldContain, "first")
 	})
 }
 
 func TestLedgersThatAreSlow(t *testing.T) {
 	Convey("a turn whose ledger is without an answer for longer than one question lasts is served and kept all the same", t, func() {
-		stand := newGatewayStand(t, events(3, "", false))
+		stand := newGatewayFixture(t, streamingEngine(3, "", false))
 		var asked atomic.Int64
-		stand.ledger.say(func(*protocol.TurnRequest) *protocol.TurnReply {
+		stand.ledger.setResponse(func(*protocol.TurnRequest) *protocol.TurnReply {
 			// The first answers to the opening and to the keeping are lost.
 			if number := asked.Add(1); number%4 != 0 {
 				return nil
@@ -161,11 +161,11 @@
 			return &protocol.TurnReply{}
 		})
 		began := time.Now()
-		response, body, err := stand.send("/kept/", "r1", append([]string{"Ochrebay-Deadline-Ms", "20000"}, budget...)...)
+		response, body, err := stand.send("/kept/", "r1", append([]string{"Ochrebay-Deadline-Ms", "20000"}, budgetHeaders...)...)
 		So(err, ShouldBeNil)
 		So(response.StatusCode, ShouldEqual, 200)
 		So(body, ShouldContainSubstring, "data: 3")
-		So(time.Since(began), ShouldBeGreaterThan, 6*ledgerTry)
+		So(time.Since(began), ShouldBeGreaterThan, 6*ledgerCallTimeout)
 		So(asked.Load(), ShouldEqual, 8)
 	})
 }
--- a/internal/gateway/waiting.go
+++ b/internal/gateway/waiting.go
@@ -30,8 +30,8 @@
 	return &waitQueues{settings: settings, byBackend: map[string]*backendQueue{}, disabled: disabled}
 }
 
-// of returns a back end's queue; the caller holds the mutex.
-func (q *waitQueues) of(backend string) *backendQueue {
+// queueFor returns a back end's queue; the caller holds the mutex.
+func (q *waitQueues) queueFor(backend string) *backendQueue {
 	found, known := q.byBackend[backend]
 	if !known {
 		found = &backendQueue{queue: waiting.NewQueue(q.settings), wakeups: map[*waiting.Entry]chan string{}}
@@ -40,16 +40,16 @@
 	return found
 }
 
-// ended notes that a request ended at an engine, and tells the first that waits of it.
-func (q *waitQueues) ended(backend, engine string, nowMs int64) {
+// recordCompletion notes that a request ended at an engine, and tells the first that waits of it.
+func (q *waitQueues) recordCompletion(backend, engine string, nowMs int64) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	waiters := q.of(backend)
-	waiters.tell(waiters.queue.RecordCompletion(nowMs), engine)
+	waiters := q.queueFor(backend)
+	waiters.wake(waiters.queue.RecordCompletion(nowMs), engine)
 }
 
-// tell passes the word of room on; engine is "" where it is not known which has some.
-func (b *backendQueue) tell(place *waiting.Entry, engine string) {
+// wake passes the word of room on; engine is "" where it is not known which has some.
+func (b *backendQueue) wake(place *waiting.Entry, engine string) {
 	if place == nil {
 		return
 	}
@@ -67,60 +67,60 @@
 	}
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	return c.place == nil && q.of(c.backend.Name).queue.MustWait(c.queueEntry())
+	return c.queueEntry == nil && q.queueFor(c.backend.Name).queue.MustWait(c.waitingCall())
 }
 
 // join gives a call its place, the one it had where it has waited before.
 func (q *waitQueues) join(c *call, nowMs int64) (chan string, *waiting.Rejection) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	waiters := q.of(c.backend.Name)
-	if c.place != nil {
-		rejection := waiters.queue.Requeue(nowMs, c.place)
+	waiters := q.queueFor(c.backend.Name)
+	if c.queueEntry != nil {
+		rejection := waiters.queue.Requeue(nowMs, c.queueEntry)
 		if rejection != nil {
-			delete(waiters.wakeups, c.place)
-			c.place = nil
+			delete(waiters.wakeups, c.queueEntry)
+			c.queueEntry = nil
 		}
-		return waiters.wakeups[c.place], rejection
+		return waiters.wakeups[c.queueEntry], rejection
 	}
-	place, rejection := waiters.queue.Join(nowMs, c.queueEntry())
+	place, rejection := waiters.queue.Join(nowMs, c.waitingCall())
 	if rejection != nil {
 		return nil, rejection
 	}
-	c.place = place
+	c.queueEntry = place
 	waiters.wakeups[place] = make(chan string, 1)
 	return waiters.wakeups[place], nil
 }
 
 // leave takes a call out of its queue, because an engine took it or because it ended.
 func (q *waitQueues) leave(c *call, served bool) {
-	if c.place == nil {
+	if c.queueEntry == nil {
 		return
 	}
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	waiters := q.of(c.backend.Name)
-	waiters.tell(waiters.queue.Leave(clock.NowMs(), c.place, served), "")
-	delete(waiters.wakeups, c.place)
-	c.place = nil
+	waiters := q.queueFor(c.backend.Name)
+	waiters.wake(waiters.queue.Leave(clock.NowMs(), c.queueEntry, served), "")
+	delete(waiters.wakeups, c.queueEntry)
+	c.queueEntry = nil
 }
 
-// look reports whether a call that nobody told of room may look for some, and lookAfter when
+// startProbe reports whether a call that nobody told of room may look for some, and lookAfter when
 // it may.
-func (q *waitQueues) look(c *call) bool {
+func (q *waitQueues) startProbe(c *call) bool {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	return q.of(c.backend.Name).queue.StartProbe(c.place)
+	return q.queueFor(c.backend.Name).queue.StartProbe(c.queueEntry)
 }
 
-func (q *waitQueues) lookAfter(c *call) time.Duration {
+func (q *waitQueues) probeDelay(c *call) time.Duration {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	return time.Duration(q.of(c.backend.Name).queue.ProbeDelayMs(clock.NowMs(), c.place)) * time.Millisecond
+	return time.Duration(q.queueFor(c.backend.Name).queue.ProbeDelayMs(clock.NowMs(), c.queueEntry)) * time.Millisecond
 }
 
-// mistakes adds up what has turned out wrong at all back ends.
-func (q *waitQueues) mistakes() (sum waiting.AdmissionErrors, waitingNow int) {
+// admissionErrors adds up what has turned out wrong at all back ends.
+func (q *waitQueues) admissionErrors() (sum waiting.AdmissionErrors, waitingNow int) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	for _, waiters := range q.byBackend {
@@ -133,55 +133,55 @@
 	return sum, waitingNow
 }
 
-// queueEntry is what the call's place in a queue depends on.
-func (c *call) queueEntry() waiting.Call {
+// waitingCall is what the call's place in a queue depends on.
+func (c *call) waitingCall() waiting.Call {
 	due := c.deadline
-	if c.finish.After(c.started) && c.finish.Before(due) {
-		due = c.finish
+	if c.programDueAt.After(c.startedAt) && c.programDueAt.Before(due) {
+		due = c.programDueAt
 	}
-	return waiting.Call{Priority: c.priority(), ProgramInProgress: c.begun, AboveFairShare: c.aboveShare, DueTimeMs: due.UnixMilli(), LatestStartMs: c.latest.UnixMilli()}
+	return waiting.Call{Priority: c.priority(), ProgramInProgress: c.programInProgress, AboveFairShare: c.aboveFairShare, DueTimeMs: due.UnixMilli(), LatestStartMs: c.latestStart.UnixMilli()}
 }
 
-// waitForRoom waits until an engine of the call's back end may have room; it returns that
+// waitForCapacity waits until an engine of the call's back end may have room; it returns that
 // engine, "" where it is not known which, or why the call does not wait any longer.
-func (d *Daemon) waitForRoom(ctx context.Context, c *call) (engine string, failure *result.Error) {
+func (d *Daemon) waitForCapacity(ctx context.Context, c *call) (engine string, failure *result.Error) {
 	if c.queuedAt.IsZero() {
 		c.queuedAt = time.Now()
-		c.aboveShare = d.engines.aboveShare(c)
+		c.aboveFairShare = d.engines.isAboveFairShare(c)
 	}
-	defer func() { c.waited = time.Since(c.queuedAt) }()
+	defer func() { c.waitTime = time.Since(c.queuedAt) }()
 	if d.process.Policy.Disable.Has(scheduling.MechanismWaitQueue) {
-		return "", d.pause(ctx, c)
+		return "", d.pauseUnqueued(ctx, c)
 	}
-	told, rejection := d.queues.join(c, clock.NowMs())
+	told, rejection := d.waitQueues.join(c, clock.NowMs())
 	for rejection == nil {
-		timer := time.NewTimer(min(d.queues.lookAfter(c), max(time.Until(c.latest), 0)))
+		timer := time.NewTimer(min(d.waitQueues.probeDelay(c), max(time.Until(c.latestStart), 0)))
 		select {
 		case <-ctx.Done():
 			timer.Stop()
-			d.queues.leave(c, false)
+			d.waitQueues.leave(c, false)
 			return "", result.New(result.Cancelled, "the caller left while its call waited: %v", ctx.Err())
 		case engine = <-told:
 			timer.Stop()
 			return engine, nil
 		case <-timer.C:
 		}
-		if !time.Now().Before(c.latest) {
-			told, rejection = d.queues.join(c, clock.NowMs())
-		} else if d.queues.look(c) {
+		if !time.Now().Before(c.latestStart) {
+			told, rejection = d.waitQueues.join(c, clock.NowMs())
+		} else if d.waitQueues.startProbe(c) {
 			return "", nil
 		}
 	}
-	c.waited = time.Since(c.queuedAt)
+	c.waitTime = time.Since(c.queuedAt)
 	d.logRejection(c, rejection)
-	return "", d.rejected(c, rejection)
+	return "", d.rejectionError(c, rejection)
 }
 
-// pause waits a moment without any order, for comparison.
-func (d *Daemon) pause(ctx context.Context, c *call) *result.Error {
+// pauseUnqueued waits a moment without any order, for comparison.
+func (d *Daemon) pauseUnqueued(ctx context.Context, c *call) *result.Error {
 	const pause = 30 * time.Millisecond
-	if time.Now().Add(pause).After(c.latest) {
-		return d.rejected(c, &waiting.Rejection{RetryAfterMs: pause.Milliseconds()})
+	if time.Now().Add(pause).After(c.latestStart) {
+		return d.rejectionError(c, &waiting.Rejection{RetryAfterMs: pause.Milliseconds()})
 	}
 	select {
 	case <-ctx.Done():
@@ -191,12 +191,12 @@
 	}
 }
 
-// rejected is the answer to a call for which room is unlikely to come in time.
-func (d *Daemon) rejected(c *call, rejection *waiting.Rejection) *result.Error {
+// rejectionError is the answer to a call for which room is unlikely to come in time.
+func (d *Daemon) rejectionError(c *call, rejection *waiting.Rejection) *result.Error {
 	after := time.Duration(rejection.RetryAfterMs) * time.Millisecond
-	if d.engines.count(c.backend.Name) == 0 {
+	if d.engines.engineCount(c.backend.Name) == 0 {
 		return result.New(result.NoEngine, "no engine of %s", c.backend.Name).WithRetryAfter(after)
 	}
 	return result.New(result.EngineRefused, "no engine of %s had room in %s; %d calls go before it, room comes at %.1f a second: chance %.3f to start in time",
-		c.backend.Name, c.waited.Round(time.Millisecond), rejection.Ahead, rejection.CompletionsPerSecond, rejection.Probability).WithRetryAfter(after)
+		c.backend.Name, c.waitTime.Round(time.Millisecond), rejection.Ahead, rejection.CompletionsPerSecond, rejection.Probability).WithRetryAfter(after)
 }
