--- a/internal/gateway/admission.go
+++ b/internal/gateway/admission.go
@@ -30,40 +30,40 @@
 }
 
 // wasIdle reports whether nothing happened for half of the time up to nowMs or more.
-func (a *activityTracker) wasIdle(nowMs int64, tookMs float64) bool {
+func (a *activityTracker) wasIdle(nowMs int64, spanMs float64) bool {
 	const half = 2
-	idleMs := a.idleToMs - max(a.idleFromMs, nowMs-int64(tookMs))
-	return float64(idleMs)*half >= tookMs
+	idleMs := a.idleToMs - max(a.idleFromMs, nowMs-int64(spanMs))
+	return float64(idleMs)*half >= spanMs
 }
 
 // observeStreamStart tells admission whether a stream began within its target. What lasted long
 // for another reason than that engines have too much to do is left out: an engine that is
 // slower than the others, or a pause of this process.
-func (e *engineRegistry) observeStreamStart(c *call, nowMs int64, took float64) {
-	target := float64(c.route.TargetLatencyMs)
-	slow := c.selection.health.LatencyRatio(nowMs) > minSlowLatencyRatio
-	if target <= 0 || (took > target && (slow || e.activity.wasIdle(nowMs, took))) {
+func (e *engineRegistry) observeStreamStart(c *call, nowMs int64, firstEventMs float64) {
+	targetMs := float64(c.route.TargetLatencyMs)
+	isSlow := c.selection.health.LatencyRatio(nowMs) > minSlowLatencyRatio
+	if targetMs <= 0 || (firstEventMs > targetMs && (isSlow || e.activity.wasIdle(nowMs, firstEventMs))) {
 		return
 	}
-	getOrCreate(e.admissionControllers, c.backend.Name).ObserveStreamStart(nowMs, took > target)
+	getOrCreate(e.admissionControllers, c.backend.Name).ObserveStreamStart(nowMs, firstEventMs > targetMs)
 }
 
 // meanConcurrency is the mean of all gateways' requests over the engines of a back end that the
 // others have spoken of lately; false where that is less than half of them, as while control
 // has no leader: this gateway's own requests alone would look like an idle fleet.
-func (e *engineRegistry) meanConcurrency(backend string, nowMs int64) (mean float64, known bool) {
-	pool := e.byBackend[backend]
-	total, heard := 0.0, 0
-	for _, engine := range pool {
+func (e *engineRegistry) meanConcurrency(backend string, nowMs int64) (mean float64, isKnown bool) {
+	backendEngines := e.byBackend[backend]
+	total, reporting := 0.0, 0
+	for _, engine := range backendEngines {
 		health := e.healthOf(engine.ID)
 		if !health.HasRecentSharedLoad(nowMs) {
 			continue
 		}
 		total += health.EstimatedInFlight(nowMs)
-		heard++
+		reporting++
 	}
 	const half = 2
-	return total / float64(max(heard, 1)), heard > 0 && heard*half >= len(pool)
+	return total / float64(max(reporting, 1)), reporting > 0 && reporting*half >= len(backendEngines)
 }
 
 // admissionDecision is one whether a program may begin, with what it was made from.
@@ -78,36 +78,36 @@
 }
 
 // decideAdmission decides whether a call that begins a program may go on.
-func (e *engineRegistry) decideAdmission(c *call, position, ranks int) admissionDecision {
+func (e *engineRegistry) decideAdmission(c *call, priorityPosition, priorityCount int) admissionDecision {
 	if e.disabled.Has(scheduling.MechanismAdmission) {
 		return admissionDecision{admitted: true}
 	}
-	draw := float64(xxhash.Sum64String(c.programID)) / (1 << 64)
+	sample := float64(xxhash.Sum64String(c.programID)) / (1 << 64)
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	nowMs := clock.NowMs()
-	concurrency, known := e.meanConcurrency(c.backend.Name, nowMs)
-	if !known {
+	concurrency, isKnown := e.meanConcurrency(c.backend.Name, nowMs)
+	if !isKnown {
 		e.recordProgramStart(c, nowMs)
 		return admissionDecision{admitted: true}
 	}
-	made := admissionDecision{concurrency: concurrency}
-	learnt := getOrCreate(e.admissionControllers, c.backend.Name)
-	learnt.UpdateLimit(nowMs, concurrency, c.backend.Slots)
-	made.limit = learnt.Limit()
-	made.capacity = admission.UsableConcurrency(c.backend.Slots, learnt.UnrestrictedConcurrency())
-	made.shareStatus = e.shareStatus(c, made.capacity, nowMs)
-	if made.shareStatus.AboveFairShare {
-		made.retryAfterMs, made.admitted = made.shareStatus.Admit(draw)
+	decision := admissionDecision{concurrency: concurrency}
+	controller := getOrCreate(e.admissionControllers, c.backend.Name)
+	controller.UpdateLimit(nowMs, concurrency, c.backend.Slots)
+	decision.limit = controller.Limit()
+	decision.capacity = admission.UsableConcurrency(c.backend.Slots, controller.UnrestrictedConcurrency())
+	decision.shareStatus = e.shareStatus(c, decision.capacity, nowMs)
+	if decision.shareStatus.AboveFairShare {
+		decision.retryAfterMs, decision.admitted = decision.shareStatus.Admit(sample)
 	} else {
 		// What others use beyond their shares is theirs to give back.
-		excess := made.shareStatus.Excess / float64(max(len(e.byBackend[c.backend.Name]), 1))
-		made.retryAfterMs, made.admitted = learnt.Admit(concurrency-excess, position, ranks, draw)
+		excess := decision.shareStatus.Excess / float64(max(len(e.byBackend[c.backend.Name]), 1))
+		decision.retryAfterMs, decision.admitted = controller.Admit(concurrency-excess, priorityPosition, priorityCount, sample)
 	}
-	if made.admitted {
+	if decision.admitted {
 		e.recordProgramStart(c, nowMs)
 	}
-	return made
+	return decision
 }
 
 // recordProgramStart tells the meter of a program that has begun.
@@ -118,11 +118,11 @@
 }
 
 // shareStatus returns where the tenant of a call stands at its back end.
-func (e *engineRegistry) shareStatus(c *call, room float64, nowMs int64) admission.ShareStatus {
+func (e *engineRegistry) shareStatus(c *call, capacity float64, nowMs int64) admission.ShareStatus {
 	if c.tenant == nil || !e.fairSharesEnabled {
 		return admission.ShareStatus{}
 	}
-	return e.tenantShares.Status(c.backend.Name, c.tenant.Name, room*float64(len(e.byBackend[c.backend.Name])), nowMs)
+	return e.tenantShares.Status(c.backend.Name, c.tenant.Name, capacity*float64(len(e.byBackend[c.backend.Name])), nowMs)
 }
 
 // isAboveFairShare reports whether the tenant of a call uses more than its share of a back end that
@@ -130,8 +130,8 @@
 func (e *engineRegistry) isAboveFairShare(c *call) bool {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	learnt := getOrCreate(e.admissionControllers, c.backend.Name)
-	return e.shareStatus(c, admission.UsableConcurrency(c.backend.Slots, learnt.UnrestrictedConcurrency()), clock.NowMs()).AboveFairShare
+	controller := getOrCreate(e.admissionControllers, c.backend.Name)
+	return e.shareStatus(c, admission.UsableConcurrency(c.backend.Slots, controller.UnrestrictedConcurrency()), clock.NowMs()).AboveFairShare
 }
 
 // adjustInFlight counts a call at its back end, or takes it off again.
@@ -139,13 +139,13 @@
 	if !c.requiresKey {
 		return
 	}
-	name := ""
+	tenant := ""
 	if c.tenant != nil {
-		name = c.tenant.Name
+		tenant = c.tenant.Name
 	}
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	e.usageMeter.AdjustInFlight(c.backend.Name, name, c.tenantWeight, change, clock.NowMs())
+	e.usageMeter.AdjustInFlight(c.backend.Name, tenant, c.tenantWeight, change, clock.NowMs())
 	e.slotsByBackend[c.backend.Name] = c.backend.Slots
 }
 
@@ -162,38 +162,38 @@
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	return e.usageMeter.CollectUsage(nowMs, func(backend string) bool {
-		concurrency, known := e.meanConcurrency(backend, nowMs)
-		room := admission.UsableConcurrency(e.slotsByBackend[backend], getOrCreate(e.admissionControllers, backend).UnrestrictedConcurrency())
-		wanted := e.tenantShares.Demand(backend, nowMs) / float64(max(len(e.byBackend[backend]), 1))
-		return known && room > 0 && max(concurrency, wanted) >= tenantReportFraction*room
+		concurrency, isKnown := e.meanConcurrency(backend, nowMs)
+		capacity := admission.UsableConcurrency(e.slotsByBackend[backend], getOrCreate(e.admissionControllers, backend).UnrestrictedConcurrency())
+		demand := e.tenantShares.Demand(backend, nowMs) / float64(max(len(e.byBackend[backend]), 1))
+		return isKnown && capacity > 0 && max(concurrency, demand) >= tenantReportFraction*capacity
 	})
 }
 
 // applySharedTenantUsage takes what all gateways' tenants together use of back ends.
-func (e *engineRegistry) applySharedTenantUsage(uses []admission.BackendUsage, nowMs int64) {
+func (e *engineRegistry) applySharedTenantUsage(usages []admission.BackendUsage, nowMs int64) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	e.tenantShares.ApplyUsage(uses, nowMs)
+	e.tenantShares.ApplyUsage(usages, nowMs)
 }
 
 // collectStreamLateness returns what this gateway has seen of streams since the last call.
 func (e *engineRegistry) collectStreamLateness(nowMs int64) []scheduling.StreamLateness {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	var shares []scheduling.StreamLateness
-	for backend, learnt := range e.admissionControllers {
-		if news := learnt.CollectStreamLateness(nowMs); news.Weight > 0 {
-			shares = append(shares, scheduling.StreamLateness{Backend: backend, Streams: news})
+	var lateness []scheduling.StreamLateness
+	for backend, controller := range e.admissionControllers {
+		if streams := controller.CollectStreamLateness(nowMs); streams.Weight > 0 {
+			lateness = append(lateness, scheduling.StreamLateness{Backend: backend, Streams: streams})
 		}
 	}
-	return shares
+	return lateness
 }
 
 // applySharedLateness takes what all gateways together have seen of streams.
-func (e *engineRegistry) applySharedLateness(shares []scheduling.StreamLateness, nowMs int64) {
+func (e *engineRegistry) applySharedLateness(lateness []scheduling.StreamLateness, nowMs int64) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	for _, share := range shares {
-		getOrCreate(e.admissionControllers, share.Backend).ApplySharedLateness(share.Streams, nowMs)
+	for _, entry := range lateness {
+		getOrCreate(e.admissionControllers, entry.Backend).ApplySharedLateness(entry.Streams, nowMs)
 	}
 }
--- a/internal/gateway/admission_test.go
+++ b/internal/gateway/admission_test.go
@@ -13,29 +13,29 @@
 // newOverloadedFixture is a gateway that has learnt that its engines fall behind, whose ledger
 // says whether a turn is its program's first.
 func newOverloadedFixture(t *testing.T, first bool) *gatewayFixture {
-	stand := newGatewayFixture(t, streamingEngine(1, "", false))
-	stand.ledger.setResponse(func(request *protocol.TurnRequest) *protocol.TurnReply {
+	fixture := newGatewayFixture(t, streamingEngine(1, "", false))
+	fixture.ledger.setResponse(func(request *protocol.TurnRequest) *protocol.TurnReply {
 		return &protocol.TurnReply{First: first && request.Reserve != nil}
 	})
-	engines := stand.gateway.engines
-	learnt := getOrCreate(engines.admissionControllers, "b")
+	engines := fixture.gateway.engines
+	controller := getOrCreate(engines.admissionControllers, "b")
 	const lateStreams, concurrency = 100, 3
 	for range lateStreams {
-		learnt.ObserveStreamStart(clock.NowMs(), true)
+		controller.ObserveStreamStart(clock.NowMs(), true)
 	}
-	learnt.UpdateLimit(clock.NowMs(), concurrency, 4)
+	controller.UpdateLimit(clock.NowMs(), concurrency, 4)
 	engines.healthOf("e").ApplySharedLoad(scheduling.EngineLoad{Engine: "e"}, clock.NowMs())
 	for range 10 * concurrency {
 		engines.healthOf("e").RecordStart(clock.NowMs())
 	}
-	return stand
+	return fixture
 }
 
 func TestAdmissionOfAGateway(t *testing.T) {
 	// Of a hundred programs a tenth is let in at the least: their ids draw it.
-	rejected := func(stand *gatewayFixture, path string, headers ...string) (count int, retryAfter string) {
+	rejected := func(fixture *gatewayFixture, path string, headers ...string) (count int, retryAfter string) {
 		for _, program := range []string{"p0", "p1", "p2", "p3", "p4", "p5", "p6", "p7", "p8", "p9"} {
-			response, _, err := stand.send(path, "r-"+program, append(append(headers, budgetHeaders...), "Ochrebay-Program", program)...)
+			response, _, err := fixture.send(path, "r-"+program, append(append(headers, budgetHeaders...), "Ochrebay-Program", program)...)
 			So(err, ShouldBeNil)
 			if response.StatusCode == 429 {
 				count++
@@ -45,13 +45,13 @@
 		return count, retryAfter
 	}
 	Convey("before engines that fall behind the first turn of most programs is rejected, runs nowhere, and is told when to come back", t, func() {
-		stand := newOverloadedFixture(t, true)
-		count, retryAfter := rejected(stand, "/stream/")
+		fixture := newOverloadedFixture(t, true)
+		count, retryAfter := rejected(fixture, "/stream/")
 		So(count, ShouldBeGreaterThan, 5)
 		So(retryAfter, ShouldNotBeBlank)
-		So(stand.runs.Load(), ShouldEqual, 10-count)
-		again, _ := rejected(stand, "/stream/")
-		So(again, ShouldEqual, count)
+		So(fixture.runs.Load(), ShouldEqual, 10-count)
+		repeated, _ := rejected(fixture, "/stream/")
+		So(repeated, ShouldEqual, count)
 	})
 	Convey("a program under way goes on, and so does one that continues a kept turn", t, func() {
 		count, _ := rejected(newOverloadedFixture(t, false), "/stream/")
@@ -60,33 +60,33 @@
 		So(count, ShouldEqual, 0)
 	})
 	Convey("without word of the other gateways nobody is rejected", t, func() {
-		stand := newOverloadedFixture(t, true)
-		stand.gateway.engines.health = map[string]*scheduling.EngineHealth{}
-		count, _ := rejected(stand, "/stream/")
+		fixture := newOverloadedFixture(t, true)
+		fixture.gateway.engines.health = map[string]*scheduling.EngineHealth{}
+		count, _ := rejected(fixture, "/stream/")
 		So(count, ShouldEqual, 0)
 	})
 	Convey("turned off it rejects nobody", t, func() {
-		stand := newOverloadedFixture(t, true)
-		stand.gateway.engines.disabled = scheduling.DisabledMechanisms{scheduling.MechanismAdmission}
-		count, _ := rejected(stand, "/stream/")
+		fixture := newOverloadedFixture(t, true)
+		fixture.gateway.engines.disabled = scheduling.DisabledMechanisms{scheduling.MechanismAdmission}
+		count, _ := rejected(fixture, "/stream/")
 		So(count, ShouldEqual, 0)
 	})
 }
 
 func TestActivity(t *testing.T) {
 	Convey("a stream that began late over a pause of the process is told from one that waited", t, func() {
-		var seen activityTracker
+		var tracker activityTracker
 		for nowMs := int64(0); nowMs <= 1000; nowMs += 20 {
-			seen.record(nowMs)
+			tracker.record(nowMs)
 		}
-		So(seen.wasIdle(1000, 900), ShouldBeFalse)
-		seen.record(5000)
-		So(seen.wasIdle(5000, 4100), ShouldBeTrue)
-		seen.record(5010)
-		So(seen.wasIdle(5010, 4200), ShouldBeTrue)
+		So(tracker.wasIdle(1000, 900), ShouldBeFalse)
+		tracker.record(5000)
+		So(tracker.wasIdle(5000, 4100), ShouldBeTrue)
+		tracker.record(5010)
+		So(tracker.wasIdle(5010, 4200), ShouldBeTrue)
 		for nowMs := int64(5020); nowMs <= 6000; nowMs += 20 {
-			seen.record(nowMs)
+			tracker.record(nowMs)
 		}
-		So(seen.wasIdle(6000, 500), ShouldBeFalse)
+		So(tracker.wasIdle(6000, 500), ShouldBeFalse)
 	})
 }
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -54,19 +54,19 @@
 const lowestPriority = 9
 
 // selectionInput describes the call to the choice of engines.
-func (d *Daemon) selectionInput(c *call, avoid []string) scheduling.SelectionInput {
-	demand := scheduling.SelectionInput{ExcludedEngines: avoid, NowMs: clock.NowMs(), RequestKind: c.route.Name}
+func (d *Daemon) selectionInput(c *call, excluded []string) scheduling.SelectionInput {
+	input := scheduling.SelectionInput{ExcludedEngines: excluded, NowMs: clock.NowMs(), RequestKind: c.route.Name}
 	switch {
 	case c.route.Kind == routing.KindStream:
-		demand.IsStream = true
-		demand.AffineEngine = c.affineEngine
-		demand.Prompt = c.promptParts
-		demand.MaxEvents = c.maxTokens / max(c.backend.TokensPerEvent, 1)
-		demand.RequiredKVCacheTokens = scheduling.PromptTokens(c.promptParts) + c.maxTokens
+		input.IsStream = true
+		input.AffineEngine = c.affineEngine
+		input.Prompt = c.promptParts
+		input.MaxEvents = c.maxTokens / max(c.backend.TokensPerEvent, 1)
+		input.RequiredKVCacheTokens = scheduling.PromptTokens(c.promptParts) + c.maxTokens
 	case c.route.Affinity:
-		demand.AffinityKey = c.affinityKey
+		input.AffinityKey = c.affinityKey
 	}
-	return demand
+	return input
 }
 
 // deliverFunc passes an engine's answer on.
@@ -74,19 +74,19 @@
 
 // attempt sends the call to one engine and has the answer delivered.
 func (d *Daemon) attempt(ctx context.Context, c *call, engine membership.ServingEngine, deliver deliverFunc) attemptOutcome {
-	timed, stop := context.WithDeadline(ctx, c.deadline)
-	defer stop()
-	bounded, cancel := context.WithCancelCause(timed)
+	deadlineContext, stopDeadline := context.WithDeadline(ctx, c.deadline)
+	defer stopDeadline()
+	attemptContext, cancel := context.WithCancelCause(deadlineContext)
 	defer cancel(nil)
-	c.responseTimer = d.startResponseTimer(bounded, c, cancel)
+	c.responseTimer = d.startResponseTimer(attemptContext, c, cancel)
 	defer c.responseTimer.stop()
-	exchange, err := d.pool.Do(bounded, engine.Address, d.upstreamRequest(c, engine))
+	exchange, err := d.pool.Do(attemptContext, engine.Address, d.upstreamRequest(c, engine))
 	switch {
 	case err == nil:
-	case errors.Is(context.Cause(bounded), errResponseTimeout):
+	case errors.Is(context.Cause(attemptContext), errResponseTimeout):
 		return attemptOutcome{kind: attemptBroken, err: errResponseTimeout}
-	case bounded.Err() != nil:
-		return attemptOutcome{kind: attemptCancelled, err: bounded.Err()}
+	case attemptContext.Err() != nil:
+		return attemptOutcome{kind: attemptCancelled, err: attemptContext.Err()}
 	case errors.Is(err, upstream.ErrNotSent):
 		return attemptOutcome{kind: attemptNotSent, err: err}
 	default:
@@ -100,9 +100,9 @@
 	outcome := deliver(exchange, c)
 	switch {
 	case outcome.kind != attemptBroken:
-	case errors.Is(context.Cause(bounded), errResponseTimeout):
+	case errors.Is(context.Cause(attemptContext), errResponseTimeout):
 		outcome.err = errResponseTimeout
-	case bounded.Err() != nil:
+	case attemptContext.Err() != nil:
 		outcome.kind = attemptCancelled
 	}
 	return outcome
--- a/internal/gateway/calllog.go
+++ b/internal/gateway/calllog.go
@@ -13,7 +13,7 @@
 
 // logCall writes the one line that says how a call ended. It holds what was decided and
 // measured, and no key for what the call did not come to.
-func (d *Daemon) logCall(c *call, request *http.Request, out *callerResponse, failure *result.Error, took time.Duration) {
+func (d *Daemon) logCall(c *call, request *http.Request, response *callerResponse, failure *result.Error, elapsed time.Duration) {
 	id := request.Header.Get(d.headerNames.RequestID)
 	keyValues := []any{"request", id}
 	if c != nil {
@@ -26,8 +26,8 @@
 		keyValues = append(keyValues, c.selectionFields()...)
 		keyValues = append(keyValues, c.ledgerFields()...)
 	}
-	keyValues = append(keyValues, out.streamFields(c)...)
-	keyValues = append(keyValues, "status", out.status, "events", out.events, "took", took.Round(100*time.Microsecond).String())
+	keyValues = append(keyValues, response.streamFields(c)...)
+	keyValues = append(keyValues, "status", response.status, "events", response.events, "took", elapsed.Round(100*time.Microsecond).String())
 	d.metrics.recordRequest(c, failure)
 	if failure == nil {
 		telemetry.Calm(d.logger, id, "served", keyValues...)
--- a/internal/gateway/calllog_test.go
+++ b/internal/gateway/calllog_test.go
@@ -29,12 +29,12 @@
 			So(lines.String(), ShouldNotContainSubstring, "cost_ms")
 		})
 		Convey("of a turn that the ledger refused has no engine", func() {
-			stand := newGatewayFixture(t, streamingEngine(2, "", false))
-			stand.gateway.logger = log.NewLogfmtLogger(&lines)
-			stand.ledger.setResponse(func(*protocol.TurnRequest) *protocol.TurnReply {
+			fixture := newGatewayFixture(t, streamingEngine(2, "", false))
+			fixture.gateway.logger = log.NewLogfmtLogger(&lines)
+			fixture.ledger.setResponse(func(*protocol.TurnRequest) *protocol.TurnReply {
 				return &protocol.TurnReply{Error: result.New(result.BudgetExhausted, "spent")}
 			})
-			_, _, err := stand.send("/stream/", "poor", budgetHeaders...)
+			_, _, err := fixture.send("/stream/", "poor", budgetHeaders...)
 			So(err, ShouldBeNil)
 			So(lines.String(), ShouldContainSubstring, "opened_ms=")
 			So(lines.String(), ShouldNotContainSubstring, "engine=")
--- a/internal/gateway/chains.go
+++ b/internal/gateway/chains.go
@@ -25,11 +25,11 @@
 
 func newHistoryCache(maxBytes int) *historyCache {
 	cache := &historyCache{maxBytes: maxBytes}
-	chains, err := simplelru.NewLRU(maxCachedHistories, func(_ string, chain []byte) { cache.bytes -= len(chain) })
+	byTurn, err := simplelru.NewLRU(maxCachedHistories, func(_ string, content []byte) { cache.bytes -= len(content) })
 	if err != nil {
 		panic(err) // The size is a constant above zero.
 	}
-	cache.byTurn = chains
+	cache.byTurn = byTurn
 	cache.lastTurnBySession, err = simplelru.NewLRU[string, string](maxCachedHistories, nil)
 	if err != nil {
 		panic(err) // As above.
@@ -45,11 +45,11 @@
 
 // extend returns the chain with what the ledger says that follows. The content is
 // copied: several turns may go on from one.
-func (k cachedHistory) extend(reply *protocol.TurnReply) []byte {
+func (h cachedHistory) extend(reply *protocol.TurnReply) []byte {
 	if !reply.Continued {
 		return reply.Chain
 	}
-	return append(append(make([]byte, 0, len(k.content)+len(reply.Chain)), k.content...), reply.Chain...)
+	return append(append(make([]byte, 0, len(h.content)+len(reply.Chain)), h.content...), reply.Chain...)
 }
 
 // get returns the chain up to a turn, or else the longest one of the same session
@@ -60,15 +60,15 @@
 	if content, ok := c.byTurn.Get(turn); ok {
 		return cachedHistory{turn, content}
 	}
-	last, ok := c.lastTurnBySession.Get(program + "\x00" + session)
+	lastTurn, ok := c.lastTurnBySession.Get(program + "\x00" + session)
 	if !ok {
 		return cachedHistory{}
 	}
-	content, ok := c.byTurn.Get(last)
+	content, ok := c.byTurn.Get(lastTurn)
 	if !ok {
 		return cachedHistory{}
 	}
-	return cachedHistory{last, content}
+	return cachedHistory{lastTurn, content}
 }
 
 // put keeps the chain up to a turn of a session in place of the session's earlier one,
@@ -78,8 +78,8 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	key := program + "\x00" + session
-	if earlier, ok := c.lastTurnBySession.Get(key); ok {
-		c.byTurn.Remove(earlier)
+	if previousTurn, ok := c.lastTurnBySession.Get(key); ok {
+		c.byTurn.Remove(previousTurn)
 	}
 	c.byTurn.Remove(turn)
 	c.byTurn.Add(turn, content)
--- a/internal/gateway/daemon.go
+++ b/internal/gateway/daemon.go
@@ -83,9 +83,9 @@
 
 // NewDaemon returns a gateway that has heard nothing yet; names are the headers it
 // speaks.
-func NewDaemon(process config.Process, names HeaderNames, logger log.Logger) *Daemon {
+func NewDaemon(process config.Process, headerNames HeaderNames, logger log.Logger) *Daemon {
 	d := &Daemon{
-		process: process, headerNames: names, logger: logger, pool: upstream.NewPool(),
+		process: process, headerNames: headerNames, logger: logger, pool: upstream.NewPool(),
 		engines: newEngineRegistry(process.Zone, process.Policy), waitQueues: newWaitQueues(process.Policy.Waiting, process.Policy.Disable),
 		retries:   newRetries(process.Policy.Retry, process.Policy.Disable),
 		histories: newHistoryCache(historyCacheBytes(process.Limits, process.Policy.Disable)), denials: newDenials(),
@@ -103,8 +103,8 @@
 	d.nextConfirmation = d.follower.NextProof
 	d.follower.OnLoads = d.applySharedLoads
 	d.follower.OnUsages = func(usages []scheduling.EngineUsage) { d.engines.applySharedUsages(usages, clock.NowMs()) }
-	d.follower.OnLate = func(shares []scheduling.StreamLateness) { d.engines.applySharedLateness(shares, clock.NowMs()) }
-	d.follower.OnUses = func(uses []admission.BackendUsage) { d.engines.applySharedTenantUsage(uses, clock.NowMs()) }
+	d.follower.OnLate = func(lateness []scheduling.StreamLateness) { d.engines.applySharedLateness(lateness, clock.NowMs()) }
+	d.follower.OnUses = func(usages []admission.BackendUsage) { d.engines.applySharedTenantUsage(usages, clock.NowMs()) }
 	return d
 }
 
@@ -163,17 +163,17 @@
 	if table == nil {
 		return
 	}
-	previous := d.view.Load()
-	next := &view{fleet: fleet}
-	if previous != nil && previous.routes.Table == table {
-		next.routes = previous.routes
+	previousView := d.view.Load()
+	nextView := &view{fleet: fleet}
+	if previousView != nil && previousView.routes.Table == table {
+		nextView.routes = previousView.routes
 	} else {
-		next.routes = routing.NewIndex(table)
+		nextView.routes = routing.NewIndex(table)
 		telemetry.Info(d.logger, "routing in force", "generation", table.Generation, "routes", len(table.Routes),
 			"keyed", table.RequiresKey, "tenants", len(table.Tenants))
 	}
-	d.view.Store(next)
-	if previous == nil {
+	d.view.Store(nextView)
+	if previousView == nil {
 		d.follower.Poke()
 	}
 }
@@ -236,12 +236,12 @@
 	d.draining.Store(true)
 	d.follower.Poke()
 	telemetry.Info(d.logger, "draining", "in_flight", d.inFlight.Load())
-	began := time.Now()
-	last := began.Add(d.process.Limits.Grace())
-	for time.Now().Before(last) && ctx.Err() == nil {
+	startedAt := time.Now()
+	latestEnd := startedAt.Add(d.process.Limits.Grace())
+	for time.Now().Before(latestEnd) && ctx.Err() == nil {
 		time.Sleep(drainPollInterval)
-		quiet := clock.NowMs()-d.lastRequestMs.Load() > drainQuietPeriod.Milliseconds()
-		if time.Since(began) > minDrainTime && quiet && d.inFlight.Load() == 0 {
+		isQuiet := clock.NowMs()-d.lastRequestMs.Load() > drainQuietPeriod.Milliseconds()
+		if time.Since(startedAt) > minDrainTime && isQuiet && d.inFlight.Load() == 0 {
 			break
 		}
 	}
--- a/internal/gateway/deliver.go
+++ b/internal/gateway/deliver.go
@@ -65,8 +65,8 @@
 	if success && response.Header.Get(a.daemon.headerNames.Signature) == "" {
 		return attemptOutcome{kind: attemptBroken, status: response.StatusCode, err: errMissingSignature}
 	}
-	promise := response.StatusCode == http.StatusServiceUnavailable || response.StatusCode == http.StatusTooManyRequests
-	if promise {
+	impliesNotRun := response.StatusCode == http.StatusServiceUnavailable || response.StatusCode == http.StatusTooManyRequests
+	if impliesNotRun {
 		// The engine does not say that it did not run the call, so its status must not
 		// tell the caller so.
 		return attemptOutcome{kind: attemptBroken, status: response.StatusCode, err: fmt.Errorf("status %d without a promise", response.StatusCode)}
@@ -88,31 +88,31 @@
 // deliverBuffered holds an answer until it is complete, so that one that is broken off
 // can still be refused or asked for again.
 func (a *callerResponse) deliverBuffered(exchange *upstream.Exchange, c *call) attemptOutcome {
-	held, err := io.ReadAll(io.LimitReader(exchange, maxBufferedBytes))
+	buffered, err := io.ReadAll(io.LimitReader(exchange, maxBufferedBytes))
 	status := exchange.Response.StatusCode
 	if err != nil {
 		return attemptOutcome{kind: attemptBroken, status: status, err: err}
 	}
 	c.responseTimer.stop()
-	took := milliseconds(time.Since(c.startedAt.Add(c.sentAfter)))
-	if len(held) < maxBufferedBytes && isEngineFailure(status) && a.daemon.canRetry(c) && a.daemon.retries.tryTake(c.backend.Name) {
+	elapsedMs := milliseconds(time.Since(c.startedAt.Add(c.sentAfter)))
+	if len(buffered) < maxBufferedBytes && isEngineFailure(status) && a.daemon.canRetry(c) && a.daemon.retries.tryTake(c.backend.Name) {
 		return attemptOutcome{kind: attemptFailed, status: status, err: errEngineFailure}
 	}
-	if len(held) < maxBufferedBytes {
-		a.writeHeader(exchange.Response, len(held))
-		if _, err := a.writer.Write(held); err != nil {
+	if len(buffered) < maxBufferedBytes {
+		a.writeHeader(exchange.Response, len(buffered))
+		if _, err := a.writer.Write(buffered); err != nil {
 			return attemptOutcome{kind: attemptCancelled, status: status, responseStarted: true, err: errors.Join(errCallerWrite, err)}
 		}
-		return attemptOutcome{kind: attemptAnswered, status: status, responseStarted: true, responseMs: took}
+		return attemptOutcome{kind: attemptAnswered, status: status, responseStarted: true, responseMs: elapsedMs}
 	}
 	a.writeHeader(exchange.Response, -1)
-	if _, err := a.writer.Write(held); err != nil {
+	if _, err := a.writer.Write(buffered); err != nil {
 		return attemptOutcome{kind: attemptCancelled, status: status, responseStarted: true, err: errors.Join(errCallerWrite, err)}
 	}
 	if _, err := io.CopyBuffer(a.writer, exchange, make([]byte, copyBufferBytes)); err != nil {
 		return attemptOutcome{kind: attemptBroken, status: status, responseStarted: true, err: err}
 	}
-	return attemptOutcome{kind: attemptAnswered, status: status, responseStarted: true, responseMs: took}
+	return attemptOutcome{kind: attemptAnswered, status: status, responseStarted: true, responseMs: elapsedMs}
 }
 
 // writeHeader writes the engine's status and headers; length is -1 where it is not
@@ -232,10 +232,10 @@
 		a.daemon.metrics.firstEvent.WithLabelValues().Observe(now.Sub(c.startedAt.Add(c.sentAfter)).Seconds())
 		a.daemon.engines.observeFirstEvent(c, milliseconds(now.Sub(c.startedAt.Add(c.sentAfter))))
 	} else {
-		gap := milliseconds(now.Sub(a.lastEventAt))
-		a.daemon.engines.observeEventGap(c, gap)
-		if a.eventGaps == 0 || gap < a.shortestGapMs {
-			a.shortestGapMs = gap
+		gapMs := milliseconds(now.Sub(a.lastEventAt))
+		a.daemon.engines.observeEventGap(c, gapMs)
+		if a.eventGaps == 0 || gapMs < a.shortestGapMs {
+			a.shortestGapMs = gapMs
 		}
 		a.eventGaps++
 	}
@@ -256,9 +256,9 @@
 		settle.PreviousRequest = ""
 		settle.Content = append(append(make([]byte, 0, len(c.history)+len(content)), c.history...), content...)
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	failure := a.daemon.ledgers.settle(settle, a.retainTimeout(c))
-	c.retainTime = time.Since(began)
+	c.retainTime = time.Since(startedAt)
 	if failure != nil {
 		a.daemon.logFailure("turn not kept", c, failure)
 		return false
@@ -271,11 +271,11 @@
 // retainTimeout is for how long the ledger is asked to keep a turn whose answer is whole: while
 // its caller still waits for the end.
 func (a *callerResponse) retainTimeout(c *call) time.Duration {
-	end := c.deadline
+	latestEnd := c.deadline
 	if c.route.PatienceMs > 0 && !a.lastEventAt.IsZero() {
-		end = earlier(end, a.lastEventAt.Add(time.Duration(c.route.PatienceMs)*time.Millisecond))
+		latestEnd = earlier(latestEnd, a.lastEventAt.Add(time.Duration(c.route.PatienceMs)*time.Millisecond))
 	}
-	return max(time.Until(end), ledgerCallTimeout)
+	return max(time.Until(latestEnd), ledgerCallTimeout)
 }
 
 // usedTokens is what the turn has generated, as far as the caller was handed it, tokens.
--- a/internal/gateway/engines.go
+++ b/internal/gateway/engines.go
@@ -58,31 +58,31 @@
 func (e *engineRegistry) applyFleet(view *membership.FleetView) []string {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	previous := map[string]bool{}
-	for _, pool := range e.byBackend {
-		for _, engine := range pool {
-			previous[engine.Address] = true
+	staleAddresses := map[string]bool{}
+	for _, backendEngines := range e.byBackend {
+		for _, engine := range backendEngines {
+			staleAddresses[engine.Address] = true
 		}
 	}
 	e.byBackend = map[string][]membership.ServingEngine{}
 	e.zoneByAddress = map[string]string{}
 	for _, engine := range view.Engines {
-		delete(previous, engine.Address)
+		delete(staleAddresses, engine.Address)
 		e.zoneByAddress[engine.Address] = engine.Zone
 		if !engine.Draining {
 			e.byBackend[engine.Backend] = append(e.byBackend[engine.Backend], engine)
 		}
 	}
-	gone := e.resetRestartedEngines(view)
+	closedAddresses := e.resetRestartedEngines(view)
 	for id, health := range e.health {
 		if _, known := view.Engines[id]; !known && health.InFlight == 0 {
 			delete(e.health, id)
 		}
 	}
-	for address := range previous {
-		gone = append(gone, address)
+	for address := range staleAddresses {
+		closedAddresses = append(closedAddresses, address)
 	}
-	return gone
+	return closedAddresses
 }
 
 // resetRestartedEngines forgets what was learnt of engines that have started again under their
@@ -91,19 +91,19 @@
 func (e *engineRegistry) resetRestartedEngines(view *membership.FleetView) []string {
 	var restarted []string
 	for id := range e.incarnations {
-		_, told := view.Engines[id]
-		if _, remembered := e.health[id]; !told && !remembered {
+		_, isRegistered := view.Engines[id]
+		if _, hasHealth := e.health[id]; !isRegistered && !hasHealth {
 			delete(e.incarnations, id)
 		}
 	}
 	for id, engine := range view.Engines {
-		known := e.incarnations[id]
-		if engine.StartedMs == known {
+		previousIncarnation := e.incarnations[id]
+		if engine.StartedMs == previousIncarnation {
 			continue
 		}
 		e.incarnations[id] = engine.StartedMs
 		// The first word of when an engine started tells of no other life.
-		if known != 0 {
+		if previousIncarnation != 0 {
 			delete(e.health, id)
 			restarted = append(restarted, engine.Address)
 		}
@@ -113,20 +113,20 @@
 
 // resolveAffineEngine returns the id of the engine that a session's last turn ran at. The key of an
 // incarnation that is over stays what it is and names none: it holds nothing of the session.
-func resolveAffineEngine(pool []membership.ServingEngine, key string) string {
-	position := slices.IndexFunc(pool, func(engine membership.ServingEngine) bool { return engine.MatchesKey(key) })
-	if position < 0 {
+func resolveAffineEngine(backendEngines []membership.ServingEngine, key string) string {
+	index := slices.IndexFunc(backendEngines, func(engine membership.ServingEngine) bool { return engine.MatchesKey(key) })
+	if index < 0 {
 		return key
 	}
-	return pool[position].ID
+	return backendEngines[index].ID
 }
 
 // observeDial learns the way to an engine's zone from a new connection to it.
-func (e *engineRegistry) observeDial(address string, took time.Duration) {
+func (e *engineRegistry) observeDial(address string, elapsed time.Duration) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	if zone, known := e.zoneByAddress[address]; known {
-		e.zoneCosts.ObserveRoundTrip(zone, took.Seconds()*1000)
+		e.zoneCosts.ObserveRoundTrip(zone, elapsed.Seconds()*1000)
 	}
 }
 
@@ -142,8 +142,8 @@
 
 // getOrCreate returns the entry of a key, a new one where there is none.
 func getOrCreate[T any](entries map[string]*T, key string) *T {
-	entry, known := entries[key]
-	if !known {
+	entry, found := entries[key]
+	if !found {
 		entry = new(T)
 		entries[key] = entry
 	}
@@ -179,12 +179,12 @@
 	defer e.mutex.Unlock()
 	var others []string
 	found := false
-	for _, known := range e.byBackend[backend] {
-		if known.ID == engine {
+	for _, candidate := range e.byBackend[backend] {
+		if candidate.ID == engine {
 			found = true
 			continue
 		}
-		others = append(others, known.ID)
+		others = append(others, candidate.ID)
 	}
 	if !found {
 		return nil
@@ -193,10 +193,10 @@
 }
 
 // expectedServiceMs is how long a call is expected to occupy an engine, 0 where that is not known.
-func (e *engineRegistry) expectedServiceMs(backend string, demand scheduling.SelectionInput) float64 {
+func (e *engineRegistry) expectedServiceMs(backend string, input scheduling.SelectionInput) float64 {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	return e.latencyModelOf(backend).ExpectedServiceMs(demand)
+	return e.latencyModelOf(backend).ExpectedServiceMs(input)
 }
 
 // selection is an engine and what decided for it, for the log.
@@ -235,80 +235,80 @@
 }
 
 // selectEngine picks the engine for a call and counts it as under way there.
-func (e *engineRegistry) selectEngine(backend routing.Backend, demand scheduling.SelectionInput) (selection, bool) {
+func (e *engineRegistry) selectEngine(backend routing.Backend, input scheduling.SelectionInput) (selection, bool) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	pool := e.byBackend[backend.Name]
-	candidates := make([]scheduling.Candidate, 0, len(pool))
-	for _, engine := range pool {
+	backendEngines := e.byBackend[backend.Name]
+	candidates := make([]scheduling.Candidate, 0, len(backendEngines))
+	for _, engine := range backendEngines {
 		candidate := scheduling.Candidate{
 			ID: engine.ID, Zone: engine.Zone, Slots: max(engine.Slots, backend.Slots), KVCacheCapacityTokens: backend.KVCacheCapacityTokens,
 			Health: e.healthOf(engine.ID),
 		}
 		candidates = append(candidates, candidate)
 	}
-	demand.AffineEngine = resolveAffineEngine(pool, demand.AffineEngine)
-	demand.Zone = e.zone
-	demand.ZoneCosts = &e.zoneCosts
-	demand.ShuffleSeed = rand.Uint64()
-	demand.Disabled = e.disabled
-	if demand.IsStream {
-		demand.RemainingTurns = e.latencyModelOf(backend.Name).RemainingTurns(demand.RequestKind, len(demand.Prompt))
+	input.AffineEngine = resolveAffineEngine(backendEngines, input.AffineEngine)
+	input.Zone = e.zone
+	input.ZoneCosts = &e.zoneCosts
+	input.ShuffleSeed = rand.Uint64()
+	input.Disabled = e.disabled
+	if input.IsStream {
+		input.RemainingTurns = e.latencyModelOf(backend.Name).RemainingTurns(input.RequestKind, len(input.Prompt))
 	}
-	chosen, found := scheduling.SelectEngine(e.latencyModelOf(backend.Name), candidates, demand)
+	selected, found := scheduling.SelectEngine(e.latencyModelOf(backend.Name), candidates, input)
 	if !found {
 		return selection{}, false
 	}
-	e.activity.record(demand.NowMs)
-	if demand.IsStream && len(demand.ExcludedEngines) == 0 {
-		e.latencyModelOf(backend.Name).ObserveTurn(demand.RequestKind, len(demand.Prompt))
+	e.activity.record(input.NowMs)
+	if input.IsStream && len(input.ExcludedEngines) == 0 {
+		e.latencyModelOf(backend.Name).ObserveTurn(input.RequestKind, len(input.Prompt))
 	}
-	health := chosen.Candidate.Health
-	health.RecordStart(demand.NowMs)
-	heldBefore := health.ReservedKVCacheTokens(demand.NowMs)
-	health.ReserveKVCache(demand.NowMs, demand.RequiredKVCacheTokens)
-	position := slices.IndexFunc(pool, func(engine membership.ServingEngine) bool { return engine.ID == chosen.Candidate.ID })
+	health := selected.Candidate.Health
+	health.RecordStart(input.NowMs)
+	reservedBefore := health.ReservedKVCacheTokens(input.NowMs)
+	health.ReserveKVCache(input.NowMs, input.RequiredKVCacheTokens)
+	index := slices.IndexFunc(backendEngines, func(engine membership.ServingEngine) bool { return engine.ID == selected.Candidate.ID })
 	return selection{
-		engine: pool[position], inFlight: health.InFlight, candidateCount: len(pool),
-		estimatedInFlight: health.EstimatedInFlight(demand.NowMs), sharedLoadAgeMs: health.SharedLoadAgeMs(demand.NowMs),
-		prefillTokens: chosen.PrefillTokens, costMs: chosen.CostMs, nextBestCostMs: chosen.NextBestCostMs, affineEngineCostMs: chosen.AffineEngineCostMs, health: health,
-		requiredKVCacheTokens: demand.RequiredKVCacheTokens, reservedKVCacheTokens: int64(heldBefore), preemptedTokens: chosen.PreemptedTokens,
-		slowdown: chosen.Slowdown, affineEngineSlowdown: chosen.AffineEngineSlowdown, remainingTurns: demand.RemainingTurns, moveReason: chosen.MoveReason,
+		engine: backendEngines[index], inFlight: health.InFlight, candidateCount: len(backendEngines),
+		estimatedInFlight: health.EstimatedInFlight(input.NowMs), sharedLoadAgeMs: health.SharedLoadAgeMs(input.NowMs),
+		prefillTokens: selected.PrefillTokens, costMs: selected.CostMs, nextBestCostMs: selected.NextBestCostMs, affineEngineCostMs: selected.AffineEngineCostMs, health: health,
+		requiredKVCacheTokens: input.RequiredKVCacheTokens, reservedKVCacheTokens: int64(reservedBefore), preemptedTokens: selected.PreemptedTokens,
+		slowdown: selected.Slowdown, affineEngineSlowdown: selected.AffineEngineSlowdown, remainingTurns: input.RemainingTurns, moveReason: selected.MoveReason,
 	}, true
 }
 
 // cancelSelection takes a call off the engine that was chosen for it, where it is not sent after all.
-func (e *engineRegistry) cancelSelection(chosen selection, nowMs int64) {
+func (e *engineRegistry) cancelSelection(selected selection, nowMs int64) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	chosen.health.RecordEnd(nowMs)
+	selected.health.RecordEnd(nowMs)
 }
 
 // observeFirstEvent notes how long an engine took for the first event of a stream.
-func (e *engineRegistry) observeFirstEvent(c *call, took float64) {
+func (e *engineRegistry) observeFirstEvent(c *call, firstEventMs float64) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	nowMs := clock.NowMs()
 	e.activity.record(nowMs)
-	e.latencyModelOf(c.backend.Name).ObserveFirstEvent(c.selection.health, nowMs, c.selection.prefillTokens, took)
-	e.observeStreamStart(c, nowMs, took)
+	e.latencyModelOf(c.backend.Name).ObserveFirstEvent(c.selection.health, nowMs, c.selection.prefillTokens, firstEventMs)
+	e.observeStreamStart(c, nowMs, firstEventMs)
 }
 
 // observeEventGap notes the pause of a stream before an event.
-func (e *engineRegistry) observeEventGap(c *call, gap float64) {
+func (e *engineRegistry) observeEventGap(c *call, gapMs float64) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	nowMs := clock.NowMs()
 	e.activity.record(nowMs)
-	e.latencyModelOf(c.backend.Name).ObserveEventGap(c.selection.health, nowMs, gap)
+	e.latencyModelOf(c.backend.Name).ObserveEventGap(c.selection.health, nowMs, gapMs)
 }
 
 // observeStreamPace notes the pauses between the events of a stream that an engine sent: how many
 // there were and the shortest, milliseconds.
-func (e *engineRegistry) observeStreamPace(c *call, pauses int, shortest float64) {
+func (e *engineRegistry) observeStreamPace(c *call, gaps int, shortestMs float64) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	e.latencyModelOf(c.backend.Name).ObserveStreamPace(c.selection.health, clock.NowMs(), pauses, shortest)
+	e.latencyModelOf(c.backend.Name).ObserveStreamPace(c.selection.health, clock.NowMs(), gaps, shortestMs)
 }
 
 // recordAttemptEnd takes a call off its engine and notes how it went.
@@ -343,7 +343,7 @@
 	defer e.mutex.Unlock()
 	var loads []scheduling.EngineLoad
 	for id, health := range e.health {
-		if load, said := health.CollectLoad(id, nowMs); said {
+		if load, isNew := health.CollectLoad(id, nowMs); isNew {
 			loads = append(loads, load)
 		}
 	}
@@ -385,7 +385,7 @@
 	defer e.mutex.Unlock()
 	var usages []scheduling.EngineUsage
 	for id, health := range e.health {
-		if usage, said := health.CollectUsage(id, nowMs); said {
+		if usage, isNew := health.CollectUsage(id, nowMs); isNew {
 			usages = append(usages, usage)
 		}
 	}
@@ -409,19 +409,19 @@
 func (e *engineRegistry) slowdownSpread() float64 {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	widest := 1.0
-	for _, pool := range e.byBackend {
-		var quickest, slowest float64
-		for position, engine := range pool {
-			slowness := e.healthOf(engine.ID).Slowdown()
-			if position == 0 || slowness < quickest {
-				quickest = slowness
+	largest := 1.0
+	for _, backendEngines := range e.byBackend {
+		var fastest, slowest float64
+		for index, engine := range backendEngines {
+			slowdown := e.healthOf(engine.ID).Slowdown()
+			if index == 0 || slowdown < fastest {
+				fastest = slowdown
 			}
-			slowest = max(slowest, slowness)
+			slowest = max(slowest, slowdown)
 		}
-		if quickest > 0 {
-			widest = max(widest, slowest/quickest)
+		if fastest > 0 {
+			largest = max(largest, slowest/fastest)
 		}
 	}
-	return widest
+	return largest
 }
--- a/internal/gateway/fleetsize_test.go
+++ b/internal/gateway/fleetsize_test.go
@@ -58,11 +58,11 @@
 // fails, and says so once.
 func TestSharedSuspicionOfAGateway(t *testing.T) {
 	e := newEngineRegistry("z1", config.Policy{})
-	if told := e.applySharedLoads(nil, []string{"i-1"}, 1000); len(told) != 1 || !e.healthOf("i-1").IsSuspect(1000) {
-		t.Fatalf("%v told, suspect %v", told, e.healthOf("i-1").IsSuspect(1000))
+	if newlySuspect := e.applySharedLoads(nil, []string{"i-1"}, 1000); len(newlySuspect) != 1 || !e.healthOf("i-1").IsSuspect(1000) {
+		t.Fatalf("%v told, suspect %v", newlySuspect, e.healthOf("i-1").IsSuspect(1000))
 	}
-	if told := e.applySharedLoads(nil, []string{"i-1"}, 1500); len(told) != 0 {
-		t.Fatalf("%v told again", told)
+	if newlySuspect := e.applySharedLoads(nil, []string{"i-1"}, 1500); len(newlySuspect) != 0 {
+		t.Fatalf("%v told again", newlySuspect)
 	}
 	disabled := newEngineRegistry("z1", config.Policy{Disable: scheduling.DisabledMechanisms{scheduling.MechanismSharedState}})
 	if disabled.applySharedLoads(nil, []string{"i-1"}, 1000); disabled.healthOf("i-1").IsSuspect(1000) {
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -47,7 +47,7 @@
 const testRouteTimeoutMs = 30_000
 
 func newFakeLedger(t *testing.T) *fakeLedger {
-	stand := &fakeLedger{requests: make(chan *protocol.TurnRequest, 256)}
+	ledger := &fakeLedger{requests: make(chan *protocol.TurnRequest, 256)}
 	server, err := protocol.Listen("127.0.0.1:0", func(connection *protocol.Connection, frame protocol.Frame) {
 		request := &protocol.TurnRequest{}
 		if protocol.Decode(frame.Body, request) != nil {
@@ -58,8 +58,8 @@
 			_ = connection.Reply(frame.Call, protocol.KindResponse, &protocol.TurnReply{}, true)
 			return
 		}
-		stand.requests <- request
-		if reply := (*stand.respond.Load())(request); reply != nil {
+		ledger.requests <- request
+		if reply := (*ledger.respond.Load())(request); reply != nil {
 			_ = connection.Reply(frame.Call, protocol.KindResponse, reply, true)
 		}
 	})
@@ -67,9 +67,9 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(server.Close)
-	stand.server = server
-	stand.setResponse(func(*protocol.TurnRequest) *protocol.TurnReply { return &protocol.TurnReply{} })
-	return stand
+	ledger.server = server
+	ledger.setResponse(func(*protocol.TurnRequest) *protocol.TurnReply { return &protocol.TurnReply{} })
+	return ledger
 }
 
 func (l *fakeLedger) setResponse(answer func(request *protocol.TurnRequest) *protocol.TurnReply) {
@@ -81,9 +81,9 @@
 	deadline := time.After(testTimeout)
 	for {
 		select {
-		case asked := <-l.requests:
-			if asked.Settle != nil && asked.Settle.Request == request {
-				return asked
+		case received := <-l.requests:
+			if received.Settle != nil && received.Settle.Request == request {
+				return received
 			}
 		case <-deadline:
 			return nil
@@ -102,12 +102,12 @@
 }
 
 func newGatewayFixture(t *testing.T, engine http.HandlerFunc) *gatewayFixture {
-	stand := &gatewayFixture{ledger: newFakeLedger(t)}
+	fixture := &gatewayFixture{ledger: newFakeLedger(t)}
 	engines := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		stand.runs.Add(1)
+		fixture.runs.Add(1)
 		body, _ := io.ReadAll(r.Body)
-		if stand.lastBody != nil {
-			stand.lastBody.Store(string(body))
+		if fixture.lastBody != nil {
+			fixture.lastBody.Store(string(body))
 		}
 		w.Header().Set("Ochrebay-Request", r.Header.Get("Ochrebay-Request"))
 		engine(w, r)
@@ -115,10 +115,10 @@
 	t.Cleanup(engines.Close)
 	process := config.Defaults()
 	process.Name, process.Zone = "gateway-1", "near"
-	stand.gateway = NewDaemon(process, DefaultHeaderNames(), log.NewNopLogger())
+	fixture.gateway = NewDaemon(process, DefaultHeaderNames(), log.NewNopLogger())
 	fleet := &membership.FleetView{
 		Version: 1, Ledgers: map[string]membership.LedgerHost{},
-		Groups: map[uint32]membership.Placement{1: {Group: 1, Members: []string{stand.ledger.server.Address()}}},
+		Groups: map[uint32]membership.Placement{1: {Group: 1, Members: []string{fixture.ledger.server.Address()}}},
 		Engines: map[string]membership.ServingEngine{
 			"e": {ID: "e", Backend: "b", Zone: "near", Slots: 4, Address: engines.Listener.Addr().String()},
 		},
@@ -129,16 +129,16 @@
 			Shares: []routing.BackendShare{{Backend: "b", Weight: 1}},
 		}
 	}
-	stand.gateway.applyUpdate(fleet, &routing.Table{
+	fixture.gateway.applyUpdate(fleet, &routing.Table{
 		Generation: 1, Limits: routing.Limits{MaxBodyBytes: testBodyLimit}, Backends: []routing.Backend{{Name: "b", TokensPerEvent: 10}},
 		Routes: []routing.Route{
 			route("/safe/", routing.KindSafe, false), route("/unsafe/", routing.KindUnsafe, false),
 			route("/stream/", routing.KindStream, false), resumable(route("/resumable/", routing.KindStream, false)), route("/kept/", routing.KindStream, true),
 		},
 	})
-	stand.server = httptest.NewServer(http.HandlerFunc(stand.gateway.serve))
-	t.Cleanup(stand.server.Close)
-	return stand
+	fixture.server = httptest.NewServer(http.HandlerFunc(fixture.gateway.serve))
+	t.Cleanup(fixture.server.Close)
+	return fixture
 }
 
 func resumable(route routing.Route) routing.Route {
@@ -188,55 +188,55 @@
 
 func TestTurnsOfAGateway(t *testing.T) {
 	Convey("a turn is charged for the events that were handed on", t, func() {
-		stand := newGatewayFixture(t, streamingEngine(3, "", false))
-		response, body, err := stand.send("/stream/", "r1", budgetHeaders...)
+		fixture := newGatewayFixture(t, streamingEngine(3, "", false))
+		response, body, err := fixture.send("/stream/", "r1", budgetHeaders...)
 		So(err, ShouldBeNil)
 		So(response.StatusCode, ShouldEqual, 200)
 		So(strings.Count(body, "data:"), ShouldEqual, 3)
-		So(stand.ledger.awaitSettle("r1").Settle.UsedTokens, ShouldEqual, 30)
+		So(fixture.ledger.awaitSettle("r1").Settle.UsedTokens, ShouldEqual, 30)
 	})
 	Convey("a reservation whose grant nobody heard is given back, and the caller told to come back", t, func() {
-		stand := newGatewayFixture(t, streamingEngine(3, "", false))
-		stand.ledger.setResponse(func(request *protocol.TurnRequest) *protocol.TurnReply {
+		fixture := newGatewayFixture(t, streamingEngine(3, "", false))
+		fixture.ledger.setResponse(func(request *protocol.TurnRequest) *protocol.TurnReply {
 			if request.Reserve != nil {
 				return nil
 			}
 			return &protocol.TurnReply{}
 		})
-		response, _, err := stand.send("/stream/", "r1", budgetHeaders...)
+		response, _, err := fixture.send("/stream/", "r1", budgetHeaders...)
 		So(err, ShouldBeNil)
 		So(response.StatusCode, ShouldEqual, 503)
 		So(response.Header.Get("Retry-After"), ShouldNotBeBlank)
-		So(stand.runs.Load(), ShouldEqual, 0)
-		settled := stand.ledger.awaitSettle("r1")
+		So(fixture.runs.Load(), ShouldEqual, 0)
+		settled := fixture.ledger.awaitSettle("r1")
 		So(settled, ShouldNotBeNil)
 		So(settled.Settle.UsedTokens, ShouldEqual, 0)
 	})
 	Convey("a turn that is to be kept and was not does not end as if it were whole", t, func() {
-		stand := newGatewayFixture(t, streamingEngine(3, "", false))
-		stand.ledger.setResponse(func(request *protocol.TurnRequest) *protocol.TurnReply {
+		fixture := newGatewayFixture(t, streamingEngine(3, "", false))
+		fixture.ledger.setResponse(func(request *protocol.TurnRequest) *protocol.TurnReply {
 			if request.Settle != nil {
 				return &protocol.TurnReply{Error: result.New(result.Internal, "no")}
 			}
 			return &protocol.TurnReply{}
 		})
-		_, _, err := stand.send("/kept/", "r1", budgetHeaders...)
+		_, _, err := fixture.send("/kept/", "r1", budgetHeaders...)
 		So(err, ShouldNotBeNil)
 	})
 	Convey("a kept turn holds its input and the data of its events", t, func() {
-		stand := newGatewayFixture(t, streamingEngine(2, "", false))
-		_, _, err := stand.send("/kept/", "r1", budgetHeaders...)
+		fixture := newGatewayFixture(t, streamingEngine(2, "", false))
+		_, _, err := fixture.send("/kept/", "r1", budgetHeaders...)
 		So(err, ShouldBeNil)
-		settled := stand.ledger.awaitSettle("r1")
+		settled := fixture.ledger.awaitSettle("r1")
 		So(string(settled.Settle.Content), ShouldEqual, "in1\n2\n")
 		So(settled.Settle.Retain, ShouldBeTrue)
 	})
 	Convey("the older turns of a chain come from the replica in the zone, and from the leader where that has them not", t, func() {
-		for _, has := range []bool{true, false} {
-			var sent atomic.Value
-			stand := newGatewayFixture(t, func(w http.ResponseWriter, r *http.Request) { streamingEngine(1, "", false)(w, r) })
-			stand.lastBody = &sent
-			stand.ledger.setResponse(func(request *protocol.TurnRequest) *protocol.TurnReply {
+		for _, hasTurns := range []bool{true, false} {
+			var lastBody atomic.Value
+			fixture := newGatewayFixture(t, func(w http.ResponseWriter, r *http.Request) { streamingEngine(1, "", false)(w, r) })
+			fixture.lastBody = &lastBody
+			fixture.ledger.setResponse(func(request *protocol.TurnRequest) *protocol.TurnReply {
 				switch {
 				case request.Reserve != nil && request.Zone == "near":
 					return &protocol.TurnReply{Older: []string{"t1", "t2"}, Chain: []byte("three ")}
@@ -245,51 +245,51 @@
 				}
 				return &protocol.TurnReply{}
 			})
-			near := newFakeLedger(t)
-			near.setResponse(func(request *protocol.TurnRequest) *protocol.TurnReply {
-				if !has || len(request.Contents) != 2 {
+			localReplica := newFakeLedger(t)
+			localReplica.setResponse(func(request *protocol.TurnRequest) *protocol.TurnReply {
+				if !hasTurns || len(request.Contents) != 2 {
 					return &protocol.TurnReply{Error: result.New(result.NotLeader, "not here")}
 				}
 				return &protocol.TurnReply{Chain: []byte("one two ")}
 			})
-			fleet := *stand.gateway.view.Load().fleet
-			fleet.Ledgers = map[string]membership.LedgerHost{near.server.Address(): {Member: near.server.Address(), Zone: "near"}}
-			fleet.Groups = map[uint32]membership.Placement{1: {Group: 1, Members: []string{stand.ledger.server.Address(), near.server.Address()}}}
-			stand.gateway.ledgers.applyFleet(&fleet)
-			response, _, err := stand.send("/kept/", "r4", "Ochrebay-Previous-Turn", "t3")
+			fleet := *fixture.gateway.view.Load().fleet
+			fleet.Ledgers = map[string]membership.LedgerHost{localReplica.server.Address(): {Member: localReplica.server.Address(), Zone: "near"}}
+			fleet.Groups = map[uint32]membership.Placement{1: {Group: 1, Members: []string{fixture.ledger.server.Address(), localReplica.server.Address()}}}
+			fixture.gateway.ledgers.applyFleet(&fleet)
+			response, _, err := fixture.send("/kept/", "r4", "Ochrebay-Previous-Turn", "t3")
 			So(err, ShouldBeNil)
 			So(response.StatusCode, ShouldEqual, 200)
-			So(sent.Load(), ShouldEqual, map[bool]string{true: "one two three in", false: "ONE TWO three in"}[has])
+			So(lastBody.Load(), ShouldEqual, map[bool]string{true: "one two three in", false: "ONE TWO three in"}[hasTurns])
 		}
 	})
 	Convey("a part of an event is never passed on", t, func() {
-		stand := newGatewayFixture(t, streamingEngine(2, "id: 3\ndata: half", true))
-		_, body, err := stand.send("/stream/", "r1", budgetHeaders...)
+		fixture := newGatewayFixture(t, streamingEngine(2, "id: 3\ndata: half", true))
+		_, body, err := fixture.send("/stream/", "r1", budgetHeaders...)
 		So(err, ShouldNotBeNil)
 		So(strings.Count(body, "data:"), ShouldEqual, 2)
-		So(stand.ledger.awaitSettle("r1").Settle.UsedTokens, ShouldEqual, 20)
+		So(fixture.ledger.awaitSettle("r1").Settle.UsedTokens, ShouldEqual, 20)
 	})
 	Convey("a budget that is spent is 402, and nothing ran", t, func() {
-		stand := newGatewayFixture(t, streamingEngine(2, "", false))
-		stand.ledger.setResponse(func(*protocol.TurnRequest) *protocol.TurnReply {
+		fixture := newGatewayFixture(t, streamingEngine(2, "", false))
+		fixture.ledger.setResponse(func(*protocol.TurnRequest) *protocol.TurnReply {
 			return &protocol.TurnReply{Error: result.New(result.BudgetExhausted, "spent")}
 		})
-		response, _, err := stand.send("/stream/", "r1", budgetHeaders...)
+		response, _, err := fixture.send("/stream/", "r1", budgetHeaders...)
 		So(err, ShouldBeNil)
 		So(response.StatusCode, ShouldEqual, 402)
-		So(stand.runs.Load(), ShouldEqual, 0)
+		So(fixture.runs.Load(), ShouldEqual, 0)
 	})
 }
 
 func TestStreamsAreTakenUp(t *testing.T) {
 	Convey("a stream that breaks off goes on at another engine, each event once, under the first head", t, func() {
-		var asked []string
-		stand := newGatewayFixture(t, func(w http.ResponseWriter, r *http.Request) {
-			asked = append(asked, r.Header.Get("Last-Event-Id"))
-			w.Header().Set("Ochrebay-Signature", fmt.Sprint("s", len(asked)))
+		var lastEventIDs []string
+		fixture := newGatewayFixture(t, func(w http.ResponseWriter, r *http.Request) {
+			lastEventIDs = append(lastEventIDs, r.Header.Get("Last-Event-Id"))
+			w.Header().Set("Ochrebay-Signature", fmt.Sprint("s", len(lastEventIDs)))
 			w.Header().Set("Content-Type", "text/event-stream")
 			first, last := 1, 2
-			if len(asked) == 2 {
+			if len(lastEventIDs) == 2 {
 				first, last = 2, 4
 			}
 			for number := first; number <= last; number++ {
@@ -297,58 +297,58 @@
 			}
 			_, _ = io.WriteString(w, "id: 3\nda")
 			w.(http.Flusher).Flush()
-			if len(asked) == 1 {
+			if len(lastEventIDs) == 1 {
 				panic(http.ErrAbortHandler)
 			}
 		})
-		fleet := *stand.gateway.view.Load().fleet
+		fleet := *fixture.gateway.view.Load().fleet
 		second := fleet.Engines["e"]
 		second.ID = "f"
 		fleet.Engines["f"] = second
-		stand.gateway.engines.applyFleet(&fleet)
-		response, body, err := stand.send("/resumable/", "r1", "Ochrebay-Token-Budget", "1000", "Ochrebay-Tokens", "5,100")
+		fixture.gateway.engines.applyFleet(&fleet)
+		response, body, err := fixture.send("/resumable/", "r1", "Ochrebay-Token-Budget", "1000", "Ochrebay-Tokens", "5,100")
 		So(err, ShouldBeNil)
-		So(asked, ShouldResemble, []string{"", "2"})
+		So(lastEventIDs, ShouldResemble, []string{"", "2"})
 		So(response.Header.Get("Ochrebay-Signature"), ShouldEqual, "s1")
 		for number := 1; number <= 4; number++ {
 			So(strings.Count(body, fmt.Sprintf("data: %d\n", number)), ShouldEqual, 1)
 		}
-		So(stand.ledger.awaitSettle("r1").Settle.UsedTokens, ShouldEqual, 40)
+		So(fixture.ledger.awaitSettle("r1").Settle.UsedTokens, ShouldEqual, 40)
 	})
 	Convey("one that can't be taken up breaks off", t, func() {
-		stand := newGatewayFixture(t, streamingEngine(2, "", true))
-		_, _, err := stand.send("/stream/", "r1")
+		fixture := newGatewayFixture(t, streamingEngine(2, "", true))
+		_, _, err := fixture.send("/stream/", "r1")
 		So(err, ShouldNotBeNil)
-		So(stand.runs.Load(), ShouldEqual, 1)
+		So(fixture.runs.Load(), ShouldEqual, 1)
 	})
 }
 
 func TestAnswersOfEngines(t *testing.T) {
 	Convey("a success without a signature is none; what may be repeated is asked for again", t, func() {
-		stand := newGatewayFixture(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "forged") })
+		fixture := newGatewayFixture(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "forged") })
 		for path, runs := range map[string]int64{"/unsafe/": 1, "/safe/": 1} {
-			stand.runs.Store(0)
-			response, body, err := stand.send(path, "r1")
+			fixture.runs.Store(0)
+			response, body, err := fixture.send(path, "r1")
 			So(err, ShouldBeNil)
 			So(response.StatusCode, ShouldEqual, 502)
 			So(body, ShouldNotContainSubstring, "forged")
-			So(stand.runs.Load(), ShouldEqual, runs)
+			So(fixture.runs.Load(), ShouldEqual, runs)
 		}
 	})
 	Convey("a 503 that does not say that the call was not run becomes no promise", t, func() {
-		stand := newGatewayFixture(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) })
-		response, _, err := stand.send("/unsafe/", "r1")
+		fixture := newGatewayFixture(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) })
+		response, _, err := fixture.send("/unsafe/", "r1")
 		So(err, ShouldBeNil)
 		So(response.StatusCode, ShouldEqual, 502)
 		So(response.Header.Get("Retry-After"), ShouldBeBlank)
 	})
 	Convey("a failure of the engine's own passes with its signature", t, func() {
-		stand := newGatewayFixture(t, func(w http.ResponseWriter, _ *http.Request) {
+		fixture := newGatewayFixture(t, func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Ochrebay-Signature", "s")
 			w.WriteHeader(http.StatusInternalServerError)
 			_, _ = io.WriteString(w, "broken tool")
 		})
-		response, body, err := stand.send("/unsafe/", "r1")
+		response, body, err := fixture.send("/unsafe/", "r1")
 		So(err, ShouldBeNil)
 		So(response.StatusCode, ShouldEqual, 500)
 		So(response.Header.Get("Ochrebay-Signature"), ShouldEqual, "s")
@@ -356,11 +356,11 @@
 	})
 	Convey("headers that only gateways set are not taken from callers, and connection headers are not passed", t, func() {
 		seen := make(chan http.Header, 1)
-		stand := newGatewayFixture(t, func(w http.ResponseWriter, r *http.Request) {
+		fixture := newGatewayFixture(t, func(w http.ResponseWriter, r *http.Request) {
 			seen <- r.Header.Clone()
 			w.Header().Set("Ochrebay-Signature", "s")
 		})
-		_, _, err := stand.send("/unsafe/", "r1", "Ochrebay-Expect-Engine", "other", "Connection", "X-Hop", "X-Hop", "1", "X-End", "2", "Ochrebay-Deadline-Ms", "5000")
+		_, _, err := fixture.send("/unsafe/", "r1", "Ochrebay-Expect-Engine", "other", "Connection", "X-Hop", "X-Hop", "1", "X-End", "2", "Ochrebay-Deadline-Ms", "5000")
 		So(err, ShouldBeNil)
 		header := <-seen
 		So(header.Get("Ochrebay-Expect-Engine"), ShouldEqual, "e")
@@ -369,8 +369,8 @@
 		So(len(header.Get("Ochrebay-Deadline-Ms")), ShouldBeLessThanOrEqualTo, 4)
 	})
 	Convey("a caller whose body is too large gets the answer, also when it sends slowly", t, func() {
-		stand := newGatewayFixture(t, streamingEngine(1, "", false))
-		caller, err := net.Dial("tcp", stand.server.Listener.Addr().String())
+		fixture := newGatewayFixture(t, streamingEngine(1, "", false))
+		caller, err := net.Dial("tcp", fixture.server.Listener.Addr().String())
 		So(err, ShouldBeNil)
 		defer caller.Close()
 		_, err = fmt.Fprintf(caller, "POST /safe/ HTTP/1.1\r\nHost: h\r\nConnection: close\r\nContent-Length: %d\r\n\r\n", oversizedBodyBytes)
@@ -386,8 +386,8 @@
 		So(string(answer), ShouldEqual, "HTTP/1.1 413")
 	})
 	Convey("a caller's half-sent request runs nowhere", t, func() {
-		stand := newGatewayFixture(t, func(http.ResponseWriter, *http.Request) {})
-		raw, err := net.Dial("tcp", stand.server.Listener.Addr().String())
+		fixture := newGatewayFixture(t, func(http.ResponseWriter, *http.Request) {})
+		raw, err := net.Dial("tcp", fixture.server.Listener.Addr().String())
 		So(err, ShouldBeNil)
 		_, _ = io.WriteString(raw, "POST /unsafe/ HTTP/1.1\r\nHost: h\r\nContent-Length: 100\r\n\r\nhalf")
 		_ = raw.(*net.TCPConn).CloseWrite()
@@ -395,14 +395,14 @@
 		if err == nil {
 			So(answer.StatusCode, ShouldEqual, 400)
 		}
-		So(stand.runs.Load(), ShouldEqual, 0)
+		So(fixture.runs.Load(), ShouldEqual, 0)
 		_ = raw.Close()
 	})
 }
 
 func TestNotRunIsTrue(t *testing.T) {
 	Convey("a call that an engine which is gone may have run is not called not run", t, func() {
-		stand := newGatewayFixture(t, func(w http.ResponseWriter, _ *http.Request) {
+		fixture := newGatewayFixture(t, func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Ochrebay-Not-Run", "1")
 			w.WriteHeader(http.StatusServiceUnavailable)
 		})
@@ -418,12 +418,12 @@
 			_ = listener.Close()
 			_ = connection.Close()
 		}()
-		fleet := *stand.gateway.view.Load().fleet
+		fleet := *fixture.gateway.view.Load().fleet
 		fleet.Engines["gone"] = membership.ServingEngine{ID: "gone", Backend: "b", Zone: "near", Slots: 4, Address: listener.Addr().String()}
-		stand.gateway.engines.applyFleet(&fleet)
+		fixture.gateway.engines.applyFleet(&fleet)
 		// The other engine is suspect, so that the one that will be gone comes first.
-		stand.gateway.engines.healthOf("e").RecordFailure(clock.NowMs())
-		response, _, err := stand.send("/safe/", "r1", "Ochrebay-Deadline-Ms", "3000")
+		fixture.gateway.engines.healthOf("e").RecordFailure(clock.NowMs())
+		response, _, err := fixture.send("/safe/", "r1", "Ochrebay-Deadline-Ms", "3000")
 		So(err, ShouldBeNil)
 		So(response.StatusCode, ShouldEqual, 502)
 		So(response.Header.Get("Retry-After"), ShouldBeBlank)
--- a/internal/gateway/headers.go
+++ b/internal/gateway/headers.go
@@ -58,8 +58,8 @@
 // endToEndHeaders returns a copy of a header without what concerns one connection only.
 func endToEndHeaders(header http.Header) http.Header {
 	copied := header.Clone()
-	for _, line := range header.Values("Connection") {
-		for _, name := range strings.Split(line, ",") {
+	for _, list := range header.Values("Connection") {
+		for _, name := range strings.Split(list, ",") {
 			copied.Del(strings.TrimSpace(name))
 		}
 	}
--- a/internal/gateway/incarnations_test.go
+++ b/internal/gateway/incarnations_test.go
@@ -27,7 +27,7 @@
 	first := membership.ServingEngine{ID: "e", Backend: "b", Address: "10.0.0.1:1", Slots: 4, StartedMs: 100}
 	second := first
 	second.StartedMs = 200
-	begin := func(e *engineRegistry) *call {
+	startCall := func(e *engineRegistry) *call {
 		chosen, found := e.selectEngine(routing.Backend{Name: "b", Slots: 4}, scheduling.SelectionInput{NowMs: nowMs, IsStream: true, RequestKind: "r"})
 		So(found, ShouldBeTrue)
 		return &call{engineID: chosen.engine.ID, selection: chosen, backend: routing.Backend{Name: "b"}, route: &routing.Route{Name: "r"}}
@@ -35,13 +35,13 @@
 	Convey("what was learnt of the life before is void, and its requests are counted for it alone", t, func() {
 		e := newEngineRegistry("z", config.Policy{})
 		e.applyFleet(fleetViewOf(first))
-		lost, broken := begin(e), begin(e)
+		lost, broken := startCall(e), startCall(e)
 		e.recordAttemptEnd(broken, nowMs, attemptOutcome{kind: attemptBroken})
 		So(e.healthOf("e").IsSuspect(nowMs), ShouldBeTrue)
 		So(e.applyFleet(fleetViewOf(second)), ShouldResemble, []string{"10.0.0.1:1"})
 		So(e.healthOf("e").IsSuspect(nowMs), ShouldBeFalse)
 		So(e.healthOf("e").InFlight, ShouldEqual, 0)
-		current := begin(e)
+		current := startCall(e)
 		e.recordAttemptEnd(lost, nowMs, attemptOutcome{kind: attemptBroken})
 		So(e.healthOf("e").InFlight, ShouldEqual, 1)
 		So(e.healthOf("e").IsSuspect(nowMs), ShouldBeFalse)
@@ -51,17 +51,17 @@
 	Convey("also when the engine was away in between, while requests of its earlier life are still under way", t, func() {
 		e := newEngineRegistry("z", config.Policy{})
 		e.applyFleet(fleetViewOf(first))
-		begin(e)
+		startCall(e)
 		e.applyFleet(fleetViewOf())
 		e.applyFleet(fleetViewOf(second))
 		So(e.healthOf("e").InFlight, ShouldEqual, 0)
 	})
 	Convey("the first word of when an engine started, and a report without news, change nothing", t, func() {
 		e := newEngineRegistry("z", config.Policy{})
-		silent := first
-		silent.StartedMs = 0
-		e.applyFleet(fleetViewOf(silent))
-		begin(e)
+		withoutStartTime := first
+		withoutStartTime.StartedMs = 0
+		e.applyFleet(fleetViewOf(withoutStartTime))
+		startCall(e)
 		So(e.applyFleet(fleetViewOf(first)), ShouldBeEmpty)
 		So(e.applyFleet(fleetViewOf(first)), ShouldBeEmpty)
 		So(e.healthOf("e").InFlight, ShouldEqual, 1)
@@ -78,22 +78,22 @@
 // and the send.
 func TestCallsThatAreNotSent(t *testing.T) {
 	Convey("a call that is not sent after all is not counted at the engine", t, func() {
-		stand := newTenantFixture(t, respondSigned)
-		looks := 0
-		stand.gateway.confirmationAge = func() (time.Duration, bool) {
-			looks++
-			if looks > 1 {
+		fixture := newTenantFixture(t, respondSigned)
+		checks := 0
+		fixture.gateway.confirmationAge = func() (time.Duration, bool) {
+			checks++
+			if checks > 1 {
 				return testRevokeBound, true
 			}
 			return 0, true
 		}
-		response, _, err := stand.send("/safe/", "r1", "Ochrebay-Key", testKey)
+		response, _, err := fixture.send("/safe/", "r1", "Ochrebay-Key", testKey)
 		So(err, ShouldBeNil)
 		So(response.StatusCode, ShouldEqual, 503)
-		So(looks, ShouldBeGreaterThan, 1)
-		So(stand.runs.Load(), ShouldEqual, 0)
+		So(checks, ShouldBeGreaterThan, 1)
+		So(fixture.runs.Load(), ShouldEqual, 0)
 		inFlight := 0
-		for _, health := range stand.gateway.engines.health {
+		for _, health := range fixture.gateway.engines.health {
 			inFlight += health.InFlight
 		}
 		So(inFlight, ShouldEqual, 0)
--- a/internal/gateway/intake.go
+++ b/internal/gateway/intake.go
@@ -108,8 +108,8 @@
 
 // readRequest finds the route of a request, reads its body and checks its headers.
 func (d *Daemon) readRequest(writer http.ResponseWriter, request *http.Request) (*call, *result.Error) {
-	started := time.Now()
-	id := request.Header.Get(d.headerNames.RequestID)
+	startedAt := time.Now()
+	requestID := request.Header.Get(d.headerNames.RequestID)
 	view := d.view.Load()
 	if view == nil {
 		return nil, result.New(result.NotConfigured, "no routing table yet")
@@ -118,7 +118,7 @@
 	if route == nil {
 		return nil, result.New(result.NoRoute, "no route for host %s and this path", request.Host)
 	}
-	c := &call{id: id, request: request, route: route, tableGeneration: view.routes.Table.Generation, startedAt: started}
+	c := &call{id: requestID, request: request, route: route, tableGeneration: view.routes.Table.Generation, startedAt: startedAt}
 	if failure := d.identifyTenant(c, view.routes); failure != nil {
 		discardBody(request.Body)
 		return c, failure
@@ -169,38 +169,38 @@
 	_, _ = io.CopyN(io.Discard, body, maxDiscardedBytes)
 }
 
-func (c *call) readHeaders(names HeaderNames) *result.Error {
+func (c *call) readHeaders(headerNames HeaderNames) *result.Error {
 	header := c.request.Header
-	limit := time.Duration(c.route.TimeoutMs) * time.Millisecond
-	if text := header.Get(names.DeadlineMs); text != "" {
-		left, err := strconv.ParseInt(text, 10, 64)
-		if err != nil || left < 0 {
-			return result.New(result.InvalidHeader, "%s: %q is no number of milliseconds", names.DeadlineMs, text)
+	timeout := time.Duration(c.route.TimeoutMs) * time.Millisecond
+	if text := header.Get(headerNames.DeadlineMs); text != "" {
+		timeLeftMs, err := strconv.ParseInt(text, 10, 64)
+		if err != nil || timeLeftMs < 0 {
+			return result.New(result.InvalidHeader, "%s: %q is no number of milliseconds", headerNames.DeadlineMs, text)
 		}
-		limit = min(limit, time.Duration(left)*time.Millisecond)
+		timeout = min(timeout, time.Duration(timeLeftMs)*time.Millisecond)
 	}
-	c.deadline = c.startedAt.Add(limit)
+	c.deadline = c.startedAt.Add(timeout)
 	c.turnID = c.tenantScopedID(c.id)
-	c.programID = c.tenantScopedID(header.Get(names.Program))
-	c.sessionID = header.Get(names.Session)
-	if finish, err := strconv.ParseInt(header.Get(names.FinishMs), 10, 64); err == nil {
-		c.programDueAt = c.startedAt.Add(time.Duration(finish) * time.Millisecond)
+	c.programID = c.tenantScopedID(header.Get(headerNames.Program))
+	c.sessionID = header.Get(headerNames.Session)
+	if finishMs, err := strconv.ParseInt(header.Get(headerNames.FinishMs), 10, 64); err == nil {
+		c.programDueAt = c.startedAt.Add(time.Duration(finishMs) * time.Millisecond)
 	}
-	c.previousTurn = c.tenantScopedID(header.Get(names.PreviousTurn))
-	c.affinityKey = header.Get(names.AffinityKey)
+	c.previousTurn = c.tenantScopedID(header.Get(headerNames.PreviousTurn))
+	c.affinityKey = header.Get(headerNames.AffinityKey)
 	var failure *result.Error
-	c.tokenBudget = parseCountHeader(header, names.TokenBudget, &failure)
+	c.tokenBudget = parseCountHeader(header, headerNames.TokenBudget, &failure)
 	c.programInProgress = c.programID != "" && !c.isTurn()
-	c.lastEventID = parseCountHeader(header, names.LastEventID, &failure)
-	_, most, _ := strings.Cut(header.Get(names.TokenUsage), ",")
-	if most != "" {
-		parsed, err := strconv.ParseInt(strings.TrimSpace(most), 10, 64)
+	c.lastEventID = parseCountHeader(header, headerNames.LastEventID, &failure)
+	_, maxTokens, _ := strings.Cut(header.Get(headerNames.TokenUsage), ",")
+	if maxTokens != "" {
+		parsed, err := strconv.ParseInt(strings.TrimSpace(maxTokens), 10, 64)
 		if err != nil || parsed < 0 {
-			return result.New(result.InvalidHeader, "%s: %q is no number of tokens", names.TokenUsage, most)
+			return result.New(result.InvalidHeader, "%s: %q is no number of tokens", headerNames.TokenUsage, maxTokens)
 		}
 		c.maxTokens = parsed
 	}
-	c.promptParts = scheduling.ParsePrompt(header.Get(names.PromptPrefix))
+	c.promptParts = scheduling.ParsePrompt(header.Get(headerNames.PromptPrefix))
 	return failure
 }
 
--- a/internal/gateway/leaders.go
+++ b/internal/gateway/leaders.go
@@ -42,18 +42,18 @@
 	for ctx.Err() == nil {
 		l.mutex.Lock()
 		leader := l.byGroup[group]
-		search := l.searches[group]
-		if leader == "" && search == nil {
-			search = make(chan struct{})
-			l.searches[group] = search
-			go l.search(group, search)
+		searchDone := l.searches[group]
+		if leader == "" && searchDone == nil {
+			searchDone = make(chan struct{})
+			l.searches[group] = searchDone
+			go l.search(group, searchDone)
 		}
 		l.mutex.Unlock()
 		if leader != "" {
 			return leader
 		}
 		select {
-		case <-search:
+		case <-searchDone:
 		case <-ctx.Done():
 		}
 	}
@@ -80,9 +80,9 @@
 func (l *leaderCache) search(group uint32, done chan struct{}) {
 	ctx, cancel := context.WithTimeout(context.Background(), searchTimeout)
 	defer cancel()
-	found := ""
-	for pause := initialSearchBackoff; found == "" && ctx.Err() == nil; pause = min(2*pause, maxSearchBackoff) {
-		if found = l.probeMembers(ctx, group); found != "" {
+	leader := ""
+	for pause := initialSearchBackoff; leader == "" && ctx.Err() == nil; pause = min(2*pause, maxSearchBackoff) {
+		if leader = l.probeMembers(ctx, group); leader != "" {
 			break
 		}
 		select {
@@ -92,8 +92,8 @@
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if found != "" {
-		l.byGroup[group] = found
+	if leader != "" {
+		l.byGroup[group] = leader
 	}
 	delete(l.searches, group)
 	close(done)
@@ -103,10 +103,10 @@
 // leader.
 func (l *leaderCache) probeMembers(ctx context.Context, group uint32) string {
 	members := l.members(group)
-	asked := map[string]bool{}
-	for _, position := range rand.Perm(len(members)) {
-		for member := members[position]; member != "" && !asked[member] && ctx.Err() == nil; {
-			asked[member] = true
+	probed := map[string]bool{}
+	for _, index := range rand.Perm(len(members)) {
+		for member := members[index]; member != "" && !probed[member] && ctx.Err() == nil; {
+			probed[member] = true
 			leads, hint := l.probe(ctx, member, group)
 			if leads {
 				return member
--- a/internal/gateway/leaders_test.go
+++ b/internal/gateway/leaders_test.go
@@ -21,13 +21,13 @@
 			probes.Add(1)
 			return member == "spare", "spare"
 		})
-		var waiting sync.WaitGroup
+		var callers sync.WaitGroup
 		found := make(chan string, 100)
 		for range 100 {
-			waiting.Go(func() { found <- leaders.find(context.Background(), 1) })
+			callers.Go(func() { found <- leaders.find(context.Background(), 1) })
 		}
 		close(release)
-		waiting.Wait()
+		callers.Wait()
 		for range 100 {
 			So(<-found, ShouldEqual, "spare")
 		}
--- a/internal/gateway/ledgers.go
+++ b/internal/gateway/ledgers.go
@@ -88,8 +88,8 @@
 // All questions may be put again: the ledger knows a turn by its request.
 func (l *ledgerClient) callLeader(ctx context.Context, request *protocol.TurnRequest) *protocol.TurnReply {
 	request.WithinMs = ledgerCallTimeout.Milliseconds()
-	last := result.New(result.LedgerUnreachable, "group %d: no leader found", request.Group)
-	for try := 0; ctx.Err() == nil; try++ {
+	lastError := result.New(result.LedgerUnreachable, "group %d: no leader found", request.Group)
+	for attempt := 0; ctx.Err() == nil; attempt++ {
 		leader := l.leaders.find(ctx, request.Group)
 		if leader == "" {
 			break
@@ -98,21 +98,21 @@
 		err := l.caller.CallWithin(ctx, ledgerCallTimeout, leader, protocol.KindTurn, request, reply)
 		switch {
 		case err != nil:
-			last = result.New(result.LedgerUnreachable, "group %d: %s: %v", request.Group, leader, err)
+			lastError = result.New(result.LedgerUnreachable, "group %d: %s: %v", request.Group, leader, err)
 			l.leaders.invalidate(request.Group, leader)
 		case reply.Error == nil:
 			return reply
 		case reply.Error.Code == result.NotLeader || reply.Error.Code == result.NoQuorum:
-			last = reply.Error
+			lastError = reply.Error
 			l.leaders.invalidate(request.Group, leader)
-			if try == 0 && reply.Leader != "" && reply.Leader != leader {
+			if attempt == 0 && reply.Leader != "" && reply.Leader != leader {
 				l.leaders.set(request.Group, reply.Leader)
 			}
 		default:
 			return reply
 		}
 	}
-	return &protocol.TurnReply{Error: result.New(result.LedgerUnreachable, "%s", last.Message)}
+	return &protocol.TurnReply{Error: result.New(result.LedgerUnreachable, "%s", lastError.Message)}
 }
 
 // groupOf returns the group that keeps a program's turns, or counts a tenant's requests.
@@ -125,24 +125,24 @@
 }
 
 // settle closes a turn.
-func (l *ledgerClient) settle(settle *program.Settle, within time.Duration) *result.Error {
-	group, known := l.groupOf(settle.Program)
-	if !known {
+func (l *ledgerClient) settle(settle *program.Settle, timeout time.Duration) *result.Error {
+	group, isPlaced := l.groupOf(settle.Program)
+	if !isPlaced {
 		return result.New(result.LedgerUnreachable, "no ledger group is placed")
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), within)
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	return l.callLeader(ctx, &protocol.TurnRequest{Group: group, Settle: settle}).Error
 }
 
 // reserve opens a turn in its program's group; known names the turn up to which the
 // gateway has the chain.
-func (l *ledgerClient) reserve(ctx context.Context, reserve *program.Reserve, known string) *protocol.TurnReply {
-	group, placed := l.groupOf(reserve.Program)
-	if !placed {
+func (l *ledgerClient) reserve(ctx context.Context, reserve *program.Reserve, cachedTurn string) *protocol.TurnReply {
+	group, isPlaced := l.groupOf(reserve.Program)
+	if !isPlaced {
 		return &protocol.TurnReply{Error: result.New(result.LedgerUnreachable, "no ledger group is placed")}
 	}
-	reply := l.callLeader(ctx, &protocol.TurnRequest{Group: group, Reserve: reserve, Known: known, Zone: l.zone})
+	reply := l.callLeader(ctx, &protocol.TurnRequest{Group: group, Reserve: reserve, Known: cachedTurn, Zone: l.zone})
 	if reply.Error == nil && len(reply.Older) > 0 {
 		l.prependOlderTurns(ctx, group, reply)
 	}
@@ -155,11 +155,11 @@
 	request := &protocol.TurnRequest{Group: group, Contents: reply.Older}
 	older := &protocol.TurnReply{}
 	source := sourceLocal
-	near := ""
+	replica := ""
 	if !l.disabled.Has(scheduling.MechanismZoneLocalReads) {
-		near = l.localReplica(group)
+		replica = l.localReplica(group)
 	}
-	if near == "" || l.caller.CallWithin(ctx, localReadTimeout, near, protocol.KindTurn, request, older) != nil || older.Error != nil {
+	if replica == "" || l.caller.CallWithin(ctx, localReadTimeout, replica, protocol.KindTurn, request, older) != nil || older.Error != nil {
 		source = sourceLeader
 		older = l.callLeader(ctx, request)
 	}
@@ -187,47 +187,47 @@
 // go on from a turn of another. Invariant: it says that there is no such turn only
 // where every group has confirmed that.
 func (l *ledgerClient) findInOtherGroups(ctx context.Context, turn, ownProgram string) *protocol.TurnReply {
-	own, _ := l.groupOf(ownProgram)
+	ownGroup, _ := l.groupOf(ownProgram)
 	groups := l.groupCount()
 	replies := make(chan *protocol.TurnReply, groups)
-	asked := 0
+	requested := 0
 	for group := uint32(1); group <= groups; group++ {
-		if group == own {
+		if group == ownGroup {
 			continue
 		}
-		asked++
+		requested++
 		go func() { replies <- l.callLeader(ctx, &protocol.TurnRequest{Group: group, Find: turn}) }()
 	}
-	missing := &protocol.TurnReply{Error: result.New(result.UnknownTurn, "no group keeps turn %s", turn)}
-	for range asked {
+	notFound := &protocol.TurnReply{Error: result.New(result.UnknownTurn, "no group keeps turn %s", turn)}
+	for range requested {
 		reply := <-replies
 		if reply.Error == nil {
 			return reply
 		}
 		if reply.Error.Code != result.UnknownTurn {
-			missing = reply
+			notFound = reply
 		}
 	}
-	return missing
+	return notFound
 }
 
 // requestQuota asks the owner of a tenant's limit for one request.
-func (l *ledgerClient) requestQuota(ctx context.Context, ask *quota.Request) *protocol.TurnReply {
-	group, placed := l.groupOf(ask.Tenant)
-	if !placed {
+func (l *ledgerClient) requestQuota(ctx context.Context, request *quota.Request) *protocol.TurnReply {
+	group, isPlaced := l.groupOf(request.Tenant)
+	if !isPlaced {
 		return &protocol.TurnReply{Error: result.New(result.LedgerUnreachable, "no ledger group is placed")}
 	}
-	return l.callLeader(ctx, &protocol.TurnRequest{Group: group, Quota: ask})
+	return l.callLeader(ctx, &protocol.TurnRequest{Group: group, Quota: request})
 }
 
 // sendQuotaOnce gives a grant or a place in the queue back. Invariant: it is sent once at the
 // most. An answer that is lost leaves the grant counted until it has left the window; a return
 // that came twice would take another request's grant out of it.
-func (l *ledgerClient) sendQuotaOnce(ask *quota.Request) *result.Error {
+func (l *ledgerClient) sendQuotaOnce(request *quota.Request) *result.Error {
 	ctx, cancel := context.WithTimeout(context.Background(), grantReturnTimeout)
 	defer cancel()
-	group, placed := l.groupOf(ask.Tenant)
-	if !placed {
+	group, isPlaced := l.groupOf(request.Tenant)
+	if !isPlaced {
 		return result.New(result.LedgerUnreachable, "no ledger group is placed")
 	}
 	leader := l.leaders.find(ctx, group)
@@ -235,7 +235,7 @@
 		return result.New(result.LedgerUnreachable, "group %d: no leader found", group)
 	}
 	reply := &protocol.TurnReply{}
-	if err := l.caller.CallWithin(ctx, ledgerCallTimeout, leader, protocol.KindTurn, &protocol.TurnRequest{Group: group, Quota: ask}, reply); err != nil {
+	if err := l.caller.CallWithin(ctx, ledgerCallTimeout, leader, protocol.KindTurn, &protocol.TurnRequest{Group: group, Quota: request}, reply); err != nil {
 		return result.New(result.LedgerUnreachable, "group %d: %s: %v", group, leader, err)
 	}
 	return reply.Error
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -42,20 +42,20 @@
 		return -1
 	})
 	monitor.Gauge("gateway_waiting", "Requests that wait for room at engines.", func() float64 {
-		_, waitingNow := d.waitQueues.admissionErrors()
-		return float64(waitingNow)
+		_, waitingCount := d.waitQueues.admissionErrors()
+		return float64(waitingCount)
 	})
 	monitor.Gauge("gateway_rejected_wrongly", "Requests rejected for want of room that came in time for them after all, since the start.", func() float64 {
-		mistakes, _ := d.waitQueues.admissionErrors()
-		return float64(mistakes.FalseRejections)
+		errors, _ := d.waitQueues.admissionErrors()
+		return float64(errors.FalseRejections)
 	})
 	monitor.Gauge("gateway_held_in_vain", "Requests that waited for room and got none, since the start.", func() float64 {
-		mistakes, _ := d.waitQueues.admissionErrors()
-		return float64(mistakes.FutileWaits)
+		errors, _ := d.waitQueues.admissionErrors()
+		return float64(errors.FutileWaits)
 	})
 	monitor.Gauge("gateway_held_in_vain_seconds", "How long they waited in all.", func() float64 {
-		mistakes, _ := d.waitQueues.admissionErrors()
-		return (time.Duration(mistakes.FutileWaitMs) * time.Millisecond).Seconds()
+		errors, _ := d.waitQueues.admissionErrors()
+		return (time.Duration(errors.FutileWaitMs) * time.Millisecond).Seconds()
 	})
 	monitor.Gauge("gateway_processor_use", "Part of the share of a core that is used.", func() float64 {
 		return math.Float64frombits(d.processorLoad.utilizationBits.Load())
--- a/internal/gateway/pause.go
+++ b/internal/gateway/pause.go
@@ -30,8 +30,8 @@
 }
 
 // tick notes the regular step, which is due each stepEvery.
-func (p *stallDetector) tick(stepEvery time.Duration, nowMs int64) {
-	if since := p.stallEndMs(stepEvery, nowMs); since == nowMs {
+func (p *stallDetector) tick(interval time.Duration, nowMs int64) {
+	if stallEnd := p.stallEndMs(interval, nowMs); stallEnd == nowMs {
 		p.lastStallEndMs.Store(nowMs)
 	}
 	p.lastTickMs.Store(nowMs)
@@ -39,9 +39,9 @@
 
 // stallEndMs returns when the last pause ended: now where the step is overdue, since a request may be
 // taken up before it; 0 where there was none.
-func (p *stallDetector) stallEndMs(stepEvery time.Duration, nowMs int64) int64 {
-	last := p.lastTickMs.Load()
-	if last > 0 && nowMs-last > (stepEvery+stallMargin).Milliseconds() {
+func (p *stallDetector) stallEndMs(interval time.Duration, nowMs int64) int64 {
+	lastTick := p.lastTickMs.Load()
+	if lastTick > 0 && nowMs-lastTick > (interval+stallMargin).Milliseconds() {
 		return nowMs
 	}
 	return p.lastStallEndMs.Load()
@@ -51,25 +51,25 @@
 // after a pause of the process it waits for the first proof. Invariant: it never says so without
 // a proof that is young enough, and a gateway that is merely cut off from control waits for none,
 // so that its callers hear at once.
-func (d *Daemon) awaitConfirmation(ctx context.Context, bound time.Duration) bool {
-	next := d.nextConfirmation()
-	if d.confirmedWithin(bound) {
+func (d *Daemon) awaitConfirmation(ctx context.Context, maxAge time.Duration) bool {
+	confirmed := d.nextConfirmation()
+	if d.confirmedWithin(maxAge) {
 		return true
 	}
 	nowMs := clock.NowMs()
-	ended := d.stalls.stallEndMs(sweepInterval, nowMs)
-	left := time.Duration(ended-nowMs)*time.Millisecond + confirmationWait
-	if ended == 0 || left <= 0 || d.process.Policy.Disable.Has(scheduling.MechanismFreshnessWait) {
+	stallEnd := d.stalls.stallEndMs(sweepInterval, nowMs)
+	remaining := time.Duration(stallEnd-nowMs)*time.Millisecond + confirmationWait
+	if stallEnd == 0 || remaining <= 0 || d.process.Policy.Disable.Has(scheduling.MechanismFreshnessWait) {
 		return false
 	}
-	timer := time.NewTimer(left)
+	timer := time.NewTimer(remaining)
 	defer timer.Stop()
-	for !d.confirmedWithin(bound) {
+	for !d.confirmedWithin(maxAge) {
 		select {
-		case <-next:
-			next = d.nextConfirmation()
+		case <-confirmed:
+			confirmed = d.nextConfirmation()
 		case <-timer.C:
-			return d.confirmedWithin(bound)
+			return d.confirmedWithin(maxAge)
 		case <-ctx.Done():
 			return false
 		}
--- a/internal/gateway/priority_test.go
+++ b/internal/gateway/priority_test.go
@@ -13,12 +13,12 @@
 func TestLateProgramKeepsItsRank(t *testing.T) {
 	Convey("the rank of a turn", t, func() {
 		seen := ""
-		stand := newGatewayFixture(t, func(w http.ResponseWriter, r *http.Request) {
+		fixture := newGatewayFixture(t, func(w http.ResponseWriter, r *http.Request) {
 			seen = r.Header.Get("Ochrebay-Priority")
 			streamingEngine(1, "", false)(w, r)
 		})
 		rankWith := func(request, finishMs string) string {
-			response, _, err := stand.send("/stream/", request, append(budgetHeaders, "Ochrebay-Finish-Ms", finishMs)...)
+			response, _, err := fixture.send("/stream/", request, append(budgetHeaders, "Ochrebay-Finish-Ms", finishMs)...)
 			So(err, ShouldBeNil)
 			So(response.StatusCode, ShouldEqual, 200)
 			return seen
--- a/internal/gateway/processor.go
+++ b/internal/gateway/processor.go
@@ -36,19 +36,19 @@
 	if share <= 0 || d.processorLoad.failed || span < minMeasurementSpan {
 		return d.processorLoad.level
 	}
-	used, err := processorTime()
+	usedTime, err := processorTime()
 	if err != nil {
 		d.processorLoad.failed = true
 		telemetry.Warn(d.logger, "processor use unknown", "err", err)
 		return 0
 	}
-	before := d.processorLoad.usedTime
-	first := d.processorLoad.measuredAt.IsZero()
-	d.processorLoad.measuredAt, d.processorLoad.usedTime = now, used
-	if first {
+	previousTime := d.processorLoad.usedTime
+	isFirst := d.processorLoad.measuredAt.IsZero()
+	d.processorLoad.measuredAt, d.processorLoad.usedTime = now, usedTime
+	if isFirst {
 		return 0
 	}
-	level := d.processorLoad.tracker.Observe((used-before).Seconds()/(span.Seconds()*share), clock.NowMs())
+	level := d.processorLoad.tracker.Observe((usedTime-previousTime).Seconds()/(span.Seconds()*share), clock.NowMs())
 	d.processorLoad.utilizationBits.Store(math.Float64bits(d.processorLoad.tracker.Utilization()))
 	if level != d.processorLoad.level {
 		telemetry.Info(d.logger, "processor heat changed", "level", level, "before", d.processorLoad.level, "use", d.processorLoad.tracker.Utilization(), "share", share)
--- a/internal/gateway/quotas.go
+++ b/internal/gateway/quotas.go
@@ -43,8 +43,8 @@
 func (d *denials) isRecent(tenant string) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	last, known := d.lastByTenant[tenant]
-	if known && time.Since(last) > recentDenialWindow {
+	lastDenied, known := d.lastByTenant[tenant]
+	if known && time.Since(lastDenied) > recentDenialWindow {
 		delete(d.lastByTenant, tenant)
 		return false
 	}
@@ -66,17 +66,17 @@
 		}
 		return d.openTurn(ctx, c)
 	}
-	waiting, cancel := context.WithCancel(ctx)
+	quotaContext, cancel := context.WithCancel(ctx)
 	defer cancel()
-	taken := make(chan *result.Error, 1)
-	go func() { taken <- d.acquireQuota(waiting, c) }()
+	quotaResult := make(chan *result.Error, 1)
+	go func() { quotaResult <- d.acquireQuota(quotaContext, c) }()
 	failure := d.openTurn(ctx, c)
 	if failure != nil {
 		cancel()
-		<-taken
+		<-quotaResult
 		return failure
 	}
-	return <-taken
+	return <-quotaResult
 }
 
 // acquireQuota has the owner of the tenant's limit grant one run of the call, and waits for it
@@ -87,10 +87,10 @@
 	if c.tenant == nil || !c.tenant.HasRateLimit() {
 		return nil
 	}
-	began := time.Now()
-	ask := d.quotaRequest(c)
-	reply := d.awaitQuota(ctx, c, ask, began)
-	c.quotaTime = time.Since(began)
+	startedAt := time.Now()
+	request := d.quotaRequest(c)
+	reply := d.awaitQuota(ctx, c, request, startedAt)
+	c.quotaTime = time.Since(startedAt)
 	d.metrics.quotaWait.WithLabelValues(quotaOutcome(reply.Error)).Observe(c.quotaTime.Seconds())
 	if reply.Error == nil {
 		c.grants = append(c.grants, reply.Grant)
@@ -99,7 +99,7 @@
 	if reply.Error.Code == result.TenantLimit {
 		d.denials.record(c.tenant.Name)
 	} else {
-		d.cancelQuotaRequest(c, ask)
+		d.cancelQuotaRequest(c, request)
 	}
 	return reply.Error
 }
@@ -107,23 +107,23 @@
 // quotaRequest describes the next run of a call to the owner of its tenant's limit.
 func (d *Daemon) quotaRequest(c *call) quota.Request {
 	const base = 36
-	ask := quota.Request{Tenant: c.tenant.Name, Limit: c.tenantLimit(), Program: c.programID, Ticket: strconv.FormatUint(rand.Uint64(), base)}
+	request := quota.Request{Tenant: c.tenant.Name, Limit: c.tenantLimit(), Program: c.programID, Ticket: strconv.FormatUint(rand.Uint64(), base)}
 	if c.route.Kind == routing.KindStream {
-		ask.Kind = c.route.Name
+		request.Kind = c.route.Name
 	}
-	ask.ContinuesProgram = c.programID != "" && (c.route.Kind != routing.KindStream || c.previousTurn != "")
-	return ask
+	request.ContinuesProgram = c.programID != "" && (c.route.Kind != routing.KindStream || c.previousTurn != "")
+	return request
 }
 
 // awaitQuota asks for a run until it is granted, denied or of no use any more. The same ticket
 // keeps its place in the owner's queue from question to question, and how long it has waited
 // gives it its place at an owner that is new.
-func (d *Daemon) awaitQuota(ctx context.Context, c *call, ask quota.Request, began time.Time) *protocol.TurnReply {
+func (d *Daemon) awaitQuota(ctx context.Context, c *call, request quota.Request, startedAt time.Time) *protocol.TurnReply {
 	for {
-		ask.MaxWaitMs = (c.timeLeft() - d.serviceTimes.expectedTime(c.route.Name)).Milliseconds()
-		ask.WaitedMs = time.Since(began).Milliseconds()
-		bounded, cancel := context.WithDeadline(ctx, earlier(c.deadline, time.Now().Add(quotaRequestTimeout)))
-		reply := d.ledgers.requestQuota(bounded, &ask)
+		request.MaxWaitMs = (c.timeLeft() - d.serviceTimes.expectedTime(c.route.Name)).Milliseconds()
+		request.WaitedMs = time.Since(startedAt).Milliseconds()
+		requestContext, cancel := context.WithDeadline(ctx, earlier(c.deadline, time.Now().Add(quotaRequestTimeout)))
+		reply := d.ledgers.requestQuota(requestContext, &request)
 		cancel()
 		if ctx.Err() != nil {
 			return &protocol.TurnReply{Error: result.New(result.Cancelled, "the caller left before its tenant's limit had room")}
@@ -136,10 +136,10 @@
 }
 
 // cancelQuotaRequest gives a place in the queue back, or a grant whose answer did not come.
-func (d *Daemon) cancelQuotaRequest(c *call, ask quota.Request) {
-	ask.Cancelled = true
+func (d *Daemon) cancelQuotaRequest(c *call, request quota.Request) {
+	request.Cancelled = true
 	go func() {
-		if failure := d.ledgers.sendQuotaOnce(&ask); failure != nil {
+		if failure := d.ledgers.sendQuotaOnce(&request); failure != nil {
 			d.logFailure("place in the queue not given back", c, failure)
 		}
 	}()
@@ -168,8 +168,8 @@
 			continue
 		}
 		go func() {
-			unrun := quota.Request{Tenant: c.tenant.Name, Program: c.programID, ReturnedGrant: grant}
-			if failure := d.ledgers.sendQuotaOnce(&unrun); failure != nil {
+			request := quota.Request{Tenant: c.tenant.Name, Program: c.programID, ReturnedGrant: grant}
+			if failure := d.ledgers.sendQuotaOnce(&request); failure != nil {
 				d.logFailure("quota not returned", c, failure)
 			}
 		}()
--- a/internal/gateway/quotas_test.go
+++ b/internal/gateway/quotas_test.go
@@ -14,41 +14,41 @@
 
 func TestWaitForQuota(t *testing.T) {
 	Convey("a request that waits for room asks again with its ticket and is then served", t, func() {
-		stand := newTenantFixture(t, respondSigned)
-		var asked []quota.Request
-		stand.ledger.setResponse(func(request *protocol.TurnRequest) *protocol.TurnReply {
-			asked = append(asked, *request.Quota)
-			if len(asked) < 3 {
+		fixture := newTenantFixture(t, respondSigned)
+		var requests []quota.Request
+		fixture.ledger.setResponse(func(request *protocol.TurnRequest) *protocol.TurnReply {
+			requests = append(requests, *request.Quota)
+			if len(requests) < 3 {
 				return &protocol.TurnReply{Queued: &quota.QueuePosition{Ahead: 1}}
 			}
 			return &protocol.TurnReply{Grant: &quota.Grant{}}
 		})
-		response, _, err := stand.send("/safe/", "r1", "Ochrebay-Key", otherKey)
+		response, _, err := fixture.send("/safe/", "r1", "Ochrebay-Key", otherKey)
 		So(err, ShouldBeNil)
 		So(response.StatusCode, ShouldEqual, 200)
-		So(asked, ShouldHaveLength, 3)
-		So(asked[2].Ticket, ShouldEqual, asked[0].Ticket)
-		So(asked[2].MaxWaitMs, ShouldBeLessThanOrEqualTo, asked[0].MaxWaitMs)
-		So(stand.runs.Load(), ShouldEqual, 1)
+		So(requests, ShouldHaveLength, 3)
+		So(requests[2].Ticket, ShouldEqual, requests[0].Ticket)
+		So(requests[2].MaxWaitMs, ShouldBeLessThanOrEqualTo, requests[0].MaxWaitMs)
+		So(fixture.runs.Load(), ShouldEqual, 1)
 	})
 	Convey("a caller that leaves while its request waits gives its place back", t, func() {
-		stand := newTenantFixture(t, respondSigned)
+		fixture := newTenantFixture(t, respondSigned)
 		cancelled := make(chan string, 1)
-		waits := make(chan string, 100)
-		stand.ledger.setResponse(func(request *protocol.TurnRequest) *protocol.TurnReply {
+		tickets := make(chan string, 100)
+		fixture.ledger.setResponse(func(request *protocol.TurnRequest) *protocol.TurnReply {
 			if request.Quota.Cancelled {
 				cancelled <- request.Quota.Ticket
 				return &protocol.TurnReply{}
 			}
 			select {
-			case waits <- request.Quota.Ticket:
+			case tickets <- request.Quota.Ticket:
 			default:
 			}
 			time.Sleep(time.Millisecond)
 			return &protocol.TurnReply{Queued: &quota.QueuePosition{}}
 		})
 		ctx, cancel := context.WithCancel(context.Background())
-		request, err := http.NewRequestWithContext(ctx, http.MethodPost, stand.server.URL+"/safe/", http.NoBody)
+		request, err := http.NewRequestWithContext(ctx, http.MethodPost, fixture.server.URL+"/safe/", http.NoBody)
 		So(err, ShouldBeNil)
 		request.Host = "h"
 		request.Header.Set("Ochrebay-Request", "r1")
@@ -61,15 +61,15 @@
 			}
 			ended <- err
 		}()
-		ticket := <-waits
+		ticket := <-tickets
 		cancel()
 		So(<-ended, ShouldNotBeNil)
 		select {
-		case given := <-cancelled:
-			So(given, ShouldEqual, ticket)
+		case returnedTicket := <-cancelled:
+			So(returnedTicket, ShouldEqual, ticket)
 		case <-time.After(testTimeout):
 			So("no place was given back", ShouldBeBlank)
 		}
-		So(stand.runs.Load(), ShouldEqual, 0)
+		So(fixture.runs.Load(), ShouldEqual, 0)
 	})
 }
--- a/internal/gateway/retries.go
+++ b/internal/gateway/retries.go
@@ -33,8 +33,8 @@
 
 // budgetFor returns a back end's; the caller holds the mutex.
 func (r *retryPolicy) budgetFor(backend string) *retry.Budget {
-	budget, known := r.budgets[backend]
-	if !known {
+	budget, found := r.budgets[backend]
+	if !found {
 		budget = retry.NewBudget(r.settings)
 		r.budgets[backend] = budget
 	}
@@ -42,32 +42,32 @@
 }
 
 // recordResponse notes how long a try took to be answered or, for a stream, to begin to be.
-func (r *retryPolicy) recordResponse(c *call, nowMs int64, tookMs float64) {
+func (r *retryPolicy) recordResponse(c *call, nowMs int64, responseMs float64) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.latencies.ForKind(c.route.Name).Record(nowMs, tookMs)
+	r.latencies.ForKind(c.route.Name).Record(nowMs, responseMs)
 	r.budgetFor(c.backend.Name).RecordSuccess()
 }
 
-func (r *retryPolicy) recordTimeout(c *call, nowMs int64, bound time.Duration) {
+func (r *retryPolicy) recordTimeout(c *call, nowMs int64, timeout time.Duration) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.latencies.ForKind(c.route.Name).RecordTimeout(nowMs, milliseconds(bound))
+	r.latencies.ForKind(c.route.Name).RecordTimeout(nowMs, milliseconds(timeout))
 }
 
 // responseTimeout is how long a try of a call may be silent at an engine that takes factor times as long
 // as others, 0 for as long as it likes.
-func (r *retryPolicy) responseTimeout(c *call, nowMs int64, factor float64) time.Duration {
+func (r *retryPolicy) responseTimeout(c *call, nowMs int64, latencyRatio float64) time.Duration {
 	if r.disabled.Has(scheduling.MechanismRetry) {
 		return 0
 	}
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	boundMs, known := r.latencies.ForKind(c.route.Name).TimeoutMs(nowMs)
-	if !known {
+	timeoutMs, isKnown := r.latencies.ForKind(c.route.Name).TimeoutMs(nowMs)
+	if !isKnown {
 		return 0
 	}
-	return time.Duration(boundMs * max(factor, 1) * float64(time.Millisecond))
+	return time.Duration(timeoutMs * max(latencyRatio, 1) * float64(time.Millisecond))
 }
 
 // tryTake takes one second try of a back end's budget.
@@ -103,23 +103,23 @@
 
 // startResponseTimer passes an engine over that is silent for longer than a try usually takes, and ends the
 // try where there may be another one: its connection is closed before the next is made.
-func (d *Daemon) startResponseTimer(try context.Context, c *call, cancel context.CancelCauseFunc) *responseTimer {
+func (d *Daemon) startResponseTimer(attemptContext context.Context, c *call, cancel context.CancelCauseFunc) *responseTimer {
 	nowMs := clock.NowMs()
-	bound := d.retries.responseTimeout(c, nowMs, d.engines.latencyRatio(c.engineID, nowMs))
-	if bound <= 0 || bound >= c.timeLeft() {
+	timeout := d.retries.responseTimeout(c, nowMs, d.engines.latencyRatio(c.engineID, nowMs))
+	if timeout <= 0 || timeout >= c.timeLeft() {
 		return nil
 	}
 	engine := c.engineID
-	again := d.canRetry(c)
-	timer := time.AfterFunc(bound, func() {
+	mayRetry := d.canRetry(c)
+	timer := time.AfterFunc(timeout, func() {
 		nowMs := clock.NowMs()
 		d.engines.recordTimeout(engine, nowMs)
-		d.retries.recordTimeout(c, nowMs, bound)
-		if again && time.Now().Before(c.latestStart) && d.retries.tryTake(c.backend.Name) {
+		d.retries.recordTimeout(c, nowMs, timeout)
+		if mayRetry && time.Now().Before(c.latestStart) && d.retries.tryTake(c.backend.Name) {
 			cancel(errResponseTimeout)
 		}
 	})
-	return &responseTimer{timer: timer, attemptContext: try}
+	return &responseTimer{timer: timer, attemptContext: attemptContext}
 }
 
 // stop ends the wait for the first word.
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -17,31 +17,31 @@
 	d.inFlight.Add(1)
 	defer d.inFlight.Add(-1)
 	d.lastRequestMs.Store(clock.NowMs())
-	began := time.Now()
+	startedAt := time.Now()
 	c, failure := d.readRequest(writer, request)
-	out := &callerResponse{daemon: d, writer: writer}
+	response := &callerResponse{daemon: d, writer: writer}
 	if failure == nil {
-		failure = d.run(request.Context(), c, out)
+		failure = d.run(request.Context(), c, response)
 	}
-	d.logCall(c, request, out, failure, time.Since(began))
+	d.logCall(c, request, response, failure, time.Since(startedAt))
 	if failure == nil {
 		return
 	}
-	if out.headerWritten || failure.Code == result.Cancelled {
+	if response.headerWritten || failure.Code == result.Cancelled {
 		// What has been passed on must not look complete.
 		panic(http.ErrAbortHandler)
 	}
-	out.writeError(request, failure)
+	response.writeError(request, failure)
 }
 
 // run reserves a turn where the call is one, has an engine serve it, and settles.
-func (d *Daemon) run(ctx context.Context, c *call, out *callerResponse) *result.Error {
+func (d *Daemon) run(ctx context.Context, c *call, response *callerResponse) *result.Error {
 	if c.timeLeft() < minSendTime {
 		return result.New(result.DeadlinePassed, "%s left", c.timeLeft())
 	}
 	defer func() {
 		if c.turnReserved {
-			d.settleAsync(c, out)
+			d.settleAsync(c, response)
 		}
 	}()
 	c.latestStart = d.latestStart(c)
@@ -51,7 +51,7 @@
 	}
 	if failure == nil {
 		d.engines.adjustInFlight(c, 1)
-		failure = d.runAttempts(ctx, c, out.deliver)
+		failure = d.runAttempts(ctx, c, response.deliver)
 		d.engines.adjustInFlight(c, -1)
 	}
 	switch {
@@ -67,24 +67,24 @@
 func (d *Daemon) openTurn(ctx context.Context, c *call) *result.Error {
 	// A leader that is lost is replaced within the time that most callers have; no engine is
 	// worth asking after it, so there is nothing else to keep the time for.
-	bounded, cancel := context.WithDeadline(ctx, earlier(c.deadline, later(c.latestStart, time.Now().Add(ledgerCallTimeout))))
+	ledgerContext, cancel := context.WithDeadline(ctx, earlier(c.deadline, later(c.latestStart, time.Now().Add(ledgerCallTimeout))))
 	defer cancel()
 	reserve := &program.Reserve{Program: c.programID, Request: c.turnID, BudgetTokens: c.tokenBudget, MaxTokens: c.maxTokens, Session: c.sessionID}
-	var known cachedHistory
+	var cached cachedHistory
 	if c.route.RetainTurns && c.previousTurn != "" {
 		reserve.PreviousRequest = c.previousTurn
-		known = d.histories.get(c.previousTurn, c.programID, c.sessionID)
+		cached = d.histories.get(c.previousTurn, c.programID, c.sessionID)
 	}
-	reply := d.ledgers.reserve(bounded, reserve, known.turn)
+	reply := d.ledgers.reserve(ledgerContext, reserve, cached.turn)
 	if reply.Error != nil && reply.Error.Code == result.UnknownTurn {
-		found := d.ledgers.findInOtherGroups(bounded, c.previousTurn, c.programID)
+		found := d.ledgers.findInOtherGroups(ledgerContext, c.previousTurn, c.programID)
 		if found.Error != nil {
 			return found.Error
 		}
 		c.historyInOtherGroup = true
 		c.history = found.Chain
 		reserve.PreviousRequest = ""
-		reply = d.ledgers.reserve(bounded, reserve, "")
+		reply = d.ledgers.reserve(ledgerContext, reserve, "")
 	}
 	if reply.Error != nil {
 		// The reservation may stand although nobody said so; no engine gets the call, so
@@ -94,7 +94,7 @@
 	}
 	c.affineEngine = reply.Engine
 	if !c.historyInOtherGroup && reserve.PreviousRequest != "" {
-		c.history = known.extend(reply)
+		c.history = cached.extend(reply)
 	}
 	c.turnReserved = c.tokenBudget > 0
 	c.programInProgress = !reply.First || c.previousTurn != ""
@@ -113,9 +113,9 @@
 	}
 	failure := result.New(result.Overloaded, "%.1f requests an engine, begun in time up to %.1f; rank %d of %d",
 		decision.concurrency, decision.limit, c.priorityPosition, c.priorityCount)
-	if position := decision.shareStatus; position.AboveFairShare {
+	if status := decision.shareStatus; status.AboveFairShare {
 		failure = result.New(result.ShareUsed, "%.1f of the tenant's requests under way, its share %.1f; %.1f requests an engine, room for %.1f",
-			position.InFlight, position.Share, decision.concurrency, decision.capacity)
+			status.InFlight, status.Share, decision.concurrency, decision.capacity)
 	}
 	return failure.WithRetryAfter(time.Duration(decision.retryAfterMs) * time.Millisecond)
 }
@@ -135,8 +135,8 @@
 }
 
 // settleAsync charges a turn that is not kept; the caller need not wait for it.
-func (d *Daemon) settleAsync(c *call, out *callerResponse) {
-	settle := &program.Settle{Program: c.programID, Request: c.turnID, UsedTokens: out.usedTokens(c), Session: c.sessionID, Engine: c.selection.engine.IncarnationKey()}
+func (d *Daemon) settleAsync(c *call, response *callerResponse) {
+	settle := &program.Settle{Program: c.programID, Request: c.turnID, UsedTokens: response.usedTokens(c), Session: c.sessionID, Engine: c.selection.engine.IncarnationKey()}
 	go func() {
 		if failure := d.ledgers.settle(settle, settleTimeout); failure != nil {
 			d.logFailure("turn not settled", c, failure)
--- a/internal/gateway/services.go
+++ b/internal/gateway/services.go
@@ -20,19 +20,19 @@
 }
 
 // record notes a request that took a time from its last send to the end of its answer.
-func (s *serviceTimes) record(route string, took time.Duration) {
+func (s *serviceTimes) record(route string, elapsed time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	getOrCreate(s.byRoute, route).Add(clock.NowMs(), float64(took)/float64(time.Millisecond), 1)
+	getOrCreate(s.byRoute, route).Add(clock.NowMs(), float64(elapsed)/float64(time.Millisecond), 1)
 }
 
 // expectedTime returns how long a request takes in the mean, shortestSend at the least.
 func (s *serviceTimes) expectedTime(route string) time.Duration {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	known := s.byRoute[route]
-	if known == nil || known.Weight <= 0 {
+	mean := s.byRoute[route]
+	if mean == nil || mean.Weight <= 0 {
 		return minSendTime
 	}
-	return max(time.Duration(known.Sum/known.Weight*float64(time.Millisecond)), minSendTime)
+	return max(time.Duration(mean.Sum/mean.Weight*float64(time.Millisecond)), minSendTime)
 }
--- a/internal/gateway/tenants.go
+++ b/internal/gateway/tenants.go
@@ -50,11 +50,11 @@
 // revocation bound; it is asked again before every send, since the process may have been
 // paused, or the call may have waited, since it was asked last.
 func (d *Daemon) recheckKey(c *call) *result.Error {
-	bound, strict := d.process.Limits.RevokeWithin()
-	if c.tenant == nil || c.route.AllowsAnonymous || !strict {
+	maxAge, isStrict := d.process.Limits.RevokeWithin()
+	if c.tenant == nil || c.route.AllowsAnonymous || !isStrict {
 		return nil
 	}
-	if !d.awaitConfirmation(c.request.Context(), bound-clockDriftMargin) {
+	if !d.awaitConfirmation(c.request.Context(), maxAge-clockDriftMargin) {
 		return d.keysUnconfirmedError()
 	}
 	// The proof may be younger than the table by which the call was routed, as when the call has
@@ -70,9 +70,9 @@
 	return nil
 }
 
-func (d *Daemon) confirmedWithin(bound time.Duration) bool {
+func (d *Daemon) confirmedWithin(maxAge time.Duration) bool {
 	age, known := d.confirmationAge()
-	return known && age <= bound
+	return known && age <= maxAge
 }
 
 func (d *Daemon) keysUnconfirmedError() *result.Error {
--- a/internal/gateway/tenants_test.go
+++ b/internal/gateway/tenants_test.go
@@ -37,19 +37,19 @@
 }
 
 func newTenantFixture(t *testing.T, engine http.HandlerFunc) *tenantFixture {
-	stand := &tenantFixture{}
-	stand.gatewayFixture = newGatewayFixture(t, func(w http.ResponseWriter, r *http.Request) {
+	fixture := &tenantFixture{}
+	fixture.gatewayFixture = newGatewayFixture(t, func(w http.ResponseWriter, r *http.Request) {
 		header := r.Header.Clone()
-		stand.engineHeader.Store(&header)
+		fixture.engineHeader.Store(&header)
 		engine(w, r)
 	})
-	stand.gateway.headerNames.Reserved = []string{"Hold", "Pin-Ms", "Kv-From"}
-	stand.gateway.process.Limits.RevokeWithinMs = float64(testRevokeBound.Milliseconds())
-	stand.gateway.confirmationAge = func() (time.Duration, bool) {
-		age := time.Duration(stand.confirmationAge.Load())
+	fixture.gateway.headerNames.Reserved = []string{"Hold", "Pin-Ms", "Kv-From"}
+	fixture.gateway.process.Limits.RevokeWithinMs = float64(testRevokeBound.Milliseconds())
+	fixture.gateway.confirmationAge = func() (time.Duration, bool) {
+		age := time.Duration(fixture.confirmationAge.Load())
 		return age, age >= 0
 	}
-	view := stand.gateway.view.Load()
+	view := fixture.gateway.view.Load()
 	table := *view.routes.Table
 	table.Generation++
 	table.RequiresKey = true
@@ -57,11 +57,11 @@
 		{Name: "alpha", Keys: []routing.KeyDigest{routing.DigestKey(testKey)}},
 		{Name: "beta", Keys: []routing.KeyDigest{routing.DigestKey(otherKey)}, RatePerSecond: 2, Burst: 1},
 	}
-	open := table.Routes[0]
-	open.PathPrefix, open.AllowsAnonymous = "/open/", true
-	table.Routes = append(append([]routing.Route{}, table.Routes...), open)
-	stand.gateway.applyUpdate(view.fleet, &table)
-	return stand
+	anonymousRoute := table.Routes[0]
+	anonymousRoute.PathPrefix, anonymousRoute.AllowsAnonymous = "/open/", true
+	table.Routes = append(append([]routing.Route{}, table.Routes...), anonymousRoute)
+	fixture.gateway.applyUpdate(view.fleet, &table)
+	return fixture
 }
 
 func respondSigned(w http.ResponseWriter, _ *http.Request) {
@@ -71,91 +71,91 @@
 
 func TestKeys(t *testing.T) {
 	Convey("the engine learns the tenant's name and never the key", t, func() {
-		stand := newTenantFixture(t, respondSigned)
-		response, _, err := stand.send("/safe/", "r1", "Ochrebay-Key", testKey, "Ochrebay-Tenant", "beta", "Hold", "h", "Ochrebay-Priority", "0")
+		fixture := newTenantFixture(t, respondSigned)
+		response, _, err := fixture.send("/safe/", "r1", "Ochrebay-Key", testKey, "Ochrebay-Tenant", "beta", "Hold", "h", "Ochrebay-Priority", "0")
 		So(err, ShouldBeNil)
 		So(response.StatusCode, ShouldEqual, 200)
-		seen := *stand.engineHeader.Load()
+		seen := *fixture.engineHeader.Load()
 		So(seen["Ochrebay-Tenant"], ShouldResemble, []string{"alpha"})
 		So(seen, ShouldNotContainKey, "Ochrebay-Key")
 		So(seen, ShouldNotContainKey, "Hold")
 		So(seen, ShouldNotContainKey, "Ochrebay-Priority")
 	})
 	Convey("no key, or one that nobody holds, is 401 where the table is surely in force, 503 where it may lack keys", t, func() {
-		stand := newTenantFixture(t, respondSigned)
+		fixture := newTenantFixture(t, respondSigned)
 		for _, key := range []string{"", "nobody's"} {
-			stand.confirmationAge.Store(int64(time.Second))
-			response, body, err := stand.send("/safe/", "r1", "Ochrebay-Key", key)
+			fixture.confirmationAge.Store(int64(time.Second))
+			response, body, err := fixture.send("/safe/", "r1", "Ochrebay-Key", key)
 			So(err, ShouldBeNil)
 			So(response.StatusCode, ShouldEqual, 401)
 			So(body, ShouldNotContainSubstring, "nobody's")
 			for _, age := range []time.Duration{3 * time.Second, -1} {
-				stand.confirmationAge.Store(int64(age))
-				response, _, err = stand.send("/safe/", "r2", "Ochrebay-Key", key)
+				fixture.confirmationAge.Store(int64(age))
+				response, _, err = fixture.send("/safe/", "r2", "Ochrebay-Key", key)
 				So(err, ShouldBeNil)
 				So(response.StatusCode, ShouldEqual, 503)
 				So(response.Header.Get("Retry-After"), ShouldNotBeBlank)
 			}
 		}
-		So(stand.runs.Load(), ShouldEqual, 0)
+		So(fixture.runs.Load(), ShouldEqual, 0)
 	})
 	Convey("a gateway that has been cut off for the bound serves no key; what needs none is served on", t, func() {
-		stand := newTenantFixture(t, respondSigned)
-		stand.confirmationAge.Store(int64(testRevokeBound - 2*clockDriftMargin))
-		response, _, err := stand.send("/safe/", "r1", "Ochrebay-Key", testKey)
+		fixture := newTenantFixture(t, respondSigned)
+		fixture.confirmationAge.Store(int64(testRevokeBound - 2*clockDriftMargin))
+		response, _, err := fixture.send("/safe/", "r1", "Ochrebay-Key", testKey)
 		So(err, ShouldBeNil)
 		So(response.StatusCode, ShouldEqual, 200)
-		stand.confirmationAge.Store(int64(testRevokeBound))
-		response, _, err = stand.send("/safe/", "r2", "Ochrebay-Key", testKey)
+		fixture.confirmationAge.Store(int64(testRevokeBound))
+		response, _, err = fixture.send("/safe/", "r2", "Ochrebay-Key", testKey)
 		So(err, ShouldBeNil)
 		So(response.StatusCode, ShouldEqual, 503)
-		response, _, err = stand.send("/open/", "r3", "Ochrebay-Tenant", "alpha")
+		response, _, err = fixture.send("/open/", "r3", "Ochrebay-Tenant", "alpha")
 		So(err, ShouldBeNil)
 		So(response.StatusCode, ShouldEqual, 200)
-		So(*stand.engineHeader.Load(), ShouldNotContainKey, "Ochrebay-Tenant")
-		So(stand.runs.Load(), ShouldEqual, 2)
+		So(*fixture.engineHeader.Load(), ShouldNotContainKey, "Ochrebay-Tenant")
+		So(fixture.runs.Load(), ShouldEqual, 2)
 	})
 	Convey("a process that is paused between taking a request and sending it asks again", t, func() {
-		stand := newTenantFixture(t, streamingEngine(1, "", false))
-		stand.ledger.setResponse(func(request *protocol.TurnRequest) *protocol.TurnReply {
+		fixture := newTenantFixture(t, streamingEngine(1, "", false))
+		fixture.ledger.setResponse(func(request *protocol.TurnRequest) *protocol.TurnReply {
 			if request.Reserve != nil {
-				stand.confirmationAge.Store(int64(testRevokeBound))
+				fixture.confirmationAge.Store(int64(testRevokeBound))
 			}
 			return &protocol.TurnReply{}
 		})
-		response, _, err := stand.send("/stream/", "r1", append(budgetHeaders, "Ochrebay-Key", testKey)...)
+		response, _, err := fixture.send("/stream/", "r1", append(budgetHeaders, "Ochrebay-Key", testKey)...)
 		So(err, ShouldBeNil)
 		So(response.StatusCode, ShouldEqual, 503)
-		So(stand.runs.Load(), ShouldEqual, 0)
+		So(fixture.runs.Load(), ShouldEqual, 0)
 	})
 	Convey("a proof that is younger than the call's table does not vouch for a key withdrawn between the two", t, func() {
-		stand := newTenantFixture(t, streamingEngine(1, "", false))
-		stand.ledger.setResponse(func(request *protocol.TurnRequest) *protocol.TurnReply {
+		fixture := newTenantFixture(t, streamingEngine(1, "", false))
+		fixture.ledger.setResponse(func(request *protocol.TurnRequest) *protocol.TurnReply {
 			if request.Reserve != nil {
-				view := stand.gateway.view.Load()
+				view := fixture.gateway.view.Load()
 				table := *view.routes.Table
 				table.Generation++
 				table.Tenants = []routing.Tenant{{Name: "alpha"}, {Name: "beta", Keys: []routing.KeyDigest{routing.DigestKey(otherKey)}}}
-				stand.gateway.applyUpdate(view.fleet, &table)
+				fixture.gateway.applyUpdate(view.fleet, &table)
 			}
 			return &protocol.TurnReply{}
 		})
-		response, _, err := stand.send("/stream/", "r1", append(budgetHeaders, "Ochrebay-Key", testKey)...)
+		response, _, err := fixture.send("/stream/", "r1", append(budgetHeaders, "Ochrebay-Key", testKey)...)
 		So(err, ShouldBeNil)
 		So(response.StatusCode, ShouldEqual, 401)
-		So(stand.runs.Load(), ShouldEqual, 0)
+		So(fixture.runs.Load(), ShouldEqual, 0)
 	})
 	Convey("programs and turns are their tenant's: another tenant's names are other ones", t, func() {
-		stand := newTenantFixture(t, streamingEngine(1, "", false))
+		fixture := newTenantFixture(t, streamingEngine(1, "", false))
 		var reserves []turnNames
-		stand.ledger.setResponse(func(request *protocol.TurnRequest) *protocol.TurnReply {
+		fixture.ledger.setResponse(func(request *protocol.TurnRequest) *protocol.TurnReply {
 			if request.Reserve != nil {
 				reserves = append(reserves, turnNames{request.Reserve.Program, request.Reserve.Request, request.Reserve.PreviousRequest})
 			}
 			return &protocol.TurnReply{Grant: &quota.Grant{}}
 		})
 		for _, key := range []string{testKey, otherKey} {
-			_, _, err := stand.send("/kept/", "r2", append(budgetHeaders, "Ochrebay-Key", key, "Ochrebay-Previous-Turn", "r1")...)
+			_, _, err := fixture.send("/kept/", "r2", append(budgetHeaders, "Ochrebay-Key", key, "Ochrebay-Previous-Turn", "r1")...)
 			So(err, ShouldBeNil)
 		}
 		So(reserves, ShouldResemble, []turnNames{{"alpha/p", "alpha/r2", "alpha/r1"}, {"beta/p", "beta/r2", "beta/r1"}})
@@ -167,100 +167,100 @@
 
 func TestQuotaOfAGateway(t *testing.T) {
 	Convey("a request beyond its tenant's limit is 429 with the time to come back, and does not run", t, func() {
-		stand := newTenantFixture(t, respondSigned)
-		stand.ledger.setResponse(func(request *protocol.TurnRequest) *protocol.TurnReply {
+		fixture := newTenantFixture(t, respondSigned)
+		fixture.ledger.setResponse(func(request *protocol.TurnRequest) *protocol.TurnReply {
 			return &protocol.TurnReply{Error: result.New(result.TenantLimit, "full").WithRetryAfter(250 * time.Millisecond)}
 		})
-		response, _, err := stand.send("/unsafe/", "r1", "Ochrebay-Key", otherKey)
+		response, _, err := fixture.send("/unsafe/", "r1", "Ochrebay-Key", otherKey)
 		So(err, ShouldBeNil)
 		So(response.StatusCode, ShouldEqual, 429)
 		So(response.Header.Get("Retry-After"), ShouldEqual, "0.25")
-		asked := (<-stand.ledger.requests).Quota
-		So(asked.Ticket, ShouldNotBeBlank)
-		So(asked.MaxWaitMs, ShouldBeBetween, 0, testRouteTimeoutMs)
-		So(asked, ShouldResemble, &quota.Request{
+		received := (<-fixture.ledger.requests).Quota
+		So(received.Ticket, ShouldNotBeBlank)
+		So(received.MaxWaitMs, ShouldBeBetween, 0, testRouteTimeoutMs)
+		So(received, ShouldResemble, &quota.Request{
 			Tenant: "beta", Program: "beta/p", Limit: quota.Limit{Generation: 2, RatePerSecond: 2, Burst: 1},
-			ContinuesProgram: true, Ticket: asked.Ticket, MaxWaitMs: asked.MaxWaitMs,
+			ContinuesProgram: true, Ticket: received.Ticket, MaxWaitMs: received.MaxWaitMs,
 		})
-		response, _, err = stand.send("/unsafe/", "r2", "Ochrebay-Key", testKey)
+		response, _, err = fixture.send("/unsafe/", "r2", "Ochrebay-Key", testKey)
 		So(err, ShouldBeNil)
 		So(response.StatusCode, ShouldEqual, 200)
-		So(stand.runs.Load(), ShouldEqual, 1)
+		So(fixture.runs.Load(), ShouldEqual, 1)
 	})
 	Convey("a turn that is denied leaves nothing reserved of its program's budget", t, func() {
-		stand := newTenantFixture(t, streamingEngine(1, "", false))
-		stand.ledger.setResponse(func(request *protocol.TurnRequest) *protocol.TurnReply {
+		fixture := newTenantFixture(t, streamingEngine(1, "", false))
+		fixture.ledger.setResponse(func(request *protocol.TurnRequest) *protocol.TurnReply {
 			if request.Quota != nil {
 				return &protocol.TurnReply{Error: result.New(result.TenantLimit, "full")}
 			}
 			return &protocol.TurnReply{}
 		})
-		response, _, err := stand.send("/stream/", "r1", append(budgetHeaders, "Ochrebay-Key", otherKey)...)
+		response, _, err := fixture.send("/stream/", "r1", append(budgetHeaders, "Ochrebay-Key", otherKey)...)
 		So(err, ShouldBeNil)
 		So(response.StatusCode, ShouldEqual, 429)
-		So(stand.ledger.awaitSettle("beta/r1").Settle.UsedTokens, ShouldEqual, 0)
+		So(fixture.ledger.awaitSettle("beta/r1").Settle.UsedTokens, ShouldEqual, 0)
 	})
 	Convey("what was granted to a request that no engine ran is given back", t, func() {
-		stand := newTenantFixture(t, func(w http.ResponseWriter, _ *http.Request) {
+		fixture := newTenantFixture(t, func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Ochrebay-Not-Run", "true")
 			w.WriteHeader(http.StatusServiceUnavailable)
 		})
 		grant := quota.Grant{Term: 3, AtMs: 77}
 		returned := make(chan quota.Grant, 8)
-		stand.ledger.setResponse(func(request *protocol.TurnRequest) *protocol.TurnReply {
+		fixture.ledger.setResponse(func(request *protocol.TurnRequest) *protocol.TurnReply {
 			if request.Quota.ReturnedGrant != nil {
 				returned <- *request.Quota.ReturnedGrant
 			}
 			return &protocol.TurnReply{Grant: &grant}
 		})
-		response, _, err := stand.send("/safe/", "r1", "Ochrebay-Key", otherKey, "Ochrebay-Deadline-Ms", "300")
+		response, _, err := fixture.send("/safe/", "r1", "Ochrebay-Key", otherKey, "Ochrebay-Deadline-Ms", "300")
 		So(err, ShouldBeNil)
 		So(response.StatusCode, ShouldEqual, 503)
 		select {
-		case given := <-returned:
-			So(given, ShouldResemble, grant)
+		case returnedGrant := <-returned:
+			So(returnedGrant, ShouldResemble, grant)
 		case <-time.After(testTimeout):
 			So("nothing was returned", ShouldBeBlank)
 		}
 	})
 	Convey("a return whose answer is lost is not sent again", t, func() {
-		stand := newTenantFixture(t, func(w http.ResponseWriter, _ *http.Request) {
+		fixture := newTenantFixture(t, func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Ochrebay-Not-Run", "true")
 			w.WriteHeader(http.StatusServiceUnavailable)
 		})
 		returns := atomic.Int64{}
-		stand.ledger.setResponse(func(request *protocol.TurnRequest) *protocol.TurnReply {
+		fixture.ledger.setResponse(func(request *protocol.TurnRequest) *protocol.TurnReply {
 			if request.Quota.ReturnedGrant != nil {
 				returns.Add(1)
 				return nil
 			}
 			return &protocol.TurnReply{Grant: &quota.Grant{}}
 		})
-		_, _, err := stand.send("/safe/", "r1", "Ochrebay-Key", otherKey, "Ochrebay-Deadline-Ms", "300")
+		_, _, err := fixture.send("/safe/", "r1", "Ochrebay-Key", otherKey, "Ochrebay-Deadline-Ms", "300")
 		So(err, ShouldBeNil)
 		time.Sleep(2 * ledgerCallTimeout)
 		So(returns.Load(), ShouldEqual, 1)
 	})
 	Convey("a second run needs a second grant; without it the answer does not say that nothing ran", t, func() {
-		stand := newTenantFixture(t, streamingEngine(1, "", true))
+		fixture := newTenantFixture(t, streamingEngine(1, "", true))
 		grants := atomic.Int64{}
-		stand.ledger.setResponse(func(request *protocol.TurnRequest) *protocol.TurnReply {
+		fixture.ledger.setResponse(func(request *protocol.TurnRequest) *protocol.TurnReply {
 			if request.Quota != nil && grants.Add(1) > 1 {
 				return &protocol.TurnReply{Error: result.New(result.TenantLimit, "full")}
 			}
 			return &protocol.TurnReply{Grant: &quota.Grant{}}
 		})
-		_, _, err := stand.send("/resumable/", "r1", "Ochrebay-Key", otherKey)
+		_, _, err := fixture.send("/resumable/", "r1", "Ochrebay-Key", otherKey)
 		So(err, ShouldNotBeNil)
-		So(stand.runs.Load(), ShouldEqual, 1)
+		So(fixture.runs.Load(), ShouldEqual, 1)
 	})
 }
 
 // TestHeadersProperty sends heads written byte by byte: whatever a caller writes, an engine
 // gets its tenant's name once, no key and nothing that only gateways set.
 func TestHeadersProperty(t *testing.T) {
-	stand := newTenantFixture(t, respondSigned)
-	address := strings.TrimPrefix(stand.server.URL, "http://")
+	fixture := newTenantFixture(t, respondSigned)
+	address := strings.TrimPrefix(fixture.server.URL, "http://")
 	forbidden := []string{"Ochrebay-Key", "Hold", "Pin-Ms", "Kv-From", "Ochrebay-Priority"}
 	names := append([]string{"Ochrebay-Tenant", "Connection", "X-Other"}, forbidden...)
 	rapid.Check(t, func(t *rapid.T) {
@@ -278,7 +278,7 @@
 			value := rapid.SampledFrom([]string{"beta", testKey, "", "a, b", "Ochrebay-Tenant", "ochrebay-key, Hold", "close", "x\r\n Ochrebay-Tenant: beta"}).Draw(t, "value")
 			head += fmt.Sprintf("%s: %s\r\n", spelled(rapid.SampledFrom(names).Draw(t, "name")), value)
 		}
-		stand.engineHeader.Store(nil)
+		fixture.engineHeader.Store(nil)
 		connection, err := net.Dial("tcp", address)
 		if err != nil {
 			t.Fatal(err)
@@ -291,7 +291,7 @@
 			t.Fatal(err)
 		}
 		_ = response.Body.Close()
-		seen := stand.engineHeader.Load()
+		seen := fixture.engineHeader.Load()
 		if seen == nil {
 			if response.StatusCode < 400 {
 				t.Fatalf("status %d and no run", response.StatusCode)
--- a/internal/gateway/tries.go
+++ b/internal/gateway/tries.go
@@ -43,70 +43,70 @@
 // before was not run; the error says "not run" only where all sends were not.
 func (d *Daemon) runAttempts(ctx context.Context, c *call, deliver deliverFunc) *result.Error {
 	defer d.waitQueues.leave(c, false)
-	known := &c.attemptState
-	known.remainingEngines = allEngines
+	state := &c.attemptState
+	state.remainingEngines = allEngines
 	if d.waitQueues.mustWait(c) {
-		if failure := d.waitInQueue(ctx, c, known); failure != nil {
+		if failure := d.waitInQueue(ctx, c, state); failure != nil {
 			return failure
 		}
 	}
 	for {
-		chosen, found := selection{}, false
-		if known.remainingEngines != 0 {
-			chosen, found = d.engines.selectEngine(c.backend, d.selectionInput(c, known.excludedEngines))
+		selected, found := selection{}, false
+		if state.remainingEngines != 0 {
+			selected, found = d.engines.selectEngine(c.backend, d.selectionInput(c, state.excludedEngines))
 		}
 		if !found {
-			if failure := d.waitInQueue(ctx, c, known); failure != nil {
+			if failure := d.waitInQueue(ctx, c, state); failure != nil {
 				return failure
 			}
 			continue
 		}
-		if failure := d.checkSend(ctx, c, known.mayHaveRun); failure != nil {
-			d.engines.cancelSelection(chosen, clock.NowMs())
+		if failure := d.checkSend(ctx, c, state.mayHaveRun); failure != nil {
+			d.engines.cancelSelection(selected, clock.NowMs())
 			return failure
 		}
-		engine := chosen.engine
+		engine := selected.engine
 		c.attemptCount++
 		c.engineID = engine.ID
-		c.selection = chosen
+		c.selection = selected
 		c.sentAfter = time.Since(c.startedAt)
 		outcome := d.attempt(ctx, c, engine, deliver)
 		d.engines.recordAttemptEnd(c, clock.NowMs(), outcome)
 		d.recordCompletion(c, outcome)
 		d.logAttempt(c, engine, outcome)
-		known.excludedEngines = append(known.excludedEngines, engine.ID)
-		if known.remainingEngines > 0 {
-			known.remainingEngines--
+		state.excludedEngines = append(state.excludedEngines, engine.ID)
+		if state.remainingEngines > 0 {
+			state.remainingEngines--
 		}
-		if done, failure := d.evaluateAttempt(c, known, engine, outcome); done {
+		if done, failure := d.evaluateAttempt(c, state, engine, outcome); done {
 			return failure
 		}
 	}
 }
 
 // evaluateAttempt reports whether a call is over after a send, and what to tell its caller then.
-func (d *Daemon) evaluateAttempt(c *call, known *attemptState, engine membership.ServingEngine, outcome attemptOutcome) (done bool, failure *result.Error) {
+func (d *Daemon) evaluateAttempt(c *call, state *attemptState, engine membership.ServingEngine, outcome attemptOutcome) (done bool, failure *result.Error) {
 	switch outcome.kind {
 	case attemptAnswered:
 		return true, nil
 	case attemptCancelled:
 		return true, cancelledError(c, outcome)
 	case attemptFailed:
-		known.mayHaveRun = true
-		known.runs++
+		state.mayHaveRun = true
+		state.runs++
 	case attemptBroken:
-		known.mayHaveRun = true
+		state.mayHaveRun = true
 		// An engine that has ended works on nothing any more, so that it does not count
 		// among those that the call may run on.
 		if !c.route.IsRepeatable() || !d.isEngineGone(engine) {
-			known.runs++
+			state.runs++
 		}
-		if !d.canFailOver(c, outcome) || known.runs >= max(c.route.MaxAttempts, 1) || !d.hasRetryBudget(c, outcome) {
+		if !d.canFailOver(c, outcome) || state.runs >= max(c.route.MaxAttempts, 1) || !d.hasRetryBudget(c, outcome) {
 			return true, result.New(result.OutcomeUnknown, "engine %s broke off: %v", engine.ID, outcome.err)
 		}
 	}
 	if c.timeLeft() < minSendTime {
-		return true, attemptsExhaustedError(c, known.mayHaveRun, outcome)
+		return true, attemptsExhaustedError(c, state.mayHaveRun, outcome)
 	}
 	return false, nil
 }
@@ -119,16 +119,16 @@
 
 // waitInQueue has a call wait that no engine had room for; afterwards the engine that has some is
 // asked, or all of them where it is not known which.
-func (d *Daemon) waitInQueue(ctx context.Context, c *call, known *attemptState) *result.Error {
-	if known.mayHaveRun {
+func (d *Daemon) waitInQueue(ctx context.Context, c *call, state *attemptState) *result.Error {
+	if state.mayHaveRun {
 		return result.New(result.OutcomeUnknown, "%d sends, one of them broken off", c.attemptCount)
 	}
 	engine, failure := d.waitForCapacity(ctx, c)
 	if failure != nil {
 		return failure
 	}
-	known.remainingEngines = maxProbedEngines
-	known.excludedEngines = d.engines.otherEngines(c.backend.Name, engine)
+	state.remainingEngines = maxProbedEngines
+	state.excludedEngines = d.engines.otherEngines(c.backend.Name, engine)
 	return nil
 }
 
@@ -147,13 +147,13 @@
 // its caller gives it up or, where nobody has room for it, its caller can come back and have it
 // run elsewhere; hence twice the time that a run takes.
 func (d *Daemon) latestStart(c *call) time.Time {
-	const runs = 2
-	end := c.deadline
+	const reservedServiceTimes = 2
+	latestEnd := c.deadline
 	if c.route.Kind == routing.KindStream && c.route.PatienceMs > 0 {
-		end = earlier(end, c.startedAt.Add(time.Duration(c.route.PatienceMs)*time.Millisecond))
+		latestEnd = earlier(latestEnd, c.startedAt.Add(time.Duration(c.route.PatienceMs)*time.Millisecond))
 	}
-	run := time.Duration(d.engines.expectedServiceMs(c.backend.Name, d.selectionInput(c, nil))) * time.Millisecond
-	return end.Add(-runs * max(run, minSendTime))
+	serviceTime := time.Duration(d.engines.expectedServiceMs(c.backend.Name, d.selectionInput(c, nil))) * time.Millisecond
+	return latestEnd.Add(-reservedServiceTimes * max(serviceTime, minSendTime))
 }
 
 // canFailOver reports whether a call that an engine broke off may be sent to another
@@ -167,9 +167,9 @@
 
 // isEngineGone reports whether an engine is gone: nobody listens at its address.
 func (d *Daemon) isEngineGone(engine membership.ServingEngine) bool {
-	socket, err := net.DialTimeout("tcp", engine.Address, goneDialTimeout)
+	connection, err := net.DialTimeout("tcp", engine.Address, goneDialTimeout)
 	if err == nil {
-		_ = socket.Close()
+		_ = connection.Close()
 		return false
 	}
 	return errors.Is(err, syscall.ECONNREFUSED)
--- a/internal/gateway/tries_test.go
+++ b/internal/gateway/tries_test.go
@@ -23,34 +23,34 @@
 func TestWaitingForRoom(t *testing.T) {
 	Convey("a call that no engine has room for gets it once there is some", t, func() {
 		var refusals atomic.Int64
-		stand := newGatewayFixture(t, func(w http.ResponseWriter, r *http.Request) {
+		fixture := newGatewayFixture(t, func(w http.ResponseWriter, r *http.Request) {
 			if refusals.Add(1) <= 3 {
 				respondNotRun(w)
 				return
 			}
 			respondSigned(w, r)
 		})
-		response, _, err := stand.send("/unsafe/", "r1", "Ochrebay-Deadline-Ms", "20000")
+		response, _, err := fixture.send("/unsafe/", "r1", "Ochrebay-Deadline-Ms", "20000")
 		So(err, ShouldBeNil)
 		So(response.StatusCode, ShouldEqual, 200)
-		So(stand.runs.Load(), ShouldEqual, 4)
-		_, waitingNow := stand.gateway.waitQueues.admissionErrors()
+		So(fixture.runs.Load(), ShouldEqual, 4)
+		_, waitingNow := fixture.gateway.waitQueues.admissionErrors()
 		So(waitingNow, ShouldEqual, 0)
 	})
 	Convey("one for which it does not come hears so with the time to come back, having run nowhere, and leaves the queue", t, func() {
-		stand := newGatewayFixture(t, func(w http.ResponseWriter, _ *http.Request) { respondNotRun(w) })
-		response, _, err := stand.send("/unsafe/", "r1", "Ochrebay-Deadline-Ms", "300")
+		fixture := newGatewayFixture(t, func(w http.ResponseWriter, _ *http.Request) { respondNotRun(w) })
+		response, _, err := fixture.send("/unsafe/", "r1", "Ochrebay-Deadline-Ms", "300")
 		So(err, ShouldBeNil)
 		So(response.StatusCode, ShouldEqual, 503)
 		So(response.Header.Get("Retry-After"), ShouldNotBeBlank)
-		mistakes, waitingNow := stand.gateway.waitQueues.admissionErrors()
+		mistakes, waitingNow := fixture.gateway.waitQueues.admissionErrors()
 		So(waitingNow, ShouldEqual, 0)
 		So(mistakes.FutileWaits, ShouldEqual, 1)
 	})
 	Convey("so does one without any engine", t, func() {
-		stand := newGatewayFixture(t, respondSigned)
-		stand.gateway.engines.applyFleet(&membership.FleetView{Version: 2})
-		response, body, err := stand.send("/safe/", "r1", "Ochrebay-Deadline-Ms", "300")
+		fixture := newGatewayFixture(t, respondSigned)
+		fixture.gateway.engines.applyFleet(&membership.FleetView{Version: 2})
+		response, body, err := fixture.send("/safe/", "r1", "Ochrebay-Deadline-Ms", "300")
 		So(err, ShouldBeNil)
 		So(response.StatusCode, ShouldEqual, 503)
 		So(body, ShouldContainSubstring, "1204")
@@ -59,17 +59,17 @@
 
 // newTwoEngineFixture is a gateway before an engine of one behaviour and another that answers well;
 // the first is asked first.
-func newTwoEngineFixture(t *testing.T, first http.HandlerFunc) (stand *gatewayFixture, firstRuns *atomic.Int64) {
-	stand = newGatewayFixture(t, respondSigned)
+func newTwoEngineFixture(t *testing.T, first http.HandlerFunc) (fixture *gatewayFixture, firstRuns *atomic.Int64) {
+	fixture = newGatewayFixture(t, respondSigned)
 	other := newGatewayFixture(t, first)
-	fleet := *stand.gateway.view.Load().fleet
+	fleet := *fixture.gateway.view.Load().fleet
 	fleet.Engines["first"] = other.gateway.view.Load().fleet.Engines["e"]
 	engine := fleet.Engines["first"]
 	engine.ID = "first"
 	fleet.Engines["first"] = engine
-	stand.gateway.engines.applyFleet(&fleet)
-	stand.gateway.engines.healthOf("e").RecordFailure(clock.NowMs())
-	return stand, &other.runs
+	fixture.gateway.engines.applyFleet(&fleet)
+	fixture.gateway.engines.healthOf("e").RecordFailure(clock.NowMs())
+	return fixture, &other.runs
 }
 
 // recordLatencies lets the gateway know that answers take 20 ms.
@@ -83,77 +83,77 @@
 }
 
 func TestEnginesThatAreSilent(t *testing.T) {
-	hold := make(chan struct{})
-	defer close(hold)
-	silent := func(_ http.ResponseWriter, r *http.Request) {
+	release := make(chan struct{})
+	defer close(release)
+	unresponsive := func(_ http.ResponseWriter, r *http.Request) {
 		select {
 		case <-r.Context().Done():
-		case <-hold:
+		case <-release:
 		}
 	}
 	Convey("a request that may be repeated leaves an engine that is silent for longer than its like", t, func() {
-		stand, runs := newTwoEngineFixture(t, silent)
-		stand.recordLatencies("/safe/")
-		response, _, err := stand.send("/safe/", "r1", "Ochrebay-Deadline-Ms", "20000")
+		fixture, runs := newTwoEngineFixture(t, unresponsive)
+		fixture.recordLatencies("/safe/")
+		response, _, err := fixture.send("/safe/", "r1", "Ochrebay-Deadline-Ms", "20000")
 		So(err, ShouldBeNil)
 		So(response.StatusCode, ShouldEqual, 200)
 		So(runs.Load(), ShouldEqual, 1)
-		So(stand.runs.Load(), ShouldEqual, 1)
-		So(stand.gateway.engines.healthOf("first").IsSuspect(clock.NowMs()), ShouldBeTrue)
+		So(fixture.runs.Load(), ShouldEqual, 1)
+		So(fixture.gateway.engines.healthOf("first").IsSuspect(clock.NowMs()), ShouldBeTrue)
 	})
 	Convey("one that may not waits for it until its time is over, and the engine is passed over meanwhile", t, func() {
-		stand, runs := newTwoEngineFixture(t, silent)
-		stand.recordLatencies("/unsafe/")
-		response, _, err := stand.send("/unsafe/", "r1", "Ochrebay-Deadline-Ms", "400")
+		fixture, runs := newTwoEngineFixture(t, unresponsive)
+		fixture.recordLatencies("/unsafe/")
+		response, _, err := fixture.send("/unsafe/", "r1", "Ochrebay-Deadline-Ms", "400")
 		So(err, ShouldBeNil)
 		So(response.StatusCode, ShouldEqual, 504)
 		So(runs.Load(), ShouldEqual, 1)
-		So(stand.runs.Load(), ShouldEqual, 0)
-		So(stand.gateway.engines.failingEngines(clock.NowMs()), ShouldContain, "first")
+		So(fixture.runs.Load(), ShouldEqual, 0)
+		So(fixture.gateway.engines.failingEngines(clock.NowMs()), ShouldContain, "first")
 	})
 	Convey("without a budget nothing is sent a second time", t, func() {
-		stand, _ := newTwoEngineFixture(t, silent)
-		stand.recordLatencies("/safe/")
-		stand.gateway.retries.settings = retry.Settings{}
-		for stand.gateway.retries.tryTake("b") {
+		fixture, _ := newTwoEngineFixture(t, unresponsive)
+		fixture.recordLatencies("/safe/")
+		fixture.gateway.retries.settings = retry.Settings{}
+		for fixture.gateway.retries.tryTake("b") {
 		}
-		response, _, err := stand.send("/safe/", "r1", "Ochrebay-Deadline-Ms", "400")
+		response, _, err := fixture.send("/safe/", "r1", "Ochrebay-Deadline-Ms", "400")
 		So(err, ShouldBeNil)
 		So(response.StatusCode, ShouldEqual, 504)
-		So(stand.runs.Load(), ShouldEqual, 0)
+		So(fixture.runs.Load(), ShouldEqual, 0)
 	})
 }
 
 func TestEnginesThatFail(t *testing.T) {
-	fails := func(w http.ResponseWriter, r *http.Request) {
+	failing := func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Ochrebay-Signature", "s")
 		w.WriteHeader(http.StatusInternalServerError)
 	}
 	Convey("a failure of one engine is not passed on where another may be asked, and the engine counts as failing", t, func() {
-		stand, runs := newTwoEngineFixture(t, fails)
-		response, _, err := stand.send("/safe/", "r1", "Ochrebay-Deadline-Ms", "20000")
+		fixture, runs := newTwoEngineFixture(t, failing)
+		response, _, err := fixture.send("/safe/", "r1", "Ochrebay-Deadline-Ms", "20000")
 		So(err, ShouldBeNil)
 		So(response.StatusCode, ShouldEqual, 200)
 		So(runs.Load(), ShouldEqual, 1)
-		So(stand.gateway.engines.failingEngines(clock.NowMs()), ShouldContain, "first")
+		So(fixture.gateway.engines.failingEngines(clock.NowMs()), ShouldContain, "first")
 	})
 	Convey("where none may, it is passed on as it is, and yet is no sign of a quick engine", t, func() {
-		stand, runs := newTwoEngineFixture(t, fails)
-		response, _, err := stand.send("/unsafe/", "r1", "Ochrebay-Deadline-Ms", "20000")
+		fixture, runs := newTwoEngineFixture(t, failing)
+		response, _, err := fixture.send("/unsafe/", "r1", "Ochrebay-Deadline-Ms", "20000")
 		So(err, ShouldBeNil)
 		So(response.StatusCode, ShouldEqual, 500)
 		So(response.Header.Get("Ochrebay-Signature"), ShouldEqual, "s")
 		So(runs.Load(), ShouldEqual, 1)
-		So(stand.runs.Load(), ShouldEqual, 0)
-		So(stand.gateway.engines.failingEngines(clock.NowMs()), ShouldContain, "first")
+		So(fixture.runs.Load(), ShouldEqual, 0)
+		So(fixture.gateway.engines.failingEngines(clock.NowMs()), ShouldContain, "first")
 	})
 }
 
 func TestLedgersThatAreSlow(t *testing.T) {
 	Convey("a turn whose ledger is without an answer for longer than one question lasts is served and kept all the same", t, func() {
-		stand := newGatewayFixture(t, streamingEngine(3, "", false))
+		fixture := newGatewayFixture(t, streamingEngine(3, "", false))
 		var asked atomic.Int64
-		stand.ledger.setResponse(func(*protocol.TurnRequest) *protocol.TurnReply {
+		fixture.ledger.setResponse(func(*protocol.TurnRequest) *protocol.TurnReply {
 			// The first answers to the opening and to the keeping are lost.
 			if number := asked.Add(1); number%4 != 0 {
 				return nil
@@ -161,7 +161,7 @@
 			return &protocol.TurnReply{}
 		})
 		began := time.Now()
-		response, body, err := stand.send("/kept/", "r1", append([]string{"Ochrebay-Deadline-Ms", "20000"}, budgetHeaders...)...)
+		response, body, err := fixture.send("/kept/", "r1", append([]string{"Ochrebay-Deadline-Ms", "20000"}, budgetHeaders...)...)
 		So(err, ShouldBeNil)
 		So(response.StatusCode, ShouldEqual, 200)
 		So(body, ShouldContainSubstring, "data: 3")
--- a/internal/gateway/waiting.go
+++ b/internal/gateway/waiting.go
@@ -32,8 +32,8 @@
 
 // queueFor returns a back end's queue; the caller holds the mutex.
 func (q *waitQueues) queueFor(backend string) *backendQueue {
-	found, known := q.byBackend[backend]
-	if !known {
+	found, exists := q.byBackend[backend]
+	if !exists {
 		found = &backendQueue{queue: waiting.NewQueue(q.settings), wakeups: map[*waiting.Entry]chan string{}}
 		q.byBackend[backend] = found
 	}
@@ -49,12 +49,12 @@
 }
 
 // wake passes the word of room on; engine is "" where it is not known which has some.
-func (b *backendQueue) wake(place *waiting.Entry, engine string) {
-	if place == nil {
+func (b *backendQueue) wake(entry *waiting.Entry, engine string) {
+	if entry == nil {
 		return
 	}
 	select {
-	case b.wakeups[place] <- engine:
+	case b.wakeups[entry] <- engine:
 	default:
 		// It was told already.
 	}
@@ -83,13 +83,13 @@
 		}
 		return waiters.wakeups[c.queueEntry], rejection
 	}
-	place, rejection := waiters.queue.Join(nowMs, c.waitingCall())
+	entry, rejection := waiters.queue.Join(nowMs, c.waitingCall())
 	if rejection != nil {
 		return nil, rejection
 	}
-	c.queueEntry = place
-	waiters.wakeups[place] = make(chan string, 1)
-	return waiters.wakeups[place], nil
+	c.queueEntry = entry
+	waiters.wakeups[entry] = make(chan string, 1)
+	return waiters.wakeups[entry], nil
 }
 
 // leave takes a call out of its queue, because an engine took it or because it ended.
@@ -120,26 +120,26 @@
 }
 
 // admissionErrors adds up what has turned out wrong at all back ends.
-func (q *waitQueues) admissionErrors() (sum waiting.AdmissionErrors, waitingNow int) {
+func (q *waitQueues) admissionErrors() (total waiting.AdmissionErrors, waitingCount int) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	for _, waiters := range q.byBackend {
-		mistakes := waiters.queue.AdmissionErrors()
-		sum.FalseRejections += mistakes.FalseRejections
-		sum.FutileWaits += mistakes.FutileWaits
-		sum.FutileWaitMs += mistakes.FutileWaitMs
-		waitingNow += waiters.queue.Len()
+		errors := waiters.queue.AdmissionErrors()
+		total.FalseRejections += errors.FalseRejections
+		total.FutileWaits += errors.FutileWaits
+		total.FutileWaitMs += errors.FutileWaitMs
+		waitingCount += waiters.queue.Len()
 	}
-	return sum, waitingNow
+	return total, waitingCount
 }
 
 // waitingCall is what the call's place in a queue depends on.
 func (c *call) waitingCall() waiting.Call {
-	due := c.deadline
-	if c.programDueAt.After(c.startedAt) && c.programDueAt.Before(due) {
-		due = c.programDueAt
+	dueTime := c.deadline
+	if c.programDueAt.After(c.startedAt) && c.programDueAt.Before(dueTime) {
+		dueTime = c.programDueAt
 	}
-	return waiting.Call{Priority: c.priority(), ProgramInProgress: c.programInProgress, AboveFairShare: c.aboveFairShare, DueTimeMs: due.UnixMilli(), LatestStartMs: c.latestStart.UnixMilli()}
+	return waiting.Call{Priority: c.priority(), ProgramInProgress: c.programInProgress, AboveFairShare: c.aboveFairShare, DueTimeMs: dueTime.UnixMilli(), LatestStartMs: c.latestStart.UnixMilli()}
 }
 
 // waitForCapacity waits until an engine of the call's back end may have room; it returns that
@@ -153,7 +153,7 @@
 	if d.process.Policy.Disable.Has(scheduling.MechanismWaitQueue) {
 		return "", d.pauseUnqueued(ctx, c)
 	}
-	told, rejection := d.waitQueues.join(c, clock.NowMs())
+	wakeup, rejection := d.waitQueues.join(c, clock.NowMs())
 	for rejection == nil {
 		timer := time.NewTimer(min(d.waitQueues.probeDelay(c), max(time.Until(c.latestStart), 0)))
 		select {
@@ -161,13 +161,13 @@
 			timer.Stop()
 			d.waitQueues.leave(c, false)
 			return "", result.New(result.Cancelled, "the caller left while its call waited: %v", ctx.Err())
-		case engine = <-told:
+		case engine = <-wakeup:
 			timer.Stop()
 			return engine, nil
 		case <-timer.C:
 		}
 		if !time.Now().Before(c.latestStart) {
-			told, rejection = d.waitQueues.join(c, clock.NowMs())
+			wakeup, rejection = d.waitQueues.join(c, clock.NowMs())
 		} else if d.waitQueues.startProbe(c) {
 			return "", nil
 		}
@@ -179,24 +179,24 @@
 
 // pauseUnqueued waits a moment without any order, for comparison.
 func (d *Daemon) pauseUnqueued(ctx context.Context, c *call) *result.Error {
-	const pause = 30 * time.Millisecond
-	if time.Now().Add(pause).After(c.latestStart) {
-		return d.rejectionError(c, &waiting.Rejection{RetryAfterMs: pause.Milliseconds()})
+	const delay = 30 * time.Millisecond
+	if time.Now().Add(delay).After(c.latestStart) {
+		return d.rejectionError(c, &waiting.Rejection{RetryAfterMs: delay.Milliseconds()})
 	}
 	select {
 	case <-ctx.Done():
 		return result.New(result.Cancelled, "the caller left while its call waited: %v", ctx.Err())
-	case <-time.After(pause):
+	case <-time.After(delay):
 		return nil
 	}
 }
 
 // rejectionError is the answer to a call for which room is unlikely to come in time.
 func (d *Daemon) rejectionError(c *call, rejection *waiting.Rejection) *result.Error {
-	after := time.Duration(rejection.RetryAfterMs) * time.Millisecond
+	retryAfter := time.Duration(rejection.RetryAfterMs) * time.Millisecond
 	if d.engines.engineCount(c.backend.Name) == 0 {
-		return result.New(result.NoEngine, "no engine of %s", c.backend.Name).WithRetryAfter(after)
+		return result.New(result.NoEngine, "no engine of %s", c.backend.Name).WithRetryAfter(retryAfter)
 	}
 	return result.New(result.EngineRefused, "no engine of %s had room in %s; %d calls go before it, room comes at %.1f a second: chance %.3f to start in time",
-		c.backend.Name, c.waitTime.Round(time.Millisecond), rejection.Ahead, rejection.CompletionsPerSecond, rejection.Probability).WithRetryAfter(after)
+		c.backend.Name, c.waitTime.Round(time.Millisecond), rejection.Ahead, rejection.CompletionsPerSecond, rejection.Probability).WithRetryAfter(retryAfter)
 }
