--- a/internal/gateway/admission.go
+++ b/internal/gateway/admission.go
@@ -8,18 +8,20 @@
 	"github.com/ochrebay/ochrebay/internal/scheduling"
 )
 
-// minSlowLatencyRatio is from how many times the time that others take on an engine counts as slow.
+// minSlowLatencyRatio is the ratio of an engine's latency to that of the other engines above
+// which the engine counts as slow.
 const minSlowLatencyRatio = 1.3
 
-// activityTracker notes when this gateway sent or received something of streams, and so shows when
-// its process, or its machine, stood still.
+// activityTracker records when this gateway last sent a request or received an event of a stream.
+// A long gap shows that the process, or its machine, was stalled.
 type activityTracker struct {
 	lastMs int64
-	// idleFromMs and toMs are the last time without any, if it was longer than a pause may be.
+	// idleFromMs and idleToMs bound the latest interval of at least minIdleMs without activity.
 	idleFromMs, idleToMs int64
 }
 
-// minIdleMs is the shortest time without activity that may be a pause of the process.
+// minIdleMs is the shortest interval without activity that counts as a possible stall of the
+// process.
 const minIdleMs = 100
 
 func (a *activityTracker) record(nowMs int64) {
@@ -29,16 +31,17 @@
 	a.lastMs = nowMs
 }
 
-// wasIdle reports whether nothing happened for half of the time up to nowMs or more.
+// wasIdle reports whether the gateway was idle for at least half of the last spanMs milliseconds
+// before nowMs.
 func (a *activityTracker) wasIdle(nowMs int64, spanMs float64) bool {
 	const half = 2
 	idleMs := a.idleToMs - max(a.idleFromMs, nowMs-int64(spanMs))
 	return float64(idleMs)*half >= spanMs
 }
 
-// observeStreamStart tells admission whether a stream began within its target. What lasted long
-// for another reason than that engines have too much to do is left out: an engine that is
-// slower than the others, or a pause of this process.
+// observeStreamStart reports to admission control whether a stream started within its route's
+// target latency. It leaves out late starts that overload does not explain: those at an engine
+// that is slower than the others, and those during a stall of this process.
 func (e *engineRegistry) observeStreamStart(c *call, nowMs int64, firstEventMs float64) {
 	targetMs := float64(c.route.TargetLatencyMs)
 	isSlow := c.selection.health.LatencyRatio(nowMs) > minSlowLatencyRatio
@@ -48,9 +51,10 @@
 	getOrCreate(e.admissionControllers, c.backend.Name).ObserveStreamStart(nowMs, firstEventMs > targetMs)
 }
 
-// meanConcurrency is the mean of all gateways' requests over the engines of a back end that the
-// others have spoken of lately; false where that is less than half of them, as while control
-// has no leader: this gateway's own requests alone would look like an idle fleet.
+// meanConcurrency returns the mean number of requests in flight from all gateways over those
+// engines of a back end that have a recent shared load. isKnown is false if fewer than half of
+// the engines have one, for example while control has no leader: counting only this gateway's
+// own requests would make the fleet look idle.
 func (e *engineRegistry) meanConcurrency(backend string, nowMs int64) (mean float64, isKnown bool) {
 	backendEngines := e.byBackend[backend]
 	total, reporting := 0.0, 0
@@ -66,18 +70,21 @@
 	return total / float64(max(reporting, 1)), reporting > 0 && reporting*half >= len(backendEngines)
 }
 
-// admissionDecision is one whether a program may begin, with what it was made from.
+// admissionDecision states whether a program may start, and the figures behind the decision.
+// concurrency, limit and capacity are in requests per engine.
 type admissionDecision struct {
 	admitted     bool
 	retryAfterMs int64
 	concurrency  float64
 	limit        float64
-	// capacity is for how many requests an engine has room, position where the tenant stands.
+	// capacity is the usable concurrency of an engine, and shareStatus compares the tenant's
+	// usage with its fair share.
 	capacity    float64
 	shareStatus admission.ShareStatus
 }
 
-// decideAdmission decides whether a call that begins a program may go on.
+// decideAdmission decides whether a call that starts a program may proceed. The hash of the
+// program id serves as its random sample, so that every attempt of a program gets the same one.
 func (e *engineRegistry) decideAdmission(c *call, priorityPosition, priorityCount int) admissionDecision {
 	if e.disabled.Has(scheduling.MechanismAdmission) {
 		return admissionDecision{admitted: true}
@@ -100,7 +107,8 @@
 	if decision.shareStatus.AboveFairShare {
 		decision.retryAfterMs, decision.admitted = decision.shareStatus.Admit(sample)
 	} else {
-		// What others use beyond their shares is theirs to give back.
+		// Usage of other tenants beyond their fair shares does not count against a tenant
+		// within its share: those tenants have to reduce it.
 		excess := decision.shareStatus.Excess / float64(max(len(e.byBackend[c.backend.Name]), 1))
 		decision.retryAfterMs, decision.admitted = controller.Admit(concurrency-excess, priorityPosition, priorityCount, sample)
 	}
@@ -110,14 +118,15 @@
 	return decision
 }
 
-// recordProgramStart tells the meter of a program that has begun.
+// recordProgramStart counts a started program in the usage meter.
 func (e *engineRegistry) recordProgramStart(c *call, nowMs int64) {
 	if c.tenant != nil {
 		e.usageMeter.RecordProgramStart(c.backend.Name, c.tenant.Name, c.tenantWeight, nowMs)
 	}
 }
 
-// shareStatus returns where the tenant of a call stands at its back end.
+// shareStatus compares the usage of the call's tenant at its back end with the tenant's fair
+// share. capacity is in requests per engine. The result is empty if fair shares are disabled.
 func (e *engineRegistry) shareStatus(c *call, capacity float64, nowMs int64) admission.ShareStatus {
 	if c.tenant == nil || !e.fairSharesEnabled {
 		return admission.ShareStatus{}
@@ -125,8 +134,8 @@
 	return e.tenantShares.Status(c.backend.Name, c.tenant.Name, capacity*float64(len(e.byBackend[c.backend.Name])), nowMs)
 }
 
-// isAboveFairShare reports whether the tenant of a call uses more than its share of a back end that
-// is short of room.
+// isAboveFairShare reports whether the tenant of a call demands more than its fair share of an
+// oversubscribed back end.
 func (e *engineRegistry) isAboveFairShare(c *call) bool {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -134,7 +143,8 @@
 	return e.shareStatus(c, admission.UsableConcurrency(c.backend.Slots, controller.UnrestrictedConcurrency()), clock.NowMs()).AboveFairShare
 }
 
-// adjustInFlight counts a call at its back end, or takes it off again.
+// adjustInFlight adds change to the tenant's requests in flight at the call's back end: 1 when
+// the call starts, -1 when it ends.
 func (e *engineRegistry) adjustInFlight(c *call, change int) {
 	if !c.requiresKey {
 		return
@@ -149,12 +159,13 @@
 	e.slotsByBackend[c.backend.Name] = c.backend.Slots
 }
 
-// tenantReportFraction is the part of the room of a back end from which on gateways name the tenants that
-// use it: a half, since demand doubles within the time that it takes to hear of it.
+// tenantReportFraction is the fraction of a back end's capacity at which gateways start to report
+// its usage by tenant. It is one half because demand can double in the time that a report takes to
+// reach the other gateways.
 const tenantReportFraction = 0.5
 
-// collectTenantUsage returns what was used here of back ends since the last call, by tenants where they are
-// short or nearly so.
+// collectTenantUsage returns this gateway's usage of back ends since the last call. Usage is broken
+// down by tenant only for back ends that are oversubscribed or close to it.
 func (e *engineRegistry) collectTenantUsage(nowMs int64) []admission.BackendUsage {
 	if !e.fairSharesEnabled {
 		return nil
@@ -169,14 +180,15 @@
 	})
 }
 
-// applySharedTenantUsage takes what all gateways' tenants together use of back ends.
+// applySharedTenantUsage applies the usage of back ends by tenant, aggregated over all gateways.
 func (e *engineRegistry) applySharedTenantUsage(usages []admission.BackendUsage, nowMs int64) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	e.tenantShares.ApplyUsage(usages, nowMs)
 }
 
-// collectStreamLateness returns what this gateway has seen of streams since the last call.
+// collectStreamLateness returns the late starts of streams that this gateway has observed at each
+// back end since the last call.
 func (e *engineRegistry) collectStreamLateness(nowMs int64) []scheduling.StreamLateness {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -189,7 +201,7 @@
 	return lateness
 }
 
-// applySharedLateness takes what all gateways together have seen of streams.
+// applySharedLateness applies the late starts of streams, aggregated over all gateways.
 func (e *engineRegistry) applySharedLateness(lateness []scheduling.StreamLateness, nowMs int64) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
--- a/internal/gateway/admission_test.go
+++ b/internal/gateway/admission_test.go
@@ -10,8 +10,8 @@
 	"github.com/ochrebay/ochrebay/internal/scheduling"
 )
 
-// newOverloadedFixture is a gateway that has learnt that its engines fall behind, whose ledger
-// says whether a turn is its program's first.
+// newOverloadedFixture returns a gateway that has learned a concurrency limit from late streams and
+// has many requests in flight. first is the ledger's reply on whether a turn is its program's first.
 func newOverloadedFixture(t *testing.T, first bool) *gatewayFixture {
 	fixture := newGatewayFixture(t, streamingEngine(1, "", false))
 	fixture.ledger.setResponse(func(request *protocol.TurnRequest) *protocol.TurnReply {
@@ -32,7 +32,8 @@
 }
 
 func TestAdmissionOfAGateway(t *testing.T) {
-	// Of a hundred programs a tenth is let in at the least: their ids draw it.
+	// The hash of a program's id decides whether it is admitted. At most nine tenths of the
+	// programs are rejected.
 	rejected := func(fixture *gatewayFixture, path string, headers ...string) (count int, retryAfter string) {
 		for _, program := range []string{"p0", "p1", "p2", "p3", "p4", "p5", "p6", "p7", "p8", "p9"} {
 			response, _, err := fixture.send(path, "r-"+program, append(append(headers, budgetHeaders...), "Ochrebay-Program", program)...)
@@ -44,7 +45,7 @@
 		}
 		return count, retryAfter
 	}
-	Convey("before engines that fall behind the first turn of most programs is rejected, runs nowhere, and is told when to come back", t, func() {
+	Convey("overload rejects the first turn of most programs without running it, and returns Retry-After", t, func() {
 		fixture := newOverloadedFixture(t, true)
 		count, retryAfter := rejected(fixture, "/stream/")
 		So(count, ShouldBeGreaterThan, 5)
@@ -53,19 +54,19 @@
 		repeated, _ := rejected(fixture, "/stream/")
 		So(repeated, ShouldEqual, count)
 	})
-	Convey("a program under way goes on, and so does one that continues a kept turn", t, func() {
+	Convey("a program in progress is not rejected, nor one that continues from a retained turn", t, func() {
 		count, _ := rejected(newOverloadedFixture(t, false), "/stream/")
 		So(count, ShouldEqual, 0)
 		count, _ = rejected(newOverloadedFixture(t, true), "/kept/", "Ochrebay-Previous-Turn", "t1")
 		So(count, ShouldEqual, 0)
 	})
-	Convey("without word of the other gateways nobody is rejected", t, func() {
+	Convey("without shared load from the other gateways no program is rejected", t, func() {
 		fixture := newOverloadedFixture(t, true)
 		fixture.gateway.engines.health = map[string]*scheduling.EngineHealth{}
 		count, _ := rejected(fixture, "/stream/")
 		So(count, ShouldEqual, 0)
 	})
-	Convey("turned off it rejects nobody", t, func() {
+	Convey("disabled admission control rejects no program", t, func() {
 		fixture := newOverloadedFixture(t, true)
 		fixture.gateway.engines.disabled = scheduling.DisabledMechanisms{scheduling.MechanismAdmission}
 		count, _ := rejected(fixture, "/stream/")
@@ -74,7 +75,7 @@
 }
 
 func TestActivity(t *testing.T) {
-	Convey("a stream that began late over a pause of the process is told from one that waited", t, func() {
+	Convey("a late stream during a stall of the process is distinguished from one that the engine delayed", t, func() {
 		var tracker activityTracker
 		for nowMs := int64(0); nowMs <= 1000; nowMs += 20 {
 			tracker.record(nowMs)
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -13,47 +13,48 @@
 	"github.com/ochrebay/ochrebay/internal/upstream"
 )
 
-// attemptKind says how one send to an engine ended.
+// attemptKind classifies how one attempt at an engine ended.
 type attemptKind uint8
 
 const (
-	// attemptAnswered means that the engine's answer was passed on or is held whole.
+	// attemptAnswered means that the engine's response was forwarded in full.
 	attemptAnswered attemptKind = iota
-	// attemptNotSent means that the engine saw nothing of the request.
+	// attemptNotSent means that no part of the request reached the engine.
 	attemptNotSent
-	// attemptRefused means that the engine says it did not run the request.
+	// attemptRefused means that the engine stated that it did not run the request.
 	attemptRefused
 	// attemptBroken means that the engine may have run the request.
 	attemptBroken
-	// attemptFailed means that the engine ran the request and answered with a failure, which
-	// was not passed on.
+	// attemptFailed means that the engine ran the request and responded with a failure, which
+	// was not forwarded to the caller.
 	attemptFailed
-	// attemptCancelled means that the caller left or the call's time was over.
+	// attemptCancelled means that the caller disconnected or the call's deadline passed.
 	attemptCancelled
 )
 
-// String names the kind for logs.
+// String returns the name of the kind in logs and metrics.
 func (k attemptKind) String() string {
 	return [...]string{"answered", "not_sent", "refused", "broken", "failed", "cancelled"}[k]
 }
 
-// attemptOutcome is how one send to an engine ended.
+// attemptOutcome describes how one attempt at an engine ended.
 type attemptOutcome struct {
 	kind   attemptKind
 	status int
-	// responseStarted says that a part of the answer has reached the caller.
+	// responseStarted is true if a part of the response was written to the caller.
 	responseStarted bool
-	// responseMs is how long the engine took for a whole answer, 0 for a stream.
+	// responseMs is the time to a buffered response in milliseconds, 0 for a stream.
 	responseMs float64
-	// streamEvents are those of a stream that went to its end.
+	// streamEvents is the number of events of a stream that completed.
 	streamEvents int64
 	err          error
 }
 
-// lowestPriority is the last rank at an engine.
+// lowestPriority is the least urgent priority at an engine.
 const lowestPriority = 9
 
-// selectionInput describes the call to the choice of engines.
+// selectionInput returns the properties of the call that engine selection depends on. Engines in
+// excluded are not selected.
 func (d *Daemon) selectionInput(c *call, excluded []string) scheduling.SelectionInput {
 	input := scheduling.SelectionInput{ExcludedEngines: excluded, NowMs: clock.NowMs(), RequestKind: c.route.Name}
 	switch {
@@ -69,10 +70,10 @@
 	return input
 }
 
-// deliverFunc passes an engine's answer on.
+// deliverFunc forwards an engine's response to the caller.
 type deliverFunc func(exchange *upstream.Exchange, c *call) attemptOutcome
 
-// attempt sends the call to one engine and has the answer delivered.
+// attempt sends the call to one engine and delivers the response.
 func (d *Daemon) attempt(ctx context.Context, c *call, engine membership.ServingEngine, deliver deliverFunc) attemptOutcome {
 	deadlineContext, stopDeadline := context.WithDeadline(ctx, c.deadline)
 	defer stopDeadline()
@@ -108,24 +109,26 @@
 	return outcome
 }
 
-// parseRefusal reports whether the engine says that it did not run the call.
+// parseRefusal reports whether the response states that the engine did not run the call.
 func (d *Daemon) parseRefusal(exchange *upstream.Exchange) (attemptOutcome, bool) {
 	response := exchange.Response
 	if response.Header.Get(d.headerNames.NotExecuted) == "" && response.StatusCode != http.StatusMisdirectedRequest {
 		return attemptOutcome{}, false
 	}
 	drainResponse(exchange)
-	err := errors.New("turned away with " + strconv.Itoa(response.StatusCode))
+	err := errors.New("engine refused the request with status " + strconv.Itoa(response.StatusCode))
 	return attemptOutcome{kind: attemptRefused, status: response.StatusCode, err: err}, true
 }
 
-// priority is the call's rank at the engine, 0 first. Invariant: a program that has missed its
-// time keeps its rank. Engines serve ranks in strict order, so that in an overload the last rank
-// waits until its callers give up: a late program would be lost with all that it has cost, and
-// its callers would come back to wait again.
+// priority returns the call's priority at the engine, 0 being the most urgent. Invariant: a program
+// that has missed its finish time keeps its priority. Engines serve priorities in strict order, so
+// in an overload requests of the lowest priority wait until their callers give up. Demoting a late
+// program would waste all the work already done for it, and its callers would retry and wait again.
 func (c *call) priority() int { return min(c.tenant.EffectivePriority(c.route), lowestPriority) }
 
-// upstreamRequest is the call as the engine is to get it.
+// upstreamRequest returns the call in the form that is sent to the engine: without headers that
+// concern one connection or that only gateways set, and with the history of a retained turn before
+// the body.
 func (d *Daemon) upstreamRequest(c *call, engine membership.ServingEngine) *upstream.Request {
 	header := endToEndHeaders(c.request.Header)
 	for _, name := range d.headerNames.Reserved {
--- a/internal/gateway/calllog.go
+++ b/internal/gateway/calllog.go
@@ -11,8 +11,8 @@
 	"github.com/ochrebay/ochrebay/internal/waiting"
 )
 
-// logCall writes the one line that says how a call ended. It holds what was decided and
-// measured, and no key for what the call did not come to.
+// logCall writes the one log line that reports how a call ended. The line holds decisions and
+// measurements, and no key for a step that the call did not reach.
 func (d *Daemon) logCall(c *call, request *http.Request, response *callerResponse, failure *result.Error, elapsed time.Duration) {
 	id := request.Header.Get(d.headerNames.RequestID)
 	keyValues := []any{"request", id}
@@ -37,8 +37,8 @@
 	telemetry.Warn(d.logger, "failed", keyValues...)
 }
 
-// tenantFields say who asked and how sure the gateway was of its keys, nothing where the
-// table has no tenants.
+// tenantFields returns the tenant of the call, the age of the latest confirmation of the routing
+// table and the time spent on the tenant's quota. It returns nothing if the table has no tenants.
 func (d *Daemon) tenantFields(c *call) []any {
 	age, known := d.confirmationAge()
 	if !c.requiresKey || !known {
@@ -54,8 +54,8 @@
 	return fields
 }
 
-// selectionFields say what decided for the engine that was sent the call last, nothing where
-// none was chosen.
+// selectionFields returns the figures behind the latest engine selection, nothing if no engine was
+// selected.
 func (c *call) selectionFields() []any {
 	if c.attemptCount == 0 {
 		return nil
@@ -69,10 +69,10 @@
 	}
 }
 
-// formatRatio shortens a ratio for the log.
+// formatRatio formats a ratio with two decimals.
 func formatRatio(value float64) string { return strconv.FormatFloat(value, 'f', 2, 64) }
 
-// ledgerFields say how long the ledger took for a turn.
+// ledgerFields returns how long the ledger took to open and to retain a turn.
 func (c *call) ledgerFields() []any {
 	if !c.isTurn() {
 		return nil
@@ -84,7 +84,7 @@
 	return fields
 }
 
-// streamFields say when the events of a stream were passed on.
+// streamFields returns when the events of a stream were forwarded to the caller.
 func (a *callerResponse) streamFields(c *call) []any {
 	if c == nil || a.events == 0 {
 		return nil
@@ -92,7 +92,7 @@
 	return []any{"first_event_ms", a.firstEventAt.Sub(c.startedAt).Milliseconds(), "events_ms", a.lastEventAt.Sub(a.firstEventAt).Milliseconds()}
 }
 
-// logAttempt writes one line for a send that did not end well.
+// logAttempt counts an attempt and logs it unless it was answered.
 func (d *Daemon) logAttempt(c *call, engine membership.ServingEngine, outcome attemptOutcome) {
 	d.metrics.attempts.WithLabelValues(outcome.kind.String()).Inc()
 	if outcome.kind == attemptAnswered {
@@ -102,7 +102,7 @@
 		"outcome", outcome.kind.String(), "status", outcome.status, "started", outcome.responseStarted, "err", outcome.err)
 }
 
-// logRejection writes one line for a call that did not wait, or no longer, for room.
+// logRejection logs a call that the wait queue rejected, on arrival or after it had waited.
 func (d *Daemon) logRejection(c *call, rejection *waiting.Rejection) {
 	telemetry.Warn(d.logger, "wait rejected", "request", c.id, "backend", c.backend.Name, "rank", c.priority(), "begun", c.programInProgress, "above_share", c.aboveFairShare,
 		"waited_ms", c.waitTime.Milliseconds(), "ahead", rejection.Ahead, "room_per_s", rejection.CompletionsPerSecond,
--- a/internal/gateway/calllog_test.go
+++ b/internal/gateway/calllog_test.go
@@ -13,11 +13,12 @@
 	"github.com/ochrebay/ochrebay/internal/result"
 )
 
-// TestCallLog holds that the line of a request has keys only for what the request came to.
+// TestCallLog checks that the log line of a request only has keys for the steps that the request
+// reached.
 func TestCallLog(t *testing.T) {
-	Convey("the line that ends a request", t, func() {
+	Convey("the log line of a finished request", t, func() {
 		var lines bytes.Buffer
-		Convey("of one that came before the first table says how long it took, and of no choice", func() {
+		Convey("has the elapsed time but no engine selection if there was no routing table", func() {
 			gateway := NewDaemon(config.Defaults(), DefaultHeaderNames(), log.NewLogfmtLogger(&lines))
 			request := httptest.NewRequest("POST", "/x", nil)
 			request.Header.Set("Ochrebay-Request", "early")
@@ -28,7 +29,7 @@
 			So(lines.String(), ShouldNotContainSubstring, "took=\"\"")
 			So(lines.String(), ShouldNotContainSubstring, "cost_ms")
 		})
-		Convey("of a turn that the ledger refused has no engine", func() {
+		Convey("has no engine if the ledger rejected the turn", func() {
 			fixture := newGatewayFixture(t, streamingEngine(2, "", false))
 			fixture.gateway.logger = log.NewLogfmtLogger(&lines)
 			fixture.ledger.setResponse(func(*protocol.TurnRequest) *protocol.TurnReply {
--- a/internal/gateway/chains.go
+++ b/internal/gateway/chains.go
@@ -8,16 +8,16 @@
 	"github.com/ochrebay/ochrebay/internal/protocol"
 )
 
-// maxCachedHistories bounds the chains by number; bytes bound them before that.
+// maxCachedHistories bounds the number of cached histories. The bound in bytes normally applies
+// before this one.
 const maxCachedHistories = 1 << 16
 
-// historyCache keeps the content of chains that this gateway has served lately, by
-// the request of their last turn. A turn never changes once it is kept, so that
-// what is cached stays true.
+// historyCache is an LRU cache of the turn histories that this gateway has served, keyed by the
+// request id of their last turn. Entries never become stale, because a retained turn never changes.
 type historyCache struct {
 	mutex  sync.Mutex
 	byTurn *simplelru.LRU[string, []byte]
-	// lastTurnBySession names the last turn of each session that is cached.
+	// lastTurnBySession holds the last turn of each cached session.
 	lastTurnBySession *simplelru.LRU[string, string]
 	bytes             int
 	maxBytes          int
@@ -27,24 +27,25 @@
 	cache := &historyCache{maxBytes: maxBytes}
 	byTurn, err := simplelru.NewLRU(maxCachedHistories, func(_ string, content []byte) { cache.bytes -= len(content) })
 	if err != nil {
-		panic(err) // The size is a constant above zero.
+		panic(err) // Unreachable: the size is a positive constant.
 	}
 	cache.byTurn = byTurn
 	cache.lastTurnBySession, err = simplelru.NewLRU[string, string](maxCachedHistories, nil)
 	if err != nil {
-		panic(err) // As above.
+		panic(err) // Unreachable for the same reason.
 	}
 	return cache
 }
 
-// cachedHistory is the content of a line of turns up to one of them.
+// cachedHistory is the content of a sequence of turns up to and including the named turn.
 type cachedHistory struct {
 	turn    string
 	content []byte
 }
 
-// extend returns the chain with what the ledger says that follows. The content is
-// copied: several turns may go on from one.
+// extend returns the cached history followed by the turns in the ledger's reply, or the reply alone
+// if it holds the full history. The content is copied because several turns may continue from the
+// same one.
 func (h cachedHistory) extend(reply *protocol.TurnReply) []byte {
 	if !reply.Continued {
 		return reply.Chain
@@ -52,8 +53,8 @@
 	return append(append(make([]byte, 0, len(h.content)+len(reply.Chain)), h.content...), reply.Chain...)
 }
 
-// get returns the chain up to a turn, or else the longest one of the same session
-// that was served here; an empty one where there is none.
+// get returns the history up to a turn. If that is not cached, it returns the history up to the
+// last cached turn of the same session, or an empty one if there is none.
 func (c *historyCache) get(turn, program, session string) cachedHistory {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -71,9 +72,9 @@
 	return cachedHistory{lastTurn, content}
 }
 
-// put keeps the chain up to a turn of a session in place of the session's earlier one,
-// which it begins with: a turn that goes on from there has the ledger send what is
-// missing.
+// put caches the history up to a turn of a session. It replaces the session's earlier history, with
+// which the new one begins: if a later turn continues from the earlier history, the ledger sends
+// what is missing.
 func (c *historyCache) put(turn, program, session string, content []byte) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/gateway/daemon.go
+++ b/internal/gateway/daemon.go
@@ -28,30 +28,31 @@
 
 const (
 	defaultMaxBodyBytes = 8 << 20
-	// headerTimeout and idleTimeout bound callers' connections; they are above what
-	// routing tables grant.
+	// headerTimeout and idleTimeout bound callers' connections; they are above the timeouts that
+	// routing tables allow.
 	headerTimeout = 5 * time.Second
 	idleTimeout   = 30 * time.Second
 	sweepInterval = time.Second
-	// drainQuietPeriod is how long no request may have come before a draining gateway
-	// ends, and leastDrain how long it serves in any case.
+	// drainQuietPeriod is how long no request may have arrived before a draining gateway stops,
+	// and minDrainTime how long it serves in any case.
 	drainQuietPeriod  = 1500 * time.Millisecond
 	minDrainTime      = 3500 * time.Millisecond
 	drainPollInterval = 50 * time.Millisecond
-	// historyCacheDivisor is the part of the process's memory that chains may take.
+	// historyCacheDivisor divides the process's memory limit to give the size of the history
+	// cache.
 	historyCacheDivisor      = 6
 	defaultHistoryCacheBytes = 64 << 20
 )
 
-// view is what calls are routed by; a new one is made for every change.
+// view is the immutable state that calls are routed by. Every change creates a new one.
 type view struct {
 	routes *routing.Index
 	fleet  *membership.FleetView
 }
 
-// Daemon is one gateway.
+// Daemon is one gateway process.
 type Daemon struct {
-	// Frontends are served besides the daemon's own interface.
+	// Frontends are served in addition to the daemon's own interface.
 	Frontends []daemon.Frontend
 
 	process      config.Process
@@ -69,25 +70,26 @@
 	denials      *denials
 	serviceTimes *serviceTimes
 	view         atomic.Pointer[view]
-	// confirmationAge says how old the proof is that the routing table is in force.
+	// confirmationAge returns how long ago control last confirmed that the routing table is in
+	// force, and false if it never has.
 	confirmationAge func() (time.Duration, bool)
-	// nextConfirmation is closed once a proof has come after the latest.
+	// nextConfirmation returns a channel that is closed at the next confirmation.
 	nextConfirmation func() <-chan struct{}
 	stalls           stallDetector
 	processorLoad    processorLoad
 	draining         atomic.Bool
 	inFlight         atomic.Int64
-	// lastRequestMs is when a request last came, clock.NowMs.
+	// lastRequestMs is the clock.NowMs time at which the latest request arrived.
 	lastRequestMs atomic.Int64
 }
 
-// NewDaemon returns a gateway that has heard nothing yet; names are the headers it
-// speaks.
+// NewDaemon returns a gateway that has no fleet view or routing table yet. headerNames are the names
+// of the headers that it reads and sets.
 func NewDaemon(process config.Process, headerNames HeaderNames, logger log.Logger) *Daemon {
 	d := &Daemon{
 		process: process, headerNames: headerNames, logger: logger, pool: upstream.NewPool(),
 		engines: newEngineRegistry(process.Zone, process.Policy), waitQueues: newWaitQueues(process.Policy.Waiting, process.Policy.Disable),
-		retries:   newRetries(process.Policy.Retry, process.Policy.Disable),
+		retries:   newRetryPolicy(process.Policy.Retry, process.Policy.Disable),
 		histories: newHistoryCache(historyCacheBytes(process.Limits, process.Policy.Disable)), denials: newDenials(),
 		serviceTimes: newServiceTimes(),
 	}
@@ -108,7 +110,7 @@
 	return d
 }
 
-// historyCacheBytes is how much the cache of chains may hold.
+// historyCacheBytes returns the size limit of the history cache in bytes, 0 if it is disabled.
 func historyCacheBytes(limits config.Limits, disabled scheduling.DisabledMechanisms) int {
 	if disabled.Has(scheduling.MechanismHistoryCache) {
 		return 0
@@ -119,14 +121,13 @@
 	return (limits.MemoryMB << 20) / historyCacheDivisor
 }
 
-// Follower returns the daemon's link to control, for changed settings.
+// Follower returns the daemon's link to control, which changed settings are applied to.
 func (d *Daemon) Follower() *daemon.Follower { return d.follower }
 
-// Ready reports whether the gateway takes requests: it knows the routing table and
-// is not stopping.
+// Ready reports whether the gateway accepts requests: it has a routing table and is not draining.
 func (d *Daemon) Ready() bool { return d.view.Load() != nil && !d.draining.Load() }
 
-// fillHeartbeat is the gateway's heartbeat.
+// fillHeartbeat fills in the gateway's heartbeat to control.
 func (d *Daemon) fillHeartbeat(request *protocol.FleetSync) {
 	request.Gateway = &membership.Gateway{
 		Name: d.process.Name, Zone: d.process.Zone, Region: d.process.Region, Address: d.process.Listen.Callers, IsReady: d.Ready(),
@@ -142,14 +143,16 @@
 	request.Uses = d.engines.collectTenantUsage(clock.NowMs())
 }
 
-// applySharedLoads takes what all gateways together have seen of engines.
+// applySharedLoads applies the engine loads aggregated over all gateways, and logs the engines that
+// become suspect because requests of several gateways fail there.
 func (d *Daemon) applySharedLoads(loads []scheduling.EngineLoad, failing []string) {
 	for _, engine := range d.engines.applySharedLoads(loads, failing, clock.NowMs()) {
 		telemetry.Info(d.logger, "engine fails at other gateways", "engine", engine)
 	}
 }
 
-// applyUpdate puts news of control in force.
+// applyUpdate applies a fleet view and a routing table from control. Without a fleet view it does
+// nothing, and without a table it keeps the current routes.
 func (d *Daemon) applyUpdate(fleet *membership.FleetView, table *routing.Table) {
 	if fleet == nil {
 		return
@@ -180,7 +183,7 @@
 
 func (d *Daemon) randomFraction() float64 { return rand.Float64() }
 
-// Run serves until ctx ends, then drains.
+// Run serves until ctx ends and then drains.
 func (d *Daemon) Run(ctx context.Context) error {
 	listener, err := net.Listen("tcp", d.process.Listen.Callers)
 	if err != nil {
@@ -210,12 +213,13 @@
 	return tasks.Wait(ctx, d.drain)
 }
 
-// monitoringFrontend serves metrics and health.
+// monitoringFrontend returns the frontend that serves metrics and health checks.
 func (d *Daemon) monitoringFrontend() daemon.Frontend {
 	return daemon.Frontend{Address: d.process.Listen.HTTP, Handler: d.monitor.Handler()}
 }
 
-// sweep closes engine connections that have rested too long, and notices pauses of the process.
+// sweep periodically closes engine connections that were idle for too long, and ticks the stall
+// detector.
 func (d *Daemon) sweep(ctx context.Context) error {
 	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
@@ -230,8 +234,8 @@
 	}
 }
 
-// drain takes the gateway out of the directory and serves on until callers have
-// stopped coming, bounded by the grace of the platform.
+// drain removes the gateway from the directory and continues to serve until no more requests arrive,
+// bounded by the platform's grace period.
 func (d *Daemon) drain(ctx context.Context) {
 	d.draining.Store(true)
 	d.follower.Poke()
--- a/internal/gateway/deliver.go
+++ b/internal/gateway/deliver.go
@@ -17,48 +17,48 @@
 )
 
 const (
-	// maxBufferedBytes bounds an answer that is held whole before it is passed on; a longer
-	// one is passed on as it comes.
+	// maxBufferedBytes bounds a response that is buffered in full before it is forwarded; a
+	// longer one is streamed to the caller.
 	maxBufferedBytes = 256 << 10
 	copyBufferBytes  = 32 << 10
 	eventReaderBytes = 4 << 10
 )
 
 var (
-	errMissingSignature = errors.New("a success without a signature")
-	errTurnNotRetained  = errors.New("the ledger did not keep the turn")
-	errStreamNotResumed = errors.New("the engine did not go on with the stream")
-	errCallerWrite      = errors.New("writing to the caller")
+	errMissingSignature = errors.New("successful response has no signature")
+	errTurnNotRetained  = errors.New("ledger did not retain the turn")
+	errStreamNotResumed = errors.New("engine did not resume the stream")
+	errCallerWrite      = errors.New("writing the response to the caller failed")
 )
 
-// drainResponse reads the rest of an answer, so that its connection can be used again.
+// drainResponse reads the rest of a response so that its connection can be reused.
 func drainResponse(exchange *upstream.Exchange) {
 	_, _ = io.CopyN(io.Discard, exchange, maxBufferedBytes)
 }
 
-// callerResponse is the way of one call's answer to the caller.
+// callerResponse forwards the response of one call to its caller, over all attempts.
 type callerResponse struct {
 	daemon *Daemon
 	writer http.ResponseWriter
-	// headerWritten says that the head was written.
+	// headerWritten is true once the status line and the header were written.
 	headerWritten bool
-	// resumed says that the stream goes on from an earlier attempt.
+	// resumed is true if the stream continues one from an earlier attempt.
 	resumed bool
-	// events counts the events passed on, over all attempts, and firstEvent when the
-	// first was.
+	// events counts the forwarded events over all attempts. firstEventAt and lastEventAt are
+	// the times at which the first and the latest of them arrived.
 	events       int64
 	firstEventAt time.Time
 	lastEventAt  time.Time
-	// eventGaps counts the pauses between events of the present attempt, and shortestPause is
-	// the shortest of them, milliseconds.
+	// eventGaps counts the gaps between events in the current attempt, and shortestGapMs is
+	// the shortest of them in milliseconds.
 	eventGaps     int
 	shortestGapMs float64
-	// outputData gathers the events' data of a turn that is kept.
+	// outputData collects the event data of a turn that is to be retained.
 	outputData []byte
 	status     int
 }
 
-// deliver passes the answer of an engine on: streams as they come, others whole.
+// deliver forwards an engine's response: streams event by event, other responses buffered.
 func (a *callerResponse) deliver(exchange *upstream.Exchange, c *call) attemptOutcome {
 	response := exchange.Response
 	success := response.StatusCode >= 200 && response.StatusCode < 300
@@ -67,15 +67,15 @@
 	}
 	impliesNotRun := response.StatusCode == http.StatusServiceUnavailable || response.StatusCode == http.StatusTooManyRequests
 	if impliesNotRun {
-		// The engine does not say that it did not run the call, so its status must not
-		// tell the caller so.
-		return attemptOutcome{kind: attemptBroken, status: response.StatusCode, err: fmt.Errorf("status %d without a promise", response.StatusCode)}
+		// These statuses would tell the caller that the call was not run, which the engine
+		// did not state.
+		return attemptOutcome{kind: attemptBroken, status: response.StatusCode, err: fmt.Errorf("status %d does not state that the call was not run", response.StatusCode)}
 	}
 	if success && c.route.Kind == routing.KindStream && isEventStream(response.Header) {
 		return a.deliverStream(exchange, c)
 	}
 	if a.headerWritten {
-		// What goes on from events that were passed on can only be events.
+		// A response that has started as an event stream can only continue with events.
 		return attemptOutcome{kind: attemptBroken, status: response.StatusCode, responseStarted: true, err: errStreamNotResumed}
 	}
 	return a.deliverBuffered(exchange, c)
@@ -85,8 +85,8 @@
 	return strings.HasPrefix(header.Get("Content-Type"), "text/event-stream")
 }
 
-// deliverBuffered holds an answer until it is complete, so that one that is broken off
-// can still be refused or asked for again.
+// deliverBuffered buffers a response until it is complete, so that the call can still be retried
+// or answered with an error if the engine breaks the connection.
 func (a *callerResponse) deliverBuffered(exchange *upstream.Exchange, c *call) attemptOutcome {
 	buffered, err := io.ReadAll(io.LimitReader(exchange, maxBufferedBytes))
 	status := exchange.Response.StatusCode
@@ -115,8 +115,8 @@
 	return attemptOutcome{kind: attemptAnswered, status: status, responseStarted: true, responseMs: elapsedMs}
 }
 
-// writeHeader writes the engine's status and headers; length is -1 where it is not
-// known.
+// writeHeader writes the engine's status and headers to the caller. length is the length of the
+// body in bytes, -1 if it is unknown.
 func (a *callerResponse) writeHeader(response *http.Response, length int) {
 	header := a.writer.Header()
 	for name, values := range endToEndHeaders(response.Header) {
@@ -131,15 +131,16 @@
 	a.status = response.StatusCode
 }
 
-// closeWhenDraining asks the caller to use another gateway for its next request.
+// closeWhenDraining makes the caller open a new connection for its next request while this gateway
+// drains, so that the request can go to another gateway.
 func (a *callerResponse) closeWhenDraining() {
 	if a.daemon.draining.Load() {
 		a.writer.Header().Set("Connection", "close")
 	}
 }
 
-// deliverStream passes whole events on as they come. Invariant: a part of an event
-// is never passed on, so that a broken stream can be taken up after the last one.
+// deliverStream forwards complete events as they arrive. Invariant: a part of an event is never
+// forwarded from a broken stream, so that it can be resumed after the last event.
 func (a *callerResponse) deliverStream(exchange *upstream.Exchange, c *call) attemptOutcome {
 	if c.responseTimer.stopAndCheck() {
 		return attemptOutcome{kind: attemptBroken, status: exchange.Response.StatusCode, responseStarted: a.headerWritten, err: errResponseTimeout}
@@ -150,7 +151,7 @@
 	a.eventGaps = 0
 	defer func() { a.daemon.engines.observeStreamPace(c, a.eventGaps, a.shortestGapMs) }()
 	if !a.headerWritten {
-		// A stream that is taken up at another engine keeps the first one's head.
+		// A stream that is resumed at another engine keeps the header of the first engine.
 		a.writeHeader(exchange.Response, -1)
 		flusher.Flush()
 	}
@@ -185,7 +186,7 @@
 		outcome.err = errCallerWrite
 		return outcome
 	}
-	// Invariant: a turn is kept before its caller can see the answer as complete.
+	// Invariant: a turn is retained before its caller can see the response as complete.
 	if c.retainsTurn() && !a.retainTurn(c) {
 		outcome.kind = attemptBroken
 		outcome.err = errTurnNotRetained
@@ -198,12 +199,14 @@
 	return len(line) == 1 || (len(line) == 2 && line[0] == '\r')
 }
 
-// forwardEvent writes one event and gathers what a kept turn needs of it.
+// forwardEvent writes one event to the caller and collects its data if the turn is to be retained.
+// It returns false if the write fails.
 func (a *callerResponse) forwardEvent(block []byte, c *call, flusher http.Flusher) bool {
 	data, isEvent := eventData(block)
 	if id, known := eventID(block); known {
 		if a.resumed && id <= c.lastEventID {
-			// An engine that goes on from an earlier event repeats what the caller has.
+			// An engine that resumes from an earlier event repeats events that the caller
+			// already has.
 			return true
 		}
 		c.lastEventID = id
@@ -221,7 +224,8 @@
 	return true
 }
 
-// recordEvent counts an event and tells the choice of engines how long it took.
+// recordEvent counts an event and feeds its latency to engine selection and, for the first event,
+// to the retry policy and the metrics.
 func (a *callerResponse) recordEvent(c *call) {
 	now := time.Now()
 	a.events++
@@ -242,10 +246,11 @@
 	a.lastEventAt = now
 }
 
-// milliseconds returns a duration as a fraction of milliseconds.
+// milliseconds returns a duration in milliseconds, with microsecond resolution.
 func milliseconds(duration time.Duration) float64 { return float64(duration.Microseconds()) / 1000 }
 
-// retainTurn has the ledger settle and keep the turn.
+// retainTurn settles the turn at the ledger and stores its content there. It returns false if that
+// fails. If the history belongs to another ledger group, it is stored as part of the turn.
 func (a *callerResponse) retainTurn(c *call) bool {
 	content := append(append(make([]byte, 0, len(c.body)+len(a.outputData)), c.body...), a.outputData...)
 	settle := &program.Settle{
@@ -268,8 +273,8 @@
 	return true
 }
 
-// retainTimeout is for how long the ledger is asked to keep a turn whose answer is whole: while
-// its caller still waits for the end.
+// retainTimeout returns how long the gateway tries to retain a turn whose response is complete: as
+// long as the caller still waits for the end of the stream, and at least ledgerCallTimeout.
 func (a *callerResponse) retainTimeout(c *call) time.Duration {
 	latestEnd := c.deadline
 	if c.route.PatienceMs > 0 && !a.lastEventAt.IsZero() {
@@ -278,7 +283,7 @@
 	return max(time.Until(latestEnd), ledgerCallTimeout)
 }
 
-// usedTokens is what the turn has generated, as far as the caller was handed it, tokens.
+// usedTokens returns the number of generated tokens that were forwarded to the caller.
 func (a *callerResponse) usedTokens(c *call) int64 {
 	return min(a.events*max(c.backend.TokensPerEvent, 1), max(c.maxTokens, a.events))
 }
--- a/internal/gateway/engines.go
+++ b/internal/gateway/engines.go
@@ -14,31 +14,32 @@
 	"github.com/ochrebay/ochrebay/internal/scheduling"
 )
 
-// engineRegistry is what the gateway knows of the engines: their registrations, which
-// control tells, and their health, which it sees itself.
+// engineRegistry holds the state of the engines: their registrations, which control sends, and
+// their health and latency, which this gateway observes and control aggregates over all gateways.
 type engineRegistry struct {
 	mutex     sync.Mutex
 	byBackend map[string][]membership.ServingEngine
 	health    map[string]*scheduling.EngineHealth
-	// incarnations are the incarnations of the engines that say when they started.
+	// incarnations holds the start time of each engine by id, 0 if the engine did not report one.
 	incarnations map[string]int64
-	// latencyModels is what is known of each back end's engines together.
+	// latencyModels holds the latency model of each back end, learned from all its engines.
 	latencyModels map[string]*scheduling.LatencyModel
 	activity      activityTracker
-	// admissionControllers decide which programs may begin at each back end.
+	// admissionControllers decide which programs may start at each back end.
 	admissionControllers map[string]*scheduling.AdmissionController
-	// usageMeter measures the use of tenants here, shares holds that of all gateways' tenants, and
-	// slots those of back ends' engines.
+	// usageMeter measures the usage of tenants at this gateway, tenantShares holds the usage
+	// aggregated over all gateways, and slotsByBackend the slots of an engine of each back end.
 	usageMeter     *admission.UsageMeter
 	tenantShares   admission.FairShares
 	slotsByBackend map[string]int
 	zone           string
-	// zoneCosts are what engines of other zones cost, zones the zones of engines by address.
+	// zoneCosts holds the cost of using engines in other zones, and zoneByAddress the zone of
+	// each engine.
 	zoneCosts     scheduling.ZoneCosts
 	zoneByAddress map[string]string
-	// disabled are the mechanisms that are turned off.
+	// disabled lists the scheduling mechanisms that are turned off.
 	disabled scheduling.DisabledMechanisms
-	// fairSharesEnabled says that tenants are held to their shares of back ends that are short of room.
+	// fairSharesEnabled limits tenants to their fair shares of oversubscribed back ends.
 	fairSharesEnabled bool
 }
 
@@ -52,9 +53,8 @@
 	}
 }
 
-// applyFleet takes a new view of the fleet and returns the addresses that are gone, or whose
-// engine has started again. Invariant: an engine that drains or has left gets nothing from here
-// on.
+// applyFleet applies a new view of the fleet and returns the addresses that are gone or whose
+// engine has restarted. Invariant: an engine that drains or has left is not selected from here on.
 func (e *engineRegistry) applyFleet(view *membership.FleetView) []string {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -85,9 +85,9 @@
 	return closedAddresses
 }
 
-// resetRestartedEngines forgets what was learnt of engines that have started again under their
-// ids, and returns their addresses. Invariant: an incarnation begins with nothing said of it;
-// requests that are under way at the one before are counted for that one.
+// resetRestartedEngines discards the health of engines that have restarted under the same id, and
+// returns their addresses. Invariant: an incarnation starts without observations; requests in
+// flight at the previous incarnation are counted for that one only.
 func (e *engineRegistry) resetRestartedEngines(view *membership.FleetView) []string {
 	var restarted []string
 	for id := range e.incarnations {
@@ -102,7 +102,7 @@
 			continue
 		}
 		e.incarnations[id] = engine.StartedMs
-		// The first word of when an engine started tells of no other life.
+		// The first report of a start time does not indicate a restart.
 		if previousIncarnation != 0 {
 			delete(e.health, id)
 			restarted = append(restarted, engine.Address)
@@ -111,8 +111,9 @@
 	return restarted
 }
 
-// resolveAffineEngine returns the id of the engine that a session's last turn ran at. The key of an
-// incarnation that is over stays what it is and names none: it holds nothing of the session.
+// resolveAffineEngine returns the id of the engine that ran a session's last turn. A key that no
+// engine matches is returned unchanged and names no engine: the incarnation has ended and its
+// cached prompt is gone.
 func resolveAffineEngine(backendEngines []membership.ServingEngine, key string) string {
 	index := slices.IndexFunc(backendEngines, func(engine membership.ServingEngine) bool { return engine.MatchesKey(key) })
 	if index < 0 {
@@ -121,7 +122,8 @@
 	return backendEngines[index].ID
 }
 
-// observeDial learns the way to an engine's zone from a new connection to it.
+// observeDial updates the round-trip time to an engine's zone from the time that a new connection
+// took.
 func (e *engineRegistry) observeDial(address string, elapsed time.Duration) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -130,17 +132,17 @@
 	}
 }
 
-// healthOf returns what this gateway has seen of an engine.
+// healthOf returns the health of an engine, creating it if necessary.
 func (e *engineRegistry) healthOf(id string) *scheduling.EngineHealth {
 	return getOrCreate(e.health, id)
 }
 
-// latencyModelOf returns what is known of a back end's engines.
+// latencyModelOf returns the latency model of a back end, creating it if necessary.
 func (e *engineRegistry) latencyModelOf(backend string) *scheduling.LatencyModel {
 	return getOrCreate(e.latencyModels, backend)
 }
 
-// getOrCreate returns the entry of a key, a new one where there is none.
+// getOrCreate returns the entry of a key and creates a zero entry if there is none.
 func getOrCreate[T any](entries map[string]*T, key string) *T {
 	entry, found := entries[key]
 	if !found {
@@ -150,30 +152,30 @@
 	return entry
 }
 
-// engineCount is how many engines of a back end may be sent requests.
+// engineCount returns how many engines of a back end are eligible for requests.
 func (e *engineRegistry) engineCount(backend string) int {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	return len(e.byBackend[backend])
 }
 
-// latencyRatio is how many times longer than at others things take at an engine.
+// latencyRatio returns the ratio of an engine's latency to that of the other engines.
 func (e *engineRegistry) latencyRatio(engine string, nowMs int64) float64 {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	return e.healthOf(engine).LatencyRatio(nowMs)
 }
 
-// recordTimeout passes an engine over that does not say anything for too long, although it has not
-// failed yet.
+// recordTimeout makes an engine suspect that did not respond in time, although its attempt may not
+// have ended yet.
 func (e *engineRegistry) recordTimeout(engine string, nowMs int64) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	e.healthOf(engine).RecordFailure(nowMs)
 }
 
-// otherEngines are the engines of a back end that are not the one named; none where it is no
-// engine of the back end any more.
+// otherEngines returns the engines of a back end except the named one. It returns none if the named
+// engine no longer belongs to the back end.
 func (e *engineRegistry) otherEngines(backend, engine string) []string {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -192,49 +194,52 @@
 	return others
 }
 
-// expectedServiceMs is how long a call is expected to occupy an engine, 0 where that is not known.
+// expectedServiceMs returns how long a call is expected to occupy an engine in milliseconds, 0 if
+// that is unknown.
 func (e *engineRegistry) expectedServiceMs(backend string, input scheduling.SelectionInput) float64 {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	return e.latencyModelOf(backend).ExpectedServiceMs(input)
 }
 
-// selection is an engine and what decided for it, for the log.
+// selection is a selected engine and the figures behind the selection, for the log.
 type selection struct {
 	engine membership.ServingEngine
-	// inFlight counts this gateway's requests there, the one chosen for included, and
-	// candidates the engines that could have been chosen.
+	// inFlight counts this gateway's requests in flight at the engine, including this one, and
+	// candidateCount the engines of the back end.
 	inFlight       int
 	candidateCount int
-	// prefillTokens is what the engine is expected to have to read, tokens; cost and nextCost
-	// are what the request is expected to cost there and at the next best engine,
-	// milliseconds, homeCost at the engine that holds what the session has read.
+	// prefillTokens is the expected number of prompt tokens that are not in the engine's cache.
+	// costMs, nextBestCostMs and affineEngineCostMs are the expected costs of the request at the
+	// engine, at the next best engine and at the session's affine engine.
 	prefillTokens int64
-	// estimatedInFlight is how many requests of all gateways are expected there, and sharedAgeMs
-	// how old what the others have said of it is, -1 where nothing is known.
+	// estimatedInFlight is the expected number of requests in flight at the engine from all
+	// gateways. sharedLoadAgeMs is the age of the load aggregated over all gateways, -1 if there
+	// is none.
 	estimatedInFlight  float64
 	sharedLoadAgeMs    int64
 	costMs             float64
 	nextBestCostMs     float64
 	affineEngineCostMs float64
-	// slowdown and homeSlowness are how many times longer than usual a token is expected to
-	// take at the engine and at the one that holds what the session has read, 0 for none;
-	// turns is how many turns the session is expected to have yet.
+	// slowdown and affineEngineSlowdown are the expected times per token at the engine and at the
+	// affine engine, relative to a typical engine of the back end; the latter is 0 without an
+	// affine engine. remainingTurns is the expected number of further turns of the session.
 	slowdown             float64
 	affineEngineSlowdown float64
 	remainingTurns       float64
-	// moveReason says why the session left the engine that holds what it has read.
+	// moveReason is the reason why the session left its affine engine.
 	moveReason scheduling.MoveReason
-	// requiredKVCacheTokens is what the request takes of the engine's memory, heldTokens what others were
-	// expected to take before, and pushed by how much that exceeds it.
+	// requiredKVCacheTokens is the KV cache that the request needs, reservedKVCacheTokens the KV
+	// cache that is reserved for other requests, and preemptedTokens the expected number of
+	// tokens of running requests that the engine has to preempt.
 	requiredKVCacheTokens int64
 	reservedKVCacheTokens int64
 	preemptedTokens       int64
-	// health is that of the engine's incarnation, which the next one does not take over.
+	// health belongs to the engine's incarnation; a later incarnation gets a new one.
 	health *scheduling.EngineHealth
 }
 
-// selectEngine picks the engine for a call and counts it as under way there.
+// selectEngine selects the engine for a call and counts the call as in flight there.
 func (e *engineRegistry) selectEngine(backend routing.Backend, input scheduling.SelectionInput) (selection, bool) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -277,14 +282,15 @@
 	}, true
 }
 
-// cancelSelection takes a call off the engine that was chosen for it, where it is not sent after all.
+// cancelSelection removes a call from the requests in flight at its selected engine if the call is
+// not sent.
 func (e *engineRegistry) cancelSelection(selected selection, nowMs int64) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	selected.health.RecordEnd(nowMs)
 }
 
-// observeFirstEvent notes how long an engine took for the first event of a stream.
+// observeFirstEvent records how long an engine took to send the first event of a stream.
 func (e *engineRegistry) observeFirstEvent(c *call, firstEventMs float64) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -294,7 +300,7 @@
 	e.observeStreamStart(c, nowMs, firstEventMs)
 }
 
-// observeEventGap notes the pause of a stream before an event.
+// observeEventGap records the gap between two events of a stream in milliseconds.
 func (e *engineRegistry) observeEventGap(c *call, gapMs float64) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -303,15 +309,15 @@
 	e.latencyModelOf(c.backend.Name).ObserveEventGap(c.selection.health, nowMs, gapMs)
 }
 
-// observeStreamPace notes the pauses between the events of a stream that an engine sent: how many
-// there were and the shortest, milliseconds.
+// observeStreamPace records the number of gaps between the events of a stream and the shortest of
+// them in milliseconds.
 func (e *engineRegistry) observeStreamPace(c *call, gaps int, shortestMs float64) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	e.latencyModelOf(c.backend.Name).ObserveStreamPace(c.selection.health, clock.NowMs(), gaps, shortestMs)
 }
 
-// recordAttemptEnd takes a call off its engine and notes how it went.
+// recordAttemptEnd removes a call from the requests in flight at its engine and records the outcome.
 func (e *engineRegistry) recordAttemptEnd(c *call, nowMs int64, attempt attemptOutcome) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -321,7 +327,7 @@
 	switch attempt.kind {
 	case attemptAnswered:
 		if isEngineFailure(attempt.status) {
-			// It may have failed at once: that is no sign of a quick engine.
+			// A failure may return immediately, so its latency must not make the engine look fast.
 			health.RecordFailure(nowMs)
 			return
 		}
@@ -337,7 +343,7 @@
 	}
 }
 
-// collectLoads returns what this gateway has seen of engines since the last call.
+// collectLoads returns the loads of engines that this gateway has observed since the last call.
 func (e *engineRegistry) collectLoads(nowMs int64) []scheduling.EngineLoad {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -357,8 +363,9 @@
 	return scheduling.FailingEngines(e.health, nowMs)
 }
 
-// applySharedLoads takes what all gateways together have seen, and the engines at which requests of
-// several of them fail; it returns those of them that were not suspect here.
+// applySharedLoads applies the loads aggregated over all gateways, and marks the engines in failing,
+// at which requests of several gateways fail, as suspect. It returns those that were not suspect
+// before.
 func (e *engineRegistry) applySharedLoads(loads []scheduling.EngineLoad, failing []string, nowMs int64) []string {
 	if e.disabled.Has(scheduling.MechanismSharedState) {
 		return nil
@@ -379,7 +386,7 @@
 	return suspected
 }
 
-// collectUsages returns what this gateway has seen of the engines' use since the last call.
+// collectUsages returns the engine usage that this gateway has observed since the last call.
 func (e *engineRegistry) collectUsages(nowMs int64) []scheduling.EngineUsage {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -392,7 +399,7 @@
 	return usages
 }
 
-// applySharedUsages takes what all gateways together know of the engines' use.
+// applySharedUsages applies the engine usage aggregated over all gateways.
 func (e *engineRegistry) applySharedUsages(usages []scheduling.EngineUsage, nowMs int64) {
 	if e.disabled.Has(scheduling.MechanismSharedState) {
 		return
@@ -404,8 +411,8 @@
 	}
 }
 
-// slowdownSpread returns how many times longer than at the quickest engine a token takes at the
-// slowest one, at the back end where that is most.
+// slowdownSpread returns the ratio of the slowdown of the slowest engine to that of the fastest one,
+// for the back end with the largest ratio.
 func (e *engineRegistry) slowdownSpread() float64 {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
--- a/internal/gateway/events.go
+++ b/internal/gateway/events.go
@@ -10,7 +10,7 @@
 	idField   = []byte("id:")
 )
 
-// eventID returns the number of an event; false where it has none.
+// eventID returns the numeric id of an event, and false if it has none.
 func eventID(block []byte) (int64, bool) {
 	for _, line := range bytes.Split(block, []byte("\n")) {
 		if value, isID := bytes.CutPrefix(bytes.TrimSuffix(line, []byte("\r")), idField); isID {
@@ -21,8 +21,8 @@
 	return 0, false
 }
 
-// eventData returns the data of one event of a stream (HTML standard, section
-// 9.2.6), its lines joined by line feeds; false where the block holds no data.
+// eventData returns the data of one event of a stream, its lines joined by line feeds, and false if
+// the block holds no data (HTML standard, section 9.2.6).
 func eventData(block []byte) ([]byte, bool) {
 	var data []byte
 	found := false
--- a/internal/gateway/fleetsize_test.go
+++ b/internal/gateway/fleetsize_test.go
@@ -10,7 +10,8 @@
 	"github.com/ochrebay/ochrebay/internal/scheduling"
 )
 
-// newFleetViewOfSize is what control tells a gateway of a fleet.
+// newFleetViewOfSize returns the view that a gateway gets from control of a fleet with a number of
+// engines.
 func newFleetViewOfSize(engines int) *membership.FleetView {
 	fleet := membership.NewFleet()
 	for number := range engines {
@@ -24,7 +25,7 @@
 	return view
 }
 
-// BenchmarkFollow is what a gateway does at each piece of news of the fleet.
+// BenchmarkFollow measures how long a gateway takes to apply a fleet view.
 func BenchmarkFollow(b *testing.B) {
 	for _, engines := range []int{1000, 10_000, 20_000} {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
@@ -38,7 +39,7 @@
 	}
 }
 
-// BenchmarkChoose is the choice of an engine for one request.
+// BenchmarkChoose measures the selection of an engine for one request.
 func BenchmarkChoose(b *testing.B) {
 	for _, engines := range []int{1000, 10_000, 20_000} {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
@@ -47,25 +48,25 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				if _, found := e.selectEngine(routing.Backend{Name: "b", Slots: 6}, scheduling.SelectionInput{IsStream: true, NowMs: 1000, MaxEvents: 4}); !found {
-					b.Fatal("no engine")
+					b.Fatal("no engine selected")
 				}
 			}
 		})
 	}
 }
 
-// TestSharedSuspicionOfAGateway holds that a gateway takes others' word for an engine that
-// fails, and says so once.
+// TestSharedSuspicionOfAGateway checks that an engine at which other gateways' requests fail becomes
+// suspect, and is returned as newly suspect only once.
 func TestSharedSuspicionOfAGateway(t *testing.T) {
 	e := newEngineRegistry("z1", config.Policy{})
 	if newlySuspect := e.applySharedLoads(nil, []string{"i-1"}, 1000); len(newlySuspect) != 1 || !e.healthOf("i-1").IsSuspect(1000) {
-		t.Fatalf("%v told, suspect %v", newlySuspect, e.healthOf("i-1").IsSuspect(1000))
+		t.Fatalf("newly suspect engines %v, is suspect: %v", newlySuspect, e.healthOf("i-1").IsSuspect(1000))
 	}
 	if newlySuspect := e.applySharedLoads(nil, []string{"i-1"}, 1500); len(newlySuspect) != 0 {
-		t.Fatalf("%v told again", newlySuspect)
+		t.Fatalf("engines %v returned as newly suspect again", newlySuspect)
 	}
 	disabled := newEngineRegistry("z1", config.Policy{Disable: scheduling.DisabledMechanisms{scheduling.MechanismSharedState}})
 	if disabled.applySharedLoads(nil, []string{"i-1"}, 1000); disabled.healthOf("i-1").IsSuspect(1000) {
-		t.Fatal("taken although turned off")
+		t.Fatal("shared suspicion applied although disabled")
 	}
 }
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -23,27 +23,28 @@
 	"github.com/ochrebay/ochrebay/internal/routing"
 )
 
-// testTimeout bounds every wait of these tests; it is no measure of anything.
+// testTimeout bounds every wait of these tests. It is not an expected duration.
 const testTimeout = 60 * time.Second
 
 const (
-	// testBodyLimit is the largest body that the stand's table allows, and tooLargeBytes
-	// one above it.
+	// testBodyLimit is the largest body in bytes that the fixture's routing table allows, and
+	// oversizedBodyBytes the size of a body above it.
 	testBodyLimit      = 1 << 10
 	oversizedBodyBytes = 64 << 10
-	// beyondServerLinger is above the 0.5 s after which net/http closes a connection with
-	// bytes unread.
+	// beyondServerLinger is longer than the 0.5 s after which net/http closes a connection with
+	// unread bytes.
 	beyondServerLinger = 1500 * time.Millisecond
 )
 
-// fakeLedger answers a gateway as its script says; a nil reply is no answer.
+// fakeLedger answers a gateway with a configurable response function. A nil reply means that no
+// answer is sent.
 type fakeLedger struct {
 	server   *protocol.Server
 	requests chan *protocol.TurnRequest
 	respond  atomic.Pointer[func(request *protocol.TurnRequest) *protocol.TurnReply]
 }
 
-// testRouteTimeoutMs is how long the routes of the tests allow a request.
+// testRouteTimeoutMs is the timeout of the test routes.
 const testRouteTimeoutMs = 30_000
 
 func newFakeLedger(t *testing.T) *fakeLedger {
@@ -54,7 +55,7 @@
 			return
 		}
 		if request.Probe {
-			// The stand leads every group.
+			// The fake ledger leads every group.
 			_ = connection.Reply(frame.Call, protocol.KindResponse, &protocol.TurnReply{}, true)
 			return
 		}
@@ -76,7 +77,7 @@
 	l.respond.Store(&answer)
 }
 
-// awaitSettle waits for the settling of a request.
+// awaitSettle waits for the settlement of a request, and returns nil if none arrives.
 func (l *fakeLedger) awaitSettle(request string) *protocol.TurnRequest {
 	deadline := time.After(testTimeout)
 	for {
@@ -91,13 +92,13 @@
 	}
 }
 
-// gatewayFixture is a gateway before one engine and one ledger group.
+// gatewayFixture is a gateway with one engine and one ledger group.
 type gatewayFixture struct {
 	gateway *Daemon
 	server  *httptest.Server
 	ledger  *fakeLedger
 	runs    atomic.Int64
-	// lastBody, where it is set, takes the body that the engine was sent last.
+	// lastBody, if set, holds the body of the latest request to the engine.
 	lastBody *atomic.Value
 }
 
@@ -166,8 +167,8 @@
 	return response, string(body), err
 }
 
-// streamingEngine is an engine that sends whole events and then a part of one, and ends or
-// breaks off.
+// streamingEngine returns an engine that sends count complete events and then rest, and that aborts
+// the connection if broken is true.
 func streamingEngine(count int, rest string, broken bool) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Ochrebay-Signature", "s")
@@ -183,11 +184,11 @@
 	}
 }
 
-// budgetHeaders are the headers of a turn with a budget.
+// budgetHeaders are the headers of a turn with a token budget.
 var budgetHeaders = []string{"Ochrebay-Token-Budget", "1000", "Ochrebay-Tokens", "5,100"}
 
 func TestTurnsOfAGateway(t *testing.T) {
-	Convey("a turn is charged for the events that were handed on", t, func() {
+	Convey("a turn is charged for the events that were forwarded", t, func() {
 		fixture := newGatewayFixture(t, streamingEngine(3, "", false))
 		response, body, err := fixture.send("/stream/", "r1", budgetHeaders...)
 		So(err, ShouldBeNil)
@@ -195,7 +196,7 @@
 		So(strings.Count(body, "data:"), ShouldEqual, 3)
 		So(fixture.ledger.awaitSettle("r1").Settle.UsedTokens, ShouldEqual, 30)
 	})
-	Convey("a reservation whose grant nobody heard is given back, and the caller told to come back", t, func() {
+	Convey("a reservation whose reply was lost is settled, and the caller gets Retry-After", t, func() {
 		fixture := newGatewayFixture(t, streamingEngine(3, "", false))
 		fixture.ledger.setResponse(func(request *protocol.TurnRequest) *protocol.TurnReply {
 			if request.Reserve != nil {
@@ -212,7 +213,7 @@
 		So(settled, ShouldNotBeNil)
 		So(settled.Settle.UsedTokens, ShouldEqual, 0)
 	})
-	Convey("a turn that is to be kept and was not does not end as if it were whole", t, func() {
+	Convey("the response of a turn that could not be retained does not look complete", t, func() {
 		fixture := newGatewayFixture(t, streamingEngine(3, "", false))
 		fixture.ledger.setResponse(func(request *protocol.TurnRequest) *protocol.TurnReply {
 			if request.Settle != nil {
@@ -223,7 +224,7 @@
 		_, _, err := fixture.send("/kept/", "r1", budgetHeaders...)
 		So(err, ShouldNotBeNil)
 	})
-	Convey("a kept turn holds its input and the data of its events", t, func() {
+	Convey("a retained turn consists of its input and the data of its events", t, func() {
 		fixture := newGatewayFixture(t, streamingEngine(2, "", false))
 		_, _, err := fixture.send("/kept/", "r1", budgetHeaders...)
 		So(err, ShouldBeNil)
@@ -231,7 +232,7 @@
 		So(string(settled.Settle.Content), ShouldEqual, "in1\n2\n")
 		So(settled.Settle.Retain, ShouldBeTrue)
 	})
-	Convey("the older turns of a chain come from the replica in the zone, and from the leader where that has them not", t, func() {
+	Convey("older turns of a history are read from the replica in the zone, or from the leader if that replica lacks them", t, func() {
 		for _, hasTurns := range []bool{true, false} {
 			var lastBody atomic.Value
 			fixture := newGatewayFixture(t, func(w http.ResponseWriter, r *http.Request) { streamingEngine(1, "", false)(w, r) })
@@ -262,14 +263,14 @@
 			So(lastBody.Load(), ShouldEqual, map[bool]string{true: "one two three in", false: "ONE TWO three in"}[hasTurns])
 		}
 	})
-	Convey("a part of an event is never passed on", t, func() {
+	Convey("a part of an event is never forwarded", t, func() {
 		fixture := newGatewayFixture(t, streamingEngine(2, "id: 3\ndata: half", true))
 		_, body, err := fixture.send("/stream/", "r1", budgetHeaders...)
 		So(err, ShouldNotBeNil)
 		So(strings.Count(body, "data:"), ShouldEqual, 2)
 		So(fixture.ledger.awaitSettle("r1").Settle.UsedTokens, ShouldEqual, 20)
 	})
-	Convey("a budget that is spent is 402, and nothing ran", t, func() {
+	Convey("an exhausted budget returns 402 without running the turn", t, func() {
 		fixture := newGatewayFixture(t, streamingEngine(2, "", false))
 		fixture.ledger.setResponse(func(*protocol.TurnRequest) *protocol.TurnReply {
 			return &protocol.TurnReply{Error: result.New(result.BudgetExhausted, "spent")}
@@ -282,7 +283,7 @@
 }
 
 func TestStreamsAreTakenUp(t *testing.T) {
-	Convey("a stream that breaks off goes on at another engine, each event once, under the first head", t, func() {
+	Convey("a broken stream resumes at another engine with each event once and the header of the first engine", t, func() {
 		var lastEventIDs []string
 		fixture := newGatewayFixture(t, func(w http.ResponseWriter, r *http.Request) {
 			lastEventIDs = append(lastEventIDs, r.Header.Get("Last-Event-Id"))
@@ -315,7 +316,7 @@
 		}
 		So(fixture.ledger.awaitSettle("r1").Settle.UsedTokens, ShouldEqual, 40)
 	})
-	Convey("one that can't be taken up breaks off", t, func() {
+	Convey("a broken stream of a route that is not resumable ends with an error", t, func() {
 		fixture := newGatewayFixture(t, streamingEngine(2, "", true))
 		_, _, err := fixture.send("/stream/", "r1")
 		So(err, ShouldNotBeNil)
@@ -324,7 +325,7 @@
 }
 
 func TestAnswersOfEngines(t *testing.T) {
-	Convey("a success without a signature is none; what may be repeated is asked for again", t, func() {
+	Convey("a successful response without a signature returns 502 and is not forwarded", t, func() {
 		fixture := newGatewayFixture(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "forged") })
 		for path, runs := range map[string]int64{"/unsafe/": 1, "/safe/": 1} {
 			fixture.runs.Store(0)
@@ -335,14 +336,14 @@
 			So(fixture.runs.Load(), ShouldEqual, runs)
 		}
 	})
-	Convey("a 503 that does not say that the call was not run becomes no promise", t, func() {
+	Convey("a 503 that does not state that the call was not run is not reported as not run", t, func() {
 		fixture := newGatewayFixture(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) })
 		response, _, err := fixture.send("/unsafe/", "r1")
 		So(err, ShouldBeNil)
 		So(response.StatusCode, ShouldEqual, 502)
 		So(response.Header.Get("Retry-After"), ShouldBeBlank)
 	})
-	Convey("a failure of the engine's own passes with its signature", t, func() {
+	Convey("a server error of the engine is forwarded with its signature", t, func() {
 		fixture := newGatewayFixture(t, func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Ochrebay-Signature", "s")
 			w.WriteHeader(http.StatusInternalServerError)
@@ -354,7 +355,7 @@
 		So(response.Header.Get("Ochrebay-Signature"), ShouldEqual, "s")
 		So(body, ShouldEqual, "broken tool")
 	})
-	Convey("headers that only gateways set are not taken from callers, and connection headers are not passed", t, func() {
+	Convey("headers that only gateways set are not accepted from callers, and hop-by-hop headers are not forwarded", t, func() {
 		seen := make(chan http.Header, 1)
 		fixture := newGatewayFixture(t, func(w http.ResponseWriter, r *http.Request) {
 			seen <- r.Header.Clone()
@@ -368,7 +369,7 @@
 		So(header.Get("X-End"), ShouldEqual, "2")
 		So(len(header.Get("Ochrebay-Deadline-Ms")), ShouldBeLessThanOrEqualTo, 4)
 	})
-	Convey("a caller whose body is too large gets the answer, also when it sends slowly", t, func() {
+	Convey("a caller whose body is too large gets the response even if it sends slowly", t, func() {
 		fixture := newGatewayFixture(t, streamingEngine(1, "", false))
 		caller, err := net.Dial("tcp", fixture.server.Listener.Addr().String())
 		So(err, ShouldBeNil)
@@ -385,7 +386,7 @@
 		So(err, ShouldBeNil)
 		So(string(answer), ShouldEqual, "HTTP/1.1 413")
 	})
-	Convey("a caller's half-sent request runs nowhere", t, func() {
+	Convey("an incomplete request is not run", t, func() {
 		fixture := newGatewayFixture(t, func(http.ResponseWriter, *http.Request) {})
 		raw, err := net.Dial("tcp", fixture.server.Listener.Addr().String())
 		So(err, ShouldBeNil)
@@ -401,12 +402,12 @@
 }
 
 func TestNotRunIsTrue(t *testing.T) {
-	Convey("a call that an engine which is gone may have run is not called not run", t, func() {
+	Convey("a call is not reported as not run if an engine that is gone may have run it", t, func() {
 		fixture := newGatewayFixture(t, func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Ochrebay-Not-Run", "1")
 			w.WriteHeader(http.StatusServiceUnavailable)
 		})
-		// The first engine reads the request, stops listening and breaks off.
+		// The first engine reads the request, stops listening and closes the connection.
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		So(err, ShouldBeNil)
 		go func() {
@@ -421,7 +422,7 @@
 		fleet := *fixture.gateway.view.Load().fleet
 		fleet.Engines["gone"] = membership.ServingEngine{ID: "gone", Backend: "b", Zone: "near", Slots: 4, Address: listener.Addr().String()}
 		fixture.gateway.engines.applyFleet(&fleet)
-		// The other engine is suspect, so that the one that will be gone comes first.
+		// The other engine is suspect, so that the engine that will be gone is selected first.
 		fixture.gateway.engines.healthOf("e").RecordFailure(clock.NowMs())
 		response, _, err := fixture.send("/safe/", "r1", "Ochrebay-Deadline-Ms", "3000")
 		So(err, ShouldBeNil)
--- a/internal/gateway/headers.go
+++ b/internal/gateway/headers.go
@@ -1,6 +1,6 @@
-// Package gateway is the process that takes callers' requests, finds their route,
-// picks the engine and the moment, carries request and answer through, and has
-// turns reserved and kept by the ledger. It holds nothing that must survive.
+// Package gateway implements the process that accepts callers' requests. It routes each request,
+// selects an engine and the time to send it, forwards request and response, and reserves and
+// retains turns at the ledger. It holds no state that must survive a restart.
 package gateway
 
 import (
@@ -8,37 +8,37 @@
 	"strings"
 )
 
-// HeaderNames names the headers by which callers, gateways and engines tell each other
-// about a request. A deployment may use names of its own.
+// HeaderNames holds the names of the HTTP headers that describe a request between callers, gateways
+// and engines. A deployment may use names of its own.
 type HeaderNames struct {
-	// From the caller.
+	// The following headers are set by the caller.
 	RequestID  string
 	DeadlineMs string
 	Program    string
 	Session    string
-	// FinishMs is the time left until the whole program should be over.
+	// FinishMs names the header with the time in milliseconds until the whole program should end.
 	FinishMs string
-	// PromptPrefix lists the parts of a prompt in order, as ID:TOKENS.
+	// PromptPrefix names the header with the parts of a prompt in order, as ID:TOKENS.
 	PromptPrefix string
 	TokenBudget  string
 	TokenUsage   string
 	PreviousTurn string
 	LastEventID  string
 	AffinityKey  string
-	// APIKey holds the key of the caller's tenant; engines never see it.
+	// APIKey names the header with the key of the caller's tenant, which is never sent to engines.
 	APIKey string
-	// To the engine, set by the gateway alone.
+	// The following headers are sent to the engine; only gateways set them.
 	ExpectEngine string
 	Priority     string
 	Tenant       string
-	// From the engine.
+	// The following headers are set by the engine.
 	NotExecuted string
 	Signature   string
-	// Reserved are further headers that only gateways set: a caller's are dropped.
+	// Reserved lists further headers that only gateways set; those of a caller are dropped.
 	Reserved []string
 }
 
-// DefaultHeaderNames are the product's own names.
+// DefaultHeaderNames returns the product's own header names.
 func DefaultHeaderNames() HeaderNames {
 	return HeaderNames{
 		RequestID: "Ochrebay-Request", DeadlineMs: "Ochrebay-Deadline-Ms", Program: "Ochrebay-Program",
@@ -49,13 +49,13 @@
 	}
 }
 
-// hopByHopHeaders concern one connection only (RFC 9110, section 7.6.1).
+// hopByHopHeaders apply to one connection only (RFC 9110, section 7.6.1).
 var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 	"Proxy-Authenticate", "Proxy-Authorization", "Content-Length", "Expect",
 }
 
-// endToEndHeaders returns a copy of a header without what concerns one connection only.
+// endToEndHeaders returns a copy of a header without the fields that apply to one connection only.
 func endToEndHeaders(header http.Header) http.Header {
 	copied := header.Clone()
 	for _, list := range header.Values("Connection") {
--- a/internal/gateway/incarnations_test.go
+++ b/internal/gateway/incarnations_test.go
@@ -20,8 +20,8 @@
 	return view
 }
 
-// TestRestartedEngines answers engines that crash under load and start again under the ids
-// that they had.
+// TestRestartedEngines guards against state that carries over to the next incarnation of an engine
+// that crashes under load and restarts with the same id.
 func TestRestartedEngines(t *testing.T) {
 	const nowMs = 1000
 	first := membership.ServingEngine{ID: "e", Backend: "b", Address: "10.0.0.1:1", Slots: 4, StartedMs: 100}
@@ -32,7 +32,7 @@
 		So(found, ShouldBeTrue)
 		return &call{engineID: chosen.engine.ID, selection: chosen, backend: routing.Backend{Name: "b"}, route: &routing.Route{Name: "r"}}
 	}
-	Convey("what was learnt of the life before is void, and its requests are counted for it alone", t, func() {
+	Convey("the observations and the in-flight requests of the previous incarnation do not affect the new one", t, func() {
 		e := newEngineRegistry("z", config.Policy{})
 		e.applyFleet(fleetViewOf(first))
 		lost, broken := startCall(e), startCall(e)
@@ -48,7 +48,7 @@
 		e.recordAttemptEnd(current, nowMs, attemptOutcome{kind: attemptAnswered})
 		So(e.healthOf("e").InFlight, ShouldEqual, 0)
 	})
-	Convey("also when the engine was away in between, while requests of its earlier life are still under way", t, func() {
+	Convey("the same holds if the engine was gone in between while requests of its previous incarnation are in flight", t, func() {
 		e := newEngineRegistry("z", config.Policy{})
 		e.applyFleet(fleetViewOf(first))
 		startCall(e)
@@ -56,7 +56,7 @@
 		e.applyFleet(fleetViewOf(second))
 		So(e.healthOf("e").InFlight, ShouldEqual, 0)
 	})
-	Convey("the first word of when an engine started, and a report without news, change nothing", t, func() {
+	Convey("the first report of an engine's start time and an unchanged report reset nothing", t, func() {
 		e := newEngineRegistry("z", config.Policy{})
 		withoutStartTime := first
 		withoutStartTime.StartedMs = 0
@@ -66,7 +66,7 @@
 		So(e.applyFleet(fleetViewOf(first)), ShouldBeEmpty)
 		So(e.healthOf("e").InFlight, ShouldEqual, 1)
 	})
-	Convey("a session is bound to the incarnation that ran its last turn", t, func() {
+	Convey("session affinity applies only to the incarnation that ran the last turn", t, func() {
 		So(resolveAffineEngine([]membership.ServingEngine{first}, first.IncarnationKey()), ShouldEqual, "e")
 		So(resolveAffineEngine([]membership.ServingEngine{second}, first.IncarnationKey()), ShouldNotEqual, "e")
 		So(resolveAffineEngine([]membership.ServingEngine{second}, "e"), ShouldEqual, "e")
@@ -74,10 +74,10 @@
 	})
 }
 
-// TestCallsThatAreNotSent answers keys that lose their proof between the choice of an engine
-// and the send.
+// TestCallsThatAreNotSent guards against a leaked in-flight count if the confirmation of the routing
+// table expires between the selection of an engine and the send.
 func TestCallsThatAreNotSent(t *testing.T) {
-	Convey("a call that is not sent after all is not counted at the engine", t, func() {
+	Convey("a call that is not sent after an engine was selected is not counted as in flight", t, func() {
 		fixture := newTenantFixture(t, respondSigned)
 		checks := 0
 		fixture.gateway.confirmationAge = func() (time.Duration, bool) {
--- a/internal/gateway/intake.go
+++ b/internal/gateway/intake.go
@@ -15,7 +15,7 @@
 	"github.com/ochrebay/ochrebay/internal/waiting"
 )
 
-// call is one caller's request, read whole and checked.
+// call is one caller's request, read in full and validated, with the state of its processing.
 type call struct {
 	id      string
 	request *http.Request
@@ -23,96 +23,99 @@
 	hasBody bool
 	route   *routing.Route
 	backend routing.Backend
-	// requiresKey says that the table has tenants; tenant holds the caller's key, nil where the
-	// route needs none.
+	// requiresKey is true if the routing table has tenants. tenant is the tenant of the caller's
+	// key, nil if there is none, which only routes that allow anonymous callers accept.
 	requiresKey bool
 	tenant      *routing.Tenant
-	// priorityPosition is how many of the ranks in use at the back end are less urgent.
+	// priorityPosition is the number of priorities in use at the back end that are less urgent
+	// than the call's, and priorityCount the number of all priorities in use there.
 	priorityPosition int
 	priorityCount    int
-	// tenantWeight is the tenant's part in what is shared while a back end is short of room.
+	// tenantWeight is the tenant's weight in the fair shares of an oversubscribed back end.
 	tenantWeight float64
-	// tableGeneration is the routing table by which the call was routed.
+	// tableGeneration is the generation of the routing table that routed the call.
 	tableGeneration uint64
 	startedAt       time.Time
-	// deadline is when the caller or the route gives the call up.
+	// deadline is the earlier of the caller's deadline and the route's timeout.
 	deadline time.Time
 
-	// turnID, program, budget, most and previous describe a turn. The ledger's names of turns
-	// and programs are those of their tenant.
+	// turnID, programID, sessionID, tokenBudget, maxTokens and previousTurn describe a turn. The
+	// ids of turns and programs are scoped to their tenant.
 	turnID    string
 	programID string
 	sessionID string
-	// programDueAt is when the program should be over, the zero time where its caller did not say.
+	// programDueAt is when the program should end, the zero time if the caller did not state it.
 	programDueAt time.Time
-	// programInProgress says that the call's program has had turns or calls served before.
+	// programInProgress is true if the call does not start its program.
 	programInProgress bool
-	// latestStart is until when the call is worth starting at an engine.
+	// latestStart is the latest time at which the call is worth starting at an engine.
 	latestStart time.Time
-	// queueEntry is the call's place among those that wait for room, nil where it does not;
-	// queuedAt is when it first waited, and waited how long it did in all.
+	// queueEntry is the call's entry in the wait queue of its back end, nil if it has none.
+	// queuedAt is when the call first waited, and waitTime the time from then to the end of the
+	// latest wait.
 	queueEntry *waiting.Entry
 	queuedAt   time.Time
 	waitTime   time.Duration
-	// aboveFairShare says that its tenant used more than its share when it first waited.
+	// aboveFairShare is true if the tenant was above its fair share when the call first waited.
 	aboveFairShare bool
-	// attemptState are the sends to engines so far, and watch waits for the first word of the one
-	// under way.
+	// attemptState holds the attempts so far, and responseTimer waits for the first response of
+	// the current one.
 	attemptState  attemptState
 	responseTimer *responseTimer
 	// promptParts are the parts of the prompt, in order.
 	promptParts []scheduling.PromptPart
-	// affineEngine is the engine that most likely holds what the session has read.
+	// affineEngine is the engine that most likely has the session's prompt cached.
 	affineEngine string
 	tokenBudget  int64
 	maxTokens    int64
 	previousTurn string
 	affinityKey  string
-	// lastEventID is the event after which the caller wants the stream, 0 for all.
+	// lastEventID is the last event that the caller has received, 0 for none.
 	lastEventID int64
 
-	// history is the content of the turns that this one goes on from, and input the
-	// body as the caller sent it.
+	// history is the content of the turns that this one continues from.
 	history []byte
-	// turnReserved says that the ledger has opened the turn, foreign that the chain is
-	// kept by another group than the program's.
+	// turnReserved is true while the ledger may hold a reservation of the program's budget that is
+	// not settled yet. historyInOtherGroup is true if the history is stored in another ledger group
+	// than the program.
 	turnReserved        bool
 	historyInOtherGroup bool
 	attemptCount        int
-	// engineID is the one that was sent the call last.
+	// engineID is the engine of the latest attempt, and selection the figures behind its choice.
 	engineID  string
 	selection selection
-	// grants are what the owner of the tenant's limit has granted, one a run, and granted is
-	// how long it took the last time.
+	// grants are the quota grants from the owner of the tenant's rate limit, one per run, and
+	// quotaTime is how long the latest quota request took.
 	grants    []*quota.Grant
 	quotaTime time.Duration
-	// quotaQueued says that it waited for room in its tenant's limit.
+	// quotaQueued is true if the call was queued by the owner of its tenant's rate limit.
 	quotaQueued bool
-	// openedAfter and sent are how long after its start the call was opened by the ledger
-	// and sent to its last engine, and kept how long the ledger took to keep it.
+	// openedAfter and sentAfter are the times from the start of the call until the ledger opened
+	// the turn and until the latest attempt was sent. retainTime is how long the ledger took to
+	// retain the turn.
 	openedAfter time.Duration
 	sentAfter   time.Duration
 	retainTime  time.Duration
 }
 
-// isTurn reports whether the ledger takes part in the call.
+// isTurn reports whether the call is a turn that the ledger accounts for or retains.
 func (c *call) isTurn() bool {
 	return c.route.Kind == routing.KindStream && c.programID != "" && (c.tokenBudget > 0 || c.route.RetainTurns)
 }
 
-// retainsTurn reports whether the turn is kept for later ones to go on from.
+// retainsTurn reports whether the ledger retains the turn so that later turns can continue from it.
 func (c *call) retainsTurn() bool { return c.isTurn() && c.route.RetainTurns }
 
-// timeLeft returns how long the call may still take.
+// timeLeft returns the time until the call's deadline.
 func (c *call) timeLeft() time.Duration { return time.Until(c.deadline) }
 
-// readRequest finds the route of a request, reads its body and checks its headers.
+// readRequest finds the route and the tenant of a request, reads its body and parses its headers.
 func (d *Daemon) readRequest(writer http.ResponseWriter, request *http.Request) (*call, *result.Error) {
 	startedAt := time.Now()
 	requestID := request.Header.Get(d.headerNames.RequestID)
 	view := d.view.Load()
 	if view == nil {
-		return nil, result.New(result.NotConfigured, "no routing table yet")
+		return nil, result.New(result.NotConfigured, "the gateway has no routing table yet")
 	}
 	route := view.routes.FindRoute(request.Host, request.URL.EscapedPath())
 	if route == nil {
@@ -132,8 +135,8 @@
 	return c, c.readHeaders(d.headerNames)
 }
 
-// readBody reads the whole body, so that the request can be sent again and an
-// engine never waits for a slow caller.
+// readBody reads the whole body, so that the request can be sent again and an engine never waits
+// for a slow caller. limit is in bytes; 0 means defaultMaxBodyBytes.
 func (c *call) readBody(writer http.ResponseWriter, limit int64) *result.Error {
 	if limit <= 0 {
 		limit = defaultMaxBodyBytes
@@ -153,19 +156,19 @@
 		return result.New(result.BodyTooLarge, "body over the limit of %d bytes", limit)
 	}
 	if err != nil {
-		return result.New(result.MalformedRequest, "reading the body: %v", err)
+		return result.New(result.MalformedRequest, "reading the request body: %v", err)
 	}
 	c.body = body
 	return nil
 }
 
-// maxDiscardedBytes bounds what is read of a body that is refused.
+// maxDiscardedBytes bounds how much of a rejected body is read.
 const maxDiscardedBytes = 256 << 10
 
-// discardBody reads on in a body that is refused: a connection that is closed with bytes
-// unread is reset, which may take the answer away from a caller that is still sending.
+// discardBody reads and discards a rejected body. Closing a connection with unread bytes resets it,
+// and a caller that is still sending may then lose the response.
 func discardBody(body io.Reader) {
-	// Whatever ends it early, the answer is sent all the same.
+	// The response is sent even if reading ends early.
 	_, _ = io.CopyN(io.Discard, body, maxDiscardedBytes)
 }
 
@@ -175,7 +178,7 @@
 	if text := header.Get(headerNames.DeadlineMs); text != "" {
 		timeLeftMs, err := strconv.ParseInt(text, 10, 64)
 		if err != nil || timeLeftMs < 0 {
-			return result.New(result.InvalidHeader, "%s: %q is no number of milliseconds", headerNames.DeadlineMs, text)
+			return result.New(result.InvalidHeader, "%s: %q is not a non-negative number of milliseconds", headerNames.DeadlineMs, text)
 		}
 		timeout = min(timeout, time.Duration(timeLeftMs)*time.Millisecond)
 	}
@@ -196,7 +199,7 @@
 	if maxTokens != "" {
 		parsed, err := strconv.ParseInt(strings.TrimSpace(maxTokens), 10, 64)
 		if err != nil || parsed < 0 {
-			return result.New(result.InvalidHeader, "%s: %q is no number of tokens", headerNames.TokenUsage, maxTokens)
+			return result.New(result.InvalidHeader, "%s: %q is not a non-negative number of tokens", headerNames.TokenUsage, maxTokens)
 		}
 		c.maxTokens = parsed
 	}
@@ -204,7 +207,8 @@
 	return failure
 }
 
-// parseCountHeader reads a whole number that may be missing.
+// parseCountHeader parses a header with a non-negative integer. It returns 0 if the header is
+// missing, and sets failure if the value is invalid.
 func parseCountHeader(header http.Header, name string, failure **result.Error) int64 {
 	text := header.Get(name)
 	if text == "" {
@@ -212,7 +216,7 @@
 	}
 	value, err := strconv.ParseInt(text, 10, 64)
 	if err != nil || value < 0 {
-		*failure = result.New(result.InvalidHeader, "%s: %q is not a whole number", name, text)
+		*failure = result.New(result.InvalidHeader, "%s: %q is not a non-negative integer", name, text)
 		return 0
 	}
 	return value
--- a/internal/gateway/leaders.go
+++ b/internal/gateway/leaders.go
@@ -8,24 +8,24 @@
 )
 
 const (
-	// initialSearchBackoff is the first pause between rounds of a search for a leader; it grows up
-	// to longestSearchPause.
+	// initialSearchBackoff is the first backoff between rounds of a search for a leader. It
+	// doubles with each round up to maxSearchBackoff.
 	initialSearchBackoff = 20 * time.Millisecond
 	maxSearchBackoff     = 160 * time.Millisecond
-	// searchTimeout ends a search that nobody may wait for any more.
+	// searchTimeout ends a search for which possibly no request waits any longer.
 	searchTimeout = 3 * time.Second
 )
 
-// leaderProbe asks a member whether it leads a group; else hint names whom it takes for
-// the leader.
+// leaderProbe asks a member whether it leads a group. If it does not, hint names the member that
+// it considers the leader, "" for none.
 type leaderProbe func(ctx context.Context, member string, group uint32) (leads bool, hint string)
 
-// leaderCache knows the leader of each ledger group. Invariant: however many requests wait
-// for a group without a known leader, the gateway searches for it once; otherwise the
-// questions of all that wait keep busy the very hosts that are to elect one.
+// leaderCache caches the leader of each ledger group. Invariant: at most one search for the leader
+// of a group runs at a time, however many requests wait for it. Separate probes for each waiting
+// request would overload the very hosts that have to elect a leader.
 type leaderCache struct {
 	probe leaderProbe
-	// members returns where a group is placed.
+	// members returns the members of a group.
 	members func(group uint32) []string
 
 	mutex    sync.Mutex
@@ -37,7 +37,7 @@
 	return &leaderCache{probe: probe, members: members, byGroup: map[uint32]string{}, searches: map[uint32]chan struct{}{}}
 }
 
-// find returns the leader of a group, "" where none was found before ctx ended.
+// find returns the leader of a group, "" if none was found before ctx ended.
 func (l *leaderCache) find(ctx context.Context, group uint32) string {
 	for ctx.Err() == nil {
 		l.mutex.Lock()
@@ -60,14 +60,14 @@
 	return ""
 }
 
-// set takes a member's word for who leads a group.
+// set caches the leader of a group that a member has named.
 func (l *leaderCache) set(group uint32, leader string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.byGroup[group] = leader
 }
 
-// invalidate forgets a leader that did not answer as one, where it is still taken for it.
+// invalidate removes a leader that did not answer as such, unless it has been replaced in the cache.
 func (l *leaderCache) invalidate(group uint32, leader string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -76,7 +76,7 @@
 	}
 }
 
-// search asks the members of a group until one of them leads it.
+// search probes the members of a group until one of them leads it or searchTimeout passes.
 func (l *leaderCache) search(group uint32, done chan struct{}) {
 	ctx, cancel := context.WithTimeout(context.Background(), searchTimeout)
 	defer cancel()
@@ -99,8 +99,8 @@
 	close(done)
 }
 
-// probeMembers asks each member once, in an order drawn anew, and whoever they take for the
-// leader.
+// probeMembers probes each member at most once, in random order, and the members that they name as
+// the leader.
 func (l *leaderCache) probeMembers(ctx context.Context, group uint32) string {
 	members := l.members(group)
 	probed := map[string]bool{}
--- a/internal/gateway/leaders_test.go
+++ b/internal/gateway/leaders_test.go
@@ -9,11 +9,11 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// TestLeaders holds that requests which wait for a leader share one search. On the grown
-// court's trouble-1 every waiting request asked by itself, 5,000 times a second, and the
-// hosts that were asked could not elect anybody.
+// TestLeaders checks that requests waiting for a leader share one search. Separate searches of all
+// waiting requests have reached 5,000 probes per second, which kept the probed hosts from electing
+// a leader.
 func TestLeaders(t *testing.T) {
-	Convey("many requests wait for one search, which follows hints", t, func() {
+	Convey("concurrent requests share one search, which follows hints", t, func() {
 		var probes atomic.Int64
 		release := make(chan struct{})
 		leaders := newLeaderCache(func(uint32) []string { return []string{"a", "b", "c"} }, func(_ context.Context, member string, _ uint32) (bool, string) {
@@ -33,7 +33,7 @@
 		}
 		So(probes.Load(), ShouldEqual, 2)
 		So(leaders.find(context.Background(), 1), ShouldEqual, "spare")
-		Convey("a leader that is lost is searched for again, but not one that was replaced meanwhile", func() {
+		Convey("an invalidated leader is searched for again unless it was replaced in the meantime", func() {
 			leaders.set(1, "new")
 			leaders.invalidate(1, "spare")
 			So(leaders.find(context.Background(), 1), ShouldEqual, "new")
@@ -41,7 +41,7 @@
 			So(leaders.find(context.Background(), 1), ShouldEqual, "spare")
 		})
 	})
-	Convey("members that take each other for the leader are each asked once a round, until the waiting ends", t, func() {
+	Convey("members that name each other as the leader are each probed once per round until the context ends", t, func() {
 		ctx, cancel := context.WithCancel(context.Background())
 		var probes atomic.Int64
 		leaders := newLeaderCache(func(uint32) []string { return []string{"a", "b"} }, func(_ context.Context, member string, _ uint32) (bool, string) {
--- a/internal/gateway/ledgers.go
+++ b/internal/gateway/ledgers.go
@@ -17,22 +17,22 @@
 )
 
 const (
-	// ledgerCallTimeout bounds one question to one ledger host.
+	// ledgerCallTimeout bounds one call to one ledger host.
 	ledgerCallTimeout = 450 * time.Millisecond
-	// leaderProbeTimeout bounds the question whether a host leads a group.
+	// leaderProbeTimeout bounds a probe whether a host leads a group.
 	leaderProbeTimeout = 150 * time.Millisecond
-	// settleTimeout bounds the background settling of a turn that is not kept.
+	// settleTimeout bounds the background settlement of a turn that is not retained.
 	settleTimeout = 6 * time.Second
-	// localReadTimeout bounds a question to the replica in this zone, behind which the leader
-	// stands.
+	// localReadTimeout bounds a read at the replica in this zone. If it fails, the read falls
+	// back to the leader.
 	localReadTimeout = 100 * time.Millisecond
 
-	// sourceLocal and sourceLeader say where a history was read.
+	// sourceLocal and sourceLeader name the replica at which older turns were read.
 	sourceLocal  = "near"
 	sourceLeader = "leader"
 )
 
-// ledgerClient finds the leader of each ledger group and asks it.
+// ledgerClient finds the leader of each ledger group and sends requests to it.
 type ledgerClient struct {
 	caller *daemon.Caller
 	zone   string
@@ -41,7 +41,7 @@
 	mutex        sync.Mutex
 	view         *membership.FleetView
 	leaders      *leaderCache
-	// disabled are the mechanisms that are turned off.
+	// disabled lists the scheduling mechanisms that are turned off.
 	disabled scheduling.DisabledMechanisms
 }
 
@@ -57,7 +57,7 @@
 	l.view = view
 }
 
-// groupCount returns how many groups are placed.
+// groupCount returns the number of ledger groups that are placed on hosts.
 func (l *ledgerClient) groupCount() uint32 {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -67,7 +67,7 @@
 	return uint32(len(l.view.Groups))
 }
 
-// members returns where a group is placed.
+// members returns the addresses of the hosts that a group is placed on.
 func (l *ledgerClient) members(group uint32) []string {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -77,15 +77,15 @@
 	return l.view.Groups[group].Members
 }
 
-// probe asks a member whether it leads a group.
+// probe implements leaderProbe with a call to the member.
 func (l *ledgerClient) probe(ctx context.Context, member string, group uint32) (leads bool, hint string) {
 	reply := &protocol.TurnReply{}
 	err := l.caller.CallWithin(ctx, leaderProbeTimeout, member, protocol.KindTurn, &protocol.TurnRequest{Group: group, Probe: true}, reply)
 	return err == nil && reply.Error == nil, reply.Leader
 }
 
-// callLeader puts a question to the leader of its group until it is answered or ctx ends.
-// All questions may be put again: the ledger knows a turn by its request.
+// callLeader sends a request to the leader of its group, and repeats it until it is answered or ctx
+// ends. Repeating is safe because the ledger identifies a turn by its request id.
 func (l *ledgerClient) callLeader(ctx context.Context, request *protocol.TurnRequest) *protocol.TurnReply {
 	request.WithinMs = ledgerCallTimeout.Milliseconds()
 	lastError := result.New(result.LedgerUnreachable, "group %d: no leader found", request.Group)
@@ -115,7 +115,8 @@
 	return &protocol.TurnReply{Error: result.New(result.LedgerUnreachable, "%s", lastError.Message)}
 }
 
-// groupOf returns the group that keeps a program's turns, or counts a tenant's requests.
+// groupOf returns the group that stores the turns of a program, or that owns the rate limit of a
+// tenant. It returns false if no group is placed.
 func (l *ledgerClient) groupOf(id string) (uint32, bool) {
 	groups := l.groupCount()
 	if groups == 0 {
@@ -124,7 +125,7 @@
 	return program.GroupOf(id, groups), true
 }
 
-// settle closes a turn.
+// settle closes a turn at the ledger.
 func (l *ledgerClient) settle(settle *program.Settle, timeout time.Duration) *result.Error {
 	group, isPlaced := l.groupOf(settle.Program)
 	if !isPlaced {
@@ -135,8 +136,8 @@
 	return l.callLeader(ctx, &protocol.TurnRequest{Group: group, Settle: settle}).Error
 }
 
-// reserve opens a turn in its program's group; known names the turn up to which the
-// gateway has the chain.
+// reserve opens a turn in its program's group. cachedTurn names the turn up to which the gateway has
+// the history cached, "" for none.
 func (l *ledgerClient) reserve(ctx context.Context, reserve *program.Reserve, cachedTurn string) *protocol.TurnReply {
 	group, isPlaced := l.groupOf(reserve.Program)
 	if !isPlaced {
@@ -149,8 +150,9 @@
 	return reply
 }
 
-// prependOlderTurns puts the content of the older turns before what the leader has sent: from a
-// replica in this zone, which saves the way between zones, or else from the leader.
+// prependOlderTurns prepends the content of older turns to the history in the leader's reply. It
+// reads them from a replica in this zone, which avoids traffic between zones, or else from the
+// leader.
 func (l *ledgerClient) prependOlderTurns(ctx context.Context, group uint32, reply *protocol.TurnReply) {
 	request := &protocol.TurnRequest{Group: group, Contents: reply.Older}
 	older := &protocol.TurnReply{}
@@ -168,7 +170,7 @@
 	reply.Chain = append(older.Chain, reply.Chain...)
 }
 
-// localReplica returns a member of a group in this zone, "" where there is none.
+// localReplica returns a member of a group in this zone, "" if there is none.
 func (l *ledgerClient) localReplica(group uint32) string {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -183,9 +185,9 @@
 	return ""
 }
 
-// findInOtherGroups looks for a turn in all groups but the program's own: a program may
-// go on from a turn of another. Invariant: it says that there is no such turn only
-// where every group has confirmed that.
+// findInOtherGroups looks for a turn in all groups except that of the program, because a program may
+// continue from a turn of another program. Invariant: it returns UnknownTurn only if each of these
+// groups has confirmed that it does not have the turn.
 func (l *ledgerClient) findInOtherGroups(ctx context.Context, turn, ownProgram string) *protocol.TurnReply {
 	ownGroup, _ := l.groupOf(ownProgram)
 	groups := l.groupCount()
@@ -211,7 +213,7 @@
 	return notFound
 }
 
-// requestQuota asks the owner of a tenant's limit for one request.
+// requestQuota requests a grant for one run from the owner of the tenant's rate limit.
 func (l *ledgerClient) requestQuota(ctx context.Context, request *quota.Request) *protocol.TurnReply {
 	group, isPlaced := l.groupOf(request.Tenant)
 	if !isPlaced {
@@ -220,9 +222,9 @@
 	return l.callLeader(ctx, &protocol.TurnRequest{Group: group, Quota: request})
 }
 
-// sendQuotaOnce gives a grant or a place in the queue back. Invariant: it is sent once at the
-// most. An answer that is lost leaves the grant counted until it has left the window; a return
-// that came twice would take another request's grant out of it.
+// sendQuotaOnce returns a grant or cancels a queued quota request. Invariant: the message is sent at
+// most once. If it is lost, the grant counts until it leaves the rate limit's window; a return that
+// arrived twice would remove the grant of another request from the window.
 func (l *ledgerClient) sendQuotaOnce(request *quota.Request) *result.Error {
 	ctx, cancel := context.WithTimeout(context.Background(), grantReturnTimeout)
 	defer cancel()
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -11,7 +11,7 @@
 	"github.com/ochrebay/ochrebay/internal/telemetry"
 )
 
-// metrics are a gateway's own figures.
+// metrics holds the metrics of a gateway.
 type metrics struct {
 	requests     *prometheus.HistogramVec
 	failures     *prometheus.CounterVec
@@ -24,7 +24,7 @@
 	sessionMoves *prometheus.CounterVec
 }
 
-// newMetrics registers the figures of a gateway.
+// newMetrics registers the metrics of a gateway.
 func newMetrics(monitor *telemetry.Monitor, d *Daemon) *metrics {
 	monitor.Gauge("gateway_in_flight", "Requests under way.", func() float64 { return float64(d.inFlight.Load()) })
 	monitor.Gauge("gateway_engine_connections_opened", "Connections made to engines since the start.", func() float64 { return float64(d.pool.ConnectionsOpened.Load()) })
@@ -74,7 +74,8 @@
 	}
 }
 
-// recordRequest notes how a request ended.
+// recordRequest records how a request ended. c is nil if the request was rejected before a call
+// was created.
 func (m *metrics) recordRequest(c *call, failure *result.Error) {
 	outcome := "served"
 	if failure != nil {
--- a/internal/gateway/pause.go
+++ b/internal/gateway/pause.go
@@ -10,26 +10,27 @@
 )
 
 const (
-	// stallMargin is how much later than due a regular step of the process must be before the
-	// process is taken to have stood still: far above what a busy processor explains.
+	// stallMargin is how late a periodic tick of the process must be for the process to count as
+	// stalled. It is far above the delays that a busy processor causes.
 	stallMargin = time.Second
-	// confirmationWait is how long after such a pause requests wait for the first proof that the routing
-	// table is in force. It takes two ways to control and a round of the quorum, some ten
-	// milliseconds; a caller that is refused comes back only after the time that it is told.
+	// confirmationWait is how long after a stall requests wait for the first confirmation that
+	// the routing table is in force. A confirmation takes a round trip to control and a round of
+	// its quorum, some ten milliseconds, whereas a rejected caller retries only after the
+	// Retry-After time.
 	confirmationWait = 150 * time.Millisecond
 )
 
-// stallDetector notices that the process stood still, or its whole machine: control may have put
-// tables in force meanwhile, and the proofs held are old although nothing is wrong with the way
-// to it. Times are those of clock.NowMs.
+// stallDetector detects that the process, or its whole machine, was stalled. Control may have put
+// other routing tables in force during a stall, and the latest confirmation is old although the
+// connection to control works. Times are those of clock.NowMs.
 type stallDetector struct {
-	// lastTickMs is when the process last made its regular step, 0 before the first, and ended
-	// when the last pause ended, 0 for none.
+	// lastTickMs is the time of the latest periodic tick, 0 before the first, and lastStallEndMs
+	// the end of the latest stall, 0 if there was none.
 	lastTickMs     atomic.Int64
 	lastStallEndMs atomic.Int64
 }
 
-// tick notes the regular step, which is due each stepEvery.
+// tick records the periodic tick, which is due once per interval.
 func (p *stallDetector) tick(interval time.Duration, nowMs int64) {
 	if stallEnd := p.stallEndMs(interval, nowMs); stallEnd == nowMs {
 		p.lastStallEndMs.Store(nowMs)
@@ -37,8 +38,8 @@
 	p.lastTickMs.Store(nowMs)
 }
 
-// stallEndMs returns when the last pause ended: now where the step is overdue, since a request may be
-// taken up before it; 0 where there was none.
+// stallEndMs returns the end of the latest stall, 0 if there was none. It returns nowMs if the tick
+// is overdue, because after a stall a request may be processed before the tick.
 func (p *stallDetector) stallEndMs(interval time.Duration, nowMs int64) int64 {
 	lastTick := p.lastTickMs.Load()
 	if lastTick > 0 && nowMs-lastTick > (interval+stallMargin).Milliseconds() {
@@ -47,10 +48,10 @@
 	return p.lastStallEndMs.Load()
 }
 
-// awaitConfirmation reports whether the table held is known to have been in force within a bound. Right
-// after a pause of the process it waits for the first proof. Invariant: it never says so without
-// a proof that is young enough, and a gateway that is merely cut off from control waits for none,
-// so that its callers hear at once.
+// awaitConfirmation reports whether control has confirmed within maxAge that the routing table is in
+// force. Shortly after a stall of the process it waits for the next confirmation. Invariant: it
+// returns true only with a recent enough confirmation, and a gateway that is merely disconnected
+// from control does not wait, so that its callers get an immediate answer.
 func (d *Daemon) awaitConfirmation(ctx context.Context, maxAge time.Duration) bool {
 	confirmed := d.nextConfirmation()
 	if d.confirmedWithin(maxAge) {
--- a/internal/gateway/pause_test.go
+++ b/internal/gateway/pause_test.go
@@ -10,25 +10,25 @@
 	"github.com/ochrebay/ochrebay/internal/routing"
 )
 
-// simulateStall has a gateway's last regular step be that long ago.
+// simulateStall sets the gateway's latest tick to be as long ago as a stall lasted.
 func (s *tenantFixture) simulateStall(pause time.Duration) {
 	s.gateway.stalls.lastTickMs.Store(clock.NowMs() - pause.Milliseconds())
 }
 
-// TestThawedGateway holds that a machine that stood still, as some freeze for seconds, serves the
-// requests that waited for it once control has answered it, and that one without a way to control
-// makes nobody wait.
+// TestThawedGateway checks that a gateway on a machine that froze for seconds serves the requests
+// that arrived in the meantime once control confirms its routing table, and that a gateway which is
+// merely disconnected from control rejects requests without a wait.
 func TestThawedGateway(t *testing.T) {
 	serve := func(fixture *tenantFixture, id string) int {
 		response, _, err := fixture.send("/safe/", id, "Ochrebay-Key", testKey)
 		So(err, ShouldBeNil)
 		return response.StatusCode
 	}
-	Convey("a gateway whose proof has grown old", t, func() {
+	Convey("a gateway whose confirmation is too old", t, func() {
 		fixture := newTenantFixture(t, respondSigned)
 		fixture.confirmationAge.Store(int64(testRevokeBound))
 		calls := 0
-		// The first proof comes once somebody waits for it.
+		// The first confirmation arrives once a request waits for it.
 		fixture.gateway.nextConfirmation = func() <-chan struct{} {
 			if calls++; calls > 1 {
 				fixture.confirmationAge.Store(0)
@@ -37,22 +37,22 @@
 			close(confirmed)
 			return confirmed
 		}
-		Convey("serves what waited for it once its first proof has come", func() {
+		Convey("serves a request after a stall once the first confirmation arrives", func() {
 			fixture.simulateStall(2 * testRevokeBound)
 			So(serve(fixture, "r1"), ShouldEqual, 200)
 		})
-		Convey("does so too when its regular step came before the request", func() {
+		Convey("does the same if the periodic tick runs before the request", func() {
 			fixture.simulateStall(2 * testRevokeBound)
 			fixture.gateway.stalls.tick(sweepInterval, clock.NowMs())
 			So(serve(fixture, "r1"), ShouldEqual, 200)
 		})
-		Convey("rejects at once where it did not stand still", func() {
+		Convey("rejects the request immediately if it was not stalled", func() {
 			fixture.simulateStall(sweepInterval)
 			So(serve(fixture, "r1"), ShouldEqual, 503)
 			So(calls, ShouldEqual, 1)
 		})
 	})
-	Convey("the proof that ends the wait may come with a newer table: what it lacks is not run, what it added is not unknown", t, func() {
+	Convey("a confirmation of a newer table ends the wait: a revoked key is rejected, and an added key is not reported as unknown", t, func() {
 		for _, key := range []string{testKey, "added"} {
 			fixture := newTenantFixture(t, respondSigned)
 			fixture.confirmationAge.Store(int64(testRevokeBound))
@@ -77,7 +77,7 @@
 			So(fixture.runs.Load(), ShouldEqual, 0)
 		}
 	})
-	Convey("a gateway that stood still and gets no proof serves nobody", t, func() {
+	Convey("a stalled gateway that gets no confirmation serves no request", t, func() {
 		fixture := newTenantFixture(t, respondSigned)
 		fixture.confirmationAge.Store(int64(testRevokeBound))
 		fixture.gateway.nextConfirmation = func() <-chan struct{} { return make(chan struct{}) }
--- a/internal/gateway/priority_test.go
+++ b/internal/gateway/priority_test.go
@@ -7,11 +7,11 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// TestLateProgramKeepsItsRank holds that engines are told the rank of a route's requests whether
-// their program can still end in time or not: in an overload they serve the last rank only once
-// its callers have given up.
+// TestLateProgramKeepsItsRank checks that a turn's priority at the engine does not depend on whether
+// its program can still finish in time. In an overload, engines serve the lowest priority only after
+// its callers have given up, so demoting late programs would starve them.
 func TestLateProgramKeepsItsRank(t *testing.T) {
-	Convey("the rank of a turn", t, func() {
+	Convey("a turn's priority does not change after the finish time of its program", t, func() {
 		seen := ""
 		fixture := newGatewayFixture(t, func(w http.ResponseWriter, r *http.Request) {
 			seen = r.Header.Get("Ochrebay-Priority")
--- a/internal/gateway/processor.go
+++ b/internal/gateway/processor.go
@@ -11,24 +11,26 @@
 	"github.com/ochrebay/ochrebay/internal/telemetry"
 )
 
-// minMeasurementSpan is the shortest span over which the use of the processor is measured: shorter
-// ones say more of single requests than of the load.
+// minMeasurementSpan is the shortest span over which processor utilization is measured. Shorter
+// spans reflect single requests rather than the load.
 const minMeasurementSpan = 100 * time.Millisecond
 
-// processorLoad measures how much of its share of a core the process uses.
+// processorLoad measures how much of its processor share, in cores, the process uses.
 type processorLoad struct {
 	tracker membership.OverloadTracker
 	level   uint8
-	// measuredAt and used are when the use was last measured, and the processor time until then.
+	// measuredAt is the time of the latest measurement, and usedTime the processor time that the
+	// process had used by then.
 	measuredAt time.Time
 	usedTime   time.Duration
 	failed     bool
-	// utilizationBits is the decaying mean of what is used of the share of a core, for the metrics (its bits).
+	// utilizationBits holds the decayed mean utilization of the processor share as the bits of a
+	// float64, for the metrics.
 	utilizationBits atomic.Uint64
 }
 
-// overloadLevel returns how hot the gateway is, 0 where its share of a core is not known. Only the
-// goroutine that reports to control calls it.
+// overloadLevel returns the gateway's overload level, 0 if its processor share is unknown. It must
+// be called only by the goroutine that reports to control.
 func (d *Daemon) overloadLevel() uint8 {
 	share := d.process.Limits.CPUShare
 	now := time.Now()
@@ -57,7 +59,7 @@
 	return level
 }
 
-// processorTime returns the processor time that the process has used.
+// processorTime returns the user and system processor time that the process has used.
 func processorTime() (time.Duration, error) {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
--- a/internal/gateway/quotas.go
+++ b/internal/gateway/quotas.go
@@ -14,18 +14,18 @@
 )
 
 const (
-	// quotaRequestTimeout bounds the question for a tenant's quota.
+	// quotaRequestTimeout bounds one request for a tenant's quota.
 	quotaRequestTimeout = 1200 * time.Millisecond
-	// grantReturnTimeout bounds the giving back of a grant, for which nobody waits. One that is
-	// lost counts until it has left the window.
+	// grantReturnTimeout bounds the return of a grant, which runs in the background. If the
+	// return is lost, the grant counts until it leaves the rate limit's window.
 	grantReturnTimeout = time.Second
-	// recentDenialWindow is how long after a denial a tenant's turns ask for their quota before
-	// they are opened, in place of both at once: the opening of a turn that is then denied
-	// costs two entries of a ledger's log.
+	// recentDenialWindow is how long after a denial a tenant's turns request their quota before
+	// they are opened, instead of both concurrently: opening a turn that is then denied costs
+	// two entries of a ledger's log.
 	recentDenialWindow = 5 * time.Second
 )
 
-// denials remembers when tenants were last denied.
+// denials records when each tenant was last denied quota.
 type denials struct {
 	mutex        sync.Mutex
 	lastByTenant map[string]time.Time
@@ -39,7 +39,8 @@
 	d.lastByTenant[tenant] = time.Now()
 }
 
-// isRecent reports whether a tenant was denied lately, and forgets what is longer ago.
+// isRecent reports whether a tenant was denied within recentDenialWindow, and removes an older
+// denial.
 func (d *denials) isRecent(tenant string) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -51,8 +52,8 @@
 	return known
 }
 
-// openCall takes the call's quota and, for a turn, has the ledger open it; both at once unless
-// the tenant was denied lately.
+// openCall acquires the call's quota and, for a turn, opens it at the ledger. It does both
+// concurrently unless the tenant was denied recently.
 func (d *Daemon) openCall(ctx context.Context, c *call) *result.Error {
 	if !c.isTurn() {
 		return d.acquireQuota(ctx, c)
@@ -79,10 +80,11 @@
 	return <-quotaResult
 }
 
-// acquireQuota has the owner of the tenant's limit grant one run of the call, and waits for it
-// where the call belongs to a program under way and there will be room while a grant is still
-// of use. Invariant: every run at an engine has a grant of its own, given between the caller's
-// send and the run, so that the runs of any window are at most the grants of that window.
+// acquireQuota gets a grant for one run of the call from the owner of the tenant's rate limit. The
+// owner queues the request if the call continues a program in progress and the limit will have
+// headroom in time. Invariant: every run at an engine has a grant of its own, made between the
+// arrival of the call and the run, so that the runs of any window do not exceed the grants of that
+// window.
 func (d *Daemon) acquireQuota(ctx context.Context, c *call) *result.Error {
 	if c.tenant == nil || !c.tenant.HasRateLimit() {
 		return nil
@@ -104,7 +106,7 @@
 	return reply.Error
 }
 
-// quotaRequest describes the next run of a call to the owner of its tenant's limit.
+// quotaRequest returns the quota request for the next run of a call.
 func (d *Daemon) quotaRequest(c *call) quota.Request {
 	const base = 36
 	request := quota.Request{Tenant: c.tenant.Name, Limit: c.tenantLimit(), Program: c.programID, Ticket: strconv.FormatUint(rand.Uint64(), base)}
@@ -115,9 +117,9 @@
 	return request
 }
 
-// awaitQuota asks for a run until it is granted, denied or of no use any more. The same ticket
-// keeps its place in the owner's queue from question to question, and how long it has waited
-// gives it its place at an owner that is new.
+// awaitQuota repeats a quota request until it is granted or denied, or until the caller leaves. The
+// ticket keeps the position in the owner's wait queue across requests, and the time already waited
+// determines the position at a new owner.
 func (d *Daemon) awaitQuota(ctx context.Context, c *call, request quota.Request, startedAt time.Time) *protocol.TurnReply {
 	for {
 		request.MaxWaitMs = (c.timeLeft() - d.serviceTimes.expectedTime(c.route.Name)).Milliseconds()
@@ -126,7 +128,7 @@
 		reply := d.ledgers.requestQuota(requestContext, &request)
 		cancel()
 		if ctx.Err() != nil {
-			return &protocol.TurnReply{Error: result.New(result.Cancelled, "the caller left before its tenant's limit had room")}
+			return &protocol.TurnReply{Error: result.New(result.Cancelled, "the caller disconnected while its request waited for the tenant's rate limit")}
 		}
 		if reply.Error != nil || reply.Queued == nil {
 			return reply
@@ -135,7 +137,8 @@
 	}
 }
 
-// cancelQuotaRequest gives a place in the queue back, or a grant whose answer did not come.
+// cancelQuotaRequest cancels a queued quota request, or a grant whose reply was lost, in the
+// background.
 func (d *Daemon) cancelQuotaRequest(c *call, request quota.Request) {
 	request.Cancelled = true
 	go func() {
@@ -145,7 +148,7 @@
 	}()
 }
 
-// quotaOutcome names how a question for quota ended, for metrics.
+// quotaOutcome returns the outcome of a quota request for metrics.
 func quotaOutcome(failure *result.Error) string {
 	switch {
 	case failure == nil:
@@ -156,12 +159,13 @@
 	return "unanswered"
 }
 
-// tenantLimit is the tenant's, with the generation of the table by which the call was routed.
+// tenantLimit returns the rate limit of the call's tenant, with the generation of the routing table
+// that defines it.
 func (c *call) tenantLimit() quota.Limit {
 	return quota.Limit{Generation: c.tableGeneration, RatePerSecond: c.tenant.RatePerSecond, Burst: c.tenant.Burst}
 }
 
-// returnGrants gives back what was granted to a call that no engine has run.
+// returnGrants returns the grants of a call that no engine has run, in the background.
 func (d *Daemon) returnGrants(c *call) {
 	for _, grant := range c.grants {
 		if grant == nil {
--- a/internal/gateway/quotas_test.go
+++ b/internal/gateway/quotas_test.go
@@ -13,7 +13,7 @@
 )
 
 func TestWaitForQuota(t *testing.T) {
-	Convey("a request that waits for room asks again with its ticket and is then served", t, func() {
+	Convey("a queued request repeats the quota request with the same ticket until it is served", t, func() {
 		fixture := newTenantFixture(t, respondSigned)
 		var requests []quota.Request
 		fixture.ledger.setResponse(func(request *protocol.TurnRequest) *protocol.TurnReply {
@@ -31,7 +31,7 @@
 		So(requests[2].MaxWaitMs, ShouldBeLessThanOrEqualTo, requests[0].MaxWaitMs)
 		So(fixture.runs.Load(), ShouldEqual, 1)
 	})
-	Convey("a caller that leaves while its request waits gives its place back", t, func() {
+	Convey("a caller that disconnects while its request is queued cancels the quota request", t, func() {
 		fixture := newTenantFixture(t, respondSigned)
 		cancelled := make(chan string, 1)
 		tickets := make(chan string, 100)
@@ -68,7 +68,7 @@
 		case returnedTicket := <-cancelled:
 			So(returnedTicket, ShouldEqual, ticket)
 		case <-time.After(testTimeout):
-			So("no place was given back", ShouldBeBlank)
+			So("the quota request was not cancelled", ShouldBeBlank)
 		}
 		So(fixture.runs.Load(), ShouldEqual, 0)
 	})
--- a/internal/gateway/retries.go
+++ b/internal/gateway/retries.go
@@ -13,12 +13,12 @@
 )
 
 var (
-	errResponseTimeout = errors.New("the engine was silent for longer than its like")
-	errEngineFailure   = errors.New("the engine answered with a failure")
+	errResponseTimeout = errors.New("engine did not start to respond within the usual time")
+	errEngineFailure   = errors.New("engine responded with a server error")
 )
 
-// retryPolicy decide, over all calls of this gateway, how long a try may be silent and whether
-// there may be a second one.
+// retryPolicy decides, from all calls of this gateway, how long an attempt may wait for the first
+// response and whether it may be retried.
 type retryPolicy struct {
 	mutex     sync.Mutex
 	settings  retry.Settings
@@ -27,11 +27,11 @@
 	budgets   map[string]*retry.Budget
 }
 
-func newRetries(settings retry.Settings, disabled scheduling.DisabledMechanisms) *retryPolicy {
+func newRetryPolicy(settings retry.Settings, disabled scheduling.DisabledMechanisms) *retryPolicy {
 	return &retryPolicy{settings: settings, disabled: disabled, budgets: map[string]*retry.Budget{}}
 }
 
-// budgetFor returns a back end's; the caller holds the mutex.
+// budgetFor returns the retry budget of a back end. The caller must hold the mutex.
 func (r *retryPolicy) budgetFor(backend string) *retry.Budget {
 	budget, found := r.budgets[backend]
 	if !found {
@@ -41,7 +41,7 @@
 	return budget
 }
 
-// recordResponse notes how long a try took to be answered or, for a stream, to begin to be.
+// recordResponse records the time to the response of an attempt or, for a stream, to its first event.
 func (r *retryPolicy) recordResponse(c *call, nowMs int64, responseMs float64) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -55,8 +55,8 @@
 	r.latencies.ForKind(c.route.Name).RecordTimeout(nowMs, milliseconds(timeout))
 }
 
-// responseTimeout is how long a try of a call may be silent at an engine that takes factor times as long
-// as others, 0 for as long as it likes.
+// responseTimeout returns how long an attempt may wait for the first response of an engine whose
+// latency is latencyRatio times that of the others. 0 means no timeout.
 func (r *retryPolicy) responseTimeout(c *call, nowMs int64, latencyRatio float64) time.Duration {
 	if r.disabled.Has(scheduling.MechanismRetry) {
 		return 0
@@ -70,7 +70,7 @@
 	return time.Duration(timeoutMs * max(latencyRatio, 1) * float64(time.Millisecond))
 }
 
-// tryTake takes one second try of a back end's budget.
+// tryTake takes one retry from a back end's budget, and returns false if none is left.
 func (r *retryPolicy) tryTake(backend string) bool {
 	if r.disabled.Has(scheduling.MechanismRetry) {
 		return true
@@ -80,29 +80,30 @@
 	return r.budgetFor(backend).TryTake()
 }
 
-// canRetry reports whether a try that an engine is at work on, or has answered with a
-// failure, may be followed by another one, the budget aside. Invariant: a call that is not
-// repeatable is never sent again once an engine may have run it.
+// canRetry reports whether an attempt that an engine is running, or has answered with a failure, may
+// be retried, apart from the retry budget. Invariant: a call that is not repeatable is never sent
+// again once an engine may have run it.
 func (d *Daemon) canRetry(c *call) bool {
 	if d.process.Policy.Disable.Has(scheduling.MechanismRetry) || !c.route.IsRepeatable() {
 		return false
 	}
 	if c.tenant != nil && c.tenant.HasRateLimit() {
-		// A further run needs a grant of its own, and might be denied it.
+		// A retry needs a quota grant of its own, which may be denied.
 		return false
 	}
 	return c.attemptState.runs+1 < max(c.route.MaxAttempts, 1) && time.Now().Before(c.latestStart) &&
 		d.engines.engineCount(c.backend.Name) > len(c.attemptState.excludedEngines)+1
 }
 
-// responseTimer waits for the first word of an engine.
+// responseTimer bounds the wait for the first response of an engine. A nil timer has no bound.
 type responseTimer struct {
 	timer          *time.Timer
 	attemptContext context.Context
 }
 
-// startResponseTimer passes an engine over that is silent for longer than a try usually takes, and ends the
-// try where there may be another one: its connection is closed before the next is made.
+// startResponseTimer starts a timer that makes an engine suspect if it does not respond within the
+// usual time, and that cancels the attempt if it may be retried. The connection of the cancelled
+// attempt is closed before the next attempt starts.
 func (d *Daemon) startResponseTimer(attemptContext context.Context, c *call, cancel context.CancelCauseFunc) *responseTimer {
 	nowMs := clock.NowMs()
 	timeout := d.retries.responseTimeout(c, nowMs, d.engines.latencyRatio(c.engineID, nowMs))
@@ -122,21 +123,21 @@
 	return &responseTimer{timer: timer, attemptContext: attemptContext}
 }
 
-// stop ends the wait for the first word.
+// stop ends the wait for the first response.
 func (w *responseTimer) stop() {
 	if w != nil {
 		w.timer.Stop()
 	}
 }
 
-// stopAndCheck ends the wait, and reports whether the try was ended for its silence before.
+// stopAndCheck ends the wait and reports whether the timer had already cancelled the attempt.
 func (w *responseTimer) stopAndCheck() bool {
 	w.stop()
 	return w != nil && errors.Is(context.Cause(w.attemptContext), errResponseTimeout)
 }
 
-// isEngineFailure reports whether a status says that the engine, and not the request, is at fault.
-// Its 504 says only that the time was over.
+// isEngineFailure reports whether a status indicates a fault of the engine rather than of the
+// request. A 504 from an engine only means that the deadline has passed.
 func isEngineFailure(status int) bool {
 	return status >= http.StatusInternalServerError && status != http.StatusGatewayTimeout
 }
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -12,7 +12,7 @@
 	"github.com/ochrebay/ochrebay/internal/result"
 )
 
-// serve carries one caller's request through.
+// serve handles one request of a caller.
 func (d *Daemon) serve(writer http.ResponseWriter, request *http.Request) {
 	d.inFlight.Add(1)
 	defer d.inFlight.Add(-1)
@@ -28,16 +28,17 @@
 		return
 	}
 	if response.headerWritten || failure.Code == result.Cancelled {
-		// What has been passed on must not look complete.
+		// Aborting the connection keeps a partial response from looking complete.
 		panic(http.ErrAbortHandler)
 	}
 	response.writeError(request, failure)
 }
 
-// run reserves a turn where the call is one, has an engine serve it, and settles.
+// run opens the call, which reserves its turn if it is one, runs it at an engine, and settles a
+// reserved turn that was not retained.
 func (d *Daemon) run(ctx context.Context, c *call, response *callerResponse) *result.Error {
 	if c.timeLeft() < minSendTime {
-		return result.New(result.DeadlinePassed, "%s left", c.timeLeft())
+		return result.New(result.DeadlinePassed, "%s left until the deadline", c.timeLeft())
 	}
 	defer func() {
 		if c.turnReserved {
@@ -63,10 +64,10 @@
 	return failure
 }
 
-// openTurn has the ledger reserve the turn and fetches the chain it goes on from.
+// openTurn reserves the turn at the ledger and fetches the history that it continues from.
 func (d *Daemon) openTurn(ctx context.Context, c *call) *result.Error {
-	// A leader that is lost is replaced within the time that most callers have; no engine is
-	// worth asking after it, so there is nothing else to keep the time for.
+	// A lost leader is replaced within the time that most callers allow. After latestStart no
+	// attempt at an engine is worthwhile, so no time has to be left for one.
 	ledgerContext, cancel := context.WithDeadline(ctx, earlier(c.deadline, later(c.latestStart, time.Now().Add(ledgerCallTimeout))))
 	defer cancel()
 	reserve := &program.Reserve{Program: c.programID, Request: c.turnID, BudgetTokens: c.tokenBudget, MaxTokens: c.maxTokens, Session: c.sessionID}
@@ -87,8 +88,8 @@
 		reply = d.ledgers.reserve(ledgerContext, reserve, "")
 	}
 	if reply.Error != nil {
-		// The reservation may stand although nobody said so; no engine gets the call, so
-		// nothing of it may stay charged.
+		// The reservation may have been made although no reply arrived. No engine gets the call,
+		// so the reservation has to be settled and nothing charged.
 		c.turnReserved = c.tokenBudget > 0 && reply.Error.Code == result.LedgerUnreachable
 		return reply.Error
 	}
@@ -104,17 +105,17 @@
 	return nil
 }
 
-// admitProgram decides whether a program may begin. Invariant: a program that has begun is never
-// rejected for want of capacity, nor one that goes on from a kept turn.
+// admitProgram decides whether a program may start. Invariant: admission control never rejects a
+// program in progress, nor one that continues from a retained turn.
 func (d *Daemon) admitProgram(c *call) *result.Error {
 	decision := d.engines.decideAdmission(c, c.priorityPosition, c.priorityCount)
 	if decision.admitted {
 		return nil
 	}
-	failure := result.New(result.Overloaded, "%.1f requests an engine, begun in time up to %.1f; rank %d of %d",
+	failure := result.New(result.Overloaded, "%.1f requests per engine, streams start in time up to %.1f; priority %d of %d",
 		decision.concurrency, decision.limit, c.priorityPosition, c.priorityCount)
 	if status := decision.shareStatus; status.AboveFairShare {
-		failure = result.New(result.ShareUsed, "%.1f of the tenant's requests under way, its share %.1f; %.1f requests an engine, room for %.1f",
+		failure = result.New(result.ShareUsed, "%.1f of the tenant's requests in flight, its fair share is %.1f; %.1f requests per engine, capacity %.1f",
 			status.InFlight, status.Share, decision.concurrency, decision.capacity)
 	}
 	return failure.WithRetryAfter(time.Duration(decision.retryAfterMs) * time.Millisecond)
@@ -134,7 +135,8 @@
 	return b
 }
 
-// settleAsync charges a turn that is not kept; the caller need not wait for it.
+// settleAsync charges a turn that is not retained, in the background so that the caller does not
+// wait for it.
 func (d *Daemon) settleAsync(c *call, response *callerResponse) {
 	settle := &program.Settle{Program: c.programID, Request: c.turnID, UsedTokens: response.usedTokens(c), Session: c.sessionID, Engine: c.selection.engine.IncarnationKey()}
 	go func() {
--- a/internal/gateway/services.go
+++ b/internal/gateway/services.go
@@ -8,8 +8,8 @@
 	"github.com/ochrebay/ochrebay/internal/scheduling"
 )
 
-// serviceTimes learns how long the requests of each route take once they are granted, so that a
-// request waits for its grant only as long as its caller can still get the answer.
+// serviceTimes learns how long the requests of each route take once their quota is granted, so that
+// a request waits for its grant only as long as the caller can still get the response.
 type serviceTimes struct {
 	mutex   sync.Mutex
 	byRoute map[string]*scheduling.DecayedMean
@@ -19,14 +19,14 @@
 	return &serviceTimes{byRoute: map[string]*scheduling.DecayedMean{}}
 }
 
-// record notes a request that took a time from its last send to the end of its answer.
+// record adds the time from the last attempt of a request to the end of its response.
 func (s *serviceTimes) record(route string, elapsed time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	getOrCreate(s.byRoute, route).Add(clock.NowMs(), float64(elapsed)/float64(time.Millisecond), 1)
 }
 
-// expectedTime returns how long a request takes in the mean, shortestSend at the least.
+// expectedTime returns the decayed mean time of a route's requests, and at least minSendTime.
 func (s *serviceTimes) expectedTime(route string) time.Duration {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/gateway/shares_test.go
+++ b/internal/gateway/shares_test.go
@@ -14,11 +14,11 @@
 	"github.com/ochrebay/ochrebay/internal/scheduling"
 )
 
-// newOversubscribedFixture is a gateway whose one engine is short, of which a tenant uses more than its
-// share and another one less.
+// newOversubscribedFixture returns a gateway whose only engine is oversubscribed. The tenant above
+// uses more than its fair share, the tenant below uses less.
 func newOversubscribedFixture(t *testing.T, above, below string) *tenantFixture {
 	fixture := newTenantFixture(t, func(w http.ResponseWriter, r *http.Request) {
-		// Use is counted in milliseconds: a request that takes less may count for nothing.
+		// Usage has millisecond resolution, so a shorter request may not be counted.
 		time.Sleep(5 * time.Millisecond)
 		streamingEngine(1, "", false)(w, r)
 	})
@@ -45,7 +45,7 @@
 }
 
 func TestSharesOfAGateway(t *testing.T) {
-	Convey("a new program of a tenant above its share is rejected, runs nowhere and is told when to come back", t, func() {
+	Convey("a new program of a tenant above its fair share is rejected without a run, with Retry-After", t, func() {
 		fixture := newOversubscribedFixture(t, "beta", "alpha")
 		response, body, err := fixture.send("/stream/", "r1", append(budgetHeaders, "Ochrebay-Key", otherKey)...)
 		So(err, ShouldBeNil)
@@ -54,7 +54,7 @@
 		So(body, ShouldContainSubstring, "share_used")
 		So(fixture.runs.Load(), ShouldEqual, 0)
 	})
-	Convey("one of a tenant within its share begins, and so does a turn of a program that has begun", t, func() {
+	Convey("a new program of a tenant within its fair share is admitted, and so is a program in progress", t, func() {
 		fixture := newOversubscribedFixture(t, "alpha", "beta")
 		response, _, err := fixture.send("/stream/", "r1", append(budgetHeaders, "Ochrebay-Key", otherKey)...)
 		So(err, ShouldBeNil)
@@ -64,18 +64,18 @@
 		So(err, ShouldBeNil)
 		So(response.StatusCode, ShouldEqual, 200)
 	})
-	Convey("turned off it rejects nobody", t, func() {
+	Convey("disabled fair shares reject no program", t, func() {
 		fixture := newOversubscribedFixture(t, "beta", "alpha")
 		fixture.gateway.engines.fairSharesEnabled = false
 		response, _, err := fixture.send("/stream/", "r1", append(budgetHeaders, "Ochrebay-Key", otherKey)...)
 		So(err, ShouldBeNil)
 		So(response.StatusCode, ShouldEqual, 200)
 	})
-	Convey("a gateway says who uses a back end that is nearly short, and names nobody while there is room", t, func() {
+	Convey("a gateway reports usage by tenant only for a back end close to its capacity", t, func() {
 		fixture := newOversubscribedFixture(t, "beta", "alpha")
 		_, _, err := fixture.send("/safe/", "r1", "Ochrebay-Key", otherKey)
 		So(err, ShouldBeNil)
-		// One that is under way for some time, which the request before need not have been.
+		// This request is in flight for some time; the one above may have been too short to count.
 		fixture.gateway.engines.usageMeter = admission.NewUsageMeter(clock.NowMs() - 100)
 		fixture.gateway.engines.usageMeter.AdjustInFlight("b", "beta", 2, 1, clock.NowMs()-100)
 		uses := fixture.gateway.engines.collectTenantUsage(clock.NowMs())
--- a/internal/gateway/tenants.go
+++ b/internal/gateway/tenants.go
@@ -10,19 +10,21 @@
 )
 
 const (
-	// clockDriftMargin covers what steady clocks of two machines may drift apart in the few
-	// seconds of a proof's life, 0.1% of it, and the step from the check to the send.
+	// clockDriftMargin covers the drift between the monotonic clocks of two machines over the few
+	// seconds for which a confirmation is valid, 0.1% of that time, and the time from the check to
+	// the send.
 	clockDriftMargin = 100 * time.Millisecond
-	// unknownKeyMaxAge is how old the proof may be that a key is unknown. It is below the time
-	// that the platform grants until a table is in force (2 s and more), and above the age
-	// that the rhythm of heartbeats gives, 1.4 s: within it a key that is not in the table
-	// was not in any that callers may rely on.
+	// unknownKeyMaxAge is the maximum age of the confirmation of the routing table for a key to be
+	// rejected as unknown. It is below the time that the platform allows until a table is in force
+	// (2 s and more), and above the age that results from the heartbeat interval, 1.4 s. A key
+	// that is missing from a table confirmed this recently was in no table that callers may rely
+	// on.
 	unknownKeyMaxAge = 1800 * time.Millisecond
 )
 
-// identifyTenant finds the tenant that holds the caller's key. Invariant: it says that a key is
-// unknown only where the table is known to be in force; a gateway that has been cut off may
-// lack keys that were added since.
+// identifyTenant finds the tenant of the caller's key. Invariant: a key is rejected as unknown only
+// if the routing table is confirmed to be in force, because a gateway that was disconnected from
+// control may lack keys that were added since.
 func (d *Daemon) identifyTenant(c *call, routes *routing.Index) *result.Error {
 	c.requiresKey = routes.Table.RequiresKey
 	if !c.requiresKey {
@@ -36,19 +38,19 @@
 		return nil
 	}
 	if c.tenant == nil {
-		// A proof that came meanwhile may be of a newer table, which may hold the key.
+		// A confirmation that arrived in the meantime may be for a newer table that holds the key.
 		if !d.awaitConfirmation(c.request.Context(), unknownKeyMaxAge) || d.view.Load().routes.Table.Generation != c.tableGeneration {
 			return d.keysUnconfirmedError()
 		}
-		return result.New(result.UnknownKey, "no tenant holds the key")
+		return result.New(result.UnknownKey, "the key does not belong to any tenant")
 	}
 	return d.recheckKey(c)
 }
 
-// recheckKey checks that no key may have been withdrawn unheard. Invariant: no request of a
-// tenant goes on unless the table that holds its key was surely in force within the
-// revocation bound; it is asked again before every send, since the process may have been
-// paused, or the call may have waited, since it was asked last.
+// recheckKey checks that the caller's key cannot have been revoked without this gateway noticing.
+// Invariant: no request of a tenant proceeds unless the table that holds its key is confirmed to
+// have been in force within the revocation bound. The check is repeated before every attempt,
+// because the process may have been stalled, or the call may have waited, since the previous check.
 func (d *Daemon) recheckKey(c *call) *result.Error {
 	maxAge, isStrict := d.process.Limits.RevokeWithin()
 	if c.tenant == nil || c.route.AllowsAnonymous || !isStrict {
@@ -57,15 +59,15 @@
 	if !d.awaitConfirmation(c.request.Context(), maxAge-clockDriftMargin) {
 		return d.keysUnconfirmedError()
 	}
-	// The proof may be younger than the table by which the call was routed, as when the call has
-	// waited for it after a pause. The table that it proves is in force by now.
+	// The confirmation may be for a newer table than the one that routed the call, for example if
+	// the call waited for it after a stall. The confirmed table is already applied.
 	current := d.view.Load().routes
 	if current.Table.Generation == c.tableGeneration {
 		return nil
 	}
 	holder := current.TenantByKey(c.request.Header.Get(d.headerNames.APIKey))
 	if holder == nil || holder.Name != c.tenant.Name {
-		return result.New(result.UnknownKey, "the key was withdrawn while the request was under way")
+		return result.New(result.UnknownKey, "the key was revoked while the request was in progress")
 	}
 	return nil
 }
@@ -83,9 +85,9 @@
 	return result.New(result.KeysUnconfirmed, "the routing table was last confirmed %s ago", age.Round(time.Millisecond))
 }
 
-// checkSend checks before every send that the caller's key still holds and, where an engine may
-// have run the call already, that the tenant's limit has room for one more run. Once a run
-// may have begun, a refusal says so.
+// checkSend checks before every attempt that the caller's key is still valid. If an engine may
+// already have run the call, it also acquires quota for another run, and any failure reports that
+// the outcome is unknown.
 func (d *Daemon) checkSend(ctx context.Context, c *call, mayHaveRun bool) *result.Error {
 	failure := d.recheckKey(c)
 	if !mayHaveRun {
@@ -100,9 +102,9 @@
 	return result.New(result.OutcomeUnknown, "not sent again: %s", failure.Message)
 }
 
-// tenantScopedID returns the ledger's name of a caller's program or turn. Invariant: what one
-// tenant calls by a name is never another tenant's, so that nobody goes on from a turn, or
-// spends the budget, of somebody else.
+// tenantScopedID returns the ledger's id of a caller's program or turn. Invariant: ids of different
+// tenants never collide, so that no tenant can continue from a turn, or spend the budget, of another
+// tenant.
 func (c *call) tenantScopedID(id string) string {
 	if c.tenant == nil || id == "" {
 		return id
--- a/internal/gateway/tenants_test.go
+++ b/internal/gateway/tenants_test.go
@@ -26,13 +26,13 @@
 	testRevokeBound = 5 * time.Second
 )
 
-// tenantFixture is a gateway whose table has two tenants, one of them limited.
+// tenantFixture is a gateway whose routing table has two tenants, one of them with a rate limit.
 type tenantFixture struct {
 	*gatewayFixture
-	// confirmationAge is how old the proof is that the table is in force, nanoseconds; below zero there
-	// is none.
+	// confirmationAge is the age in nanoseconds of the confirmation that the routing table is in
+	// force. A negative value means that there is none.
 	confirmationAge atomic.Int64
-	// engineHeader is the header that the engine was sent last.
+	// engineHeader is the header of the latest request to the engine.
 	engineHeader atomic.Pointer[http.Header]
 }
 
@@ -70,7 +70,7 @@
 }
 
 func TestKeys(t *testing.T) {
-	Convey("the engine learns the tenant's name and never the key", t, func() {
+	Convey("the engine gets the tenant's name and never the key", t, func() {
 		fixture := newTenantFixture(t, respondSigned)
 		response, _, err := fixture.send("/safe/", "r1", "Ochrebay-Key", testKey, "Ochrebay-Tenant", "beta", "Hold", "h", "Ochrebay-Priority", "0")
 		So(err, ShouldBeNil)
@@ -81,7 +81,7 @@
 		So(seen, ShouldNotContainKey, "Hold")
 		So(seen, ShouldNotContainKey, "Ochrebay-Priority")
 	})
-	Convey("no key, or one that nobody holds, is 401 where the table is surely in force, 503 where it may lack keys", t, func() {
+	Convey("a missing or unknown key returns 401 if the table is confirmed to be in force, and 503 if it may lack keys", t, func() {
 		fixture := newTenantFixture(t, respondSigned)
 		for _, key := range []string{"", "nobody's"} {
 			fixture.confirmationAge.Store(int64(time.Second))
@@ -99,7 +99,7 @@
 		}
 		So(fixture.runs.Load(), ShouldEqual, 0)
 	})
-	Convey("a gateway that has been cut off for the bound serves no key; what needs none is served on", t, func() {
+	Convey("a gateway disconnected for the revocation bound serves no key but still serves anonymous routes", t, func() {
 		fixture := newTenantFixture(t, respondSigned)
 		fixture.confirmationAge.Store(int64(testRevokeBound - 2*clockDriftMargin))
 		response, _, err := fixture.send("/safe/", "r1", "Ochrebay-Key", testKey)
@@ -115,7 +115,7 @@
 		So(*fixture.engineHeader.Load(), ShouldNotContainKey, "Ochrebay-Tenant")
 		So(fixture.runs.Load(), ShouldEqual, 2)
 	})
-	Convey("a process that is paused between taking a request and sending it asks again", t, func() {
+	Convey("the key is checked again if the process stalls between accepting a request and sending it", t, func() {
 		fixture := newTenantFixture(t, streamingEngine(1, "", false))
 		fixture.ledger.setResponse(func(request *protocol.TurnRequest) *protocol.TurnReply {
 			if request.Reserve != nil {
@@ -128,7 +128,7 @@
 		So(response.StatusCode, ShouldEqual, 503)
 		So(fixture.runs.Load(), ShouldEqual, 0)
 	})
-	Convey("a proof that is younger than the call's table does not vouch for a key withdrawn between the two", t, func() {
+	Convey("a confirmation of a newer table does not validate a key that this table has revoked", t, func() {
 		fixture := newTenantFixture(t, streamingEngine(1, "", false))
 		fixture.ledger.setResponse(func(request *protocol.TurnRequest) *protocol.TurnReply {
 			if request.Reserve != nil {
@@ -145,7 +145,7 @@
 		So(response.StatusCode, ShouldEqual, 401)
 		So(fixture.runs.Load(), ShouldEqual, 0)
 	})
-	Convey("programs and turns are their tenant's: another tenant's names are other ones", t, func() {
+	Convey("the ids of programs and turns are scoped to their tenant", t, func() {
 		fixture := newTenantFixture(t, streamingEngine(1, "", false))
 		var reserves []turnNames
 		fixture.ledger.setResponse(func(request *protocol.TurnRequest) *protocol.TurnReply {
@@ -162,11 +162,11 @@
 	})
 }
 
-// turnNames are what a turn is called at the ledger.
+// turnNames holds the ids by which the ledger identifies a turn.
 type turnNames struct{ program, turn, previous string }
 
 func TestQuotaOfAGateway(t *testing.T) {
-	Convey("a request beyond its tenant's limit is 429 with the time to come back, and does not run", t, func() {
+	Convey("a request above its tenant's rate limit returns 429 with Retry-After and is not run", t, func() {
 		fixture := newTenantFixture(t, respondSigned)
 		fixture.ledger.setResponse(func(request *protocol.TurnRequest) *protocol.TurnReply {
 			return &protocol.TurnReply{Error: result.New(result.TenantLimit, "full").WithRetryAfter(250 * time.Millisecond)}
@@ -187,7 +187,7 @@
 		So(response.StatusCode, ShouldEqual, 200)
 		So(fixture.runs.Load(), ShouldEqual, 1)
 	})
-	Convey("a turn that is denied leaves nothing reserved of its program's budget", t, func() {
+	Convey("a denied turn releases the reservation of its program's budget", t, func() {
 		fixture := newTenantFixture(t, streamingEngine(1, "", false))
 		fixture.ledger.setResponse(func(request *protocol.TurnRequest) *protocol.TurnReply {
 			if request.Quota != nil {
@@ -200,7 +200,7 @@
 		So(response.StatusCode, ShouldEqual, 429)
 		So(fixture.ledger.awaitSettle("beta/r1").Settle.UsedTokens, ShouldEqual, 0)
 	})
-	Convey("what was granted to a request that no engine ran is given back", t, func() {
+	Convey("a request that no engine ran returns its grant", t, func() {
 		fixture := newTenantFixture(t, func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Ochrebay-Not-Run", "true")
 			w.WriteHeader(http.StatusServiceUnavailable)
@@ -220,10 +220,10 @@
 		case returnedGrant := <-returned:
 			So(returnedGrant, ShouldResemble, grant)
 		case <-time.After(testTimeout):
-			So("nothing was returned", ShouldBeBlank)
+			So("the grant was not returned", ShouldBeBlank)
 		}
 	})
-	Convey("a return whose answer is lost is not sent again", t, func() {
+	Convey("a grant return whose reply is lost is not sent again", t, func() {
 		fixture := newTenantFixture(t, func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Ochrebay-Not-Run", "true")
 			w.WriteHeader(http.StatusServiceUnavailable)
@@ -241,7 +241,7 @@
 		time.Sleep(2 * ledgerCallTimeout)
 		So(returns.Load(), ShouldEqual, 1)
 	})
-	Convey("a second run needs a second grant; without it the answer does not say that nothing ran", t, func() {
+	Convey("a second run needs a second grant; without it the call is not reported as not run", t, func() {
 		fixture := newTenantFixture(t, streamingEngine(1, "", true))
 		grants := atomic.Int64{}
 		fixture.ledger.setResponse(func(request *protocol.TurnRequest) *protocol.TurnReply {
@@ -256,8 +256,8 @@
 	})
 }
 
-// TestHeadersProperty sends heads written byte by byte: whatever a caller writes, an engine
-// gets its tenant's name once, no key and nothing that only gateways set.
+// TestHeadersProperty sends raw request headers: whatever a caller sends, an engine gets the tenant's
+// name exactly once, no key, and no header that only gateways set.
 func TestHeadersProperty(t *testing.T) {
 	fixture := newTenantFixture(t, respondSigned)
 	address := strings.TrimPrefix(fixture.server.URL, "http://")
@@ -294,12 +294,12 @@
 		seen := fixture.engineHeader.Load()
 		if seen == nil {
 			if response.StatusCode < 400 {
-				t.Fatalf("status %d and no run", response.StatusCode)
+				t.Fatalf("status %d although the engine got no request", response.StatusCode)
 			}
 			return
 		}
 		if tenants := (*seen)["Ochrebay-Tenant"]; len(tenants) != 1 || tenants[0] != "alpha" {
-			t.Fatalf("tenant %q", tenants)
+			t.Fatalf("the engine got tenant headers %q, want one with alpha", tenants)
 		}
 		for _, name := range forbidden {
 			if values, sent := (*seen)[name]; sent {
--- a/internal/gateway/tries.go
+++ b/internal/gateway/tries.go
@@ -15,32 +15,35 @@
 )
 
 const (
-	// goneDialTimeout bounds the look whether an engine is gone.
+	// goneDialTimeout bounds the dial that checks whether an engine is gone.
 	goneDialTimeout = 100 * time.Millisecond
-	// minSendTime is the least time that a send to an engine makes sense for.
+	// minSendTime is the least time left for which an attempt at an engine is worthwhile.
 	minSendTime = 5 * time.Millisecond
-	// maxProbedEngines is how many engines a call asks that was told of room without being told where.
+	// maxProbedEngines is how many engines a call tries after it was woken without the name of an
+	// engine that has capacity.
 	maxProbedEngines = 3
-	// allEngines lets a call ask all engines that it may be sent to.
+	// allEngines lets a call try all eligible engines.
 	allEngines = -1
 )
 
-// attemptState is what is known of a call's sends so far.
+// attemptState describes a call's attempts so far.
 type attemptState struct {
-	// excludedEngines are the engines that are not asked again before the call has waited.
+	// excludedEngines lists the engines that are not tried again before the call has waited.
 	excludedEngines []string
-	// remainingEngines is how many engines may be asked before the call waits, everyEngine for all.
+	// remainingEngines is how many more engines may be tried before the call waits, allEngines for
+	// no bound.
 	remainingEngines int
-	// runs counts the engines that may still work on the call; mayHaveRun says that any may
-	// have begun to.
+	// runs counts the runs against the route's attempt limit: all that engines may have started,
+	// except those of repeatable calls at engines that are gone. mayHaveRun is true once any
+	// engine may have started the call.
 	runs       int
 	mayHaveRun bool
 }
 
-// runAttempts sends a call to engines until one answers or none may be asked any
-// more; it returns what to tell the caller, nil where the answer was passed on.
-// Invariant: a call that is not repeatable is sent again only where every send
-// before was not run; the error says "not run" only where all sends were not.
+// runAttempts sends a call to engines until one answers or no further attempt is allowed. It returns
+// the error for the caller, or nil if the response was forwarded. Invariant: a call that is not
+// repeatable is sent again only if no earlier attempt was run, and the error states "not run" only if
+// no attempt was run.
 func (d *Daemon) runAttempts(ctx context.Context, c *call, deliver deliverFunc) *result.Error {
 	defer d.waitQueues.leave(c, false)
 	state := &c.attemptState
@@ -84,7 +87,7 @@
 	}
 }
 
-// evaluateAttempt reports whether a call is over after a send, and what to tell its caller then.
+// evaluateAttempt reports whether a call is finished after an attempt, and with which error.
 func (d *Daemon) evaluateAttempt(c *call, state *attemptState, engine membership.ServingEngine, outcome attemptOutcome) (done bool, failure *result.Error) {
 	switch outcome.kind {
 	case attemptAnswered:
@@ -96,13 +99,13 @@
 		state.runs++
 	case attemptBroken:
 		state.mayHaveRun = true
-		// An engine that has ended works on nothing any more, so that it does not count
-		// among those that the call may run on.
+		// An engine that is gone no longer runs the call, so its run does not count towards
+		// the attempt limit.
 		if !c.route.IsRepeatable() || !d.isEngineGone(engine) {
 			state.runs++
 		}
-		if !d.canFailOver(c, outcome) || state.runs >= max(c.route.MaxAttempts, 1) || !d.hasRetryBudget(c, outcome) {
-			return true, result.New(result.OutcomeUnknown, "engine %s broke off: %v", engine.ID, outcome.err)
+		if !d.canFailOver(c, outcome) || state.runs >= max(c.route.MaxAttempts, 1) || !d.takeRetryBudget(c, outcome) {
+			return true, result.New(result.OutcomeUnknown, "attempt at engine %s was interrupted: %v", engine.ID, outcome.err)
 		}
 	}
 	if c.timeLeft() < minSendTime {
@@ -111,17 +114,18 @@
 	return false, nil
 }
 
-// hasRetryBudget reports whether the budget of the back end covers another send of a call that an
-// engine may have run. For one that was ended for its silence it was asked before.
-func (d *Daemon) hasRetryBudget(c *call, outcome attemptOutcome) bool {
+// takeRetryBudget takes one retry of a call that an engine may have run from the back end's budget,
+// and returns false if none is left. For an attempt that timed out, the response timer has already
+// taken it.
+func (d *Daemon) takeRetryBudget(c *call, outcome attemptOutcome) bool {
 	return errors.Is(outcome.err, errResponseTimeout) || d.retries.tryTake(c.backend.Name)
 }
 
-// waitInQueue has a call wait that no engine had room for; afterwards the engine that has some is
-// asked, or all of them where it is not known which.
+// waitInQueue makes a call wait that no engine had capacity for. After the wait, only the engine
+// that has capacity is tried, or up to maxProbedEngines engines if it is unknown which one has.
 func (d *Daemon) waitInQueue(ctx context.Context, c *call, state *attemptState) *result.Error {
 	if state.mayHaveRun {
-		return result.New(result.OutcomeUnknown, "%d sends, one of them broken off", c.attemptCount)
+		return result.New(result.OutcomeUnknown, "%d attempts, at least one of which an engine may have run", c.attemptCount)
 	}
 	engine, failure := d.waitForCapacity(ctx, c)
 	if failure != nil {
@@ -132,7 +136,8 @@
 	return nil
 }
 
-// recordCompletion passes the word on that a request which an engine had taken has ended there.
+// recordCompletion records the latency of a successful buffered response, and notifies the wait
+// queue if a request that an engine had accepted has ended.
 func (d *Daemon) recordCompletion(c *call, outcome attemptOutcome) {
 	if outcome.kind == attemptAnswered && outcome.responseMs > 0 && !isEngineFailure(outcome.status) {
 		d.retries.recordResponse(c, clock.NowMs(), outcome.responseMs)
@@ -143,9 +148,9 @@
 	}
 }
 
-// latestStart is until when a call is worth starting at an engine: so that it can end before
-// its caller gives it up or, where nobody has room for it, its caller can come back and have it
-// run elsewhere; hence twice the time that a run takes.
+// latestStart returns the latest time at which a call is worth starting at an engine: two expected
+// service times before its caller gives up. The call can then complete in time or, if no engine has
+// capacity, the caller can retry and have it run elsewhere.
 func (d *Daemon) latestStart(c *call) time.Time {
 	const reservedServiceTimes = 2
 	latestEnd := c.deadline
@@ -156,8 +161,8 @@
 	return latestEnd.Add(-reservedServiceTimes * max(serviceTime, minSendTime))
 }
 
-// canFailOver reports whether a call that an engine broke off may be sent to another
-// one: it is repeatable, and what has reached the caller can be gone on from.
+// canFailOver reports whether an interrupted call may be sent to another engine: it has to be
+// repeatable, and a response that has started has to be resumable.
 func (d *Daemon) canFailOver(c *call, outcome attemptOutcome) bool {
 	if !c.route.IsRepeatable() || (outcome.responseStarted && d.process.Policy.Disable.Has(scheduling.MechanismStreamResume)) {
 		return false
@@ -165,7 +170,7 @@
 	return !outcome.responseStarted || (c.route.Resumable && !c.retainsTurn() && c.lastEventID > 0)
 }
 
-// isEngineGone reports whether an engine is gone: nobody listens at its address.
+// isEngineGone reports whether an engine is gone: its address refuses connections.
 func (d *Daemon) isEngineGone(engine membership.ServingEngine) bool {
 	connection, err := net.DialTimeout("tcp", engine.Address, goneDialTimeout)
 	if err == nil {
@@ -177,15 +182,15 @@
 
 func attemptsExhaustedError(c *call, mayHaveRun bool, last attemptOutcome) *result.Error {
 	if mayHaveRun {
-		return result.New(result.OutcomeUnknown, "%d sends, the last: %v", c.attemptCount, last.err)
+		return result.New(result.OutcomeUnknown, "%d attempts, the last one: %v", c.attemptCount, last.err)
 	}
-	return result.New(result.EngineRefused, "%d sends, the last: %v", c.attemptCount, last.err)
+	return result.New(result.EngineRefused, "%d attempts, the last one: %v", c.attemptCount, last.err)
 }
 
-// cancelledError answers a call whose caller left or whose time is over.
+// cancelledError returns the error of a call whose caller disconnected or whose deadline passed.
 func cancelledError(c *call, outcome attemptOutcome) *result.Error {
 	if c.timeLeft() > 0 {
-		return result.New(result.Cancelled, "the caller left: %v", outcome.err)
+		return result.New(result.Cancelled, "the caller disconnected: %v", outcome.err)
 	}
-	return result.New(result.EngineTimeout, "no answer within %s", time.Since(c.startedAt).Round(time.Millisecond))
+	return result.New(result.EngineTimeout, "no response from the engine within %s", time.Since(c.startedAt).Round(time.Millisecond))
 }
--- a/internal/gateway/tries_test.go
+++ b/internal/gateway/tries_test.go
@@ -14,14 +14,14 @@
 	"github.com/ochrebay/ochrebay/internal/retry"
 )
 
-// respondNotRun is the answer of an engine that did not run the request.
+// respondNotRun writes the response of an engine that did not run the request.
 func respondNotRun(w http.ResponseWriter) {
 	w.Header().Set("Ochrebay-Not-Run", "1")
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
 func TestWaitingForRoom(t *testing.T) {
-	Convey("a call that no engine has room for gets it once there is some", t, func() {
+	Convey("a call that no engine has capacity for runs once there is some", t, func() {
 		var refusals atomic.Int64
 		fixture := newGatewayFixture(t, func(w http.ResponseWriter, r *http.Request) {
 			if refusals.Add(1) <= 3 {
@@ -37,7 +37,7 @@
 		_, waitingNow := fixture.gateway.waitQueues.admissionErrors()
 		So(waitingNow, ShouldEqual, 0)
 	})
-	Convey("one for which it does not come hears so with the time to come back, having run nowhere, and leaves the queue", t, func() {
+	Convey("a call that gets no capacity in time leaves the queue and returns 503 with Retry-After", t, func() {
 		fixture := newGatewayFixture(t, func(w http.ResponseWriter, _ *http.Request) { respondNotRun(w) })
 		response, _, err := fixture.send("/unsafe/", "r1", "Ochrebay-Deadline-Ms", "300")
 		So(err, ShouldBeNil)
@@ -47,7 +47,7 @@
 		So(waitingNow, ShouldEqual, 0)
 		So(mistakes.FutileWaits, ShouldEqual, 1)
 	})
-	Convey("so does one without any engine", t, func() {
+	Convey("a call to a back end without engines returns 503", t, func() {
 		fixture := newGatewayFixture(t, respondSigned)
 		fixture.gateway.engines.applyFleet(&membership.FleetView{Version: 2})
 		response, body, err := fixture.send("/safe/", "r1", "Ochrebay-Deadline-Ms", "300")
@@ -57,8 +57,8 @@
 	})
 }
 
-// newTwoEngineFixture is a gateway before an engine of one behaviour and another that answers well;
-// the first is asked first.
+// newTwoEngineFixture returns a gateway with an engine that behaves as first, which is selected
+// first, and an engine that answers normally. firstRuns counts the requests to the former.
 func newTwoEngineFixture(t *testing.T, first http.HandlerFunc) (fixture *gatewayFixture, firstRuns *atomic.Int64) {
 	fixture = newGatewayFixture(t, respondSigned)
 	other := newGatewayFixture(t, first)
@@ -72,7 +72,7 @@
 	return fixture, &other.runs
 }
 
-// recordLatencies lets the gateway know that answers take 20 ms.
+// recordLatencies records enough responses of 20 ms for the gateway to have a response timeout.
 func (g *gatewayFixture) recordLatencies(routes ...string) {
 	const answers, tookMs = 200, 20
 	for _, route := range routes {
@@ -91,7 +91,7 @@
 		case <-release:
 		}
 	}
-	Convey("a request that may be repeated leaves an engine that is silent for longer than its like", t, func() {
+	Convey("a repeatable request is retried elsewhere if the engine does not respond within the usual time", t, func() {
 		fixture, runs := newTwoEngineFixture(t, unresponsive)
 		fixture.recordLatencies("/safe/")
 		response, _, err := fixture.send("/safe/", "r1", "Ochrebay-Deadline-Ms", "20000")
@@ -101,7 +101,7 @@
 		So(fixture.runs.Load(), ShouldEqual, 1)
 		So(fixture.gateway.engines.healthOf("first").IsSuspect(clock.NowMs()), ShouldBeTrue)
 	})
-	Convey("one that may not waits for it until its time is over, and the engine is passed over meanwhile", t, func() {
+	Convey("a request that is not repeatable waits until its deadline, and the engine becomes suspect", t, func() {
 		fixture, runs := newTwoEngineFixture(t, unresponsive)
 		fixture.recordLatencies("/unsafe/")
 		response, _, err := fixture.send("/unsafe/", "r1", "Ochrebay-Deadline-Ms", "400")
@@ -111,7 +111,7 @@
 		So(fixture.runs.Load(), ShouldEqual, 0)
 		So(fixture.gateway.engines.failingEngines(clock.NowMs()), ShouldContain, "first")
 	})
-	Convey("without a budget nothing is sent a second time", t, func() {
+	Convey("without retry budget no request is retried", t, func() {
 		fixture, _ := newTwoEngineFixture(t, unresponsive)
 		fixture.recordLatencies("/safe/")
 		fixture.gateway.retries.settings = retry.Settings{}
@@ -129,7 +129,7 @@
 		w.Header().Set("Ochrebay-Signature", "s")
 		w.WriteHeader(http.StatusInternalServerError)
 	}
-	Convey("a failure of one engine is not passed on where another may be asked, and the engine counts as failing", t, func() {
+	Convey("a failure is not forwarded if another engine may be tried, and the engine counts as failing", t, func() {
 		fixture, runs := newTwoEngineFixture(t, failing)
 		response, _, err := fixture.send("/safe/", "r1", "Ochrebay-Deadline-Ms", "20000")
 		So(err, ShouldBeNil)
@@ -137,7 +137,7 @@
 		So(runs.Load(), ShouldEqual, 1)
 		So(fixture.gateway.engines.failingEngines(clock.NowMs()), ShouldContain, "first")
 	})
-	Convey("where none may, it is passed on as it is, and yet is no sign of a quick engine", t, func() {
+	Convey("a failure that cannot be retried is forwarded unchanged, and the engine counts as failing", t, func() {
 		fixture, runs := newTwoEngineFixture(t, failing)
 		response, _, err := fixture.send("/unsafe/", "r1", "Ochrebay-Deadline-Ms", "20000")
 		So(err, ShouldBeNil)
@@ -150,11 +150,11 @@
 }
 
 func TestLedgersThatAreSlow(t *testing.T) {
-	Convey("a turn whose ledger is without an answer for longer than one question lasts is served and kept all the same", t, func() {
+	Convey("a turn whose ledger does not answer for longer than one call timeout is still served and retained", t, func() {
 		fixture := newGatewayFixture(t, streamingEngine(3, "", false))
 		var asked atomic.Int64
 		fixture.ledger.setResponse(func(*protocol.TurnRequest) *protocol.TurnReply {
-			// The first answers to the opening and to the keeping are lost.
+			// The first three replies to opening and to retaining the turn are lost.
 			if number := asked.Add(1); number%4 != 0 {
 				return nil
 			}
--- a/internal/gateway/waiting.go
+++ b/internal/gateway/waiting.go
@@ -11,14 +11,15 @@
 	"github.com/ochrebay/ochrebay/internal/waiting"
 )
 
-// backendQueue is the queue of one back end with the calls that are to be told of room.
+// backendQueue is the wait queue of one back end with the wakeup channels of the waiting calls.
 type backendQueue struct {
 	queue *waiting.Queue
-	// wakeups are where the calls that wait hear of the engine that has room.
+	// wakeups holds the channels on which waiting calls receive the id of an engine that has
+	// capacity.
 	wakeups map[*waiting.Entry]chan string
 }
 
-// waitQueues are the queues of all back ends.
+// waitQueues holds the wait queues of all back ends.
 type waitQueues struct {
 	mutex     sync.Mutex
 	settings  waiting.Settings
@@ -30,7 +31,7 @@
 	return &waitQueues{settings: settings, byBackend: map[string]*backendQueue{}, disabled: disabled}
 }
 
-// queueFor returns a back end's queue; the caller holds the mutex.
+// queueFor returns the wait queue of a back end. The caller must hold the mutex.
 func (q *waitQueues) queueFor(backend string) *backendQueue {
 	found, exists := q.byBackend[backend]
 	if !exists {
@@ -40,7 +41,7 @@
 	return found
 }
 
-// recordCompletion notes that a request ended at an engine, and tells the first that waits of it.
+// recordCompletion records that a request ended at an engine, and wakes the next waiting call.
 func (q *waitQueues) recordCompletion(backend, engine string, nowMs int64) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
@@ -48,7 +49,8 @@
 	waiters.wake(waiters.queue.RecordCompletion(nowMs), engine)
 }
 
-// wake passes the word of room on; engine is "" where it is not known which has some.
+// wake notifies a waiting call of capacity. engine is "" if it is unknown which engine has it, and
+// entry is nil if no call waits.
 func (b *backendQueue) wake(entry *waiting.Entry, engine string) {
 	if entry == nil {
 		return
@@ -56,11 +58,11 @@
 	select {
 	case b.wakeups[entry] <- engine:
 	default:
-		// It was told already.
+		// The call has a pending notification already.
 	}
 }
 
-// mustWait reports whether a call has to wait in the queue before it asks any engine.
+// mustWait reports whether a call has to wait in the queue before it tries any engine.
 func (q *waitQueues) mustWait(c *call) bool {
 	if q.disabled.Has(scheduling.MechanismWaitQueue) {
 		return false
@@ -70,7 +72,8 @@
 	return c.queueEntry == nil && q.queueFor(c.backend.Name).queue.MustWait(c.waitingCall())
 }
 
-// join gives a call its place, the one it had where it has waited before.
+// join adds a call to the wait queue, or requeues it at its old position if it has waited before. It
+// returns the call's wakeup channel, or the rejection.
 func (q *waitQueues) join(c *call, nowMs int64) (chan string, *waiting.Rejection) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
@@ -92,7 +95,8 @@
 	return waiters.wakeups[entry], nil
 }
 
-// leave takes a call out of its queue, because an engine took it or because it ended.
+// leave removes a call from its queue. served is true if an engine accepted the call, and false if
+// the call ended without that.
 func (q *waitQueues) leave(c *call, served bool) {
 	if c.queueEntry == nil {
 		return
@@ -105,8 +109,8 @@
 	c.queueEntry = nil
 }
 
-// startProbe reports whether a call that nobody told of room may look for some, and lookAfter when
-// it may.
+// startProbe reports whether a call that was not woken may probe engines for capacity.
+// probeDelay returns how long it has to wait before.
 func (q *waitQueues) startProbe(c *call) bool {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
@@ -119,7 +123,8 @@
 	return time.Duration(q.queueFor(c.backend.Name).queue.ProbeDelayMs(clock.NowMs(), c.queueEntry)) * time.Millisecond
 }
 
-// admissionErrors adds up what has turned out wrong at all back ends.
+// admissionErrors returns the sums of the admission errors and of the waiting calls over all back
+// ends.
 func (q *waitQueues) admissionErrors() (total waiting.AdmissionErrors, waitingCount int) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
@@ -133,7 +138,7 @@
 	return total, waitingCount
 }
 
-// waitingCall is what the call's place in a queue depends on.
+// waitingCall returns the properties of the call that determine its position in the wait queue.
 func (c *call) waitingCall() waiting.Call {
 	dueTime := c.deadline
 	if c.programDueAt.After(c.startedAt) && c.programDueAt.Before(dueTime) {
@@ -142,8 +147,8 @@
 	return waiting.Call{Priority: c.priority(), ProgramInProgress: c.programInProgress, AboveFairShare: c.aboveFairShare, DueTimeMs: dueTime.UnixMilli(), LatestStartMs: c.latestStart.UnixMilli()}
 }
 
-// waitForCapacity waits until an engine of the call's back end may have room; it returns that
-// engine, "" where it is not known which, or why the call does not wait any longer.
+// waitForCapacity waits until an engine of the call's back end may have capacity. It returns that
+// engine, "" if it is unknown which one, or the reason why the call does not wait any longer.
 func (d *Daemon) waitForCapacity(ctx context.Context, c *call) (engine string, failure *result.Error) {
 	if c.queuedAt.IsZero() {
 		c.queuedAt = time.Now()
@@ -160,7 +165,7 @@
 		case <-ctx.Done():
 			timer.Stop()
 			d.waitQueues.leave(c, false)
-			return "", result.New(result.Cancelled, "the caller left while its call waited: %v", ctx.Err())
+			return "", result.New(result.Cancelled, "the caller disconnected while its call waited in the queue: %v", ctx.Err())
 		case engine = <-wakeup:
 			timer.Stop()
 			return engine, nil
@@ -177,7 +182,8 @@
 	return "", d.rejectionError(c, rejection)
 }
 
-// pauseUnqueued waits a moment without any order, for comparison.
+// pauseUnqueued waits for a fixed delay without any order between calls. It replaces the wait queue
+// when that is disabled, for comparison.
 func (d *Daemon) pauseUnqueued(ctx context.Context, c *call) *result.Error {
 	const delay = 30 * time.Millisecond
 	if time.Now().Add(delay).After(c.latestStart) {
@@ -185,18 +191,19 @@
 	}
 	select {
 	case <-ctx.Done():
-		return result.New(result.Cancelled, "the caller left while its call waited: %v", ctx.Err())
+		return result.New(result.Cancelled, "the caller disconnected while its call waited for a retry: %v", ctx.Err())
 	case <-time.After(delay):
 		return nil
 	}
 }
 
-// rejectionError is the answer to a call for which room is unlikely to come in time.
+// rejectionError returns the error of a call for which capacity is unlikely to become available in
+// time.
 func (d *Daemon) rejectionError(c *call, rejection *waiting.Rejection) *result.Error {
 	retryAfter := time.Duration(rejection.RetryAfterMs) * time.Millisecond
 	if d.engines.engineCount(c.backend.Name) == 0 {
-		return result.New(result.NoEngine, "no engine of %s", c.backend.Name).WithRetryAfter(retryAfter)
+		return result.New(result.NoEngine, "back end %s has no engine", c.backend.Name).WithRetryAfter(retryAfter)
 	}
-	return result.New(result.EngineRefused, "no engine of %s had room in %s; %d calls go before it, room comes at %.1f a second: chance %.3f to start in time",
+	return result.New(result.EngineRefused, "no engine of back end %s had capacity within %s; %d calls ahead, %.1f completions per second, probability %.3f of starting in time",
 		c.backend.Name, c.waitTime.Round(time.Millisecond), rejection.Ahead, rejection.CompletionsPerSecond, rejection.Probability).WithRetryAfter(retryAfter)
 }
