--- a/internal/gateway/calllog.go
+++ b/internal/gateway/calllog.go
@@ -40,8 +40,8 @@
 // tenantFields returns the tenant of the call, the age of the latest confirmation of the routing
 // table and the time spent on the tenant's quota. It returns nothing if the table has no tenants.
 func (d *Daemon) tenantFields(c *call) []any {
-	age, known := d.confirmationAge()
-	if !c.requiresKey || !known {
+	age, isConfirmed := d.confirmationAge()
+	if !c.requiresKey || !isConfirmed {
 		return nil
 	}
 	fields := []any{"proof_age_ms", age.Milliseconds()}
--- a/internal/gateway/deliver.go
+++ b/internal/gateway/deliver.go
@@ -283,7 +283,8 @@
 	return max(time.Until(latestEnd), ledgerCallTimeout)
 }
 
-// usedTokens returns the number of generated tokens that were forwarded to the caller.
+// usedTokens returns the number of generated tokens that were forwarded to the caller, computed from
+// the number of events and bounded by the turn's maximum.
 func (a *callerResponse) usedTokens(c *call) int64 {
 	return min(a.events*max(c.backend.TokensPerEvent, 1), max(c.maxTokens, a.events))
 }
--- a/internal/gateway/engines.go
+++ b/internal/gateway/engines.go
@@ -75,7 +75,7 @@
 	}
 	closedAddresses := e.resetRestartedEngines(view)
 	for id, health := range e.health {
-		if _, known := view.Engines[id]; !known && health.InFlight == 0 {
+		if _, isRegistered := view.Engines[id]; !isRegistered && health.InFlight == 0 {
 			delete(e.health, id)
 		}
 	}
@@ -127,7 +127,7 @@
 func (e *engineRegistry) observeDial(address string, elapsed time.Duration) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	if zone, known := e.zoneByAddress[address]; known {
+	if zone, isKnown := e.zoneByAddress[address]; isKnown {
 		e.zoneCosts.ObserveRoundTrip(zone, elapsed.Seconds()*1000)
 	}
 }
--- a/internal/gateway/leaders.go
+++ b/internal/gateway/leaders.go
@@ -81,13 +81,13 @@
 	ctx, cancel := context.WithTimeout(context.Background(), searchTimeout)
 	defer cancel()
 	leader := ""
-	for pause := initialSearchBackoff; leader == "" && ctx.Err() == nil; pause = min(2*pause, maxSearchBackoff) {
+	for backoff := initialSearchBackoff; leader == "" && ctx.Err() == nil; backoff = min(2*backoff, maxSearchBackoff) {
 		if leader = l.probeMembers(ctx, group); leader != "" {
 			break
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(pause/2 + rand.N(pause)):
+		case <-time.After(backoff/2 + rand.N(backoff)):
 		}
 	}
 	l.mutex.Lock()
--- a/internal/gateway/ledgers.go
+++ b/internal/gateway/ledgers.go
@@ -45,8 +45,8 @@
 	disabled scheduling.DisabledMechanisms
 }
 
-func newLedgerClient(zone string, histories *prometheus.CounterVec, disabled scheduling.DisabledMechanisms) *ledgerClient {
-	l := &ledgerClient{caller: daemon.NewCaller(), zone: zone, historyReads: histories, disabled: disabled}
+func newLedgerClient(zone string, historyReads *prometheus.CounterVec, disabled scheduling.DisabledMechanisms) *ledgerClient {
+	l := &ledgerClient{caller: daemon.NewCaller(), zone: zone, historyReads: historyReads, disabled: disabled}
 	l.leaders = newLeaderCache(l.members, l.probe)
 	return l
 }
@@ -200,7 +200,7 @@
 		requested++
 		go func() { replies <- l.callLeader(ctx, &protocol.TurnRequest{Group: group, Find: turn}) }()
 	}
-	notFound := &protocol.TurnReply{Error: result.New(result.UnknownTurn, "no group keeps turn %s", turn)}
+	notFound := &protocol.TurnReply{Error: result.New(result.UnknownTurn, "no ledger group has turn %s", turn)}
 	for range requested {
 		reply := <-replies
 		if reply.Error == nil {
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -36,7 +36,7 @@
 		return 0
 	})
 	monitor.Gauge("gateway_proof_age_seconds", "How long ago the routing table was surely in force; -1 for never.", func() float64 {
-		if age, known := d.confirmationAge(); known {
+		if age, isConfirmed := d.confirmationAge(); isConfirmed {
 			return age.Seconds()
 		}
 		return -1
--- a/internal/gateway/quotas.go
+++ b/internal/gateway/quotas.go
@@ -44,12 +44,12 @@
 func (d *denials) isRecent(tenant string) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	lastDenied, known := d.lastByTenant[tenant]
-	if known && time.Since(lastDenied) > recentDenialWindow {
+	lastDenied, wasDenied := d.lastByTenant[tenant]
+	if wasDenied && time.Since(lastDenied) > recentDenialWindow {
 		delete(d.lastByTenant, tenant)
 		return false
 	}
-	return known
+	return wasDenied
 }
 
 // openCall acquires the call's quota and, for a turn, opens it at the ledger. It does both
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -112,7 +112,7 @@
 	if decision.admitted {
 		return nil
 	}
-	failure := result.New(result.Overloaded, "%.1f requests per engine, streams start in time up to %.1f; priority %d of %d",
+	failure := result.New(result.Overloaded, "%.1f requests per engine, streams start in time up to %.1f; %d of %d priorities are less urgent",
 		decision.concurrency, decision.limit, c.priorityPosition, c.priorityCount)
 	if status := decision.shareStatus; status.AboveFairShare {
 		failure = result.New(result.ShareUsed, "%.1f of the tenant's requests in flight, its fair share is %.1f; %.1f requests per engine, capacity %.1f",
--- a/internal/gateway/tenants.go
+++ b/internal/gateway/tenants.go
@@ -73,13 +73,13 @@
 }
 
 func (d *Daemon) confirmedWithin(maxAge time.Duration) bool {
-	age, known := d.confirmationAge()
-	return known && age <= maxAge
+	age, isConfirmed := d.confirmationAge()
+	return isConfirmed && age <= maxAge
 }
 
 func (d *Daemon) keysUnconfirmedError() *result.Error {
-	age, known := d.confirmationAge()
-	if !known {
+	age, isConfirmed := d.confirmationAge()
+	if !isConfirmed {
 		return result.New(result.KeysUnconfirmed, "the routing table was never confirmed")
 	}
 	return result.New(result.KeysUnconfirmed, "the routing table was last confirmed %s ago", age.Round(time.Millisecond))
--- a/internal/gateway/waiting.go
+++ b/internal/gateway/waiting.go
@@ -109,8 +109,8 @@
 	c.queueEntry = nil
 }
 
-// startProbe reports whether a call that was not woken may probe engines for capacity.
-// probeDelay returns how long it has to wait before.
+// startProbe reports whether a call that was not woken may probe engines for capacity. probeDelay
+// returns how long the call has to wait before it may probe.
 func (q *waitQueues) startProbe(c *call) bool {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
@@ -165,7 +165,7 @@
 		case <-ctx.Done():
 			timer.Stop()
 			d.waitQueues.leave(c, false)
-			return "", result.New(result.Cancelled, "the caller disconnected while its call waited in the queue: %v", ctx.Err())
+			return "", result.New(result.Cancelled, "the caller disconnected while its call was in the wait queue: %v", ctx.Err())
 		case engine = <-wakeup:
 			timer.Stop()
 			return engine, nil
