--- a/internal/gateway/admission.go
+++ b/internal/gateway/admission.go
@@ -8,192 +8,204 @@
 	"github.com/ochrebay/ochrebay/internal/scheduling"
 )
 
-// slowFactor is from how many times the time that others take on an engine counts as slow.
-const slowFactor = 1.3
+// minSlowLatencyRatio is the ratio of an engine's latency to that of the other engines above
+// which the engine counts as slow.
+const minSlowLatencyRatio = 1.3
 
-// activity notes when this gateway sent or received something of streams, and so shows when
-// its process, or its machine, stood still.
-type activity struct {
+// activityTracker records when this gateway last sent a request or received an event of a stream.
+// A long gap shows that the process, or its machine, was stalled.
+type activityTracker struct {
 	lastMs int64
-	// fromMs and toMs are the last time without any, if it was longer than a pause may be.
-	fromMs, toMs int64
+	// idleFromMs and idleToMs bound the latest interval of at least minIdleMs without activity.
+	idleFromMs, idleToMs int64
 }
 
-// leastPauseMs is the shortest time without activity that may be a pause of the process.
-const leastPauseMs = 100
+// minIdleMs is the shortest interval without activity that counts as a possible stall of the
+// process.
+const minIdleMs = 100
 
-func (a *activity) note(nowMs int64) {
-	if nowMs-a.lastMs >= leastPauseMs {
-		a.fromMs, a.toMs = a.lastMs, nowMs
+func (a *activityTracker) record(nowMs int64) {
+	if nowMs-a.lastMs >= minIdleMs {
+		a.idleFromMs, a.idleToMs = a.lastMs, nowMs
 	}
 	a.lastMs = nowMs
 }
 
-// paused reports whether nothing happened for half of the time up to nowMs or more.
-func (a *activity) paused(nowMs int64, tookMs float64) bool {
+// wasIdle reports whether the gateway was idle for at least half of the last spanMs milliseconds
+// before nowMs.
+func (a *activityTracker) wasIdle(nowMs int64, spanMs float64) bool {
 	const half = 2
-	idleMs := a.toMs - max(a.fromMs, nowMs-int64(tookMs))
-	return float64(idleMs)*half >= tookMs
+	idleMs := a.idleToMs - max(a.idleFromMs, nowMs-int64(spanMs))
+	return float64(idleMs)*half >= spanMs
 }
 
-// noteBeginning tells admission whether a stream began within its target. What lasted long
-// for another reason than that engines have too much to do is left out: an engine that is
-// slower than the others, or a pause of this process.
-func (e *engines) noteBeginning(c *call, nowMs int64, took float64) {
-	target := float64(c.route.TargetLatencyMs)
-	slow := c.chosen.health.LatencyRatio(nowMs) > slowFactor
-	if target <= 0 || (took > target && (slow || e.activity.paused(nowMs, took))) {
+// observeStreamStart reports to admission control whether a stream started within its route's
+// target latency. It leaves out late starts that overload does not explain: those at an engine
+// that is slower than the others, and those during a stall of this process.
+func (e *engineRegistry) observeStreamStart(c *call, nowMs int64, firstEventMs float64) {
+	targetMs := float64(c.route.TargetLatencyMs)
+	isSlow := c.selection.health.LatencyRatio(nowMs) > minSlowLatencyRatio
+	if targetMs <= 0 || (firstEventMs > targetMs && (isSlow || e.activity.wasIdle(nowMs, firstEventMs))) {
 		return
 	}
-	entryOf(e.admissions, c.backend.Name).ObserveStreamStart(nowMs, took > target)
+	getOrCreate(e.admissionControllers, c.backend.Name).ObserveStreamStart(nowMs, firstEventMs > targetMs)
 }
 
-// concurrency is the mean of all gateways' requests over the engines of a back end that the
-// others have spoken of lately; false where that is less than half of them, as while control
-// has no leader: this gateway's own requests alone would look like an idle fleet.
-func (e *engines) concurrency(backend string, nowMs int64) (mean float64, known bool) {
-	pool := e.byPool[backend]
-	total, heard := 0.0, 0
-	for _, engine := range pool {
+// meanConcurrency returns the mean number of requests in flight from all gateways over those
+// engines of a back end that have a recent shared load. isKnown is false if fewer than half of
+// the engines have one, for example while control has no leader: counting only this gateway's
+// own requests would make the fleet look idle.
+func (e *engineRegistry) meanConcurrency(backend string, nowMs int64) (mean float64, isKnown bool) {
+	backendEngines := e.byBackend[backend]
+	total, reporting := 0.0, 0
+	for _, engine := range backendEngines {
 		health := e.healthOf(engine.ID)
 		if !health.HasRecentSharedLoad(nowMs) {
 			continue
 		}
 		total += health.EstimatedInFlight(nowMs)
-		heard++
+		reporting++
 	}
 	const half = 2
-	return total / float64(max(heard, 1)), heard > 0 && heard*half >= len(pool)
+	return total / float64(max(reporting, 1)), reporting > 0 && reporting*half >= len(backendEngines)
 }
 
-// decision is one whether a program may begin, with what it was made from.
-type decision struct {
+// admissionDecision states whether a program may start, and the figures behind the decision.
+// concurrency, limit and capacity are in requests per engine.
+type admissionDecision struct {
 	admitted     bool
 	retryAfterMs int64
 	concurrency  float64
 	limit        float64
-	// room is for how many requests an engine has room, position where the tenant stands.
-	room     float64
-	position admission.ShareStatus
+	// capacity is the usable concurrency of an engine, and shareStatus compares the tenant's
+	// usage with its fair share.
+	capacity    float64
+	shareStatus admission.ShareStatus
 }
 
-// admit decides whether a call that begins a program may go on.
-func (e *engines) admit(c *call, position, ranks int) decision {
+// decideAdmission decides whether a call that starts a program may proceed. The hash of the
+// program id serves as its random sample, so that every attempt of a program gets the same one.
+func (e *engineRegistry) decideAdmission(c *call, priorityPosition, priorityCount int) admissionDecision {
 	if e.disabled.Has(scheduling.MechanismAdmission) {
-		return decision{admitted: true}
+		return admissionDecision{admitted: true}
 	}
-	draw := float64(xxhash.Sum64String(c.program)) / (1 << 64)
+	sample := float64(xxhash.Sum64String(c.programID)) / (1 << 64)
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	nowMs := clock.NowMs()
-	concurrency, known := e.concurrency(c.backend.Name, nowMs)
-	if !known {
-		e.begun(c, nowMs)
-		return decision{admitted: true}
+	concurrency, isKnown := e.meanConcurrency(c.backend.Name, nowMs)
+	if !isKnown {
+		e.recordProgramStart(c, nowMs)
+		return admissionDecision{admitted: true}
 	}
-	made := decision{concurrency: concurrency}
-	learnt := entryOf(e.admissions, c.backend.Name)
-	learnt.UpdateLimit(nowMs, concurrency, c.backend.Slots)
-	made.limit = learnt.Limit()
-	made.room = admission.UsableConcurrency(c.backend.Slots, learnt.UnrestrictedConcurrency())
-	made.position = e.position(c, made.room, nowMs)
-	if made.position.AboveFairShare {
-		made.retryAfterMs, made.admitted = made.position.Admit(draw)
+	decision := admissionDecision{concurrency: concurrency}
+	controller := getOrCreate(e.admissionControllers, c.backend.Name)
+	controller.UpdateLimit(nowMs, concurrency, c.backend.Slots)
+	decision.limit = controller.Limit()
+	decision.capacity = admission.UsableConcurrency(c.backend.Slots, controller.UnrestrictedConcurrency())
+	decision.shareStatus = e.shareStatus(c, decision.capacity, nowMs)
+	if decision.shareStatus.AboveFairShare {
+		decision.retryAfterMs, decision.admitted = decision.shareStatus.Admit(sample)
 	} else {
-		// What others use beyond their shares is theirs to give back.
-		excess := made.position.Excess / float64(max(len(e.byPool[c.backend.Name]), 1))
-		made.retryAfterMs, made.admitted = learnt.Admit(concurrency-excess, position, ranks, draw)
+		// Usage of other tenants beyond their fair shares does not count against a tenant
+		// within its share: those tenants have to reduce it.
+		excess := decision.shareStatus.Excess / float64(max(len(e.byBackend[c.backend.Name]), 1))
+		decision.retryAfterMs, decision.admitted = controller.Admit(concurrency-excess, priorityPosition, priorityCount, sample)
 	}
-	if made.admitted {
-		e.begun(c, nowMs)
+	if decision.admitted {
+		e.recordProgramStart(c, nowMs)
 	}
-	return made
+	return decision
 }
 
-// begun tells the meter of a program that has begun.
-func (e *engines) begun(c *call, nowMs int64) {
+// recordProgramStart counts a started program in the usage meter.
+func (e *engineRegistry) recordProgramStart(c *call, nowMs int64) {
 	if c.tenant != nil {
-		e.meter.RecordProgramStart(c.backend.Name, c.tenant.Name, c.weight, nowMs)
+		e.usageMeter.RecordProgramStart(c.backend.Name, c.tenant.Name, c.tenantWeight, nowMs)
 	}
 }
 
-// position returns where the tenant of a call stands at its back end.
-func (e *engines) position(c *call, room float64, nowMs int64) admission.ShareStatus {
-	if c.tenant == nil || !e.fairShares {
+// shareStatus compares the usage of the call's tenant at its back end with the tenant's fair
+// share. capacity is in requests per engine. The result is empty if fair shares are disabled.
+func (e *engineRegistry) shareStatus(c *call, capacity float64, nowMs int64) admission.ShareStatus {
+	if c.tenant == nil || !e.fairSharesEnabled {
 		return admission.ShareStatus{}
 	}
-	return e.shares.Status(c.backend.Name, c.tenant.Name, room*float64(len(e.byPool[c.backend.Name])), nowMs)
+	return e.tenantShares.Status(c.backend.Name, c.tenant.Name, capacity*float64(len(e.byBackend[c.backend.Name])), nowMs)
 }
 
-// aboveShare reports whether the tenant of a call uses more than its share of a back end that
-// is short of room.
-func (e *engines) aboveShare(c *call) bool {
+// isAboveFairShare reports whether the tenant of a call demands more than its fair share of an
+// oversubscribed back end.
+func (e *engineRegistry) isAboveFairShare(c *call) bool {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	learnt := entryOf(e.admissions, c.backend.Name)
-	return e.position(c, admission.UsableConcurrency(c.backend.Slots, learnt.UnrestrictedConcurrency()), clock.NowMs()).AboveFairShare
+	controller := getOrCreate(e.admissionControllers, c.backend.Name)
+	return e.shareStatus(c, admission.UsableConcurrency(c.backend.Slots, controller.UnrestrictedConcurrency()), clock.NowMs()).AboveFairShare
 }
 
-// underWay counts a call at its back end, or takes it off again.
-func (e *engines) underWay(c *call, change int) {
-	if !c.keyed {
+// adjustInFlight adds change to the tenant's requests in flight at the call's back end: 1 when
+// the call starts, -1 when it ends.
+func (e *engineRegistry) adjustInFlight(c *call, change int) {
+	if !c.requiresKey {
 		return
 	}
-	name := ""
+	tenant := ""
 	if c.tenant != nil {
-		name = c.tenant.Name
+		tenant = c.tenant.Name
 	}
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	e.meter.AdjustInFlight(c.backend.Name, name, c.weight, change, clock.NowMs())
-	e.slots[c.backend.Name] = c.backend.Slots
+	e.usageMeter.AdjustInFlight(c.backend.Name, tenant, c.tenantWeight, change, clock.NowMs())
+	e.slotsByBackend[c.backend.Name] = c.backend.Slots
 }
 
-// nearlyShort is the part of the room of a back end from which on gateways name the tenants that
-// use it: a half, since demand doubles within the time that it takes to hear of it.
-const nearlyShort = 0.5
+// tenantReportFraction is the fraction of a back end's capacity at which gateways start to report
+// its usage by tenant. It is one half because demand can double in the time that a report takes to
+// reach the other gateways.
+const tenantReportFraction = 0.5
 
-// usesNews returns what was used here of back ends since the last call, by tenants where they are
-// short or nearly so.
-func (e *engines) usesNews(nowMs int64) []admission.BackendUsage {
-	if !e.fairShares {
+// collectTenantUsage returns this gateway's usage of back ends since the last call. Usage is broken
+// down by tenant only for back ends that are oversubscribed or close to it.
+func (e *engineRegistry) collectTenantUsage(nowMs int64) []admission.BackendUsage {
+	if !e.fairSharesEnabled {
 		return nil
 	}
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	return e.meter.CollectUsage(nowMs, func(backend string) bool {
-		concurrency, known := e.concurrency(backend, nowMs)
-		room := admission.UsableConcurrency(e.slots[backend], entryOf(e.admissions, backend).UnrestrictedConcurrency())
-		wanted := e.shares.Demand(backend, nowMs) / float64(max(len(e.byPool[backend]), 1))
-		return known && room > 0 && max(concurrency, wanted) >= nearlyShort*room
+	return e.usageMeter.CollectUsage(nowMs, func(backend string) bool {
+		concurrency, isKnown := e.meanConcurrency(backend, nowMs)
+		capacity := admission.UsableConcurrency(e.slotsByBackend[backend], getOrCreate(e.admissionControllers, backend).UnrestrictedConcurrency())
+		demand := e.tenantShares.Demand(backend, nowMs) / float64(max(len(e.byBackend[backend]), 1))
+		return isKnown && capacity > 0 && max(concurrency, demand) >= tenantReportFraction*capacity
 	})
 }
 
-// takeUses takes what all gateways' tenants together use of back ends.
-func (e *engines) takeUses(uses []admission.BackendUsage, nowMs int64) {
+// applySharedTenantUsage applies the usage of back ends by tenant, aggregated over all gateways.
+func (e *engineRegistry) applySharedTenantUsage(usages []admission.BackendUsage, nowMs int64) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	e.shares.ApplyUsage(uses, nowMs)
+	e.tenantShares.ApplyUsage(usages, nowMs)
 }
 
-// lateNews returns what this gateway has seen of streams since the last call.
-func (e *engines) lateNews(nowMs int64) []scheduling.StreamLateness {
+// collectStreamLateness returns the late starts of streams that this gateway has observed at each
+// back end since the last call.
+func (e *engineRegistry) collectStreamLateness(nowMs int64) []scheduling.StreamLateness {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	var shares []scheduling.StreamLateness
-	for backend, learnt := range e.admissions {
-		if news := learnt.CollectStreamLateness(nowMs); news.Weight > 0 {
-			shares = append(shares, scheduling.StreamLateness{Backend: backend, Streams: news})
+	var lateness []scheduling.StreamLateness
+	for backend, controller := range e.admissionControllers {
+		if streams := controller.CollectStreamLateness(nowMs); streams.Weight > 0 {
+			lateness = append(lateness, scheduling.StreamLateness{Backend: backend, Streams: streams})
 		}
 	}
-	return shares
+	return lateness
 }
 
-// takeLate takes what all gateways together have seen of streams.
-func (e *engines) takeLate(shares []scheduling.StreamLateness, nowMs int64) {
+// applySharedLateness applies the late starts of streams, aggregated over all gateways.
+func (e *engineRegistry) applySharedLateness(lateness []scheduling.StreamLateness, nowMs int64) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	for _, share := range shares {
-		entryOf(e.admissions, share.Backend).ApplySharedLateness(share.Streams, nowMs)
+	for _, entry := range lateness {
+		getOrCreate(e.admissionControllers, entry.Backend).ApplySharedLateness(entry.Streams, nowMs)
 	}
 }
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -13,144 +13,147 @@
 	"github.com/ochrebay/ochrebay/internal/upstream"
 )
 
-// attemptKind says how one send to an engine ended.
+// attemptKind classifies how one attempt at an engine ended.
 type attemptKind uint8
 
 const (
-	// attemptAnswered means that the engine's answer was passed on or is held whole.
+	// attemptAnswered means that the engine's response was forwarded in full.
 	attemptAnswered attemptKind = iota
-	// attemptNotSent means that the engine saw nothing of the request.
+	// attemptNotSent means that no part of the request reached the engine.
 	attemptNotSent
-	// attemptRefused means that the engine says it did not run the request.
+	// attemptRefused means that the engine stated that it did not run the request.
 	attemptRefused
 	// attemptBroken means that the engine may have run the request.
 	attemptBroken
-	// attemptFailed means that the engine ran the request and answered with a failure, which
-	// was not passed on.
+	// attemptFailed means that the engine ran the request and responded with a failure, which
+	// was not forwarded to the caller.
 	attemptFailed
-	// attemptCancelled means that the caller left or the call's time was over.
+	// attemptCancelled means that the caller disconnected or the call's deadline passed.
 	attemptCancelled
 )
 
-// String names the kind for logs.
+// String returns the name of the kind in logs and metrics.
 func (k attemptKind) String() string {
 	return [...]string{"answered", "not_sent", "refused", "broken", "failed", "cancelled"}[k]
 }
 
-// attemptOutcome is how one send to an engine ended.
+// attemptOutcome describes how one attempt at an engine ended.
 type attemptOutcome struct {
 	kind   attemptKind
 	status int
-	// started says that a part of the answer has reached the caller.
-	started bool
-	// tookMs is how long the engine took for a whole answer, 0 for a stream.
-	tookMs float64
-	// events are those of a stream that went to its end.
-	events int64
-	err    error
+	// responseStarted is true if a part of the response was written to the caller.
+	responseStarted bool
+	// responseMs is the time to a buffered response in milliseconds, 0 for a stream.
+	responseMs float64
+	// streamEvents is the number of events of a stream that completed.
+	streamEvents int64
+	err          error
 }
 
-// lowestPriority is the last rank at an engine.
+// lowestPriority is the least urgent priority at an engine.
 const lowestPriority = 9
 
-// demand describes the call to the choice of engines.
-func (d *Daemon) demand(c *call, avoid []string) scheduling.SelectionInput {
-	demand := scheduling.SelectionInput{ExcludedEngines: avoid, NowMs: clock.NowMs(), RequestKind: c.route.Name}
+// selectionInput returns the properties of the call that engine selection depends on. Engines in
+// excluded are not selected.
+func (d *Daemon) selectionInput(c *call, excluded []string) scheduling.SelectionInput {
+	input := scheduling.SelectionInput{ExcludedEngines: excluded, NowMs: clock.NowMs(), RequestKind: c.route.Name}
 	switch {
 	case c.route.Kind == routing.KindStream:
-		demand.IsStream = true
-		demand.AffineEngine = c.home
-		demand.Prompt = c.prefix
-		demand.MaxEvents = c.most / max(c.backend.TokensPerEvent, 1)
-		demand.RequiredKVCacheTokens = scheduling.PromptTokens(c.prefix) + c.most
+		input.IsStream = true
+		input.AffineEngine = c.affineEngine
+		input.Prompt = c.promptParts
+		input.MaxEvents = c.maxTokens / max(c.backend.TokensPerEvent, 1)
+		input.RequiredKVCacheTokens = scheduling.PromptTokens(c.promptParts) + c.maxTokens
 	case c.route.Affinity:
-		demand.AffinityKey = c.affinity
+		input.AffinityKey = c.affinityKey
 	}
-	return demand
+	return input
 }
 
-// deliverFunc passes an engine's answer on.
+// deliverFunc forwards an engine's response to the caller.
 type deliverFunc func(exchange *upstream.Exchange, c *call) attemptOutcome
 
-// attempt sends the call to one engine and has the answer delivered.
+// attempt sends the call to one engine and delivers the response.
 func (d *Daemon) attempt(ctx context.Context, c *call, engine membership.ServingEngine, deliver deliverFunc) attemptOutcome {
-	timed, stop := context.WithDeadline(ctx, c.deadline)
-	defer stop()
-	bounded, cancel := context.WithCancelCause(timed)
+	deadlineContext, stopDeadline := context.WithDeadline(ctx, c.deadline)
+	defer stopDeadline()
+	attemptContext, cancel := context.WithCancelCause(deadlineContext)
 	defer cancel(nil)
-	c.watch = d.watch(bounded, c, cancel)
-	defer c.watch.heard()
-	exchange, err := d.pool.Do(bounded, engine.Address, d.upstreamRequest(c, engine))
+	c.responseTimer = d.startResponseTimer(attemptContext, c, cancel)
+	defer c.responseTimer.stop()
+	exchange, err := d.pool.Do(attemptContext, engine.Address, d.upstreamRequest(c, engine))
 	switch {
 	case err == nil:
-	case errors.Is(context.Cause(bounded), errSilent):
-		return attemptOutcome{kind: attemptBroken, err: errSilent}
-	case bounded.Err() != nil:
-		return attemptOutcome{kind: attemptCancelled, err: bounded.Err()}
+	case errors.Is(context.Cause(attemptContext), errResponseTimeout):
+		return attemptOutcome{kind: attemptBroken, err: errResponseTimeout}
+	case attemptContext.Err() != nil:
+		return attemptOutcome{kind: attemptCancelled, err: attemptContext.Err()}
 	case errors.Is(err, upstream.ErrNotSent):
 		return attemptOutcome{kind: attemptNotSent, err: err}
 	default:
 		return attemptOutcome{kind: attemptBroken, err: err}
 	}
 	defer exchange.Close()
-	if refusal, refused := d.refused(exchange); refused {
+	if refusal, refused := d.parseRefusal(exchange); refused {
 		return refusal
 	}
-	d.queues.leave(c, true)
+	d.waitQueues.leave(c, true)
 	outcome := deliver(exchange, c)
 	switch {
 	case outcome.kind != attemptBroken:
-	case errors.Is(context.Cause(bounded), errSilent):
-		outcome.err = errSilent
-	case bounded.Err() != nil:
+	case errors.Is(context.Cause(attemptContext), errResponseTimeout):
+		outcome.err = errResponseTimeout
+	case attemptContext.Err() != nil:
 		outcome.kind = attemptCancelled
 	}
 	return outcome
 }
 
-// refused reports whether the engine says that it did not run the call.
-func (d *Daemon) refused(exchange *upstream.Exchange) (attemptOutcome, bool) {
+// parseRefusal reports whether the response states that the engine did not run the call.
+func (d *Daemon) parseRefusal(exchange *upstream.Exchange) (attemptOutcome, bool) {
 	response := exchange.Response
-	if response.Header.Get(d.headers.NotExecuted) == "" && response.StatusCode != http.StatusMisdirectedRequest {
+	if response.Header.Get(d.headerNames.NotExecuted) == "" && response.StatusCode != http.StatusMisdirectedRequest {
 		return attemptOutcome{}, false
 	}
-	drain(exchange)
-	err := errors.New("turned away with " + strconv.Itoa(response.StatusCode))
+	drainResponse(exchange)
+	err := errors.New("engine refused the request with status " + strconv.Itoa(response.StatusCode))
 	return attemptOutcome{kind: attemptRefused, status: response.StatusCode, err: err}, true
 }
 
-// priority is the call's rank at the engine, 0 first. Invariant: a program that has missed its
-// time keeps its rank. Engines serve ranks in strict order, so that in an overload the last rank
-// waits until its callers give up: a late program would be lost with all that it has cost, and
-// its callers would come back to wait again.
+// priority returns the call's priority at the engine, 0 being the most urgent. Invariant: a program
+// that has missed its finish time keeps its priority. Engines serve priorities in strict order, so
+// in an overload requests of the lowest priority wait until their callers give up. Demoting a late
+// program would waste all the work already done for it, and its callers would retry and wait again.
 func (c *call) priority() int { return min(c.tenant.EffectivePriority(c.route), lowestPriority) }
 
-// upstreamRequest is the call as the engine is to get it.
+// upstreamRequest returns the call in the form that is sent to the engine: without headers that
+// concern one connection or that only gateways set, and with the history of a retained turn before
+// the body.
 func (d *Daemon) upstreamRequest(c *call, engine membership.ServingEngine) *upstream.Request {
-	header := forwarded(c.request.Header)
-	for _, name := range d.headers.Reserved {
+	header := endToEndHeaders(c.request.Header)
+	for _, name := range d.headerNames.Reserved {
 		header.Del(name)
 	}
-	header.Del(d.headers.Priority)
-	header.Del(d.headers.APIKey)
-	header.Del(d.headers.Tenant)
+	header.Del(d.headerNames.Priority)
+	header.Del(d.headerNames.APIKey)
+	header.Del(d.headerNames.Tenant)
 	if c.tenant != nil {
-		header.Set(d.headers.Tenant, c.tenant.Name)
+		header.Set(d.headerNames.Tenant, c.tenant.Name)
 	}
-	header.Set(d.headers.DeadlineMs, strconv.FormatInt(max(c.timeLeft().Milliseconds(), 1), 10))
-	header.Set(d.headers.ExpectEngine, engine.ID)
-	if c.lastEvent > 0 {
-		header.Set(d.headers.LastEventID, strconv.FormatInt(c.lastEvent, 10))
+	header.Set(d.headerNames.DeadlineMs, strconv.FormatInt(max(c.timeLeft().Milliseconds(), 1), 10))
+	header.Set(d.headerNames.ExpectEngine, engine.ID)
+	if c.lastEventID > 0 {
+		header.Set(d.headerNames.LastEventID, strconv.FormatInt(c.lastEventID, 10))
 	}
 	if c.route.Kind == routing.KindStream && !d.process.Policy.Disable.Has(scheduling.MechanismEnginePriority) {
-		header.Set(d.headers.Priority, strconv.Itoa(c.priority()))
+		header.Set(d.headerNames.Priority, strconv.Itoa(c.priority()))
 	}
 	request := &upstream.Request{
 		Method: c.request.Method, URI: c.request.RequestURI, Host: c.request.Host, Header: header,
-		Body: c.body, HasBody: c.hasBody, ID: c.id, IDHeader: d.headers.RequestID,
+		Body: c.body, HasBody: c.hasBody, ID: c.id, IDHeader: d.headerNames.RequestID,
 	}
-	if len(c.chain) > 0 {
-		request.Body = append(append(make([]byte, 0, len(c.chain)+len(c.body)), c.chain...), c.body...)
+	if len(c.history) > 0 {
+		request.Body = append(append(make([]byte, 0, len(c.history)+len(c.body)), c.history...), c.body...)
 	}
 	return request
 }
--- a/internal/gateway/chains.go
+++ b/internal/gateway/chains.go
@@ -8,84 +8,85 @@
 	"github.com/ochrebay/ochrebay/internal/protocol"
 )
 
-// maxCachedChains bounds the chains by number; bytes bound them before that.
-const maxCachedChains = 1 << 16
+// maxCachedHistories bounds the number of cached histories. The bound in bytes normally applies
+// before this one.
+const maxCachedHistories = 1 << 16
 
-// chainCache keeps the content of chains that this gateway has served lately, by
-// the request of their last turn. A turn never changes once it is kept, so that
-// what is cached stays true.
-type chainCache struct {
+// historyCache is an LRU cache of the turn histories that this gateway has served, keyed by the
+// request id of their last turn. Entries never become stale, because a retained turn never changes.
+type historyCache struct {
 	mutex  sync.Mutex
-	chains *simplelru.LRU[string, []byte]
-	// sessions names the last turn of each session that is cached.
-	sessions *simplelru.LRU[string, string]
-	bytes    int
-	maxBytes int
+	byTurn *simplelru.LRU[string, []byte]
+	// lastTurnBySession holds the last turn of each cached session.
+	lastTurnBySession *simplelru.LRU[string, string]
+	bytes             int
+	maxBytes          int
 }
 
-func newChainCache(maxBytes int) *chainCache {
-	cache := &chainCache{maxBytes: maxBytes}
-	chains, err := simplelru.NewLRU(maxCachedChains, func(_ string, chain []byte) { cache.bytes -= len(chain) })
+func newHistoryCache(maxBytes int) *historyCache {
+	cache := &historyCache{maxBytes: maxBytes}
+	byTurn, err := simplelru.NewLRU(maxCachedHistories, func(_ string, content []byte) { cache.bytes -= len(content) })
 	if err != nil {
-		panic(err) // The size is a constant above zero.
+		panic(err) // Unreachable: the size is a positive constant.
 	}
-	cache.chains = chains
-	cache.sessions, err = simplelru.NewLRU[string, string](maxCachedChains, nil)
+	cache.byTurn = byTurn
+	cache.lastTurnBySession, err = simplelru.NewLRU[string, string](maxCachedHistories, nil)
 	if err != nil {
-		panic(err) // As above.
+		panic(err) // Unreachable for the same reason.
 	}
 	return cache
 }
 
-// cachedChain is the content of a line of turns up to one of them.
-type cachedChain struct {
+// cachedHistory is the content of a sequence of turns up to and including the named turn.
+type cachedHistory struct {
 	turn    string
 	content []byte
 }
 
-// continued returns the chain with what the ledger says that follows. The content is
-// copied: several turns may go on from one.
-func (k cachedChain) continued(reply *protocol.TurnReply) []byte {
+// extend returns the cached history followed by the turns in the ledger's reply, or the reply alone
+// if it holds the full history. The content is copied because several turns may continue from the
+// same one.
+func (h cachedHistory) extend(reply *protocol.TurnReply) []byte {
 	if !reply.Continued {
 		return reply.Chain
 	}
-	return append(append(make([]byte, 0, len(k.content)+len(reply.Chain)), k.content...), reply.Chain...)
+	return append(append(make([]byte, 0, len(h.content)+len(reply.Chain)), h.content...), reply.Chain...)
 }
 
-// get returns the chain up to a turn, or else the longest one of the same session
-// that was served here; an empty one where there is none.
-func (c *chainCache) get(turn, program, session string) cachedChain {
+// get returns the history up to a turn. If that is not cached, it returns the history up to the
+// last cached turn of the same session, or an empty one if there is none.
+func (c *historyCache) get(turn, program, session string) cachedHistory {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if content, ok := c.chains.Get(turn); ok {
-		return cachedChain{turn, content}
+	if content, ok := c.byTurn.Get(turn); ok {
+		return cachedHistory{turn, content}
 	}
-	last, ok := c.sessions.Get(program + "\x00" + session)
+	lastTurn, ok := c.lastTurnBySession.Get(program + "\x00" + session)
 	if !ok {
-		return cachedChain{}
+		return cachedHistory{}
 	}
-	content, ok := c.chains.Get(last)
+	content, ok := c.byTurn.Get(lastTurn)
 	if !ok {
-		return cachedChain{}
+		return cachedHistory{}
 	}
-	return cachedChain{last, content}
+	return cachedHistory{lastTurn, content}
 }
 
-// put keeps the chain up to a turn of a session in place of the session's earlier one,
-// which it begins with: a turn that goes on from there has the ledger send what is
-// missing.
-func (c *chainCache) put(turn, program, session string, content []byte) {
+// put caches the history up to a turn of a session. It replaces the session's earlier history, with
+// which the new one begins: if a later turn continues from the earlier history, the ledger sends
+// what is missing.
+func (c *historyCache) put(turn, program, session string, content []byte) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	key := program + "\x00" + session
-	if earlier, ok := c.sessions.Get(key); ok {
-		c.chains.Remove(earlier)
+	if previousTurn, ok := c.lastTurnBySession.Get(key); ok {
+		c.byTurn.Remove(previousTurn)
 	}
-	c.chains.Remove(turn)
-	c.chains.Add(turn, content)
-	c.sessions.Add(key, turn)
+	c.byTurn.Remove(turn)
+	c.byTurn.Add(turn, content)
+	c.lastTurnBySession.Add(key, turn)
 	c.bytes += len(content)
-	for c.bytes > c.maxBytes && c.chains.Len() > 0 {
-		c.chains.RemoveOldest()
+	for c.bytes > c.maxBytes && c.byTurn.Len() > 0 {
+		c.byTurn.RemoveOldest()
 	}
 }
--- a/internal/gateway/engines.go
+++ b/internal/gateway/engines.go
@@ -14,96 +14,96 @@
 	"github.com/ochrebay/ochrebay/internal/scheduling"
 )
 
-// engines is what the gateway knows of the engines: their registrations, which
-// control tells, and their health, which it sees itself.
-type engines struct {
-	mutex  sync.Mutex
-	byPool map[string][]membership.ServingEngine
-	health map[string]*scheduling.EngineHealth
-	// born are the incarnations of the engines that say when they started.
-	born map[string]int64
-	// learnt is what is known of each back end's engines together.
-	learnt   map[string]*scheduling.LatencyModel
-	activity activity
-	// admissions decide which programs may begin at each back end.
-	admissions map[string]*scheduling.AdmissionController
-	// meter measures the use of tenants here, shares holds that of all gateways' tenants, and
-	// slots those of back ends' engines.
-	meter  *admission.UsageMeter
-	shares admission.FairShares
-	slots  map[string]int
-	zone   string
-	// distances are what engines of other zones cost, zones the zones of engines by address.
-	distances scheduling.ZoneCosts
-	zones     map[string]string
-	// disabled are the mechanisms that are turned off.
+// engineRegistry holds the state of the engines: their registrations, which control sends, and
+// their health and latency, which this gateway observes and control aggregates over all gateways.
+type engineRegistry struct {
+	mutex     sync.Mutex
+	byBackend map[string][]membership.ServingEngine
+	health    map[string]*scheduling.EngineHealth
+	// incarnations holds the start time of each engine by id, 0 if the engine did not report one.
+	incarnations map[string]int64
+	// latencyModels holds the latency model of each back end, learned from all its engines.
+	latencyModels map[string]*scheduling.LatencyModel
+	activity      activityTracker
+	// admissionControllers decide which programs may start at each back end.
+	admissionControllers map[string]*scheduling.AdmissionController
+	// usageMeter measures the usage of tenants at this gateway, tenantShares holds the usage
+	// aggregated over all gateways, and slotsByBackend the slots of an engine of each back end.
+	usageMeter     *admission.UsageMeter
+	tenantShares   admission.FairShares
+	slotsByBackend map[string]int
+	zone           string
+	// zoneCosts holds the cost of using engines in other zones, and zoneByAddress the zone of
+	// each engine.
+	zoneCosts     scheduling.ZoneCosts
+	zoneByAddress map[string]string
+	// disabled lists the scheduling mechanisms that are turned off.
 	disabled scheduling.DisabledMechanisms
-	// fairShares says that tenants are held to their shares of back ends that are short of room.
-	fairShares bool
+	// fairSharesEnabled limits tenants to their fair shares of oversubscribed back ends.
+	fairSharesEnabled bool
 }
 
-func newEngines(zone string, policy config.Policy) *engines {
-	return &engines{
-		byPool: map[string][]membership.ServingEngine{}, health: map[string]*scheduling.EngineHealth{}, born: map[string]int64{},
-		learnt: map[string]*scheduling.LatencyModel{}, admissions: map[string]*scheduling.AdmissionController{}, zone: zone, disabled: policy.Disable,
-		fairShares: policy.FairShares && !policy.Disable.Has(scheduling.MechanismFairShares),
-		meter:      admission.NewUsageMeter(clock.NowMs()), slots: map[string]int{},
-		distances: scheduling.ZoneCosts{CrossZonePenaltyMs: policy.CrossZonePenaltyMs},
+func newEngineRegistry(zone string, policy config.Policy) *engineRegistry {
+	return &engineRegistry{
+		byBackend: map[string][]membership.ServingEngine{}, health: map[string]*scheduling.EngineHealth{}, incarnations: map[string]int64{},
+		latencyModels: map[string]*scheduling.LatencyModel{}, admissionControllers: map[string]*scheduling.AdmissionController{}, zone: zone, disabled: policy.Disable,
+		fairSharesEnabled: policy.FairShares && !policy.Disable.Has(scheduling.MechanismFairShares),
+		usageMeter:        admission.NewUsageMeter(clock.NowMs()), slotsByBackend: map[string]int{},
+		zoneCosts: scheduling.ZoneCosts{CrossZonePenaltyMs: policy.CrossZonePenaltyMs},
 	}
 }
 
-// follow takes a new view of the fleet and returns the addresses that are gone, or whose
-// engine has started again. Invariant: an engine that drains or has left gets nothing from here
-// on.
-func (e *engines) follow(view *membership.FleetView) []string {
+// applyFleet applies a new view of the fleet and returns the addresses that are gone or whose
+// engine has restarted. Invariant: an engine that drains or has left is not selected from here on.
+func (e *engineRegistry) applyFleet(view *membership.FleetView) []string {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	previous := map[string]bool{}
-	for _, pool := range e.byPool {
-		for _, engine := range pool {
-			previous[engine.Address] = true
+	staleAddresses := map[string]bool{}
+	for _, backendEngines := range e.byBackend {
+		for _, engine := range backendEngines {
+			staleAddresses[engine.Address] = true
 		}
 	}
-	e.byPool = map[string][]membership.ServingEngine{}
-	e.zones = map[string]string{}
+	e.byBackend = map[string][]membership.ServingEngine{}
+	e.zoneByAddress = map[string]string{}
 	for _, engine := range view.Engines {
-		delete(previous, engine.Address)
-		e.zones[engine.Address] = engine.Zone
+		delete(staleAddresses, engine.Address)
+		e.zoneByAddress[engine.Address] = engine.Zone
 		if !engine.Draining {
-			e.byPool[engine.Backend] = append(e.byPool[engine.Backend], engine)
+			e.byBackend[engine.Backend] = append(e.byBackend[engine.Backend], engine)
 		}
 	}
-	gone := e.followIncarnations(view)
+	closedAddresses := e.resetRestartedEngines(view)
 	for id, health := range e.health {
-		if _, known := view.Engines[id]; !known && health.InFlight == 0 {
+		if _, isRegistered := view.Engines[id]; !isRegistered && health.InFlight == 0 {
 			delete(e.health, id)
 		}
 	}
-	for address := range previous {
-		gone = append(gone, address)
+	for address := range staleAddresses {
+		closedAddresses = append(closedAddresses, address)
 	}
-	return gone
+	return closedAddresses
 }
 
-// followIncarnations forgets what was learnt of engines that have started again under their
-// ids, and returns their addresses. Invariant: an incarnation begins with nothing said of it;
-// requests that are under way at the one before are counted for that one.
-func (e *engines) followIncarnations(view *membership.FleetView) []string {
+// resetRestartedEngines discards the health of engines that have restarted under the same id, and
+// returns their addresses. Invariant: an incarnation starts without observations; requests in
+// flight at the previous incarnation are counted for that one only.
+func (e *engineRegistry) resetRestartedEngines(view *membership.FleetView) []string {
 	var restarted []string
-	for id := range e.born {
-		_, told := view.Engines[id]
-		if _, remembered := e.health[id]; !told && !remembered {
-			delete(e.born, id)
+	for id := range e.incarnations {
+		_, isRegistered := view.Engines[id]
+		if _, hasHealth := e.health[id]; !isRegistered && !hasHealth {
+			delete(e.incarnations, id)
 		}
 	}
 	for id, engine := range view.Engines {
-		known := e.born[id]
-		if engine.StartedMs == known {
+		previousIncarnation := e.incarnations[id]
+		if engine.StartedMs == previousIncarnation {
 			continue
 		}
-		e.born[id] = engine.StartedMs
-		// The first word of when an engine started tells of no other life.
-		if known != 0 {
+		e.incarnations[id] = engine.StartedMs
+		// The first report of a start time does not indicate a restart.
+		if previousIncarnation != 0 {
 			delete(e.health, id)
 			restarted = append(restarted, engine.Address)
 		}
@@ -111,76 +111,82 @@
 	return restarted
 }
 
-// affineEngine returns the id of the engine that a session's last turn ran at. The key of an
-// incarnation that is over stays what it is and names none: it holds nothing of the session.
-func affineEngine(pool []membership.ServingEngine, key string) string {
-	position := slices.IndexFunc(pool, func(engine membership.ServingEngine) bool { return engine.MatchesKey(key) })
-	if position < 0 {
+// resolveAffineEngine returns the id of the engine that ran a session's last turn. A key that no
+// engine matches is returned unchanged and names no engine: the incarnation has ended and its
+// cached prompt is gone.
+func resolveAffineEngine(backendEngines []membership.ServingEngine, key string) string {
+	index := slices.IndexFunc(backendEngines, func(engine membership.ServingEngine) bool { return engine.MatchesKey(key) })
+	if index < 0 {
 		return key
 	}
-	return pool[position].ID
+	return backendEngines[index].ID
 }
 
-// dialed learns the way to an engine's zone from a new connection to it.
-func (e *engines) dialed(address string, took time.Duration) {
+// observeDial updates the round-trip time to an engine's zone from the time that a new connection
+// took.
+func (e *engineRegistry) observeDial(address string, elapsed time.Duration) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	if zone, known := e.zones[address]; known {
-		e.distances.ObserveRoundTrip(zone, took.Seconds()*1000)
+	if zone, isKnown := e.zoneByAddress[address]; isKnown {
+		e.zoneCosts.ObserveRoundTrip(zone, elapsed.Seconds()*1000)
 	}
 }
 
-// healthOf returns what this gateway has seen of an engine.
-func (e *engines) healthOf(id string) *scheduling.EngineHealth { return entryOf(e.health, id) }
+// healthOf returns the health of an engine, creating it if necessary.
+func (e *engineRegistry) healthOf(id string) *scheduling.EngineHealth {
+	return getOrCreate(e.health, id)
+}
 
-// poolOf returns what is known of a back end's engines.
-func (e *engines) poolOf(backend string) *scheduling.LatencyModel { return entryOf(e.learnt, backend) }
+// latencyModelOf returns the latency model of a back end, creating it if necessary.
+func (e *engineRegistry) latencyModelOf(backend string) *scheduling.LatencyModel {
+	return getOrCreate(e.latencyModels, backend)
+}
 
-// entryOf returns the entry of a key, a new one where there is none.
-func entryOf[T any](entries map[string]*T, key string) *T {
-	entry, known := entries[key]
-	if !known {
+// getOrCreate returns the entry of a key and creates a zero entry if there is none.
+func getOrCreate[T any](entries map[string]*T, key string) *T {
+	entry, found := entries[key]
+	if !found {
 		entry = new(T)
 		entries[key] = entry
 	}
 	return entry
 }
 
-// count is how many engines of a back end may be sent requests.
-func (e *engines) count(backend string) int {
+// engineCount returns how many engines of a back end are eligible for requests.
+func (e *engineRegistry) engineCount(backend string) int {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	return len(e.byPool[backend])
+	return len(e.byBackend[backend])
 }
 
-// factor is how many times longer than at others things take at an engine.
-func (e *engines) factor(engine string, nowMs int64) float64 {
+// latencyRatio returns the ratio of an engine's latency to that of the other engines.
+func (e *engineRegistry) latencyRatio(engine string, nowMs int64) float64 {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	return e.healthOf(engine).LatencyRatio(nowMs)
 }
 
-// silent passes an engine over that does not say anything for too long, although it has not
-// failed yet.
-func (e *engines) silent(engine string, nowMs int64) {
+// recordTimeout makes an engine suspect that did not respond in time, although its attempt may not
+// have ended yet.
+func (e *engineRegistry) recordTimeout(engine string, nowMs int64) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	e.healthOf(engine).RecordFailure(nowMs)
 }
 
-// others are the engines of a back end that are not the one named; none where it is no
-// engine of the back end any more.
-func (e *engines) others(backend, engine string) []string {
+// otherEngines returns the engines of a back end except the named one. It returns none if the named
+// engine no longer belongs to the back end.
+func (e *engineRegistry) otherEngines(backend, engine string) []string {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	var others []string
 	found := false
-	for _, known := range e.byPool[backend] {
-		if known.ID == engine {
+	for _, candidate := range e.byBackend[backend] {
+		if candidate.ID == engine {
 			found = true
 			continue
 		}
-		others = append(others, known.ID)
+		others = append(others, candidate.ID)
 	}
 	if !found {
 		return nil
@@ -188,174 +194,179 @@
 	return others
 }
 
-// expectedMs is how long a call is expected to occupy an engine, 0 where that is not known.
-func (e *engines) expectedMs(backend string, demand scheduling.SelectionInput) float64 {
+// expectedServiceMs returns how long a call is expected to occupy an engine in milliseconds, 0 if
+// that is unknown.
+func (e *engineRegistry) expectedServiceMs(backend string, input scheduling.SelectionInput) float64 {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	return e.poolOf(backend).ExpectedServiceMs(demand)
+	return e.latencyModelOf(backend).ExpectedServiceMs(input)
 }
 
-// choice is an engine and what decided for it, for the log.
-type choice struct {
+// selection is a selected engine and the figures behind the selection, for the log.
+type selection struct {
 	engine membership.ServingEngine
-	// inFlight counts this gateway's requests there, the one chosen for included, and
-	// candidates the engines that could have been chosen.
-	inFlight   int
-	candidates int
-	// missing is what the engine is expected to have to read, tokens; cost and nextCost
-	// are what the request is expected to cost there and at the next best engine,
-	// milliseconds, homeCost at the engine that holds what the session has read.
-	missing int64
-	// company is how many requests of all gateways are expected there, and sharedAgeMs
-	// how old what the others have said of it is, -1 where nothing is known.
-	company     float64
-	sharedAgeMs int64
-	cost        float64
-	nextCost    float64
-	homeCost    float64
-	// slowness and homeSlowness are how many times longer than usual a token is expected to
-	// take at the engine and at the one that holds what the session has read, 0 for none;
-	// turns is how many turns the session is expected to have yet.
-	slowness     float64
-	homeSlowness float64
-	turns        float64
-	// moved says why the session left the engine that holds what it has read.
-	moved scheduling.MoveReason
-	// holds is what the request takes of the engine's memory, heldTokens what others were
-	// expected to take before, and pushed by how much that exceeds it.
-	holds      int64
-	heldTokens int64
-	pushed     int64
-	// health is that of the engine's incarnation, which the next one does not take over.
+	// inFlight counts this gateway's requests in flight at the engine, including this one, and
+	// candidateCount the engines of the back end.
+	inFlight       int
+	candidateCount int
+	// prefillTokens is the expected number of prompt tokens that are not in the engine's cache.
+	// costMs, nextBestCostMs and affineEngineCostMs are the expected costs of the request at the
+	// engine, at the next best engine and at the session's affine engine.
+	prefillTokens int64
+	// estimatedInFlight is the expected number of requests in flight at the engine from all
+	// gateways. sharedLoadAgeMs is the age of the load aggregated over all gateways, -1 if there
+	// is none.
+	estimatedInFlight  float64
+	sharedLoadAgeMs    int64
+	costMs             float64
+	nextBestCostMs     float64
+	affineEngineCostMs float64
+	// slowdown and affineEngineSlowdown are the expected times per token at the engine and at the
+	// affine engine, relative to a typical engine of the back end; the latter is 0 without an
+	// affine engine. remainingTurns is the expected number of further turns of the session.
+	slowdown             float64
+	affineEngineSlowdown float64
+	remainingTurns       float64
+	// moveReason is the reason why the session left its affine engine.
+	moveReason scheduling.MoveReason
+	// requiredKVCacheTokens is the KV cache that the request needs, reservedKVCacheTokens the KV
+	// cache that is reserved for other requests, and preemptedTokens the expected number of
+	// tokens of running requests that the engine has to preempt.
+	requiredKVCacheTokens int64
+	reservedKVCacheTokens int64
+	preemptedTokens       int64
+	// health belongs to the engine's incarnation; a later incarnation gets a new one.
 	health *scheduling.EngineHealth
 }
 
-// choose picks the engine for a call and counts it as under way there.
-func (e *engines) choose(backend routing.Backend, demand scheduling.SelectionInput) (choice, bool) {
+// selectEngine selects the engine for a call and counts the call as in flight there.
+func (e *engineRegistry) selectEngine(backend routing.Backend, input scheduling.SelectionInput) (selection, bool) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	pool := e.byPool[backend.Name]
-	candidates := make([]scheduling.Candidate, 0, len(pool))
-	for _, engine := range pool {
+	backendEngines := e.byBackend[backend.Name]
+	candidates := make([]scheduling.Candidate, 0, len(backendEngines))
+	for _, engine := range backendEngines {
 		candidate := scheduling.Candidate{
 			ID: engine.ID, Zone: engine.Zone, Slots: max(engine.Slots, backend.Slots), KVCacheCapacityTokens: backend.KVCacheCapacityTokens,
 			Health: e.healthOf(engine.ID),
 		}
 		candidates = append(candidates, candidate)
 	}
-	demand.AffineEngine = affineEngine(pool, demand.AffineEngine)
-	demand.Zone = e.zone
-	demand.ZoneCosts = &e.distances
-	demand.ShuffleSeed = rand.Uint64()
-	demand.Disabled = e.disabled
-	if demand.IsStream {
-		demand.RemainingTurns = e.poolOf(backend.Name).RemainingTurns(demand.RequestKind, len(demand.Prompt))
+	input.AffineEngine = resolveAffineEngine(backendEngines, input.AffineEngine)
+	input.Zone = e.zone
+	input.ZoneCosts = &e.zoneCosts
+	input.ShuffleSeed = rand.Uint64()
+	input.Disabled = e.disabled
+	if input.IsStream {
+		input.RemainingTurns = e.latencyModelOf(backend.Name).RemainingTurns(input.RequestKind, len(input.Prompt))
 	}
-	chosen, found := scheduling.SelectEngine(e.poolOf(backend.Name), candidates, demand)
+	selected, found := scheduling.SelectEngine(e.latencyModelOf(backend.Name), candidates, input)
 	if !found {
-		return choice{}, false
+		return selection{}, false
 	}
-	e.activity.note(demand.NowMs)
-	if demand.IsStream && len(demand.ExcludedEngines) == 0 {
-		e.poolOf(backend.Name).ObserveTurn(demand.RequestKind, len(demand.Prompt))
+	e.activity.record(input.NowMs)
+	if input.IsStream && len(input.ExcludedEngines) == 0 {
+		e.latencyModelOf(backend.Name).ObserveTurn(input.RequestKind, len(input.Prompt))
 	}
-	health := chosen.Candidate.Health
-	health.RecordStart(demand.NowMs)
-	heldBefore := health.ReservedKVCacheTokens(demand.NowMs)
-	health.ReserveKVCache(demand.NowMs, demand.RequiredKVCacheTokens)
-	position := slices.IndexFunc(pool, func(engine membership.ServingEngine) bool { return engine.ID == chosen.Candidate.ID })
-	return choice{
-		engine: pool[position], inFlight: health.InFlight, candidates: len(pool),
-		company: health.EstimatedInFlight(demand.NowMs), sharedAgeMs: health.SharedLoadAgeMs(demand.NowMs),
-		missing: chosen.PrefillTokens, cost: chosen.CostMs, nextCost: chosen.NextBestCostMs, homeCost: chosen.AffineEngineCostMs, health: health,
-		holds: demand.RequiredKVCacheTokens, heldTokens: int64(heldBefore), pushed: chosen.PreemptedTokens,
-		slowness: chosen.Slowdown, homeSlowness: chosen.AffineEngineSlowdown, turns: demand.RemainingTurns, moved: chosen.MoveReason,
+	health := selected.Candidate.Health
+	health.RecordStart(input.NowMs)
+	reservedBefore := health.ReservedKVCacheTokens(input.NowMs)
+	health.ReserveKVCache(input.NowMs, input.RequiredKVCacheTokens)
+	index := slices.IndexFunc(backendEngines, func(engine membership.ServingEngine) bool { return engine.ID == selected.Candidate.ID })
+	return selection{
+		engine: backendEngines[index], inFlight: health.InFlight, candidateCount: len(backendEngines),
+		estimatedInFlight: health.EstimatedInFlight(input.NowMs), sharedLoadAgeMs: health.SharedLoadAgeMs(input.NowMs),
+		prefillTokens: selected.PrefillTokens, costMs: selected.CostMs, nextBestCostMs: selected.NextBestCostMs, affineEngineCostMs: selected.AffineEngineCostMs, health: health,
+		requiredKVCacheTokens: input.RequiredKVCacheTokens, reservedKVCacheTokens: int64(reservedBefore), preemptedTokens: selected.PreemptedTokens,
+		slowdown: selected.Slowdown, affineEngineSlowdown: selected.AffineEngineSlowdown, remainingTurns: input.RemainingTurns, moveReason: selected.MoveReason,
 	}, true
 }
 
-// notSent takes a call off the engine that was chosen for it, where it is not sent after all.
-func (e *engines) notSent(chosen choice, nowMs int64) {
+// cancelSelection removes a call from the requests in flight at its selected engine if the call is
+// not sent.
+func (e *engineRegistry) cancelSelection(selected selection, nowMs int64) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	chosen.health.RecordEnd(nowMs)
+	selected.health.RecordEnd(nowMs)
 }
 
-// firstEvent notes how long an engine took for the first event of a stream.
-func (e *engines) firstEvent(c *call, took float64) {
+// observeFirstEvent records how long an engine took to send the first event of a stream.
+func (e *engineRegistry) observeFirstEvent(c *call, firstEventMs float64) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	nowMs := clock.NowMs()
-	e.activity.note(nowMs)
-	e.poolOf(c.backend.Name).ObserveFirstEvent(c.chosen.health, nowMs, c.chosen.missing, took)
-	e.noteBeginning(c, nowMs, took)
+	e.activity.record(nowMs)
+	e.latencyModelOf(c.backend.Name).ObserveFirstEvent(c.selection.health, nowMs, c.selection.prefillTokens, firstEventMs)
+	e.observeStreamStart(c, nowMs, firstEventMs)
 }
 
-// nextEvent notes the pause of a stream before an event.
-func (e *engines) nextEvent(c *call, gap float64) {
+// observeEventGap records the gap between two events of a stream in milliseconds.
+func (e *engineRegistry) observeEventGap(c *call, gapMs float64) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	nowMs := clock.NowMs()
-	e.activity.note(nowMs)
-	e.poolOf(c.backend.Name).ObserveEventGap(c.chosen.health, nowMs, gap)
+	e.activity.record(nowMs)
+	e.latencyModelOf(c.backend.Name).ObserveEventGap(c.selection.health, nowMs, gapMs)
 }
 
-// streamPaced notes the pauses between the events of a stream that an engine sent: how many
-// there were and the shortest, milliseconds.
-func (e *engines) streamPaced(c *call, pauses int, shortest float64) {
+// observeStreamPace records the number of gaps between the events of a stream and the shortest of
+// them in milliseconds.
+func (e *engineRegistry) observeStreamPace(c *call, gaps int, shortestMs float64) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	e.poolOf(c.backend.Name).ObserveStreamPace(c.chosen.health, clock.NowMs(), pauses, shortest)
+	e.latencyModelOf(c.backend.Name).ObserveStreamPace(c.selection.health, clock.NowMs(), gaps, shortestMs)
 }
 
-// ended takes a call off its engine and notes how it went.
-func (e *engines) ended(c *call, nowMs int64, attempt attemptOutcome) {
+// recordAttemptEnd removes a call from the requests in flight at its engine and records the outcome.
+func (e *engineRegistry) recordAttemptEnd(c *call, nowMs int64, attempt attemptOutcome) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	health := c.chosen.health
+	health := c.selection.health
 	health.RecordEnd(nowMs)
-	health.ReleaseKVCache(nowMs, c.chosen.holds)
+	health.ReleaseKVCache(nowMs, c.selection.requiredKVCacheTokens)
 	switch attempt.kind {
 	case attemptAnswered:
-		if isFailure(attempt.status) {
-			// It may have failed at once: that is no sign of a quick engine.
+		if isEngineFailure(attempt.status) {
+			// A failure may return immediately, so its latency must not make the engine look fast.
 			health.RecordFailure(nowMs)
 			return
 		}
 		health.RecordSuccess()
-		if attempt.tookMs > 0 {
-			e.poolOf(c.backend.Name).ObserveResponse(health, nowMs, c.route.Name, attempt.tookMs)
+		if attempt.responseMs > 0 {
+			e.latencyModelOf(c.backend.Name).ObserveResponse(health, nowMs, c.route.Name, attempt.responseMs)
 		}
-		if attempt.events > 0 {
-			e.poolOf(c.backend.Name).ObserveStreamLength(nowMs, attempt.events)
+		if attempt.streamEvents > 0 {
+			e.latencyModelOf(c.backend.Name).ObserveStreamLength(nowMs, attempt.streamEvents)
 		}
 	case attemptNotSent, attemptBroken, attemptFailed:
 		health.RecordFailure(nowMs)
 	}
 }
 
-// takeLoads returns what this gateway has seen of engines since the last call.
-func (e *engines) takeLoads(nowMs int64) []scheduling.EngineLoad {
+// collectLoads returns the loads of engines that this gateway has observed since the last call.
+func (e *engineRegistry) collectLoads(nowMs int64) []scheduling.EngineLoad {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	var loads []scheduling.EngineLoad
 	for id, health := range e.health {
-		if load, said := health.CollectLoad(id, nowMs); said {
+		if load, isNew := health.CollectLoad(id, nowMs); isNew {
 			loads = append(loads, load)
 		}
 	}
 	return loads
 }
 
-// failing returns the engines at which this gateway's requests fail.
-func (e *engines) failing(nowMs int64) []string {
+// failingEngines returns the engines at which this gateway's requests fail.
+func (e *engineRegistry) failingEngines(nowMs int64) []string {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	return scheduling.FailingEngines(e.health, nowMs)
 }
 
-// takeShared takes what all gateways together have seen, and the engines at which requests of
-// several of them fail; it returns those of them that were not suspect here.
-func (e *engines) takeShared(loads []scheduling.EngineLoad, failing []string, nowMs int64) []string {
+// applySharedLoads applies the loads aggregated over all gateways, and marks the engines in failing,
+// at which requests of several gateways fail, as suspect. It returns those that were not suspect
+// before.
+func (e *engineRegistry) applySharedLoads(loads []scheduling.EngineLoad, failing []string, nowMs int64) []string {
 	if e.disabled.Has(scheduling.MechanismSharedState) {
 		return nil
 	}
@@ -375,21 +386,21 @@
 	return suspected
 }
 
-// takeUsages returns what this gateway has seen of the engines' use since the last call.
-func (e *engines) takeUsages(nowMs int64) []scheduling.EngineUsage {
+// collectUsages returns the engine usage that this gateway has observed since the last call.
+func (e *engineRegistry) collectUsages(nowMs int64) []scheduling.EngineUsage {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	var usages []scheduling.EngineUsage
 	for id, health := range e.health {
-		if usage, said := health.CollectUsage(id, nowMs); said {
+		if usage, isNew := health.CollectUsage(id, nowMs); isNew {
 			usages = append(usages, usage)
 		}
 	}
 	return usages
 }
 
-// takeSharedUsages takes what all gateways together know of the engines' use.
-func (e *engines) takeSharedUsages(usages []scheduling.EngineUsage, nowMs int64) {
+// applySharedUsages applies the engine usage aggregated over all gateways.
+func (e *engineRegistry) applySharedUsages(usages []scheduling.EngineUsage, nowMs int64) {
 	if e.disabled.Has(scheduling.MechanismSharedState) {
 		return
 	}
@@ -400,24 +411,24 @@
 	}
 }
 
-// slownessSpread returns how many times longer than at the quickest engine a token takes at the
-// slowest one, at the back end where that is most.
-func (e *engines) slownessSpread() float64 {
+// slowdownSpread returns the ratio of the slowdown of the slowest engine to that of the fastest one,
+// for the back end with the largest ratio.
+func (e *engineRegistry) slowdownSpread() float64 {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	widest := 1.0
-	for _, pool := range e.byPool {
-		var quickest, slowest float64
-		for position, engine := range pool {
-			slowness := e.healthOf(engine.ID).Slowdown()
-			if position == 0 || slowness < quickest {
-				quickest = slowness
+	largest := 1.0
+	for _, backendEngines := range e.byBackend {
+		var fastest, slowest float64
+		for index, engine := range backendEngines {
+			slowdown := e.healthOf(engine.ID).Slowdown()
+			if index == 0 || slowdown < fastest {
+				fastest = slowdown
 			}
-			slowest = max(slowest, slowness)
+			slowest = max(slowest, slowdown)
 		}
-		if quickest > 0 {
-			widest = max(widest, slowest/quickest)
+		if fastest > 0 {
+			largest = max(largest, slowest/fastest)
 		}
 	}
-	return widest
+	return largest
 }
--- a/internal/gateway/fleetsize_test.go
+++ b/internal/gateway/fleetsize_test.go
@@ -10,8 +10,9 @@
 	"github.com/ochrebay/ochrebay/internal/scheduling"
 )
 
-// viewOf is what control tells a gateway of a fleet.
-func viewOf(engines int) *membership.FleetView {
+// newFleetViewOfSize returns the view that a gateway gets from control of a fleet with a number of
+// engines.
+func newFleetViewOfSize(engines int) *membership.FleetView {
 	fleet := membership.NewFleet()
 	for number := range engines {
 		fleet.Apply(membership.FleetUpdate{PutEngines: []membership.ServingEngine{{
@@ -24,48 +25,48 @@
 	return view
 }
 
-// BenchmarkFollow is what a gateway does at each piece of news of the fleet.
+// BenchmarkFollow measures how long a gateway takes to apply a fleet view.
 func BenchmarkFollow(b *testing.B) {
 	for _, engines := range []int{1000, 10_000, 20_000} {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
-			e := newEngines("z1", config.Policy{})
-			view := viewOf(engines)
+			e := newEngineRegistry("z1", config.Policy{})
+			view := newFleetViewOfSize(engines)
 			b.ReportAllocs()
 			for b.Loop() {
-				e.follow(view)
+				e.applyFleet(view)
 			}
 		})
 	}
 }
 
-// BenchmarkChoose is the choice of an engine for one request.
+// BenchmarkChoose measures the selection of an engine for one request.
 func BenchmarkChoose(b *testing.B) {
 	for _, engines := range []int{1000, 10_000, 20_000} {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
-			e := newEngines("z1", config.Policy{})
-			e.follow(viewOf(engines))
+			e := newEngineRegistry("z1", config.Policy{})
+			e.applyFleet(newFleetViewOfSize(engines))
 			b.ReportAllocs()
 			for b.Loop() {
-				if _, found := e.choose(routing.Backend{Name: "b", Slots: 6}, scheduling.SelectionInput{IsStream: true, NowMs: 1000, MaxEvents: 4}); !found {
-					b.Fatal("no engine")
+				if _, found := e.selectEngine(routing.Backend{Name: "b", Slots: 6}, scheduling.SelectionInput{IsStream: true, NowMs: 1000, MaxEvents: 4}); !found {
+					b.Fatal("no engine selected")
 				}
 			}
 		})
 	}
 }
 
-// TestSharedSuspicionOfAGateway holds that a gateway takes others' word for an engine that
-// fails, and says so once.
+// TestSharedSuspicionOfAGateway checks that an engine at which other gateways' requests fail becomes
+// suspect, and is returned as newly suspect only once.
 func TestSharedSuspicionOfAGateway(t *testing.T) {
-	e := newEngines("z1", config.Policy{})
-	if told := e.takeShared(nil, []string{"i-1"}, 1000); len(told) != 1 || !e.healthOf("i-1").IsSuspect(1000) {
-		t.Fatalf("%v told, suspect %v", told, e.healthOf("i-1").IsSuspect(1000))
+	e := newEngineRegistry("z1", config.Policy{})
+	if newlySuspect := e.applySharedLoads(nil, []string{"i-1"}, 1000); len(newlySuspect) != 1 || !e.healthOf("i-1").IsSuspect(1000) {
+		t.Fatalf("newly suspect engines %v, is suspect: %v", newlySuspect, e.healthOf("i-1").IsSuspect(1000))
 	}
-	if told := e.takeShared(nil, []string{"i-1"}, 1500); len(told) != 0 {
-		t.Fatalf("%v told again", told)
+	if newlySuspect := e.applySharedLoads(nil, []string{"i-1"}, 1500); len(newlySuspect) != 0 {
+		t.Fatalf("engines %v returned as newly suspect again", newlySuspect)
 	}
-	disabled := newEngines("z1", config.Policy{Disable: scheduling.DisabledMechanisms{scheduling.MechanismSharedState}})
-	if disabled.takeShared(nil, []string{"i-1"}, 1000); disabled.healthOf("i-1").IsSuspect(1000) {
-		t.Fatal("taken although turned off")
+	disabled := newEngineRegistry("z1", config.Policy{Disable: scheduling.DisabledMechanisms{scheduling.MechanismSharedState}})
+	if disabled.applySharedLoads(nil, []string{"i-1"}, 1000); disabled.healthOf("i-1").IsSuspect(1000) {
+		t.Fatal("shared suspicion applied although disabled")
 	}
 }
--- a/internal/gateway/incarnations_test.go
+++ b/internal/gateway/incarnations_test.go
@@ -12,7 +12,7 @@
 	"github.com/ochrebay/ochrebay/internal/scheduling"
 )
 
-func incarnationsView(engines ...membership.ServingEngine) *membership.FleetView {
+func fleetViewOf(engines ...membership.ServingEngine) *membership.FleetView {
 	view := &membership.FleetView{Engines: map[string]membership.ServingEngine{}}
 	for _, engine := range engines {
 		view.Engines[engine.ID] = engine
@@ -20,80 +20,80 @@
 	return view
 }
 
-// TestRestartedEngines answers engines that crash under load and start again under the ids
-// that they had.
+// TestRestartedEngines guards against state that carries over to the next incarnation of an engine
+// that crashes under load and restarts with the same id.
 func TestRestartedEngines(t *testing.T) {
 	const nowMs = 1000
 	first := membership.ServingEngine{ID: "e", Backend: "b", Address: "10.0.0.1:1", Slots: 4, StartedMs: 100}
 	second := first
 	second.StartedMs = 200
-	begin := func(e *engines) *call {
-		chosen, found := e.choose(routing.Backend{Name: "b", Slots: 4}, scheduling.SelectionInput{NowMs: nowMs, IsStream: true, RequestKind: "r"})
+	startCall := func(e *engineRegistry) *call {
+		chosen, found := e.selectEngine(routing.Backend{Name: "b", Slots: 4}, scheduling.SelectionInput{NowMs: nowMs, IsStream: true, RequestKind: "r"})
 		So(found, ShouldBeTrue)
-		return &call{engine: chosen.engine.ID, chosen: chosen, backend: routing.Backend{Name: "b"}, route: &routing.Route{Name: "r"}}
+		return &call{engineID: chosen.engine.ID, selection: chosen, backend: routing.Backend{Name: "b"}, route: &routing.Route{Name: "r"}}
 	}
-	Convey("what was learnt of the life before is void, and its requests are counted for it alone", t, func() {
-		e := newEngines("z", config.Policy{})
-		e.follow(incarnationsView(first))
-		lost, broken := begin(e), begin(e)
-		e.ended(broken, nowMs, attemptOutcome{kind: attemptBroken})
+	Convey("the observations and the in-flight requests of the previous incarnation do not affect the new one", t, func() {
+		e := newEngineRegistry("z", config.Policy{})
+		e.applyFleet(fleetViewOf(first))
+		lost, broken := startCall(e), startCall(e)
+		e.recordAttemptEnd(broken, nowMs, attemptOutcome{kind: attemptBroken})
 		So(e.healthOf("e").IsSuspect(nowMs), ShouldBeTrue)
-		So(e.follow(incarnationsView(second)), ShouldResemble, []string{"10.0.0.1:1"})
+		So(e.applyFleet(fleetViewOf(second)), ShouldResemble, []string{"10.0.0.1:1"})
 		So(e.healthOf("e").IsSuspect(nowMs), ShouldBeFalse)
 		So(e.healthOf("e").InFlight, ShouldEqual, 0)
-		current := begin(e)
-		e.ended(lost, nowMs, attemptOutcome{kind: attemptBroken})
+		current := startCall(e)
+		e.recordAttemptEnd(lost, nowMs, attemptOutcome{kind: attemptBroken})
 		So(e.healthOf("e").InFlight, ShouldEqual, 1)
 		So(e.healthOf("e").IsSuspect(nowMs), ShouldBeFalse)
-		e.ended(current, nowMs, attemptOutcome{kind: attemptAnswered})
+		e.recordAttemptEnd(current, nowMs, attemptOutcome{kind: attemptAnswered})
 		So(e.healthOf("e").InFlight, ShouldEqual, 0)
 	})
-	Convey("also when the engine was away in between, while requests of its earlier life are still under way", t, func() {
-		e := newEngines("z", config.Policy{})
-		e.follow(incarnationsView(first))
-		begin(e)
-		e.follow(incarnationsView())
-		e.follow(incarnationsView(second))
+	Convey("the same holds if the engine was gone in between while requests of its previous incarnation are in flight", t, func() {
+		e := newEngineRegistry("z", config.Policy{})
+		e.applyFleet(fleetViewOf(first))
+		startCall(e)
+		e.applyFleet(fleetViewOf())
+		e.applyFleet(fleetViewOf(second))
 		So(e.healthOf("e").InFlight, ShouldEqual, 0)
 	})
-	Convey("the first word of when an engine started, and a report without news, change nothing", t, func() {
-		e := newEngines("z", config.Policy{})
-		silent := first
-		silent.StartedMs = 0
-		e.follow(incarnationsView(silent))
-		begin(e)
-		So(e.follow(incarnationsView(first)), ShouldBeEmpty)
-		So(e.follow(incarnationsView(first)), ShouldBeEmpty)
+	Convey("the first report of an engine's start time and an unchanged report reset nothing", t, func() {
+		e := newEngineRegistry("z", config.Policy{})
+		withoutStartTime := first
+		withoutStartTime.StartedMs = 0
+		e.applyFleet(fleetViewOf(withoutStartTime))
+		startCall(e)
+		So(e.applyFleet(fleetViewOf(first)), ShouldBeEmpty)
+		So(e.applyFleet(fleetViewOf(first)), ShouldBeEmpty)
 		So(e.healthOf("e").InFlight, ShouldEqual, 1)
 	})
-	Convey("a session is bound to the incarnation that ran its last turn", t, func() {
-		So(affineEngine([]membership.ServingEngine{first}, first.IncarnationKey()), ShouldEqual, "e")
-		So(affineEngine([]membership.ServingEngine{second}, first.IncarnationKey()), ShouldNotEqual, "e")
-		So(affineEngine([]membership.ServingEngine{second}, "e"), ShouldEqual, "e")
-		So(affineEngine(nil, "e"), ShouldEqual, "e")
+	Convey("session affinity applies only to the incarnation that ran the last turn", t, func() {
+		So(resolveAffineEngine([]membership.ServingEngine{first}, first.IncarnationKey()), ShouldEqual, "e")
+		So(resolveAffineEngine([]membership.ServingEngine{second}, first.IncarnationKey()), ShouldNotEqual, "e")
+		So(resolveAffineEngine([]membership.ServingEngine{second}, "e"), ShouldEqual, "e")
+		So(resolveAffineEngine(nil, "e"), ShouldEqual, "e")
 	})
 }
 
-// TestCallsThatAreNotSent answers keys that lose their proof between the choice of an engine
-// and the send.
+// TestCallsThatAreNotSent guards against a leaked in-flight count if the confirmation of the routing
+// table expires between the selection of an engine and the send.
 func TestCallsThatAreNotSent(t *testing.T) {
-	Convey("a call that is not sent after all is not counted at the engine", t, func() {
-		stand := newTenantStand(t, answerSigned)
-		looks := 0
-		stand.gateway.proofAge = func() (time.Duration, bool) {
-			looks++
-			if looks > 1 {
-				return testBound, true
+	Convey("a call that is not sent after an engine was selected is not counted as in flight", t, func() {
+		fixture := newTenantFixture(t, respondSigned)
+		checks := 0
+		fixture.gateway.confirmationAge = func() (time.Duration, bool) {
+			checks++
+			if checks > 1 {
+				return testRevokeBound, true
 			}
 			return 0, true
 		}
-		response, _, err := stand.send("/safe/", "r1", "Ochrebay-Key", testKey)
+		response, _, err := fixture.send("/safe/", "r1", "Ochrebay-Key", testKey)
 		So(err, ShouldBeNil)
 		So(response.StatusCode, ShouldEqual, 503)
-		So(looks, ShouldBeGreaterThan, 1)
-		So(stand.runs.Load(), ShouldEqual, 0)
+		So(checks, ShouldBeGreaterThan, 1)
+		So(fixture.runs.Load(), ShouldEqual, 0)
 		inFlight := 0
-		for _, health := range stand.gateway.engines.health {
+		for _, health := range fixture.gateway.engines.health {
 			inFlight += health.InFlight
 		}
 		So(inFlight, ShouldEqual, 0)
--- a/internal/gateway/leaders.go
+++ b/internal/gateway/leaders.go
@@ -8,105 +8,105 @@
 )
 
 const (
-	// searchPause is the first pause between rounds of a search for a leader; it grows up
-	// to longestSearchPause.
-	searchPause        = 20 * time.Millisecond
-	longestSearchPause = 160 * time.Millisecond
-	// searchTimeout ends a search that nobody may wait for any more.
+	// initialSearchBackoff is the first backoff between rounds of a search for a leader. It
+	// doubles with each round up to maxSearchBackoff.
+	initialSearchBackoff = 20 * time.Millisecond
+	maxSearchBackoff     = 160 * time.Millisecond
+	// searchTimeout ends a search for which possibly no request waits any longer.
 	searchTimeout = 3 * time.Second
 )
 
-// leaderProbe asks a member whether it leads a group; else hint names whom it takes for
-// the leader.
+// leaderProbe asks a member whether it leads a group. If it does not, hint names the member that
+// it considers the leader, "" for none.
 type leaderProbe func(ctx context.Context, member string, group uint32) (leads bool, hint string)
 
-// leaders knows the leader of each ledger group. Invariant: however many requests wait
-// for a group without a known leader, the gateway searches for it once; otherwise the
-// questions of all that wait keep busy the very hosts that are to elect one.
-type leaders struct {
+// leaderCache caches the leader of each ledger group. Invariant: at most one search for the leader
+// of a group runs at a time, however many requests wait for it. Separate probes for each waiting
+// request would overload the very hosts that have to elect a leader.
+type leaderCache struct {
 	probe leaderProbe
-	// members returns where a group is placed.
+	// members returns the members of a group.
 	members func(group uint32) []string
 
 	mutex    sync.Mutex
-	known    map[uint32]string
+	byGroup  map[uint32]string
 	searches map[uint32]chan struct{}
 }
 
-func newLeaders(members func(group uint32) []string, probe leaderProbe) *leaders {
-	return &leaders{probe: probe, members: members, known: map[uint32]string{}, searches: map[uint32]chan struct{}{}}
+func newLeaderCache(members func(group uint32) []string, probe leaderProbe) *leaderCache {
+	return &leaderCache{probe: probe, members: members, byGroup: map[uint32]string{}, searches: map[uint32]chan struct{}{}}
 }
 
-// find returns the leader of a group, "" where none was found before ctx ended.
-func (l *leaders) find(ctx context.Context, group uint32) string {
+// find returns the leader of a group, "" if none was found before ctx ended.
+func (l *leaderCache) find(ctx context.Context, group uint32) string {
 	for ctx.Err() == nil {
 		l.mutex.Lock()
-		leader := l.known[group]
-		search := l.searches[group]
-		if leader == "" && search == nil {
-			search = make(chan struct{})
-			l.searches[group] = search
-			go l.search(group, search)
+		leader := l.byGroup[group]
+		searchDone := l.searches[group]
+		if leader == "" && searchDone == nil {
+			searchDone = make(chan struct{})
+			l.searches[group] = searchDone
+			go l.search(group, searchDone)
 		}
 		l.mutex.Unlock()
 		if leader != "" {
 			return leader
 		}
 		select {
-		case <-search:
+		case <-searchDone:
 		case <-ctx.Done():
 		}
 	}
 	return ""
 }
 
-// set takes a member's word for who leads a group.
-func (l *leaders) set(group uint32, leader string) {
+// set caches the leader of a group that a member has named.
+func (l *leaderCache) set(group uint32, leader string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.known[group] = leader
+	l.byGroup[group] = leader
 }
 
-// lost forgets a leader that did not answer as one, where it is still taken for it.
-func (l *leaders) lost(group uint32, leader string) {
+// invalidate removes a leader that did not answer as such, unless it has been replaced in the cache.
+func (l *leaderCache) invalidate(group uint32, leader string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if l.known[group] == leader {
-		delete(l.known, group)
+	if l.byGroup[group] == leader {
+		delete(l.byGroup, group)
 	}
 }
 
-// search asks the members of a group until one of them leads it.
-func (l *leaders) search(group uint32, done chan struct{}) {
+// search probes the members of a group until one of them leads it or searchTimeout passes.
+func (l *leaderCache) search(group uint32, done chan struct{}) {
 	ctx, cancel := context.WithTimeout(context.Background(), searchTimeout)
 	defer cancel()
-	found := ""
-	for pause := searchPause; found == "" && ctx.Err() == nil; pause = min(2*pause, longestSearchPause) {
-		if found = l.askMembers(ctx, group); found != "" {
+	leader := ""
+	for backoff := initialSearchBackoff; leader == "" && ctx.Err() == nil; backoff = min(2*backoff, maxSearchBackoff) {
+		if leader = l.probeMembers(ctx, group); leader != "" {
 			break
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(pause/2 + rand.N(pause)):
+		case <-time.After(backoff/2 + rand.N(backoff)):
 		}
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if found != "" {
-		l.known[group] = found
+	if leader != "" {
+		l.byGroup[group] = leader
 	}
 	delete(l.searches, group)
 	close(done)
 }
 
-// askMembers asks each member once, in an order drawn anew, and whoever they take for the
-// leader.
-func (l *leaders) askMembers(ctx context.Context, group uint32) string {
+// probeMembers probes each member at most once, in random order, and the members that they name as
+// the leader.
+func (l *leaderCache) probeMembers(ctx context.Context, group uint32) string {
 	members := l.members(group)
-	asked := map[string]bool{}
-	for _, position := range rand.Perm(len(members)) {
-		for member := members[position]; member != "" && !asked[member] && ctx.Err() == nil; {
-			asked[member] = true
+	probed := map[string]bool{}
+	for _, index := range rand.Perm(len(members)) {
+		for member := members[index]; member != "" && !probed[member] && ctx.Err() == nil; {
+			probed[member] = true
 			leads, hint := l.probe(ctx, member, group)
 			if leads {
 				return member
--- a/internal/gateway/ledgers.go
+++ b/internal/gateway/ledgers.go
@@ -17,48 +17,48 @@
 )
 
 const (
-	// ledgerTry bounds one question to one ledger host.
-	ledgerTry = 450 * time.Millisecond
-	// probeTry bounds the question whether a host leads a group.
-	probeTry = 150 * time.Millisecond
-	// settleTimeout bounds the background settling of a turn that is not kept.
+	// ledgerCallTimeout bounds one call to one ledger host.
+	ledgerCallTimeout = 450 * time.Millisecond
+	// leaderProbeTimeout bounds a probe whether a host leads a group.
+	leaderProbeTimeout = 150 * time.Millisecond
+	// settleTimeout bounds the background settlement of a turn that is not retained.
 	settleTimeout = 6 * time.Second
-	// nearTry bounds a question to the replica in this zone, behind which the leader
-	// stands.
-	nearTry = 100 * time.Millisecond
+	// localReadTimeout bounds a read at the replica in this zone. If it fails, the read falls
+	// back to the leader.
+	localReadTimeout = 100 * time.Millisecond
 
-	// sourceNear and sourceLeader say where a history was read.
-	sourceNear   = "near"
+	// sourceLocal and sourceLeader name the replica at which older turns were read.
+	sourceLocal  = "near"
 	sourceLeader = "leader"
 )
 
-// ledgers finds the leader of each ledger group and asks it.
-type ledgers struct {
+// ledgerClient finds the leader of each ledger group and sends requests to it.
+type ledgerClient struct {
 	caller *daemon.Caller
 	zone   string
-	// histories counts the reads of older turns by source.
-	histories *prometheus.CounterVec
-	mutex     sync.Mutex
-	view      *membership.FleetView
-	leaders   *leaders
-	// disabled are the mechanisms that are turned off.
+	// historyReads counts the reads of older turns by source.
+	historyReads *prometheus.CounterVec
+	mutex        sync.Mutex
+	view         *membership.FleetView
+	leaders      *leaderCache
+	// disabled lists the scheduling mechanisms that are turned off.
 	disabled scheduling.DisabledMechanisms
 }
 
-func newLedgers(zone string, histories *prometheus.CounterVec, disabled scheduling.DisabledMechanisms) *ledgers {
-	l := &ledgers{caller: daemon.NewCaller(), zone: zone, histories: histories, disabled: disabled}
-	l.leaders = newLeaders(l.members, l.probe)
+func newLedgerClient(zone string, historyReads *prometheus.CounterVec, disabled scheduling.DisabledMechanisms) *ledgerClient {
+	l := &ledgerClient{caller: daemon.NewCaller(), zone: zone, historyReads: historyReads, disabled: disabled}
+	l.leaders = newLeaderCache(l.members, l.probe)
 	return l
 }
 
-func (l *ledgers) follow(view *membership.FleetView) {
+func (l *ledgerClient) applyFleet(view *membership.FleetView) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.view = view
 }
 
-// groups returns how many groups are placed.
-func (l *ledgers) groups() uint32 {
+// groupCount returns the number of ledger groups that are placed on hosts.
+func (l *ledgerClient) groupCount() uint32 {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if l.view == nil {
@@ -67,8 +67,8 @@
 	return uint32(len(l.view.Groups))
 }
 
-// members returns where a group is placed.
-func (l *ledgers) members(group uint32) []string {
+// members returns the addresses of the hosts that a group is placed on.
+func (l *ledgerClient) members(group uint32) []string {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if l.view == nil {
@@ -77,99 +77,101 @@
 	return l.view.Groups[group].Members
 }
 
-// probe asks a member whether it leads a group.
-func (l *ledgers) probe(ctx context.Context, member string, group uint32) (leads bool, hint string) {
+// probe implements leaderProbe with a call to the member.
+func (l *ledgerClient) probe(ctx context.Context, member string, group uint32) (leads bool, hint string) {
 	reply := &protocol.TurnReply{}
-	err := l.caller.CallWithin(ctx, probeTry, member, protocol.KindTurn, &protocol.TurnRequest{Group: group, Probe: true}, reply)
+	err := l.caller.CallWithin(ctx, leaderProbeTimeout, member, protocol.KindTurn, &protocol.TurnRequest{Group: group, Probe: true}, reply)
 	return err == nil && reply.Error == nil, reply.Leader
 }
 
-// ask puts a question to the leader of its group until it is answered or ctx ends.
-// All questions may be put again: the ledger knows a turn by its request.
-func (l *ledgers) ask(ctx context.Context, request *protocol.TurnRequest) *protocol.TurnReply {
-	request.WithinMs = ledgerTry.Milliseconds()
-	last := result.New(result.LedgerUnreachable, "group %d: no leader found", request.Group)
-	for try := 0; ctx.Err() == nil; try++ {
+// callLeader sends a request to the leader of its group, and repeats it until it is answered or ctx
+// ends. Repeating is safe because the ledger identifies a turn by its request id.
+func (l *ledgerClient) callLeader(ctx context.Context, request *protocol.TurnRequest) *protocol.TurnReply {
+	request.WithinMs = ledgerCallTimeout.Milliseconds()
+	lastError := result.New(result.LedgerUnreachable, "group %d: no leader found", request.Group)
+	for attempt := 0; ctx.Err() == nil; attempt++ {
 		leader := l.leaders.find(ctx, request.Group)
 		if leader == "" {
 			break
 		}
 		reply := &protocol.TurnReply{}
-		err := l.caller.CallWithin(ctx, ledgerTry, leader, protocol.KindTurn, request, reply)
+		err := l.caller.CallWithin(ctx, ledgerCallTimeout, leader, protocol.KindTurn, request, reply)
 		switch {
 		case err != nil:
-			last = result.New(result.LedgerUnreachable, "group %d: %s: %v", request.Group, leader, err)
-			l.leaders.lost(request.Group, leader)
+			lastError = result.New(result.LedgerUnreachable, "group %d: %s: %v", request.Group, leader, err)
+			l.leaders.invalidate(request.Group, leader)
 		case reply.Error == nil:
 			return reply
 		case reply.Error.Code == result.NotLeader || reply.Error.Code == result.NoQuorum:
-			last = reply.Error
-			l.leaders.lost(request.Group, leader)
-			if try == 0 && reply.Leader != "" && reply.Leader != leader {
+			lastError = reply.Error
+			l.leaders.invalidate(request.Group, leader)
+			if attempt == 0 && reply.Leader != "" && reply.Leader != leader {
 				l.leaders.set(request.Group, reply.Leader)
 			}
 		default:
 			return reply
 		}
 	}
-	return &protocol.TurnReply{Error: result.New(result.LedgerUnreachable, "%s", last.Message)}
+	return &protocol.TurnReply{Error: result.New(result.LedgerUnreachable, "%s", lastError.Message)}
 }
 
-// groupOf returns the group that keeps a program's turns, or counts a tenant's requests.
-func (l *ledgers) groupOf(id string) (uint32, bool) {
-	groups := l.groups()
+// groupOf returns the group that stores the turns of a program, or that owns the rate limit of a
+// tenant. It returns false if no group is placed.
+func (l *ledgerClient) groupOf(id string) (uint32, bool) {
+	groups := l.groupCount()
 	if groups == 0 {
 		return 0, false
 	}
 	return program.GroupOf(id, groups), true
 }
 
-// settle closes a turn.
-func (l *ledgers) settle(settle *program.Settle, within time.Duration) *result.Error {
-	group, known := l.groupOf(settle.Program)
-	if !known {
+// settle closes a turn at the ledger.
+func (l *ledgerClient) settle(settle *program.Settle, timeout time.Duration) *result.Error {
+	group, isPlaced := l.groupOf(settle.Program)
+	if !isPlaced {
 		return result.New(result.LedgerUnreachable, "no ledger group is placed")
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), within)
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
-	return l.ask(ctx, &protocol.TurnRequest{Group: group, Settle: settle}).Error
+	return l.callLeader(ctx, &protocol.TurnRequest{Group: group, Settle: settle}).Error
 }
 
-// reserve opens a turn in its program's group; known names the turn up to which the
-// gateway has the chain.
-func (l *ledgers) reserve(ctx context.Context, reserve *program.Reserve, known string) *protocol.TurnReply {
-	group, placed := l.groupOf(reserve.Program)
-	if !placed {
+// reserve opens a turn in its program's group. cachedTurn names the turn up to which the gateway has
+// the history cached, "" for none.
+func (l *ledgerClient) reserve(ctx context.Context, reserve *program.Reserve, cachedTurn string) *protocol.TurnReply {
+	group, isPlaced := l.groupOf(reserve.Program)
+	if !isPlaced {
 		return &protocol.TurnReply{Error: result.New(result.LedgerUnreachable, "no ledger group is placed")}
 	}
-	reply := l.ask(ctx, &protocol.TurnRequest{Group: group, Reserve: reserve, Known: known, Zone: l.zone})
+	reply := l.callLeader(ctx, &protocol.TurnRequest{Group: group, Reserve: reserve, Known: cachedTurn, Zone: l.zone})
 	if reply.Error == nil && len(reply.Older) > 0 {
-		l.addOlder(ctx, group, reply)
+		l.prependOlderTurns(ctx, group, reply)
 	}
 	return reply
 }
 
-// addOlder puts the content of the older turns before what the leader has sent: from a
-// replica in this zone, which saves the way between zones, or else from the leader.
-func (l *ledgers) addOlder(ctx context.Context, group uint32, reply *protocol.TurnReply) {
+// prependOlderTurns prepends the content of older turns to the history in the leader's reply. It
+// reads them from a replica in this zone, which avoids traffic between zones, or else from the
+// leader.
+func (l *ledgerClient) prependOlderTurns(ctx context.Context, group uint32, reply *protocol.TurnReply) {
 	request := &protocol.TurnRequest{Group: group, Contents: reply.Older}
 	older := &protocol.TurnReply{}
-	source := sourceNear
-	near := ""
+	source := sourceLocal
+	replica := ""
 	if !l.disabled.Has(scheduling.MechanismZoneLocalReads) {
-		near = l.nearReplica(group)
+		replica = l.localReplica(group)
 	}
-	if near == "" || l.caller.CallWithin(ctx, nearTry, near, protocol.KindTurn, request, older) != nil || older.Error != nil {
+	if replica == "" || l.caller.CallWithin(ctx, localReadTimeout, replica, protocol.KindTurn, request, older) != nil || older.Error != nil {
 		source = sourceLeader
-		older = l.ask(ctx, request)
+		older = l.callLeader(ctx, request)
 	}
-	l.histories.WithLabelValues(source).Inc()
+	l.historyReads.WithLabelValues(source).Inc()
 	reply.Error = older.Error
 	reply.Chain = append(older.Chain, reply.Chain...)
 }
 
-// nearReplica returns a member of a group in this zone, "" where there is none.
-func (l *ledgers) nearReplica(group uint32) string {
+// localReplica returns a member of a group in this zone, "" if there is none.
+func (l *ledgerClient) localReplica(group uint32) string {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if l.view == nil {
@@ -183,51 +185,51 @@
 	return ""
 }
 
-// findElsewhere looks for a turn in all groups but the program's own: a program may
-// go on from a turn of another. Invariant: it says that there is no such turn only
-// where every group has confirmed that.
-func (l *ledgers) findElsewhere(ctx context.Context, turn, ownProgram string) *protocol.TurnReply {
-	own, _ := l.groupOf(ownProgram)
-	groups := l.groups()
+// findInOtherGroups looks for a turn in all groups except that of the program, because a program may
+// continue from a turn of another program. Invariant: it returns UnknownTurn only if each of these
+// groups has confirmed that it does not have the turn.
+func (l *ledgerClient) findInOtherGroups(ctx context.Context, turn, ownProgram string) *protocol.TurnReply {
+	ownGroup, _ := l.groupOf(ownProgram)
+	groups := l.groupCount()
 	replies := make(chan *protocol.TurnReply, groups)
-	asked := 0
+	requested := 0
 	for group := uint32(1); group <= groups; group++ {
-		if group == own {
+		if group == ownGroup {
 			continue
 		}
-		asked++
-		go func() { replies <- l.ask(ctx, &protocol.TurnRequest{Group: group, Find: turn}) }()
+		requested++
+		go func() { replies <- l.callLeader(ctx, &protocol.TurnRequest{Group: group, Find: turn}) }()
 	}
-	missing := &protocol.TurnReply{Error: result.New(result.UnknownTurn, "no group keeps turn %s", turn)}
-	for range asked {
+	notFound := &protocol.TurnReply{Error: result.New(result.UnknownTurn, "no ledger group has turn %s", turn)}
+	for range requested {
 		reply := <-replies
 		if reply.Error == nil {
 			return reply
 		}
 		if reply.Error.Code != result.UnknownTurn {
-			missing = reply
+			notFound = reply
 		}
 	}
-	return missing
+	return notFound
 }
 
-// askQuota asks the owner of a tenant's limit for one request.
-func (l *ledgers) askQuota(ctx context.Context, ask *quota.Request) *protocol.TurnReply {
-	group, placed := l.groupOf(ask.Tenant)
-	if !placed {
+// requestQuota requests a grant for one run from the owner of the tenant's rate limit.
+func (l *ledgerClient) requestQuota(ctx context.Context, request *quota.Request) *protocol.TurnReply {
+	group, isPlaced := l.groupOf(request.Tenant)
+	if !isPlaced {
 		return &protocol.TurnReply{Error: result.New(result.LedgerUnreachable, "no ledger group is placed")}
 	}
-	return l.ask(ctx, &protocol.TurnRequest{Group: group, Quota: ask})
+	return l.callLeader(ctx, &protocol.TurnRequest{Group: group, Quota: request})
 }
 
-// tellQuotaOnce gives a grant or a place in the queue back. Invariant: it is sent once at the
-// most. An answer that is lost leaves the grant counted until it has left the window; a return
-// that came twice would take another request's grant out of it.
-func (l *ledgers) tellQuotaOnce(ask *quota.Request) *result.Error {
-	ctx, cancel := context.WithTimeout(context.Background(), returnTimeout)
+// sendQuotaOnce returns a grant or cancels a queued quota request. Invariant: the message is sent at
+// most once. If it is lost, the grant counts until it leaves the rate limit's window; a return that
+// arrived twice would remove the grant of another request from the window.
+func (l *ledgerClient) sendQuotaOnce(request *quota.Request) *result.Error {
+	ctx, cancel := context.WithTimeout(context.Background(), grantReturnTimeout)
 	defer cancel()
-	group, placed := l.groupOf(ask.Tenant)
-	if !placed {
+	group, isPlaced := l.groupOf(request.Tenant)
+	if !isPlaced {
 		return result.New(result.LedgerUnreachable, "no ledger group is placed")
 	}
 	leader := l.leaders.find(ctx, group)
@@ -235,7 +237,7 @@
 		return result.New(result.LedgerUnreachable, "group %d: no leader found", group)
 	}
 	reply := &protocol.TurnReply{}
-	if err := l.caller.CallWithin(ctx, ledgerTry, leader, protocol.KindTurn, &protocol.TurnRequest{Group: group, Quota: ask}, reply); err != nil {
+	if err := l.caller.CallWithin(ctx, ledgerCallTimeout, leader, protocol.KindTurn, &protocol.TurnRequest{Group: group, Quota: request}, reply); err != nil {
 		return result.New(result.LedgerUnreachable, "group %d: %s: %v", group, leader, err)
 	}
 	return reply.Error
--- a/internal/gateway/priority_test.go
+++ b/internal/gateway/priority_test.go
@@ -7,18 +7,18 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// TestLateProgramKeepsItsRank holds that engines are told the rank of a route's requests whether
-// their program can still end in time or not: in an overload they serve the last rank only once
-// its callers have given up.
+// TestLateProgramKeepsItsRank checks that a turn's priority at the engine does not depend on whether
+// its program can still finish in time. In an overload, engines serve the lowest priority only after
+// its callers have given up, so demoting late programs would starve them.
 func TestLateProgramKeepsItsRank(t *testing.T) {
-	Convey("the rank of a turn", t, func() {
+	Convey("a turn's priority does not change after the finish time of its program", t, func() {
 		seen := ""
-		stand := newGatewayStand(t, func(w http.ResponseWriter, r *http.Request) {
+		fixture := newGatewayFixture(t, func(w http.ResponseWriter, r *http.Request) {
 			seen = r.Header.Get("Ochrebay-Priority")
-			events(1, "", false)(w, r)
+			streamingEngine(1, "", false)(w, r)
 		})
 		rankWith := func(request, finishMs string) string {
-			response, _, err := stand.send("/stream/", request, append(budget, "Ochrebay-Finish-Ms", finishMs)...)
+			response, _, err := fixture.send("/stream/", request, append(budgetHeaders, "Ochrebay-Finish-Ms", finishMs)...)
 			So(err, ShouldBeNil)
 			So(response.StatusCode, ShouldEqual, 200)
 			return seen
--- a/internal/gateway/waiting.go
+++ b/internal/gateway/waiting.go
@@ -11,14 +11,15 @@
 	"github.com/ochrebay/ochrebay/internal/waiting"
 )
 
-// backendQueue is the queue of one back end with the calls that are to be told of room.
+// backendQueue is the wait queue of one back end with the wakeup channels of the waiting calls.
 type backendQueue struct {
 	queue *waiting.Queue
-	// wakeups are where the calls that wait hear of the engine that has room.
+	// wakeups holds the channels on which waiting calls receive the id of an engine that has
+	// capacity.
 	wakeups map[*waiting.Entry]chan string
 }
 
-// waitQueues are the queues of all back ends.
+// waitQueues holds the wait queues of all back ends.
 type waitQueues struct {
 	mutex     sync.Mutex
 	settings  waiting.Settings
@@ -30,173 +31,179 @@
 	return &waitQueues{settings: settings, byBackend: map[string]*backendQueue{}, disabled: disabled}
 }
 
-// of returns a back end's queue; the caller holds the mutex.
-func (q *waitQueues) of(backend string) *backendQueue {
-	found, known := q.byBackend[backend]
-	if !known {
+// queueFor returns the wait queue of a back end. The caller must hold the mutex.
+func (q *waitQueues) queueFor(backend string) *backendQueue {
+	found, exists := q.byBackend[backend]
+	if !exists {
 		found = &backendQueue{queue: waiting.NewQueue(q.settings), wakeups: map[*waiting.Entry]chan string{}}
 		q.byBackend[backend] = found
 	}
 	return found
 }
 
-// ended notes that a request ended at an engine, and tells the first that waits of it.
-func (q *waitQueues) ended(backend, engine string, nowMs int64) {
+// recordCompletion records that a request ended at an engine, and wakes the next waiting call.
+func (q *waitQueues) recordCompletion(backend, engine string, nowMs int64) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	waiters := q.of(backend)
-	waiters.tell(waiters.queue.RecordCompletion(nowMs), engine)
+	waiters := q.queueFor(backend)
+	waiters.wake(waiters.queue.RecordCompletion(nowMs), engine)
 }
 
-// tell passes the word of room on; engine is "" where it is not known which has some.
-func (b *backendQueue) tell(place *waiting.Entry, engine string) {
-	if place == nil {
+// wake notifies a waiting call of capacity. engine is "" if it is unknown which engine has it, and
+// entry is nil if no call waits.
+func (b *backendQueue) wake(entry *waiting.Entry, engine string) {
+	if entry == nil {
 		return
 	}
 	select {
-	case b.wakeups[place] <- engine:
+	case b.wakeups[entry] <- engine:
 	default:
-		// It was told already.
+		// The call has a pending notification already.
 	}
 }
 
-// mustWait reports whether a call has to wait in the queue before it asks any engine.
+// mustWait reports whether a call has to wait in the queue before it tries any engine.
 func (q *waitQueues) mustWait(c *call) bool {
 	if q.disabled.Has(scheduling.MechanismWaitQueue) {
 		return false
 	}
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	return c.place == nil && q.of(c.backend.Name).queue.MustWait(c.queueEntry())
+	return c.queueEntry == nil && q.queueFor(c.backend.Name).queue.MustWait(c.waitingCall())
 }
 
-// join gives a call its place, the one it had where it has waited before.
+// join adds a call to the wait queue, or requeues it at its old position if it has waited before. It
+// returns the call's wakeup channel, or the rejection.
 func (q *waitQueues) join(c *call, nowMs int64) (chan string, *waiting.Rejection) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	waiters := q.of(c.backend.Name)
-	if c.place != nil {
-		rejection := waiters.queue.Requeue(nowMs, c.place)
+	waiters := q.queueFor(c.backend.Name)
+	if c.queueEntry != nil {
+		rejection := waiters.queue.Requeue(nowMs, c.queueEntry)
 		if rejection != nil {
-			delete(waiters.wakeups, c.place)
-			c.place = nil
+			delete(waiters.wakeups, c.queueEntry)
+			c.queueEntry = nil
 		}
-		return waiters.wakeups[c.place], rejection
+		return waiters.wakeups[c.queueEntry], rejection
 	}
-	place, rejection := waiters.queue.Join(nowMs, c.queueEntry())
+	entry, rejection := waiters.queue.Join(nowMs, c.waitingCall())
 	if rejection != nil {
 		return nil, rejection
 	}
-	c.place = place
-	waiters.wakeups[place] = make(chan string, 1)
-	return waiters.wakeups[place], nil
+	c.queueEntry = entry
+	waiters.wakeups[entry] = make(chan string, 1)
+	return waiters.wakeups[entry], nil
 }
 
-// leave takes a call out of its queue, because an engine took it or because it ended.
+// leave removes a call from its queue. served is true if an engine accepted the call, and false if
+// the call ended without that.
 func (q *waitQueues) leave(c *call, served bool) {
-	if c.place == nil {
+	if c.queueEntry == nil {
 		return
 	}
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	waiters := q.of(c.backend.Name)
-	waiters.tell(waiters.queue.Leave(clock.NowMs(), c.place, served), "")
-	delete(waiters.wakeups, c.place)
-	c.place = nil
+	waiters := q.queueFor(c.backend.Name)
+	waiters.wake(waiters.queue.Leave(clock.NowMs(), c.queueEntry, served), "")
+	delete(waiters.wakeups, c.queueEntry)
+	c.queueEntry = nil
 }
 
-// look reports whether a call that nobody told of room may look for some, and lookAfter when
-// it may.
-func (q *waitQueues) look(c *call) bool {
+// startProbe reports whether a call that was not woken may probe engines for capacity. probeDelay
+// returns how long the call has to wait before it may probe.
+func (q *waitQueues) startProbe(c *call) bool {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	return q.of(c.backend.Name).queue.StartProbe(c.place)
+	return q.queueFor(c.backend.Name).queue.StartProbe(c.queueEntry)
 }
 
-func (q *waitQueues) lookAfter(c *call) time.Duration {
+func (q *waitQueues) probeDelay(c *call) time.Duration {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	return time.Duration(q.of(c.backend.Name).queue.ProbeDelayMs(clock.NowMs(), c.place)) * time.Millisecond
+	return time.Duration(q.queueFor(c.backend.Name).queue.ProbeDelayMs(clock.NowMs(), c.queueEntry)) * time.Millisecond
 }
 
-// mistakes adds up what has turned out wrong at all back ends.
-func (q *waitQueues) mistakes() (sum waiting.AdmissionErrors, waitingNow int) {
+// admissionErrors returns the sums of the admission errors and of the waiting calls over all back
+// ends.
+func (q *waitQueues) admissionErrors() (total waiting.AdmissionErrors, waitingCount int) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	for _, waiters := range q.byBackend {
-		mistakes := waiters.queue.AdmissionErrors()
-		sum.FalseRejections += mistakes.FalseRejections
-		sum.FutileWaits += mistakes.FutileWaits
-		sum.FutileWaitMs += mistakes.FutileWaitMs
-		waitingNow += waiters.queue.Len()
+		errors := waiters.queue.AdmissionErrors()
+		total.FalseRejections += errors.FalseRejections
+		total.FutileWaits += errors.FutileWaits
+		total.FutileWaitMs += errors.FutileWaitMs
+		waitingCount += waiters.queue.Len()
 	}
-	return sum, waitingNow
+	return total, waitingCount
 }
 
-// queueEntry is what the call's place in a queue depends on.
-func (c *call) queueEntry() waiting.Call {
-	due := c.deadline
-	if c.finish.After(c.started) && c.finish.Before(due) {
-		due = c.finish
+// waitingCall returns the properties of the call that determine its position in the wait queue.
+func (c *call) waitingCall() waiting.Call {
+	dueTime := c.deadline
+	if c.programDueAt.After(c.startedAt) && c.programDueAt.Before(dueTime) {
+		dueTime = c.programDueAt
 	}
-	return waiting.Call{Priority: c.priority(), ProgramInProgress: c.begun, AboveFairShare: c.aboveShare, DueTimeMs: due.UnixMilli(), LatestStartMs: c.latest.UnixMilli()}
+	return waiting.Call{Priority: c.priority(), ProgramInProgress: c.programInProgress, AboveFairShare: c.aboveFairShare, DueTimeMs: dueTime.UnixMilli(), LatestStartMs: c.latestStart.UnixMilli()}
 }
 
-// waitForRoom waits until an engine of the call's back end may have room; it returns that
-// engine, "" where it is not known which, or why the call does not wait any longer.
-func (d *Daemon) waitForRoom(ctx context.Context, c *call) (engine string, failure *result.Error) {
+// waitForCapacity waits until an engine of the call's back end may have capacity. It returns that
+// engine, "" if it is unknown which one, or the reason why the call does not wait any longer.
+func (d *Daemon) waitForCapacity(ctx context.Context, c *call) (engine string, failure *result.Error) {
 	if c.queuedAt.IsZero() {
 		c.queuedAt = time.Now()
-		c.aboveShare = d.engines.aboveShare(c)
+		c.aboveFairShare = d.engines.isAboveFairShare(c)
 	}
-	defer func() { c.waited = time.Since(c.queuedAt) }()
+	defer func() { c.waitTime = time.Since(c.queuedAt) }()
 	if d.process.Policy.Disable.Has(scheduling.MechanismWaitQueue) {
-		return "", d.pause(ctx, c)
+		return "", d.pauseUnqueued(ctx, c)
 	}
-	told, rejection := d.queues.join(c, clock.NowMs())
+	wakeup, rejection := d.waitQueues.join(c, clock.NowMs())
 	for rejection == nil {
-		timer := time.NewTimer(min(d.queues.lookAfter(c), max(time.Until(c.latest), 0)))
+		timer := time.NewTimer(min(d.waitQueues.probeDelay(c), max(time.Until(c.latestStart), 0)))
 		select {
 		case <-ctx.Done():
 			timer.Stop()
-			d.queues.leave(c, false)
-			return "", result.New(result.Cancelled, "the caller left while its call waited: %v", ctx.Err())
-		case engine = <-told:
+			d.waitQueues.leave(c, false)
+			return "", result.New(result.Cancelled, "the caller disconnected while its call was in the wait queue: %v", ctx.Err())
+		case engine = <-wakeup:
 			timer.Stop()
 			return engine, nil
 		case <-timer.C:
 		}
-		if !time.Now().Before(c.latest) {
-			told, rejection = d.queues.join(c, clock.NowMs())
-		} else if d.queues.look(c) {
+		if !time.Now().Before(c.latestStart) {
+			wakeup, rejection = d.waitQueues.join(c, clock.NowMs())
+		} else if d.waitQueues.startProbe(c) {
 			return "", nil
 		}
 	}
-	c.waited = time.Since(c.queuedAt)
+	c.waitTime = time.Since(c.queuedAt)
 	d.logRejection(c, rejection)
-	return "", d.rejected(c, rejection)
+	return "", d.rejectionError(c, rejection)
 }
 
-// pause waits a moment without any order, for comparison.
-func (d *Daemon) pause(ctx context.Context, c *call) *result.Error {
-	const pause = 30 * time.Millisecond
-	if time.Now().Add(pause).After(c.latest) {
-		return d.rejected(c, &waiting.Rejection{RetryAfterMs: pause.Milliseconds()})
+// pauseUnqueued waits for a fixed delay without any order between calls. It replaces the wait queue
+// when that is disabled, for comparison.
+func (d *Daemon) pauseUnqueued(ctx context.Context, c *call) *result.Error {
+	const delay = 30 * time.Millisecond
+	if time.Now().Add(delay).After(c.latestStart) {
+		return d.rejectionError(c, &waiting.Rejection{RetryAfterMs: delay.Milliseconds()})
 	}
 	select {
 	case <-ctx.Done():
-		return result.New(result.Cancelled, "the caller left while its call waited: %v", ctx.Err())
-	case <-time.After(pause):
+		return result.New(result.Cancelled, "the caller disconnected while its call waited for a retry: %v", ctx.Err())
+	case <-time.After(delay):
 		return nil
 	}
 }
 
-// rejected is the answer to a call for which room is unlikely to come in time.
-func (d *Daemon) rejected(c *call, rejection *waiting.Rejection) *result.Error {
-	after := time.Duration(rejection.RetryAfterMs) * time.Millisecond
-	if d.engines.count(c.backend.Name) == 0 {
-		return result.New(result.NoEngine, "no engine of %s", c.backend.Name).WithRetryAfter(after)
+// rejectionError returns the error of a call for which capacity is unlikely to become available in
+// time.
+func (d *Daemon) rejectionError(c *call, rejection *waiting.Rejection) *result.Error {
+	retryAfter := time.Duration(rejection.RetryAfterMs) * time.Millisecond
+	if d.engines.engineCount(c.backend.Name) == 0 {
+		return result.New(result.NoEngine, "back end %s has no engine", c.backend.Name).WithRetryAfter(retryAfter)
 	}
-	return result.New(result.EngineRefused, "no engine of %s had room in %s; %d calls go before it, room comes at %.1f a second: chance %.3f to start in time",
-		c.backend.Name, c.waited.Round(time.Millisecond), rejection.Ahead, rejection.CompletionsPerSecond, rejection.Probability).WithRetryAfter(after)
+	return result.New(result.EngineRefused, "no engine of back end %s had capacity within %s; %d calls ahead, %.1f completions per second, probability %.3f of starting in time",
+		c.backend.Name, c.waitTime.Round(time.Millisecond), rejection.Ahead, rejection.CompletionsPerSecond, rejection.Probability).WithRetryAfter(retryAfter)
 }
