--- a/internal/scheduling/admission.go
+++ b/internal/scheduling/admission.go
@@ -3,171 +3,177 @@
 import "math"
 
 const (
-	// admissionPrior is for how many streams in time the few streams of an idle fleet count
-	// besides, so that one late stream of two changes nothing.
-	admissionPrior = 8
-	// overloadedLate is the share of late streams from which on a fleet counts as overloaded
-	// and a limit begins, toleratedLate the share that the limit then aims at. A burst of 2.5
-	// times the traffic took engines that recover by themselves to 0.32 for some seconds; to
-	// reject programs there cost 0.1 of worth. Engines of half the speed went from 0.07 through
-	// 0.34 to 0.99 within 12 s and stayed there (docs/design/0008-shifted-work.md).
-	overloadedLate = 0.4
-	toleratedLate  = 0.1
-	// unboundAfterMs is how long a limit that rejected nobody, with few streams late, stays.
-	unboundAfterMs = 5000
-	// lowerPerSecond is how much of the limit goes in a second, for each unit that the late
-	// share lies above the tolerated one, and raisePerSecond how much is added in a second
-	// while nearly all begin in time.
-	lowerPerSecond = 1.0
-	raisePerSecond = 0.1
-	// nearLimit is the part of the limit from which on concurrency shows whether the limit is
-	// right: below it, what is in time says nothing of more.
-	nearLimit = 0.8
-	// leastShare-th of an engine's slots, leastLimit at the least, is never limited: streams
-	// that begin late before emptier engines do so for another reason, as when nothing is
-	// cached yet.
-	leastShare = 4
-	leastLimit = 2
-	// fullShare is the part of the limit up to which the least urgent programs all begin,
-	// rankShare what is added up to the most urgent rank, and rampShare the part over which
-	// the admitted share falls from all to the fewest.
-	fullShare = 0.7
-	rankShare = 0.2
-	rampShare = 0.2
-	// mostRejected is the share of new programs that is rejected at the most, so that no rank
-	// is starved.
-	mostRejected = 0.9
-	// returnWithinMs spreads those who are rejected together: the time within which callers
-	// of turns of 3 s come back at the latest.
-	returnWithinMs = 1000
+	// priorOnTimeStreams is the number of on-time streams that are added to the count, so that one
+	// late stream out of two in an idle fleet has no effect.
+	priorOnTimeStreams = 8
+	// overloadLateFraction is the fraction of late streams above which a fleet counts as overloaded
+	// and a limit is set. targetLateFraction is the fraction that the limit aims at. A burst of 2.5
+	// times the traffic took engines that recover by themselves to 0.32 for some seconds; rejecting
+	// programs there lost 0.1 of the value of the work. Engines of half the speed went from 0.07
+	// through 0.34 to 0.99 within 12 s and stayed there (docs/design/0008-shifted-work.md).
+	overloadLateFraction = 0.4
+	targetLateFraction   = 0.1
+	// idleLimitLifetimeMs is how long a limit is kept while it rejects nobody and few streams are
+	// late.
+	idleLimitLifetimeMs = 5000
+	// decreasePerSecond is the fraction by which the limit falls in a second, for each unit that
+	// the late fraction lies above the target. increasePerSecond is the fraction by which it grows
+	// in a second while nearly all streams start on time.
+	decreasePerSecond = 1.0
+	increasePerSecond = 0.1
+	// nearLimitFraction is the fraction of the limit from which concurrency shows whether the limit
+	// is right: streams that start on time at a lower concurrency don't show that a higher limit
+	// would do.
+	nearLimitFraction = 0.8
+	// The limit never falls below the engine's slots divided by minLimitSlotDivisor, or below
+	// minLimit. Streams that start late at emptier engines do so for another reason, such as an
+	// empty cache.
+	minLimitSlotDivisor = 4
+	minLimit            = 2
+	// unrestrictedFraction is the fraction of the limit up to which all programs of the least
+	// urgent rank are admitted. rankFraction is added to it in steps up to the most urgent rank,
+	// and over a further rampFraction the admitted share of programs falls from all to the minimum.
+	unrestrictedFraction = 0.7
+	rankFraction         = 0.2
+	rampFraction         = 0.2
+	// maxRejectedFraction limits the fraction of new programs that is rejected, so that no rank
+	// starves.
+	maxRejectedFraction = 0.9
+	// retrySpreadMs spreads the retries of programs that are rejected together. It is the longest
+	// delay after which callers with turns of 3 s retry.
+	retrySpreadMs = 1000
 )
 
-// AdmissionController decides which programs may begin at the engines of one back end. Once engines
-// are asked for more than they can do, every program is late and what they keep of prompts
-// is pushed out, so that they do less and less: then it is better for callers that some are
-// rejected at once, before anything was done for them, and the others served in time.
+// AdmissionController decides which programs may start at the engines of one back end. When engines
+// are asked for more than they can serve, every program is late and cached prompts are evicted, so
+// that the engines serve less and less. Callers are then better off if some programs are rejected
+// at once, before any work was done for them, and the others are served in time.
 //
-// It learns the concurrency, in requests an engine, up to which streams begin within their
-// route's target, and lets programs begin while concurrency is below it. It needs no model
-// of the engines and no figure of theirs; until most streams begin late there is no limit.
+// It learns the concurrency, in requests per engine, up to which streams start within the target
+// latency of their route, and admits programs while the concurrency is below it. It needs neither a
+// model nor figures of the engines. There is no limit until most streams start late.
 //
-// What one gateway sees of a large fleet is little, and chance would have it learn limits
-// that no other has: the late share is that of all gateways' streams, as control adds it up,
-// and the gateway's own only where nothing has been heard lately.
+// One gateway of a large fleet sees few streams and might learn a limit by chance that no other
+// gateway has. The late fraction is therefore that of the streams of all gateways, as aggregated by
+// control. The gateway's own streams count only if no recent aggregate is available.
 type AdmissionController struct {
-	own    DecayedMean
-	news   DecayedMean
-	shared DecayedMean
-	// sharedMs is when the shared evidence came.
+	ownLateness        DecayedMean
+	unreportedLateness DecayedMean
+	sharedLateness     DecayedMean
+	// sharedMs is when sharedLateness was received.
 	sharedMs int64
-	// limit is in requests an engine, 0 for none.
-	limit  float64
-	lastMs int64
-	// boundMs is when a new program last met the limit.
-	boundMs int64
-	// inTime is the concurrency at which few streams were late last, while there is no limit.
-	inTime float64
+	// limit is in requests per engine, 0 for none.
+	limit     float64
+	updatedMs int64
+	// lastBindingMs is when the limit last took effect on a new program.
+	lastBindingMs int64
+	// onTimeConcurrency is the concurrency at which few streams were late, last updated while there
+	// was no limit.
+	onTimeConcurrency float64
 }
 
-// ObserveStreamStart notes a stream that began, late or in time.
+// ObserveStreamStart records a stream that started, late or on time.
 func (a *AdmissionController) ObserveStreamStart(nowMs int64, late bool) {
 	sample := 0.0
 	if late {
 		sample = 1
 	}
-	a.own.Add(nowMs, sample, 1)
-	a.news.Add(nowMs, sample, 1)
+	a.ownLateness.Add(nowMs, sample, 1)
+	a.unreportedLateness.Add(nowMs, sample, 1)
 }
 
-// CollectStreamLateness returns what this gateway has seen since the last call.
+// CollectStreamLateness returns the lateness of the streams of this gateway since the last call.
 func (a *AdmissionController) CollectStreamLateness(nowMs int64) WeightedSum {
-	news := a.news.samples(nowMs)
-	a.news = DecayedMean{}
-	return news
+	unreported := a.unreportedLateness.weightedSum(nowMs)
+	a.unreportedLateness = DecayedMean{}
+	return unreported
 }
 
-// ApplySharedLateness takes what all gateways together have seen.
+// ApplySharedLateness sets the lateness of the streams of all gateways.
 func (a *AdmissionController) ApplySharedLateness(samples WeightedSum, nowMs int64) {
-	a.shared = samples.evidence(nowMs)
+	a.sharedLateness = samples.decayedMean(nowMs)
 	a.sharedMs = nowMs
 }
 
-// UpdateLimit brings the limit up to nowMs, from the mean concurrency over the engines. Lateness
-// above the limit comes of what is under way and will pass: only lateness at or below it
-// shows that the limit is too high. Slots is how many requests an engine works on at once, 0
-// where that is not known.
+// UpdateLimit brings the limit up to nowMs, given the mean concurrency of the engines. Lateness at
+// a concurrency above the limit comes from requests in flight and will pass; only lateness at or
+// below the limit shows that the limit is too high. slots is the number of requests that an engine
+// serves at once, 0 if unknown.
 func (a *AdmissionController) UpdateLimit(nowMs int64, concurrency float64, slots int) {
-	least := max(float64(slots)/leastShare, leastLimit)
+	minimum := max(float64(slots)/minLimitSlotDivisor, minLimit)
 	const millisecondsPerSecond = 1000
-	elapsed := min(float64(nowMs-a.lastMs)/millisecondsPerSecond, 1)
-	a.lastMs = max(a.lastMs, nowMs)
+	elapsed := min(float64(nowMs-a.updatedMs)/millisecondsPerSecond, 1)
+	a.updatedMs = max(a.updatedMs, nowMs)
 	if elapsed <= 0 {
 		return
 	}
-	late := a.lateShare(nowMs)
-	above := late - toleratedLate
+	lateFraction := a.lateFraction(nowMs)
+	excess := lateFraction - targetLateFraction
 	switch {
-	case a.limit == 0 && late > overloadedLate:
+	case a.limit == 0 && lateFraction > overloadLateFraction:
 		a.limit = concurrency
-		if a.inTime > 0 {
-			a.limit = min(a.limit, a.inTime)
+		if a.onTimeConcurrency > 0 {
+			a.limit = min(a.limit, a.onTimeConcurrency)
 		}
-		a.limit = max(a.limit, least)
-		a.boundMs = nowMs
+		a.limit = max(a.limit, minimum)
+		a.lastBindingMs = nowMs
 	case a.limit == 0:
-		if above <= 0 {
-			a.inTime = concurrency
+		if excess <= 0 {
+			a.onTimeConcurrency = concurrency
 		}
-	case above < 0 && nowMs-a.boundMs > unboundAfterMs:
+	case excess < 0 && nowMs-a.lastBindingMs > idleLimitLifetimeMs:
 		a.limit = 0
-	case above > 0 && concurrency <= a.limit:
-		a.limit = max(a.limit*(1-lowerPerSecond*above*elapsed), least)
-	case above <= -toleratedLate/2 && concurrency >= nearLimit*a.limit:
-		a.limit *= 1 + raisePerSecond*elapsed
+	case excess > 0 && concurrency <= a.limit:
+		a.limit = max(a.limit*(1-decreasePerSecond*excess*elapsed), minimum)
+	case excess <= -targetLateFraction/2 && concurrency >= nearLimitFraction*a.limit:
+		a.limit *= 1 + increasePerSecond*elapsed
 	}
 }
 
-// lateShare is the share of streams that began late lately.
-func (a *AdmissionController) lateShare(nowMs int64) float64 {
-	counted := a.own.At(nowMs)
-	if a.sharedMs > 0 && nowMs-a.sharedMs <= loadForgottenMs {
-		counted = a.shared.At(nowMs)
+// lateFraction returns the recent fraction of streams that started late.
+func (a *AdmissionController) lateFraction(nowMs int64) float64 {
+	lateness := a.ownLateness.At(nowMs)
+	if a.sharedMs > 0 && nowMs-a.sharedMs <= loadLifetimeMs {
+		lateness = a.sharedLateness.At(nowMs)
 	}
-	return counted.Sum / (counted.Weight + admissionPrior)
+	return lateness.Sum / (lateness.Weight + priorOnTimeStreams)
 }
 
-// Admit reports whether a new program may begin at a mean concurrency, and else when it is to
-// come back, milliseconds. Position is how many ranks in use are less urgent than its own, of
-// ranks in all; draw is within 0..1 and the same for each try of a program, at every gateway:
-// who comes back more often is not let in more often.
-func (a *AdmissionController) Admit(concurrency float64, position, ranks int, draw float64) (retryAfterMs int64, admitted bool) {
+// Admit reports whether a new program may start at a mean concurrency, and otherwise the delay
+// after which it is to retry, in milliseconds. position is the number of ranks in use, out of
+// ranks, that are less urgent than the program's own. sample is a random number within 0..1 that is
+// the same for every attempt of a program at every gateway, so that retrying more often does not
+// raise the chance of admission.
+func (a *AdmissionController) Admit(concurrency float64, position, ranks int, sample float64) (retryAfterMs int64, admitted bool) {
 	rejected := a.RejectedFraction(concurrency, position, ranks)
 	if rejected > 0 {
-		a.boundMs = a.lastMs
+		a.lastBindingMs = a.updatedMs
 	}
-	above := rejected - draw
-	if above <= 0 {
+	excess := rejected - sample
+	if excess <= 0 {
 		return 0, true
 	}
-	return int64(math.Ceil(above * returnWithinMs)), false
+	return int64(math.Ceil(excess * retrySpreadMs)), false
 }
 
-// RejectedFraction returns the share of new programs that is rejected at a concurrency.
+// RejectedFraction returns the fraction of new programs that is rejected at a concurrency.
 func (a *AdmissionController) RejectedFraction(concurrency float64, position, ranks int) float64 {
 	if a.limit == 0 {
 		return 0
 	}
-	full := fullShare
+	unrestricted := unrestrictedFraction
 	if ranks > 1 {
-		full += rankShare * float64(position) / float64(ranks-1)
+		unrestricted += rankFraction * float64(position) / float64(ranks-1)
 	}
-	above := (concurrency/a.limit - full) / rampShare
-	return math.Min(math.Max(above, 0), 1) * mostRejected
+	excess := (concurrency/a.limit - unrestricted) / rampFraction
+	return math.Min(math.Max(excess, 0), 1) * maxRejectedFraction
 }
 
-// Limit returns the learnt concurrency, requests an engine; 0 for no limit.
+// Limit returns the learned limit of the concurrency, in requests per engine, 0 for no limit.
 func (a *AdmissionController) Limit() float64 { return a.limit }
 
-// UnrestrictedConcurrency returns up to which concurrency the least urgent programs all begin, requests an engine; 0
-// for no limit.
-func (a *AdmissionController) UnrestrictedConcurrency() float64 { return a.limit * fullShare }
+// UnrestrictedConcurrency returns the concurrency up to which all programs of the least urgent rank
+// are admitted, in requests per engine, 0 for no limit.
+func (a *AdmissionController) UnrestrictedConcurrency() float64 {
+	return a.limit * unrestrictedFraction
+}
--- a/internal/scheduling/board_test.go
+++ b/internal/scheduling/board_test.go
@@ -8,56 +8,57 @@
 	"pgregory.net/rapid"
 )
 
-// TestBoardProperty holds that the sums that a board keeps are those of what gateways said
-// lately, whatever they say and whenever they fall silent.
-func TestBoardProperty(t *testing.T) {
+// TestLoadAggregatorProperty checks that the sums of the aggregator are those of the recent
+// reports, whatever gateways report and whenever they stop reporting.
+func TestLoadAggregatorProperty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		board := NewLoadAggregator()
-		type said struct {
+		aggregator := NewLoadAggregator()
+		type report struct {
 			inFlight float64
 			atMs     int64
 		}
-		all := map[string]said{}
+		latest := map[string]report{}
 		nowMs := int64(1000)
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			nowMs += rapid.Int64Range(0, 900).Draw(t, "pause")
 			gateway := fmt.Sprint("g", rapid.IntRange(0, 5).Draw(t, "gateway"))
 			inFlight := float64(rapid.IntRange(0, 4).Draw(t, "in flight")) / 3
-			board.ReportLoads(gateway, []EngineLoad{{Engine: "e", InFlight: float32(inFlight)}}, nowMs)
-			all[gateway] = said{inFlight, nowMs}
-			// What is about to be forgotten may count or not until it is looked for.
-			least, most := 0.0, 0.0
-			for _, one := range all {
-				if nowMs-one.atMs <= loadForgottenMs {
-					least += one.inFlight
+			aggregator.ReportLoads(gateway, []EngineLoad{{Engine: "e", InFlight: float32(inFlight)}}, nowMs)
+			latest[gateway] = report{inFlight, nowMs}
+			// A report that has just expired may still count until the next check for expired
+			// loads.
+			lower, upper := 0.0, 0.0
+			for _, reported := range latest {
+				if nowMs-reported.atMs <= loadLifetimeMs {
+					lower += reported.inFlight
 				}
-				if nowMs-one.atMs <= loadForgottenMs+loadExpireMs {
-					most += one.inFlight
+				if nowMs-reported.atMs <= loadLifetimeMs+loadExpiryIntervalMs {
+					upper += reported.inFlight
 				}
 			}
 			const rounding = 1e-5
-			got := board.InFlight("e", nowMs)
-			if got < least-rounding || got > most+rounding || math.Abs(got-float64(board.Loads([]string{"e"}, nowMs)[0].InFlight)) > rounding {
-				t.Fatalf("%f in flight, between %f and %f were said", got, least, most)
+			got := aggregator.InFlight("e", nowMs)
+			if got < lower-rounding || got > upper+rounding || math.Abs(got-float64(aggregator.Loads([]string{"e"}, nowMs)[0].InFlight)) > rounding {
+				t.Fatalf("%f requests in flight, but between %f and %f were reported", got, lower, upper)
 			}
 		}
 	})
 }
 
-// BenchmarkLoads is what the leader adds up for the gateways of one zone.
+// BenchmarkLoads measures the sums that the leader computes for the gateways of one zone.
 func BenchmarkLoads(b *testing.B) {
 	for _, gateways := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprint(gateways), func(b *testing.B) {
-			board := NewLoadAggregator()
+			aggregator := NewLoadAggregator()
 			var names []string
 			for number := range 50 {
 				names = append(names, fmt.Sprint("e", number))
 				for gateway := range gateways {
-					board.ReportLoads(fmt.Sprint("g", gateway), []EngineLoad{{Engine: names[number], InFlight: 1}}, 1000)
+					aggregator.ReportLoads(fmt.Sprint("g", gateway), []EngineLoad{{Engine: names[number], InFlight: 1}}, 1000)
 				}
 			}
 			for b.Loop() {
-				board.Loads(names, 1000)
+				aggregator.Loads(names, 1000)
 			}
 		})
 	}
--- a/internal/scheduling/choice.go
+++ b/internal/scheduling/choice.go
@@ -5,273 +5,281 @@
 	"math"
 )
 
-// Candidate is an engine to which a request may go.
+// Candidate is an engine to which a request may be sent.
 type Candidate struct {
 	ID    string
 	Zone  string
 	Slots int
-	// KVCacheCapacityTokens is how many tokens the engine's memory holds, 0 where that is not known.
+	// KVCacheCapacityTokens is the capacity of the engine's KV cache in tokens, 0 if unknown.
 	KVCacheCapacityTokens int64
 	Health                *EngineHealth
-	// order is the engine's place in the order of one request, and slowness how many times
-	// longer than usual a token takes there.
-	order    uint64
-	slowness float64
+	// shuffleOrder is the sort key of the engine in the order of one request, and slowdown the
+	// expected time per token at the engine as a multiple of the usual time.
+	shuffleOrder uint64
+	slowdown     float64
 }
 
-// SelectionInput is what decides where a request goes.
+// SelectionInput holds what an engine is selected by.
 type SelectionInput struct {
-	// IsStream says that the request generates events; the choice then goes by the
-	// expected time, else by the requests under way.
+	// IsStream reports whether the request generates events. Engines are then compared by the
+	// expected time of the stream, and otherwise by the load.
 	IsStream bool
-	// RequestKind names the kind of request; those of one kind take about as long.
+	// RequestKind is the kind of the request; requests of one kind take a similar time.
 	RequestKind string
-	// AffineEngine is the engine that most likely holds what the request's session has read.
+	// AffineEngine is the engine that most likely has the prompt prefix of the request's session
+	// cached.
 	AffineEngine string
-	// RequiredKVCacheTokens is what the request takes of an engine's memory while it runs.
+	// RequiredKVCacheTokens is the number of KV cache tokens that the request occupies while it
+	// runs.
 	RequiredKVCacheTokens int64
-	// Prompt are the parts of the prompt, and Events how many events there may be at most.
+	// Prompt holds the parts of the prompt, and MaxEvents is the maximum number of events.
 	Prompt    []PromptPart
 	MaxEvents int64
-	// AffinityKey is what requests have in common that an engine should see together; empty for
-	// none. It counts for requests that are no streams.
+	// AffinityKey is shared by requests that the same engine should serve; empty for none. It has
+	// no effect on streams.
 	AffinityKey string
-	// Zone is where the request is.
+	// Zone is the zone of the gateway.
 	Zone string
-	// ZoneCosts are what engines of other zones cost; nil takes the usual penalty.
+	// ZoneCosts are the costs of engines in other zones; nil stands for the default penalty.
 	ZoneCosts *ZoneCosts
-	// ShuffleSeed is drawn at random for each request: it decides which engines are compared.
+	// ShuffleSeed is a random number per request, which decides which engines are compared.
 	ShuffleSeed uint64
-	// ExcludedEngines lists engines that were tried already.
+	// ExcludedEngines are the engines that were already tried.
 	ExcludedEngines []string
-	// Disabled are the mechanisms that are turned off.
+	// Disabled holds the disabled mechanisms.
 	Disabled DisabledMechanisms
 	NowMs    int64
 
-	// RemainingTurns is how many turns the request's session is expected to have yet, this one
-	// included; 0 where that is not known.
+	// RemainingTurns is the expected number of remaining turns of the session, including this one,
+	// 0 if unknown.
 	RemainingTurns float64
 
-	// slowFrom is the factor from which an engine counts as slow, and quickest the least
-	// slowness of the engines compared that have room, 0 where none has.
-	slowFrom float64
-	quickest float64
-	// meanInFlight is the mean of the requests under way at an engine.
+	// slowThreshold is the latency ratio from which an engine counts as slow. minSlowdown is the
+	// lowest slowdown of the compared engines with a free slot, 0 if there is none.
+	slowThreshold float64
+	minSlowdown   float64
+	// meanInFlight is the mean number of requests in flight per engine.
 	meanInFlight float64
 }
 
-// keyed reports whether an engine should see the requests of a key together.
-func (d SelectionInput) keyed() bool { return !d.IsStream && d.AffinityKey != "" }
+// usesAffinityKey reports whether the engine is selected by the affinity key.
+func (i SelectionInput) usesAffinityKey() bool { return !i.IsStream && i.AffinityKey != "" }
 
-// Selection is the engine for a request and what decided for it.
+// Selection is the engine selected for a request, and the reasons.
 type Selection struct {
 	Candidate Candidate
-	// PrefillTokens is what the engine is expected to have to read, tokens.
+	// PrefillTokens is the expected number of tokens that the engine has to prefill.
 	PrefillTokens int64
-	// CostMs is what the request is expected to cost there, milliseconds, and NextCost
-	// what it would at the next best engine, 0 where there is none.
+	// CostMs is the expected cost of the request at the engine, and NextBestCostMs that at the
+	// second-best engine, 0 if there is none.
 	CostMs         float64
 	NextBestCostMs float64
-	// AffineEngineCostMs is what it would cost at the session's home, 0 where there is none.
+	// AffineEngineCostMs is the expected cost at the affine engine, 0 if there is none.
 	AffineEngineCostMs float64
-	// PreemptedTokens is how many tokens of running requests are expected to have to make way there.
+	// PreemptedTokens is the expected number of KV cache tokens of running requests that are
+	// preempted.
 	PreemptedTokens int64
-	// Slowdown is how many times longer than usual a token is expected to take there, and
-	// HomeSlowness the same at the session's home, 0 where there is none.
+	// Slowdown is the expected time per token at the engine as a multiple of the usual time, and
+	// AffineEngineSlowdown that at the affine engine, 0 if there is none.
 	Slowdown             float64
 	AffineEngineSlowdown float64
-	// MoveReason says why the session leaves its home.
+	// MoveReason is why the session leaves its affine engine.
 	MoveReason MoveReason
 
-	unsound, slow, full, far int
+	// The keys are 0 or 1, and less compares them in this order.
+	suspectKey, slowKey, fullKey, otherZoneKey int
 }
 
-// SelectEngine returns the engine for a request; false where there is none. Requests with a
-// key go to one engine of the zone (rendezvous hashing, Thaler and Ravishankar, 1998)
-// while it has room. Of the others each compares its session's home and a few engines
-// drawn at random, and goes where it is expected to cost least, with what reading it anew
-// costs those that run beside it. Invariant: gateways that share one view, which is
-// always late, do not all choose the engine that looked best in it (Mitzenmacher, How
-// Useful Is Old Information, 2000).
-func SelectEngine(pool *LatencyModel, candidates []Candidate, demand SelectionInput) (Selection, bool) {
+// SelectEngine returns the engine for a request, or false if there is none. Requests with an
+// affinity key go to one engine of the zone (rendezvous hashing, Thaler and Ravishankar, 1998)
+// while it has free slots. For any other request, the affine engine and a few randomly sampled
+// engines are compared by expected cost, which includes the cost of the prefill to the requests
+// that run beside it. Invariant: gateways that share one view, which is always out of date, do not
+// all select the engine that looked best in it (Mitzenmacher, How Useful Is Old Information, 2000).
+func SelectEngine(model *LatencyModel, candidates []Candidate, input SelectionInput) (Selection, bool) {
 	var best, next Selection
-	found, second := false, false
-	var home Selection
-	demand.slowFrom = slowFrom(candidates, demand.NowMs)
-	if demand.Disabled.Has(MechanismSlowDetection) {
-		demand.slowFrom = math.Inf(1)
+	hasBest, hasNext := false, false
+	var affine Selection
+	input.slowThreshold = slowThreshold(candidates, input.NowMs)
+	if input.Disabled.Has(MechanismSlowDetection) {
+		input.slowThreshold = math.Inf(1)
 	}
-	if demand.Disabled.Has(MechanismSessionAffinity) {
-		demand.AffineEngine = ""
+	if input.Disabled.Has(MechanismSessionAffinity) {
+		input.AffineEngine = ""
 	}
-	if demand.IsStream && !demand.Disabled.Has(MechanismEngineSpeed) {
-		pool.learnSpeeds(candidates, demand.NowMs)
+	if input.IsStream && !input.Disabled.Has(MechanismEngineSpeed) {
+		model.updateSlowdowns(candidates, input.NowMs)
 	}
-	demand.meanInFlight = meanInFlight(candidates, demand.NowMs)
-	chosen := compared(candidates, demand)
-	demand.quickest = quickest(chosen, demand.NowMs)
-	for _, candidate := range chosen {
-		choice := pool.weigh(candidate, demand)
-		if candidate.ID == demand.AffineEngine {
-			home = choice
+	input.meanInFlight = meanInFlight(candidates, input.NowMs)
+	sample := sampleCandidates(candidates, input)
+	input.minSlowdown = minSlowdown(sample, input.NowMs)
+	for _, candidate := range sample {
+		selection := model.evaluate(candidate, input)
+		if candidate.ID == input.AffineEngine {
+			affine = selection
 		}
 		switch {
-		case !found || choice.less(best):
-			next, second = best, found
-			best, found = choice, true
-		case !second || choice.less(next):
-			next, second = choice, true
+		case !hasBest || selection.less(best):
+			next, hasNext = best, hasBest
+			best, hasBest = selection, true
+		case !hasNext || selection.less(next):
+			next, hasNext = selection, true
 		}
 	}
 	best.NextBestCostMs = next.CostMs
-	best.AffineEngineCostMs = home.CostMs
-	best.AffineEngineSlowdown = home.Candidate.slowness
-	best.Slowdown = best.Candidate.slowness
-	best.MoveReason = moved(best, home, demand)
-	return best, found
+	best.AffineEngineCostMs = affine.CostMs
+	best.AffineEngineSlowdown = affine.Candidate.slowdown
+	best.Slowdown = best.Candidate.slowdown
+	best.MoveReason = moveReason(best, affine, input)
+	return best, hasBest
 }
 
-// MoveReason says why a session leaves the engine that holds what it has read.
+// MoveReason is why a session leaves its affine engine.
 type MoveReason string
 
-// The reasons.
+// The reasons for a move.
 const (
-	// NotMoved is that of sessions that stay, or have no such engine.
+	// NotMoved is the reason of sessions that stay or have no affine engine.
 	NotMoved MoveReason = ""
-	// MovedUnavailable says that the engine has left, drains or was tried already.
+	// MovedUnavailable means that the affine engine has left, is draining or was already tried.
 	MovedUnavailable MoveReason = "gone"
-	// MovedSuspect says that requests have just failed there.
+	// MovedSuspect means that requests have just failed at the affine engine.
 	MovedSuspect MoveReason = "suspect"
-	// MovedSlow says that the engine is slower than the one chosen.
+	// MovedSlow means that the affine engine is slower than the selected one.
 	MovedSlow MoveReason = "slow"
-	// MovedCost says that it is dearer for another cause: more requests than slots, or distance.
+	// MovedCost means that the affine engine costs more for another reason: it has more requests
+	// than slots, or is in another zone.
 	MovedCost MoveReason = "cost"
 )
 
-func moved(best, home Selection, demand SelectionInput) MoveReason {
+// moveReason returns why the best selection is not the affine engine.
+func moveReason(best, affine Selection, input SelectionInput) MoveReason {
 	switch {
-	case demand.AffineEngine == "" || best.Candidate.ID == demand.AffineEngine:
+	case input.AffineEngine == "" || best.Candidate.ID == input.AffineEngine:
 		return NotMoved
-	case home.Candidate.ID == "":
+	case affine.Candidate.ID == "":
 		return MovedUnavailable
-	case home.unsound > best.unsound:
+	case affine.suspectKey > best.suspectKey:
 		return MovedSuspect
-	case home.Candidate.slowness > best.Candidate.slowness:
+	case affine.Candidate.slowdown > best.Candidate.slowdown:
 		return MovedSlow
 	}
 	return MovedCost
 }
 
-// less orders choices; the first that differs decides.
-func (c Selection) less(other Selection) bool {
+// less orders selections. The first key that differs decides.
+func (s Selection) less(other Selection) bool {
 	return cmp.Or(
-		cmp.Compare(c.unsound, other.unsound),
-		cmp.Compare(c.slow, other.slow),
-		cmp.Compare(c.full, other.full),
-		cmp.Compare(c.far, other.far),
-		cmp.Compare(c.CostMs, other.CostMs),
-		cmp.Compare(c.Candidate.order, other.Candidate.order),
+		cmp.Compare(s.suspectKey, other.suspectKey),
+		cmp.Compare(s.slowKey, other.slowKey),
+		cmp.Compare(s.fullKey, other.fullKey),
+		cmp.Compare(s.otherZoneKey, other.otherZoneKey),
+		cmp.Compare(s.CostMs, other.CostMs),
+		cmp.Compare(s.Candidate.shuffleOrder, other.Candidate.shuffleOrder),
 	) < 0
 }
 
-// weigh says what a request costs at an engine.
-func (p *LatencyModel) weigh(candidate Candidate, demand SelectionInput) Selection {
-	choice := Selection{Candidate: candidate, unsound: unsound(candidate, demand)}
+// evaluate returns the sort keys and the cost of a request at an engine.
+func (m *LatencyModel) evaluate(candidate Candidate, input SelectionInput) Selection {
+	selection := Selection{Candidate: candidate, suspectKey: suspectKey(candidate, input)}
 	switch {
-	case demand.IsStream:
-		choice.PrefillTokens = missingTokens(candidate, demand)
-		if !demand.Disabled.Has(MechanismKVCacheCost) {
-			choice.PreemptedTokens = pushedTokens(candidate, demand)
+	case input.IsStream:
+		selection.PrefillTokens = uncachedTokens(candidate, input)
+		if !input.Disabled.Has(MechanismKVCacheCost) {
+			selection.PreemptedTokens = preemptedTokens(candidate, input)
 		}
-		choice.CostMs = p.streamCost(candidate, demand, choice.PrefillTokens, choice.PreemptedTokens)
-	case demand.keyed():
-		choice.far = far(candidate, demand)
-		if candidate.Health.LatencyRatio(demand.NowMs) >= demand.slowFrom {
-			choice.slow = 1
+		selection.CostMs = m.streamCostMs(candidate, input, selection.PrefillTokens, selection.PreemptedTokens)
+	case input.usesAffinityKey():
+		selection.otherZoneKey = otherZoneKey(candidate, input)
+		if candidate.Health.LatencyRatio(input.NowMs) >= input.slowThreshold {
+			selection.slowKey = 1
 		}
-		if queueing(candidate, candidate.Health.EstimatedInFlight(demand.NowMs)) > 0 {
-			choice.full = 1
+		if queueRatio(candidate, candidate.Health.EstimatedInFlight(input.NowMs)) > 0 {
+			selection.fullKey = 1
 		}
 	default:
-		choice.CostMs = p.answerCost(candidate, demand)
+		selection.CostMs = m.responseCostMs(candidate, input)
 	}
-	return choice
+	return selection
 }
 
-func unsound(candidate Candidate, demand SelectionInput) int {
-	if !demand.Disabled.Has(MechanismSuspicion) && candidate.Health.IsSuspect(demand.NowMs) {
+// suspectKey returns 1 for a suspect engine and 0 for any other.
+func suspectKey(candidate Candidate, input SelectionInput) int {
+	if !input.Disabled.Has(MechanismSuspicion) && candidate.Health.IsSuspect(input.NowMs) {
 		return 1
 	}
 	return 0
 }
 
-func far(candidate Candidate, demand SelectionInput) int {
-	if !demand.Disabled.Has(MechanismZonePreference) && candidate.Zone != demand.Zone {
+// otherZoneKey returns 1 for an engine in another zone than the request and 0 for any other.
+func otherZoneKey(candidate Candidate, input SelectionInput) int {
+	if !input.Disabled.Has(MechanismZonePreference) && candidate.Zone != input.Zone {
 		return 1
 	}
 	return 0
 }
 
-// distanceMs is what it costs that an engine is in another zone.
-func distanceMs(candidate Candidate, demand SelectionInput) float64 {
-	if far(candidate, demand) == 0 {
+// zoneCostMs returns the cost of an engine that is in another zone.
+func zoneCostMs(candidate Candidate, input SelectionInput) float64 {
+	if otherZoneKey(candidate, input) == 0 {
 		return 0
 	}
-	return demand.ZoneCosts.CostMs(demand.Zone, candidate.Zone)
+	return input.ZoneCosts.CostMs(input.Zone, candidate.Zone)
 }
 
-// streamCost is the time that a stream is expected to take at an engine, with what it
-// costs the streams beside it. A token read holds up all that run at the engine, and
-// keeps it from what waits: so it costs as if it met the company that streams meet on the
-// mean, wherever it is read. Load is evened out by where new sessions go: one that has a
-// home does not leave it because there is less company elsewhere for the moment, but only
-// where its home is slow or turns it away: in an overload all are full, and reading anew
-// adds to it.
+// streamCostMs returns the expected time of a stream at an engine, plus its cost to the other
+// streams there. The prefill of a token delays all requests that run at the engine, and those that
+// wait for it. It is therefore charged as if it met the mean number of other requests, wherever it
+// runs. Load is balanced by the placement of new sessions. A session does not leave its affine
+// engine because another engine has fewer requests for the moment, but only if its own engine is
+// slow or has no free slot: in an overload all engines are full, and repeated prefills add to it.
 //
-// What running requests lose of the engine's memory to this one is read again, with as much
-// company: where all are short of memory, the fewest tokens are pushed out.
-func (p *LatencyModel) streamCost(candidate Candidate, demand SelectionInput, missing, pushed int64) float64 {
-	slowness := candidate.slowness
-	events := p.expectedEvents(demand.NowMs, demand.MaxEvents)
-	usual := p.streamMs(demand.NowMs, events)
-	company := candidate.Health.EstimatedInFlight(demand.NowMs)
-	met, _ := p.company.At(demand.NowMs).own()
-	met = min(met, demand.meanInFlight)
-	tokenMs := p.tokenMs()
-	if demand.Disabled.Has(MechanismPrefillCost) {
-		tokenMs = unknownTokenMs
+// KV cache that running requests lose to this request is prefilled again, at the same cost per
+// token. Where all engines are short of KV cache, the engine with the fewest preempted tokens is
+// preferred.
+func (m *LatencyModel) streamCostMs(candidate Candidate, input SelectionInput, prefillTokens, preempted int64) float64 {
+	slowdown := candidate.slowdown
+	events := m.expectedEvents(input.NowMs, input.MaxEvents)
+	usualMs := m.usualStreamMs(input.NowMs, events)
+	inFlight := candidate.Health.EstimatedInFlight(input.NowMs)
+	meanOthers, _ := m.otherRequests.At(input.NowMs).mean()
+	meanOthers = min(meanOthers, input.meanInFlight)
+	tokenMs := m.prefillTokenMs()
+	if input.Disabled.Has(MechanismPrefillCost) {
+		tokenMs = defaultTokenMs
 	}
-	readMs := tokenMs * (1 + met)
-	alone := p.aloneMs(events)
-	readAloneMs := min(p.readAloneMs(demand.NowMs), tokenMs)
-	cost := slowness*(alone+float64(missing)*readAloneMs) + float64(missing)*(readMs-readAloneMs)
-	cost += demand.later(slowness, alone, readMs)
-	cost += slowness * float64(pushed) * readMs
-	switch demand.AffineEngine {
+	loadedTokenMs := tokenMs * (1 + meanOthers)
+	unloadedMs := m.unloadedStreamMs(events)
+	unloadedTokenMs := min(m.unloadedTokenMs(input.NowMs), tokenMs)
+	cost := slowdown*(unloadedMs+float64(prefillTokens)*unloadedTokenMs) + float64(prefillTokens)*(loadedTokenMs-unloadedTokenMs)
+	cost += input.laterTurnsCostMs(slowdown, unloadedMs, loadedTokenMs)
+	cost += slowdown * float64(preempted) * loadedTokenMs
+	switch input.AffineEngine {
 	case "":
 	case candidate.ID:
-		company = min(company, met)
+		inFlight = min(inFlight, meanOthers)
 	default:
-		company = max(company, met)
+		inFlight = max(inFlight, meanOthers)
 	}
-	cost += slowness * queueing(candidate, company) * usual
-	if !demand.Disabled.Has(MechanismBatchInterference) {
-		cost += slowness * sharedCost * company * p.companyMs(events, usual, candidate.Slots)
+	cost += slowdown * queueRatio(candidate, inFlight) * usualMs
+	if !input.Disabled.Has(MechanismBatchInterference) {
+		cost += slowdown * interferenceWeight * inFlight * m.interferenceMs(events, usualMs, candidate.Slots)
 	}
-	return cost + distanceMs(candidate, demand)
+	return cost + zoneCostMs(candidate, input)
 }
 
-// later is what the further turns of a session cost more than at the quickest engine with
-// room, where it goes on at one of some slowness. It is bounded by what moving the session at
-// its next turn would cost: one that can move cheaply need not care now.
-func (d SelectionInput) later(slowness, usualMs, readMs float64) float64 {
-	if d.RemainingTurns <= 1 || d.quickest <= 0 || slowness <= d.quickest {
+// laterTurnsCostMs returns the additional cost of the later turns of a session that stays at an
+// engine of a slowdown, compared with the fastest engine that has a free slot. It is at most the
+// cost of moving the session at its next turn: a session that can move cheaply need not account for
+// later turns now.
+func (i SelectionInput) laterTurnsCostMs(slowdown, unloadedMs, loadedTokenMs float64) float64 {
+	if i.RemainingTurns <= 1 || i.minSlowdown <= 0 || slowdown <= i.minSlowdown {
 		return 0
 	}
-	return min((d.RemainingTurns-1)*(slowness-d.quickest)*usualMs, d.quickest*float64(PromptTokens(d.Prompt))*readMs)
+	return min((i.RemainingTurns-1)*(slowdown-i.minSlowdown)*unloadedMs, i.minSlowdown*float64(PromptTokens(i.Prompt))*loadedTokenMs)
 }
 
-// meanInFlight returns the mean of the requests that are expected under way at engines.
+// meanInFlight returns the mean estimated number of requests in flight per engine.
 func meanInFlight(candidates []Candidate, nowMs int64) float64 {
 	total := 0.0
 	for _, candidate := range candidates {
@@ -280,64 +288,65 @@
 	return total / float64(max(len(candidates), 1))
 }
 
-// quickest returns the least slowness of the engines that have room, 0 where none has.
-func quickest(candidates []Candidate, nowMs int64) float64 {
-	least := 0.0
+// minSlowdown returns the lowest slowdown of the engines that have a free slot, 0 if there is none.
+func minSlowdown(candidates []Candidate, nowMs int64) float64 {
+	minimum := 0.0
 	for _, candidate := range candidates {
-		if queueing(candidate, candidate.Health.EstimatedInFlight(nowMs)) == 0 && (least == 0 || candidate.slowness < least) {
-			least = candidate.slowness
+		if queueRatio(candidate, candidate.Health.EstimatedInFlight(nowMs)) == 0 && (minimum == 0 || candidate.slowdown < minimum) {
+			minimum = candidate.slowdown
 		}
 	}
-	return least
+	return minimum
 }
 
-// sharedCost is how often the cost of company counts: for the stream and for its company.
-const sharedCost = 2
+// interferenceWeight counts the cost of interference twice: once for the stream and once for the
+// other requests.
+const interferenceWeight = 2
 
-// answerCost is the time until a whole answer is expected.
-func (p *LatencyModel) answerCost(candidate Candidate, demand SelectionInput) float64 {
-	usual := p.usual(demand.RequestKind, demand.NowMs)
-	factor := candidate.Health.LatencyRatio(demand.NowMs)
-	if demand.Disabled.Has(MechanismSlowDetection) {
-		factor = 1
+// responseCostMs returns the expected time until the complete response.
+func (m *LatencyModel) responseCostMs(candidate Candidate, input SelectionInput) float64 {
+	usualMs := m.usualResponseMs(input.RequestKind, input.NowMs)
+	ratio := candidate.Health.LatencyRatio(input.NowMs)
+	if input.Disabled.Has(MechanismSlowDetection) {
+		ratio = 1
 	}
-	company := candidate.Health.EstimatedInFlight(demand.NowMs)
-	taken := 0.0
+	inFlight := candidate.Health.EstimatedInFlight(input.NowMs)
+	utilization := 0.0
 	if candidate.Slots > 0 {
-		taken = min(company/float64(candidate.Slots), 1)
+		utilization = min(inFlight/float64(candidate.Slots), 1)
 	}
-	return factor*usual*(1+taken*taken+queueing(candidate, company)) + distanceMs(candidate, demand)
+	return ratio*usualMs*(1+utilization*utilization+queueRatio(candidate, inFlight)) + zoneCostMs(candidate, input)
 }
 
-// queueing is how many times the length of a request a further one waits for a slot.
-func queueing(candidate Candidate, inFlight float64) float64 {
+// queueRatio returns the expected wait for a slot as a multiple of the duration of a request.
+func queueRatio(candidate Candidate, inFlight float64) float64 {
 	if candidate.Slots == 0 {
 		return 0
 	}
 	return max(inFlight+1-float64(candidate.Slots), 0) / float64(candidate.Slots)
 }
 
-// pushedTokens is by how many tokens the requests that run at an engine and this one exceed its
-// memory. What waits for a slot holds nothing yet. Memory is evened out as load is, by where
-// new sessions go: a session that leaves its engine is read anew elsewhere, which takes as much
-// memory there.
-func pushedTokens(candidate Candidate, demand SelectionInput) int64 {
-	if candidate.KVCacheCapacityTokens <= 0 || candidate.ID == demand.AffineEngine {
+// preemptedTokens returns by how many tokens the running requests and this one exceed the engine's
+// KV cache. Requests that wait for a slot occupy none yet. KV cache use is balanced by the
+// placement of new sessions, like load: a session that leaves its engine is prefilled elsewhere and
+// takes as much KV cache there.
+func preemptedTokens(candidate Candidate, input SelectionInput) int64 {
+	if candidate.KVCacheCapacityTokens <= 0 || candidate.ID == input.AffineEngine {
 		return 0
 	}
-	held := int64(candidate.Health.RunningKVCacheTokens(demand.NowMs, candidate.Slots))
-	return max(min(held+demand.RequiredKVCacheTokens-candidate.KVCacheCapacityTokens, demand.RequiredKVCacheTokens), 0)
+	running := int64(candidate.Health.RunningKVCacheTokens(input.NowMs, candidate.Slots))
+	return max(min(running+input.RequiredKVCacheTokens-candidate.KVCacheCapacityTokens, input.RequiredKVCacheTokens), 0)
 }
 
-// missingTokens is what an engine must read of the prompt: at the session's home only the
-// last part, elsewhere all of it. What others have had an engine read of the shared first
-// parts is not known; it does not tell the engines apart.
-func missingTokens(candidate Candidate, demand SelectionInput) int64 {
-	if len(demand.Prompt) == 0 {
+// uncachedTokens returns the number of prompt tokens that an engine must prefill: only the last
+// part at the affine engine, and the whole prompt elsewhere. Whether an engine has cached shared
+// first parts for other sessions is unknown, and makes no difference between the engines.
+func uncachedTokens(candidate Candidate, input SelectionInput) int64 {
+	if len(input.Prompt) == 0 {
 		return 0
 	}
-	if candidate.ID == demand.AffineEngine {
-		return demand.Prompt[len(demand.Prompt)-1].Tokens
+	if candidate.ID == input.AffineEngine {
+		return input.Prompt[len(input.Prompt)-1].Tokens
 	}
-	return PromptTokens(demand.Prompt)
+	return PromptTokens(input.Prompt)
 }
--- a/internal/scheduling/closedloop_speed_test.go
+++ b/internal/scheduling/closedloop_speed_test.go
@@ -11,68 +11,71 @@
 )
 
 const (
-	// learntMs is from when on work is counted.
-	learntMs = 8_000
-	// quickestEngine and slowestEngine bound how many times longer than at an engine of speed 1
-	// things take; the others lie between them.
-	quickestEngine = 0.5
-	slowestEngine  = 2.2
-	// Spells hold an engine up: spellMs long, spellShare of the time, all by spellFactor.
-	spellMs     = 600
-	spellShare  = 0.15
-	spellFactor = 2.5
-	speedSlots  = 8
+	// countFromMs is the time from which turns are counted.
+	countFromMs = 8_000
+	// minEngineSlowdown and maxEngineSlowdown are the lowest and the highest slowdown of the
+	// engines, relative to an engine with a slowdown of 1; the others lie between them.
+	minEngineSlowdown = 0.5
+	maxEngineSlowdown = 2.2
+	// An engine is stalled during stallFraction of the time, for stallMs at a stretch. A stall
+	// slows it down by stallFactor.
+	stallMs       = 600
+	stallFraction = 0.15
+	stallFactor   = 2.5
+	speedSlots    = 8
 )
 
-// passTime has the engines' clocks go on by one millisecond.
-func (l *loop) passTime(nowMs int64) {
+// advanceClocks advances the clocks of the engines by one millisecond.
+func (l *loop) advanceClocks(nowMs int64) {
 	for number := range l.clocks {
 		rate := 1000.0
-		if l.speeds != nil {
-			rate /= l.speeds[number]
+		if l.slowdowns != nil {
+			rate /= l.slowdowns[number]
 		}
-		if l.spells && rand.New(rand.NewPCG(uint64(number), uint64(nowMs/spellMs))).Float64() < spellShare {
-			rate /= spellFactor
+		if l.stalls && rand.New(rand.NewPCG(uint64(number), uint64(nowMs/stallMs))).Float64() < stallFraction {
+			rate /= stallFactor
 		}
 		l.clocks[number] += rate
 	}
-	if nowMs >= learntMs {
-		l.busy += len(l.turns)
+	if nowMs >= countFromMs {
+		l.turnMs += len(l.inFlight)
 	}
 }
 
-// speedsBetween returns speeds that are spread evenly, in an order that mixes the zones.
-func speedsBetween(quickest, slowest float64) []float64 {
-	speeds := make([]float64, loopEngines)
-	for number := range speeds {
-		place := float64((number*5)%loopEngines) / (loopEngines - 1)
-		speeds[number] = quickest * math.Pow(slowest/quickest, place)
+// spreadSlowdowns returns slowdowns that are evenly spread on a logarithmic scale, in an order that
+// mixes the zones.
+func spreadSlowdowns(minimum, maximum float64) []float64 {
+	slowdowns := make([]float64, loopEngines)
+	for number := range slowdowns {
+		position := float64((number*5)%loopEngines) / (loopEngines - 1)
+		slowdowns[number] = minimum * math.Pow(maximum/minimum, position)
 	}
-	return speeds
+	return slowdowns
 }
 
-// oracle knows the speeds, and at each moment what is under way at every engine, and sends
-// each turn where it ends first, with what reading costs the others there.
-func oracle(l *loop) decide {
+// oracle uses the true slowdowns and the current requests at every engine. It sends each turn to
+// the engine where the turn ends first, including the cost of its prefill to the other requests
+// there.
+func oracle(l *loop) placementPolicy {
 	return func(gateway *loopGateway, turn *loopTurn, nowMs int64) int {
 		best, bestMs := 0, math.Inf(1)
-		whole := int64(0)
+		promptTokens := int64(0)
 		for _, segment := range turn.program.history {
-			whole += segment.Tokens
+			promptTokens += segment.Tokens
 		}
 		for number, model := range l.models {
 			hardware := model.Hardware()
 			running, waiting := model.Counts()
 			inFlight := float64(running + waiting)
-			missing := whole - sharedTokens
-			if number == turn.program.home {
-				missing = turn.program.tokens
+			uncached := promptTokens - sharedPrefixTokens
+			if number == turn.program.affineEngine {
+				uncached = turn.program.inputTokens
 			}
-			readMs := float64(missing) / float64(hardware.PrefillTokensPerSecond) * 1000
+			prefillMs := float64(uncached) / float64(hardware.PrefillTokensPerSecond) * 1000
 			stepMs := (float64(hardware.StepMicros) + float64(hardware.SequenceMicros)*(inFlight+1)) / 1000
-			ownMs := readMs*(1+inFlight) + outputTokens*stepMs
-			ownMs *= 1 + max(inFlight+1-float64(l.slots), 0)/float64(l.slots)
-			if cost := l.speeds[number] * ownMs; cost < bestMs {
+			turnMs := prefillMs*(1+inFlight) + outputTokens*stepMs
+			turnMs *= 1 + max(inFlight+1-float64(l.slots), 0)/float64(l.slots)
+			if cost := l.slowdowns[number] * turnMs; cost < bestMs {
 				best, bestMs = number, cost
 			}
 		}
@@ -81,54 +84,54 @@
 	}
 }
 
-// work returns how many turns a population of programs ended, and which share of the room they
-// took on the mean.
-func work(seed uint64, population int, spells bool, policy func(*loop) decide) (turns int, room float64) {
-	hardware := slowReader
+// measureThroughput returns how many turns a population of programs completed, and the mean
+// utilization of the slots.
+func measureThroughput(seed uint64, population int, stalls bool, policy func(*loop) placementPolicy) (turns int, utilization float64) {
+	hardware := slowPrefill
 	hardware.MaxSequences = speedSlots
 	l := newLoop(seed, hardware, nil)
-	l.decide = policy(l)
-	l.speeds, l.spells = speedsBetween(quickestEngine, slowestEngine), spells
+	l.policy = policy(l)
+	l.slowdowns, l.stalls = spreadSlowdowns(minEngineSlowdown, maxEngineSlowdown), stalls
 	l.population = population
 	for number := range population {
-		const apartMs = 2
-		at := int64(1 + number*apartMs)
+		const intervalMs = 2
+		at := int64(1 + number*intervalMs)
 		l.due[at] = append(l.due[at], l.newProgram())
 	}
 	l.run()
-	return l.ended, float64(l.busy) / (loopMs - learntMs) / (speedSlots * loopEngines)
+	return l.completedTurns, float64(l.turnMs) / (loopMs - countFromMs) / (speedSlots * loopEngines)
 }
 
-// TestSpeedsClosedLoop answers engines of one service that are not equally fast: gateways that
-// have to learn it, and to share what they learn, against one who knows it and sees all.
+// TestSpeedsClosedLoop covers engines of one service with different speeds. It compares gateways
+// that have to learn the speeds, and to share what they have learned, with an oracle.
 func TestSpeedsClosedLoop(t *testing.T) {
-	learning := func(seed uint64) func(*loop) decide {
-		return func(*loop) decide { return present(rand.New(rand.NewPCG(seed, 4))) }
+	learned := func(seed uint64) func(*loop) placementPolicy {
+		return func(*loop) placementPolicy { return currentPolicy(rand.New(rand.NewPCG(seed, 4))) }
 	}
-	Convey("the work done is within a tenth, at a third, two thirds and all of the room, with and without spells", t, func() {
-		for population, share := range map[int]float64{108: 1. / 3, 176: 2. / 3, 224: 1} {
-			for _, spells := range []bool{false, true} {
+	Convey("throughput is within a tenth of the oracle's at a third, two thirds and all of the capacity, with and without stalls", t, func() {
+		for population, want := range map[int]float64{108: 1. / 3, 176: 2. / 3, 224: 1} {
+			for _, stalls := range []bool{false, true} {
 				for seed := range uint64(3) {
-					best, room := work(seed, population, spells, oracle)
-					learnt, taken := work(seed, population, spells, learning(seed))
-					t.Logf("%d programs, spells %v, seed %d: %d turns with one who knows, which take %.2f of the room; %d learnt, %.2f", population, spells, seed, best, room, learnt, taken)
-					if !spells {
-						So(room, ShouldAlmostEqual, share, 0.05)
+					bestTurns, bestUtilization := measureThroughput(seed, population, stalls, oracle)
+					learnedTurns, learnedUtilization := measureThroughput(seed, population, stalls, learned(seed))
+					t.Logf("%d programs, stalls %v, seed %d: %d turns with the oracle at a utilization of %.2f; %d learned at %.2f", population, stalls, seed, bestTurns, bestUtilization, learnedTurns, learnedUtilization)
+					if !stalls {
+						So(bestUtilization, ShouldAlmostEqual, want, 0.05)
 					}
-					So(float64(learnt), ShouldBeGreaterThan, 0.9*float64(best))
+					So(float64(learnedTurns), ShouldBeGreaterThan, 0.9*float64(bestTurns))
 				}
 			}
 		}
 	})
-	Convey("and less without the speeds, where there is room to choose", t, func() {
-		blind := func(*loop) decide {
-			return presentWithout(rand.New(rand.NewPCG(1, 4)), scheduling.DisabledMechanisms{scheduling.MechanismEngineSpeed})
+	Convey("throughput is lower without the learned speeds while there are free slots", t, func() {
+		withoutSpeeds := func(*loop) placementPolicy {
+			return policyWithout(rand.New(rand.NewPCG(1, 4)), scheduling.DisabledMechanisms{scheduling.MechanismEngineSpeed})
 		}
 		for _, population := range []int{108, 176} {
-			learnt, _ := work(1, population, false, learning(1))
-			without, _ := work(1, population, false, blind)
-			t.Logf("%d programs: %d turns learnt, %d without the speeds", population, learnt, without)
-			So(learnt, ShouldBeGreaterThan, without)
+			learnedTurns, _ := measureThroughput(1, population, false, learned(1))
+			blindTurns, _ := measureThroughput(1, population, false, withoutSpeeds)
+			t.Logf("%d programs: %d turns with the learned speeds, %d without the speeds", population, learnedTurns, blindTurns)
+			So(learnedTurns, ShouldBeGreaterThan, blindTurns)
 		}
 	})
 }
--- a/internal/scheduling/closedloop_test.go
+++ b/internal/scheduling/closedloop_test.go
@@ -13,112 +13,115 @@
 	"github.com/ochrebay/ochrebay/internal/scheduling"
 )
 
-// The closed loop: programs whose next turn waits for the last one, gateways that each
-// see a part of them, and engines with finite speed and memory. Times are virtual
-// milliseconds.
+// The closed loop simulates programs whose next turn starts after the previous one has ended,
+// gateways that each see some of the turns, and engines with limited speed and KV cache. Times are
+// virtual milliseconds.
 const (
-	loopGateways   = 8
-	loopEngines    = 12
-	loopZones      = 3
-	loopMs         = 36_000
-	calmFromMs     = 8_000
-	burstFromMs    = 12_000
-	burstToMs      = 17_000
-	loopShareMs    = 700
-	sharedTokens   = 2_560
-	sharedParts    = 6
-	eventTokens    = 3
-	outputTokens   = 33
-	thinkMs        = 600
-	programsPerMs  = 0.026
-	burstFactor    = 2.2
-	settledAfterMs = 25_000
-	loopSlots      = 64
-	// loopTargetMs is the time to the first event within which a turn is in time.
-	loopTargetMs = 200
+	loopGateways       = 8
+	loopEngines        = 12
+	loopZones          = 3
+	loopMs             = 36_000
+	steadyFromMs       = 8_000
+	burstFromMs        = 12_000
+	burstToMs          = 17_000
+	reportIntervalMs   = 700
+	sharedPrefixTokens = 2_560
+	sharedPrefixes     = 6
+	tokensPerEvent     = 3
+	outputTokens       = 33
+	thinkMs            = 600
+	programsPerMs      = 0.026
+	burstFactor        = 2.2
+	recoveredFromMs    = 25_000
+	loopSlots          = 64
+	// firstEventTargetMs is the time to the first event within which a turn is on time.
+	firstEventTargetMs = 200
 )
 
-// decide picks an engine for a turn at a gateway.
-type decide func(gateway *loopGateway, turn *loopTurn, nowMs int64) int
+// placementPolicy selects an engine for a turn at a gateway.
+type placementPolicy func(gateway *loopGateway, turn *loopTurn, nowMs int64) int
 
-// loopGateway is what one gateway knows.
+// loopGateway is the state of one gateway.
 type loopGateway struct {
 	name   string
 	zone   int
-	pool   *scheduling.LatencyModel
+	model  *scheduling.LatencyModel
 	health []*scheduling.EngineHealth
-	// inFlight, wait and pace are what the earlier policy went by.
-	inFlight   []int
-	wait, pace []float64
-	admission  scheduling.AdmissionController
+	// inFlight, meanWaitMs and meanGapMs are used by earlierPolicy.
+	inFlight              []int
+	meanWaitMs, meanGapMs []float64
+	controller            scheduling.AdmissionController
 }
 
 type loopProgram struct {
-	id      int
-	turns   int
-	tokens  int64
-	history []emulator.Segment
-	home    int
-	// late says that a turn began later than loopTargetMs.
+	id           int
+	turnsLeft    int
+	inputTokens  int64
+	history      []emulator.Segment
+	affineEngine int
+	// late reports whether a turn started later than firstEventTargetMs.
 	late bool
 }
 
 type loopTurn struct {
-	program *loopProgram
-	gateway *loopGateway
-	engine  int
-	missing int64
-	sentMs  int64
-	lastMs  int64
-	// pauses counts the pauses between events, and shortest is the shortest of them.
-	pauses   int
-	shortest float64
-	// slots is how many requests each engine works on at once.
+	program       *loopProgram
+	gateway       *loopGateway
+	engine        int
+	prefillTokens int64
+	sentMs        int64
+	lastEventMs   int64
+	// gaps is the number of gaps between events, and minGapMs is the shortest of them.
+	gaps     int
+	minGapMs float64
+	// slots is the number of requests that each engine serves at once.
 	slots int
 }
 
-// loop is one run.
+// loop is one simulation run.
 type loop struct {
-	draw     *rand.Rand
-	models   []*emulator.Model
-	gateways []*loopGateway
-	board    *scheduling.LoadAggregator
-	decide   decide
-	turns    map[string]*loopTurn
-	due      map[int64][]*loopProgram
-	nextID   int
-	// first are the times to first events by the second of the send.
-	first map[int64][]float64
-	away  int
-	sent  int
-	// admits says that new programs need to be admitted; overload, from burstFromMs on, that
-	// the burst does not end.
-	admits   bool
-	overload bool
-	begun    int
-	rejected int
-	inTime   int
-	// slots is how many requests an engine works on at once.
+	random     *rand.Rand
+	models     []*emulator.Model
+	gateways   []*loopGateway
+	aggregator *scheduling.LoadAggregator
+	policy     placementPolicy
+	inFlight   map[string]*loopTurn
+	due        map[int64][]*loopProgram
+	nextID     int
+	// firstEventMs holds the times to first events by the second in which the turn was sent.
+	firstEventMs map[int64][]float64
+	movedTurns   int
+	sentTurns    int
+	// admissionEnabled requires that new programs are admitted. overload means that the burst,
+	// which starts at burstFromMs, does not end.
+	admissionEnabled bool
+	overload         bool
+	startedPrograms  int
+	rejectedPrograms int
+	onTimePrograms   int
+	// slots is the number of requests that an engine serves at once.
 	slots int
-	// speeds are the engines'; nil where they are alike. clocks are what of the virtual time
-	// each has had, microseconds: the time of a slow engine, or of one in a spell, runs slower.
-	speeds []float64
-	spells bool
-	clocks []float64
-	// population is how many programs are under way at all times, 0 where they come as they do.
+	// slowdowns are those of the engines, nil if all have the same speed. clocks are the parts of
+	// the virtual time that have passed at each engine, in microseconds: the clock of an engine
+	// that is slow or stalled runs slower.
+	slowdowns []float64
+	stalls    bool
+	clocks    []float64
+	// population is the constant number of programs in progress, 0 for programs that arrive at
+	// random.
 	population int
-	// ended counts the turns that ended after learntMs, and busy adds up those under way.
-	ended int
-	busy  int
-	// began and onEnd, where set, hear of first events and of turns that have ended.
-	began func(turn *loopTurn, tookMs float64)
-	onEnd func(turn *loopTurn, nowMs int64)
+	// completedTurns counts the turns that ended after countFromMs, and turnMs is the integral of
+	// the turns in flight since then.
+	completedTurns int
+	turnMs         int
+	// onFirstEvent and onEnd are called, if set, for first events and for turns that have ended.
+	onFirstEvent func(turn *loopTurn, tookMs float64)
+	onEnd        func(turn *loopTurn, nowMs int64)
 }
 
-func newLoop(seed uint64, hardware engine.Hardware, policy decide) *loop {
+func newLoop(seed uint64, hardware engine.Hardware, policy placementPolicy) *loop {
 	l := &loop{
-		draw: rand.New(rand.NewPCG(seed, 3)), board: scheduling.NewLoadAggregator(), decide: policy,
-		turns: map[string]*loopTurn{}, due: map[int64][]*loopProgram{}, first: map[int64][]float64{},
+		random: rand.New(rand.NewPCG(seed, 3)), aggregator: scheduling.NewLoadAggregator(), policy: policy,
+		inFlight: map[string]*loopTurn{}, due: map[int64][]*loopProgram{}, firstEventMs: map[int64][]float64{},
 		slots: hardware.MaxSequences, clocks: make([]float64, loopEngines),
 	}
 	for range loopEngines {
@@ -126,8 +129,8 @@
 	}
 	for number := range loopGateways {
 		gateway := &loopGateway{
-			name: fmt.Sprint("g", number), zone: number % loopZones, pool: &scheduling.LatencyModel{},
-			inFlight: make([]int, loopEngines), wait: make([]float64, loopEngines), pace: make([]float64, loopEngines),
+			name: fmt.Sprint("g", number), zone: number % loopZones, model: &scheduling.LatencyModel{},
+			inFlight: make([]int, loopEngines), meanWaitMs: make([]float64, loopEngines), meanGapMs: make([]float64, loopEngines),
 		}
 		for range loopEngines {
 			gateway.health = append(gateway.health, &scheduling.EngineHealth{})
@@ -143,159 +146,159 @@
 		if nowMs >= burstFromMs && (nowMs < burstToMs || l.overload) {
 			rate *= burstFactor
 		}
-		if l.population == 0 && l.draw.Float64() < rate {
-			l.begin(nowMs)
+		if l.population == 0 && l.random.Float64() < rate {
+			l.startProgram(nowMs)
 		}
-		l.passTime(nowMs)
+		l.advanceClocks(nowMs)
 		for _, program := range l.due[nowMs] {
-			l.send(program, nowMs)
+			l.sendTurn(program, nowMs)
 		}
 		delete(l.due, nowMs)
 		for number, model := range l.models {
-			l.take(number, model.Advance(int64(l.clocks[number])), nowMs)
+			l.deliver(number, model.Advance(int64(l.clocks[number])), nowMs)
 		}
-		if nowMs%(loopShareMs/loopGateways) == 0 {
-			l.share(l.gateways[int(nowMs/(loopShareMs/loopGateways))%loopGateways], nowMs)
+		if nowMs%(reportIntervalMs/loopGateways) == 0 {
+			l.exchangeReports(l.gateways[int(nowMs/(reportIntervalMs/loopGateways))%loopGateways], nowMs)
 		}
 	}
 }
 
-// begin starts a program: a short one with long inputs, or now and then a long one.
-func (l *loop) begin(nowMs int64) {
+// startProgram starts a program. Every fourth is a long one with short inputs.
+func (l *loop) startProgram(nowMs int64) {
 	program := l.newProgram()
-	if l.admits && !l.admit(program, nowMs) {
-		l.rejected++
+	if l.admissionEnabled && !l.admit(program, nowMs) {
+		l.rejectedPrograms++
 		return
 	}
-	l.begun++
-	l.send(program, nowMs)
+	l.startedPrograms++
+	l.sendTurn(program, nowMs)
 }
 
-// newProgram returns a program that has not begun.
+// newProgram returns a program that has not started.
 func (l *loop) newProgram() *loopProgram {
 	l.nextID++
-	program := &loopProgram{id: l.nextID, turns: 4, tokens: 1_030, home: -1}
+	program := &loopProgram{id: l.nextID, turnsLeft: 4, inputTokens: 1_030, affineEngine: -1}
 	if l.nextID%4 == 0 {
-		program.turns, program.tokens = 11, 514
+		program.turnsLeft, program.inputTokens = 11, 514
 	}
-	shared := uint64(1 + l.draw.IntN(sharedParts))
-	program.history = []emulator.Segment{{Chain: shared, Tokens: sharedTokens}}
+	shared := uint64(1 + l.random.IntN(sharedPrefixes))
+	program.history = []emulator.Segment{{Chain: shared, Tokens: sharedPrefixTokens}}
 	return program
 }
 
-// admit has a gateway decide whether a program may begin.
+// admit decides at a random gateway whether a program may start.
 func (l *loop) admit(program *loopProgram, nowMs int64) bool {
-	gateway := l.gateways[l.draw.IntN(loopGateways)]
+	gateway := l.gateways[l.random.IntN(loopGateways)]
 	concurrency := 0.0
 	for _, health := range gateway.health {
 		concurrency += health.EstimatedInFlight(nowMs) / loopEngines
 	}
-	gateway.admission.UpdateLimit(nowMs, concurrency, loopSlots)
-	_, admitted := gateway.admission.Admit(concurrency, 0, 1, float64(program.id%97)/97)
+	gateway.controller.UpdateLimit(nowMs, concurrency, loopSlots)
+	_, admitted := gateway.controller.Admit(concurrency, 0, 1, float64(program.id%97)/97)
 	return admitted
 }
 
-func (l *loop) send(program *loopProgram, nowMs int64) {
-	chain := uint64(program.id)<<16 + uint64(program.turns)<<1
-	program.history = append(program.history, emulator.Segment{Chain: chain, Tokens: program.tokens})
-	gateway := l.gateways[l.draw.IntN(loopGateways)]
+func (l *loop) sendTurn(program *loopProgram, nowMs int64) {
+	chain := uint64(program.id)<<16 + uint64(program.turnsLeft)<<1
+	program.history = append(program.history, emulator.Segment{Chain: chain, Tokens: program.inputTokens})
+	gateway := l.gateways[l.random.IntN(loopGateways)]
 	turn := &loopTurn{program: program, gateway: gateway, sentMs: nowMs, slots: l.slots}
-	turn.engine = l.decide(gateway, turn, nowMs)
-	l.sent++
-	if program.home >= 0 && program.home != turn.engine {
-		l.away++
+	turn.engine = l.policy(gateway, turn, nowMs)
+	l.sentTurns++
+	if program.affineEngine >= 0 && program.affineEngine != turn.engine {
+		l.movedTurns++
 	}
 	gateway.inFlight[turn.engine]++
-	id := fmt.Sprint(program.id, "-", program.turns)
-	l.turns[id] = turn
+	id := fmt.Sprint(program.id, "-", program.turnsLeft)
+	l.inFlight[id] = turn
 	l.models[turn.engine].Submit(emulator.Job{
 		ID: id, Program: fmt.Sprint(program.id), Segments: slices.Clone(program.history), OutputTokens: outputTokens, AnswerChain: chain + 1,
 	}, int64(l.clocks[turn.engine]))
 }
 
-// take hands an engine's progress to the gateways and goes on with the programs.
-func (l *loop) take(number int, progress []emulator.Progress, nowMs int64) {
+// deliver passes an engine's progress to the gateways and continues the programs.
+func (l *loop) deliver(number int, progress []emulator.Progress, nowMs int64) {
 	for _, step := range progress {
-		turn := l.turns[step.ID]
+		turn := l.inFlight[step.ID]
 		health := turn.gateway.health[number]
 		switch {
 		case step.Generated == 1:
-			took := float64(nowMs - turn.sentMs)
+			latencyMs := float64(nowMs - turn.sentMs)
 			second := turn.sentMs / 1000
-			l.first[second] = append(l.first[second], took)
-			if l.began != nil {
-				l.began(turn, took)
+			l.firstEventMs[second] = append(l.firstEventMs[second], latencyMs)
+			if l.onFirstEvent != nil {
+				l.onFirstEvent(turn, latencyMs)
 			}
-			turn.gateway.pool.ObserveFirstEvent(health, nowMs, turn.missing, took)
-			turn.gateway.admission.ObserveStreamStart(nowMs, took > loopTargetMs)
-			turn.program.late = turn.program.late || took > loopTargetMs
-			turn.gateway.wait[number] += 0.1 * (took - turn.gateway.wait[number])
-			turn.lastMs = nowMs
-		case step.Generated%eventTokens == 0:
-			gap := float64(nowMs - turn.lastMs)
-			turn.gateway.pool.ObserveEventGap(health, nowMs, gap)
-			turn.gateway.pace[number] += 0.015 * (gap - turn.gateway.pace[number])
-			if turn.pauses == 0 || gap < turn.shortest {
-				turn.shortest = gap
+			turn.gateway.model.ObserveFirstEvent(health, nowMs, turn.prefillTokens, latencyMs)
+			turn.gateway.controller.ObserveStreamStart(nowMs, latencyMs > firstEventTargetMs)
+			turn.program.late = turn.program.late || latencyMs > firstEventTargetMs
+			turn.gateway.meanWaitMs[number] += 0.1 * (latencyMs - turn.gateway.meanWaitMs[number])
+			turn.lastEventMs = nowMs
+		case step.Generated%tokensPerEvent == 0:
+			gap := float64(nowMs - turn.lastEventMs)
+			turn.gateway.model.ObserveEventGap(health, nowMs, gap)
+			turn.gateway.meanGapMs[number] += 0.015 * (gap - turn.gateway.meanGapMs[number])
+			if turn.gaps == 0 || gap < turn.minGapMs {
+				turn.minGapMs = gap
 			}
-			turn.pauses++
-			turn.lastMs = nowMs
+			turn.gaps++
+			turn.lastEventMs = nowMs
 		}
 		if step.Done {
-			l.end(step.ID, turn, number, nowMs)
+			l.endTurn(step.ID, turn, number, nowMs)
 		}
 	}
 }
 
-func (l *loop) end(id string, turn *loopTurn, number int, nowMs int64) {
-	delete(l.turns, id)
+func (l *loop) endTurn(id string, turn *loopTurn, number int, nowMs int64) {
+	delete(l.inFlight, id)
 	if l.onEnd != nil {
 		l.onEnd(turn, nowMs)
 	}
 	turn.gateway.health[number].RecordEnd(nowMs)
-	turn.gateway.pool.ObserveStreamLength(nowMs, outputTokens/eventTokens)
-	turn.gateway.pool.ObserveStreamPace(turn.gateway.health[number], nowMs, turn.pauses, turn.shortest)
-	if nowMs >= learntMs {
-		l.ended++
+	turn.gateway.model.ObserveStreamLength(nowMs, outputTokens/tokensPerEvent)
+	turn.gateway.model.ObserveStreamPace(turn.gateway.health[number], nowMs, turn.gaps, turn.minGapMs)
+	if nowMs >= countFromMs {
+		l.completedTurns++
 	}
 	turn.gateway.inFlight[number]--
 	program := turn.program
 	last := program.history[len(program.history)-1]
 	program.history = append(program.history, emulator.Segment{Chain: last.Chain + 1, Tokens: outputTokens})
-	program.home = number
-	if program.turns--; program.turns > 0 {
+	program.affineEngine = number
+	if program.turnsLeft--; program.turnsLeft > 0 {
 		at := nowMs + thinkMs
 		l.due[at] = append(l.due[at], program)
 		return
 	}
 	if !program.late {
-		l.inTime++
+		l.onTimePrograms++
 	}
 	if l.population > 0 {
-		l.begin(nowMs)
+		l.startProgram(nowMs)
 	}
 }
 
-// share is a gateway's heartbeat.
-func (l *loop) share(gateway *loopGateway, nowMs int64) {
+// exchangeReports is the heartbeat of a gateway.
+func (l *loop) exchangeReports(gateway *loopGateway, nowMs int64) {
 	var loads []scheduling.EngineLoad
 	var usages []scheduling.EngineUsage
 	var names []string
 	for number, health := range gateway.health {
 		names = append(names, fmt.Sprintf("e%02d", number))
-		if usage, said := health.CollectUsage(names[number], nowMs); said {
+		if usage, changed := health.CollectUsage(names[number], nowMs); changed {
 			usages = append(usages, usage)
 		}
-		if load, said := health.CollectLoad(names[number], nowMs); said {
+		if load, changed := health.CollectLoad(names[number], nowMs); changed {
 			loads = append(loads, load)
 		}
 	}
-	l.board.ReportLoads(gateway.name, loads, nowMs)
-	l.board.ReportUsage(gateway.name, usages, nowMs)
-	for _, usage := range l.board.Usages(names, nowMs) {
+	l.aggregator.ReportLoads(gateway.name, loads, nowMs)
+	l.aggregator.ReportUsage(gateway.name, usages, nowMs)
+	for _, usage := range l.aggregator.Usages(names, nowMs) {
 		gateway.health[slices.Index(names, usage.Engine)].ApplySharedUsage(usage, nowMs)
 	}
-	for _, load := range l.board.Loads(names, nowMs) {
+	for _, load := range l.aggregator.Loads(names, nowMs) {
 		var number int
 		if _, err := fmt.Sscanf(load.Engine, "e%02d", &number); err == nil {
 			gateway.health[number].ApplySharedLoad(load, nowMs)
@@ -303,14 +306,14 @@
 	}
 }
 
-// median returns the median time to the first event of turns sent in some seconds.
-func (l *loop) median(fromMs, toMs int64) float64 {
+// medianFirstEventMs returns the median time to the first event of the turns sent within a period.
+func (l *loop) medianFirstEventMs(fromMs, toMs int64) float64 {
 	var times []float64
 	for second := fromMs / 1000; second < toMs/1000; second++ {
-		times = append(times, l.first[second]...)
+		times = append(times, l.firstEventMs[second]...)
 	}
 	if len(times) == 0 {
-		// Nothing that was sent in that time has begun yet.
+		// No turn sent within the period has started yet.
 		return loopMs
 	}
 	slices.Sort(times)
@@ -319,54 +322,55 @@
 
 func zoneName(zone int) string { return fmt.Sprint("z", zone) }
 
-// present is the policy in force.
-func present(draw *rand.Rand) decide { return presentWithout(draw, nil) }
+// currentPolicy is the policy of the gateways.
+func currentPolicy(random *rand.Rand) placementPolicy { return policyWithout(random, nil) }
 
-// presentWithout is the policy in force without some mechanisms.
-func presentWithout(draw *rand.Rand, disabled scheduling.DisabledMechanisms) decide {
+// policyWithout is the policy of the gateways without some mechanisms.
+func policyWithout(random *rand.Rand, disabled scheduling.DisabledMechanisms) placementPolicy {
 	return func(gateway *loopGateway, turn *loopTurn, nowMs int64) int {
-		demand := scheduling.SelectionInput{IsStream: true, Zone: zoneName(gateway.zone), MaxEvents: 2 * outputTokens / eventTokens, ShuffleSeed: draw.Uint64(), NowMs: nowMs, Disabled: disabled}
+		input := scheduling.SelectionInput{IsStream: true, Zone: zoneName(gateway.zone), MaxEvents: 2 * outputTokens / tokensPerEvent, ShuffleSeed: random.Uint64(), NowMs: nowMs, Disabled: disabled}
 		for number, segment := range turn.program.history {
 			part := scheduling.PromptPart{ID: fmt.Sprint(segment.Chain), Tokens: segment.Tokens}
 			if number == 0 {
 				part.ID = fmt.Sprint("shared-", segment.Chain)
 			}
-			demand.Prompt = append(demand.Prompt, part)
+			input.Prompt = append(input.Prompt, part)
 		}
-		demand.RemainingTurns = gateway.pool.RemainingTurns("", len(demand.Prompt))
-		gateway.pool.ObserveTurn("", len(demand.Prompt))
-		if turn.program.home >= 0 {
-			demand.AffineEngine = fmt.Sprintf("e%02d", turn.program.home)
+		input.RemainingTurns = gateway.model.RemainingTurns("", len(input.Prompt))
+		gateway.model.ObserveTurn("", len(input.Prompt))
+		if turn.program.affineEngine >= 0 {
+			input.AffineEngine = fmt.Sprintf("e%02d", turn.program.affineEngine)
 		}
 		var candidates []scheduling.Candidate
 		for number, health := range gateway.health {
 			candidates = append(candidates, scheduling.Candidate{ID: fmt.Sprintf("e%02d", number), Zone: zoneName(number % loopZones), Slots: turn.slots, Health: health})
 		}
-		choice, _ := scheduling.SelectEngine(gateway.pool, candidates, demand)
-		choice.Candidate.Health.RecordStart(nowMs)
-		turn.missing = choice.PrefillTokens
-		return slices.IndexFunc(candidates, func(c scheduling.Candidate) bool { return c.ID == choice.Candidate.ID })
+		selection, _ := scheduling.SelectEngine(gateway.model, candidates, input)
+		selection.Candidate.Health.RecordStart(nowMs)
+		turn.prefillTokens = selection.PrefillTokens
+		return slices.IndexFunc(candidates, func(c scheduling.Candidate) bool { return c.ID == selection.Candidate.ID })
 	}
 }
 
-// earlier is the policy before rounds 16 to 18 (docs/measurements/platform.md): a gateway's
-// own requests alone, and constants measured on the first users' engines.
-func earlier(gateway *loopGateway, turn *loopTurn, _ int64) int {
-	const readTokensPerMs, readWeight, crowdMs, farMs = 250.0, 8.0, 6.0, 200.0
+// earlierPolicy is the former policy of the gateways, before rounds 16 to 18 in
+// docs/measurements/platform.md. It uses only a gateway's own requests, and constants measured on
+// the engines of the first users.
+func earlierPolicy(gateway *loopGateway, turn *loopTurn, _ int64) int {
+	const prefillTokensPerMs, prefillWeight, interferenceMs, crossZoneMs = 250.0, 8.0, 6.0, 200.0
 	best, bestCost := 0, 0.0
-	whole := int64(0)
+	promptTokens := int64(0)
 	for _, segment := range turn.program.history {
-		whole += segment.Tokens
+		promptTokens += segment.Tokens
 	}
 	for number := range gateway.health {
-		missing := whole
-		if number == turn.program.home {
-			missing = turn.program.tokens
+		uncached := promptTokens
+		if number == turn.program.affineEngine {
+			uncached = turn.program.inputTokens
 		}
-		cost := outputTokens/eventTokens*(gateway.pace[number]+crowdMs*float64(gateway.inFlight[number])) + gateway.wait[number]
-		cost += readWeight * float64(missing) / readTokensPerMs
+		cost := outputTokens/tokensPerEvent*(gateway.meanGapMs[number]+interferenceMs*float64(gateway.inFlight[number])) + gateway.meanWaitMs[number]
+		cost += prefillWeight * float64(uncached) / prefillTokensPerMs
 		if number%loopZones != gateway.zone {
-			cost += farMs
+			cost += crossZoneMs
 		}
 		if number == 0 || cost < bestCost {
 			best, bestCost = number, cost
@@ -375,65 +379,66 @@
 	return best
 }
 
-// slowReader are engines that read a prompt slowly.
-var slowReader = engine.Hardware{
+// slowPrefill are engines with a slow prefill.
+var slowPrefill = engine.Hardware{
 	PrefillTokensPerSecond: 37_900, StepMicros: 4_630, SequenceMicros: 153, ContextNanosPerToken: 3, MemoryTokens: 211_000,
 	ChunkTokens: 2_048, MaxSequences: loopSlots,
 }
 
 func TestClosedLoop(t *testing.T) {
-	halfMemory := slowReader
-	halfMemory.MemoryTokens /= 2
-	quickReader := slowReader
-	quickReader.PrefillTokensPerSecond *= 5
-	quickReader.MaxSequences = 16
-	Convey("after a burst the first events are soon as quick as before, on engines of any kind", t, func() {
-		for name, hardware := range map[string]engine.Hardware{"slow reader": slowReader, "half the memory": halfMemory, "quick reader": quickReader} {
+	halfKVCache := slowPrefill
+	halfKVCache.MemoryTokens /= 2
+	fastPrefill := slowPrefill
+	fastPrefill.PrefillTokensPerSecond *= 5
+	fastPrefill.MaxSequences = 16
+	Convey("after a burst the times to first events soon return to normal on engines of any kind", t, func() {
+		for name, hardware := range map[string]engine.Hardware{"slow prefill": slowPrefill, "half the KV cache": halfKVCache, "fast prefill": fastPrefill} {
 			for seed := range uint64(2) {
-				l := newLoop(seed, hardware, present(rand.New(rand.NewPCG(seed, 4))))
+				l := newLoop(seed, hardware, currentPolicy(rand.New(rand.NewPCG(seed, 4))))
 				l.run()
-				calm, after := l.median(calmFromMs, burstFromMs), l.median(settledAfterMs, loopMs-2_000)
-				t.Logf("%s, seed %d: first event %.0f ms before, %.0f in, %.0f after the burst; %d of %d turns away", name, seed, calm, l.median(burstFromMs, burstToMs), after, l.away, l.sent)
-				So(after, ShouldBeLessThan, 2.5*calm)
-				So(l.away*10, ShouldBeLessThan, l.sent)
+				before, after := l.medianFirstEventMs(steadyFromMs, burstFromMs), l.medianFirstEventMs(recoveredFromMs, loopMs-2_000)
+				t.Logf("%s, seed %d: first event %.0f ms before, %.0f during, %.0f after the burst; %d of %d turns moved", name, seed, before, l.medianFirstEventMs(burstFromMs, burstToMs), after, l.movedTurns, l.sentTurns)
+				So(after, ShouldBeLessThan, 2.5*before)
+				So(l.movedTurns*10, ShouldBeLessThan, l.sentTurns)
 			}
 		}
 	})
-	Convey("which the earlier policy did not reach on engines that read slowly", t, func() {
+	Convey("with the earlier policy they do not return to normal on engines with a slow prefill", t, func() {
 		for seed := range uint64(2) {
-			l := newLoop(seed, slowReader, earlier)
+			l := newLoop(seed, slowPrefill, earlierPolicy)
 			l.run()
-			calm, after := l.median(calmFromMs, burstFromMs), l.median(settledAfterMs, loopMs-2_000)
-			t.Logf("seed %d: first event %.0f ms before, %.0f after the burst; %d of %d turns away", seed, calm, after, l.away, l.sent)
-			So(after, ShouldBeGreaterThan, 3*calm)
+			before, after := l.medianFirstEventMs(steadyFromMs, burstFromMs), l.medianFirstEventMs(recoveredFromMs, loopMs-2_000)
+			t.Logf("seed %d: first event %.0f ms before, %.0f after the burst; %d of %d turns moved", seed, before, after, l.movedTurns, l.sentTurns)
+			So(after, ShouldBeGreaterThan, 3*before)
 		}
 	})
 }
 
-// TestAdmissionClosedLoop holds what admission is for: asked for more than engines can do,
-// more programs end in time with it than without, and nobody is rejected while they keep up.
+// TestAdmissionClosedLoop checks the purpose of admission control: if engines are asked for more
+// than they can serve, more programs end on time with it than without, and nobody is rejected while
+// the engines keep up.
 func TestAdmissionClosedLoop(t *testing.T) {
-	Convey("under lasting overload more programs are in time when some are rejected", t, func() {
+	Convey("under sustained overload more programs are on time if some are rejected", t, func() {
 		for seed := range uint64(3) {
-			inTime := map[bool]int{}
-			for _, admits := range []bool{false, true} {
-				l := newLoop(seed, slowReader, present(rand.New(rand.NewPCG(seed, 4))))
-				l.overload, l.admits = true, admits
+			onTime := map[bool]int{}
+			for _, enabled := range []bool{false, true} {
+				l := newLoop(seed, slowPrefill, currentPolicy(rand.New(rand.NewPCG(seed, 4))))
+				l.overload, l.admissionEnabled = true, enabled
 				l.run()
-				inTime[admits] = l.inTime
-				t.Logf("seed %d, admission %v: %d begun, %d rejected, %d in time", seed, admits, l.begun, l.rejected, l.inTime)
+				onTime[enabled] = l.onTimePrograms
+				t.Logf("seed %d, admission %v: %d started, %d rejected, %d on time", seed, enabled, l.startedPrograms, l.rejectedPrograms, l.onTimePrograms)
 			}
-			So(inTime[true], ShouldBeGreaterThan, inTime[false])
+			So(onTime[true], ShouldBeGreaterThan, onTime[false])
 		}
 	})
-	Convey("engines that keep up take every program", t, func() {
-		quick := slowReader
-		quick.PrefillTokensPerSecond *= 5
+	Convey("engines that keep up accept every program", t, func() {
+		fastPrefill := slowPrefill
+		fastPrefill.PrefillTokensPerSecond *= 5
 		for seed := range uint64(3) {
-			l := newLoop(seed, quick, present(rand.New(rand.NewPCG(seed, 4))))
-			l.admits = true
+			l := newLoop(seed, fastPrefill, currentPolicy(rand.New(rand.NewPCG(seed, 4))))
+			l.admissionEnabled = true
 			l.run()
-			So(l.rejected, ShouldEqual, 0)
+			So(l.rejectedPrograms, ShouldEqual, 0)
 		}
 	})
 }
--- a/internal/scheduling/compared.go
+++ b/internal/scheduling/compared.go
@@ -9,108 +9,109 @@
 )
 
 const (
-	// nearCompared and farCompared are how many engines of the request's zone and of
-	// others are compared, besides the one that holds the session's memory.
-	nearCompared = 2
-	farCompared  = 1
+	// sameZoneSampleSize and otherZoneSampleSize are the numbers of engines that are compared from
+	// the request's zone and from all other zones, in addition to the session's affine engine.
+	sameZoneSampleSize  = 2
+	otherZoneSampleSize = 1
 )
 
-// compared returns the engines that a request compares: those that were not tried, and
-// where it has no key, its home and the first of each zone in an order of its own.
-func compared(candidates []Candidate, demand SelectionInput) []Candidate {
-	left := make([]Candidate, 0, len(candidates))
+// sampleCandidates returns the engines to compare for a request, without those that were already
+// tried. With an affinity key, or without sampling, these are all of them. Otherwise they are the
+// affine engine and a random sample from the request's zone and from the other zones.
+func sampleCandidates(candidates []Candidate, input SelectionInput) []Candidate {
+	remaining := make([]Candidate, 0, len(candidates))
 	for _, candidate := range candidates {
-		if slices.Contains(demand.ExcludedEngines, candidate.ID) {
+		if slices.Contains(input.ExcludedEngines, candidate.ID) {
 			continue
 		}
-		candidate.slowness = demand.slownessOf(candidate.Health)
-		if demand.keyed() {
-			candidate.order = xxhash.Sum64String(candidate.ID + "\x00" + demand.AffinityKey)
+		candidate.slowdown = input.slowdownOf(candidate.Health)
+		if input.usesAffinityKey() {
+			candidate.shuffleOrder = xxhash.Sum64String(candidate.ID + "\x00" + input.AffinityKey)
 		} else {
-			candidate.order = shuffled(candidate.ID, demand.ShuffleSeed)
+			candidate.shuffleOrder = shuffleOrder(candidate.ID, input.ShuffleSeed)
 		}
-		left = append(left, candidate)
+		remaining = append(remaining, candidate)
 	}
-	if demand.keyed() || demand.Disabled.Has(MechanismCandidateSampling) {
-		return left
+	if input.usesAffinityKey() || input.Disabled.Has(MechanismCandidateSampling) {
+		return remaining
 	}
-	return firstOf(left, demand)
+	return samplePerZone(remaining, input)
 }
 
-// slownessOf returns how many times longer than usual a token of a stream is expected to take
-// at an engine: by what its streams have shown over some time, or where it is slow beyond what its
-// own speed explains, by the last of them.
-func (d SelectionInput) slownessOf(health *EngineHealth) float64 {
-	if !d.IsStream {
+// slowdownOf returns the expected time of a stream's token at an engine as a multiple of the usual
+// time. It is the engine's long-term slowdown, or the recent latency ratio where that is higher and
+// has reached the slow threshold.
+func (i SelectionInput) slowdownOf(health *EngineHealth) float64 {
+	if !i.IsStream {
 		return 1
 	}
-	slowness := 1.0
-	if !d.Disabled.Has(MechanismEngineSpeed) {
-		slowness = health.Slowdown()
+	slowdown := 1.0
+	if !i.Disabled.Has(MechanismEngineSpeed) {
+		slowdown = health.Slowdown()
 	}
-	if factor := health.LatencyRatio(d.NowMs); factor >= d.slowFrom {
-		slowness = max(slowness, factor)
+	if ratio := health.LatencyRatio(i.NowMs); ratio >= i.slowThreshold {
+		slowdown = max(slowdown, ratio)
 	}
-	return slowness
+	return slowdown
 }
 
-// shuffled returns an engine's place in an order that a draw decides: another draw gives
-// an order that has nothing to do with it.
-func shuffled(engine string, draw uint64) uint64 {
-	digest := xxhash.NewWithSeed(draw)
+// shuffleOrder returns the sort key of an engine in a pseudorandom order. The orders of different
+// seeds are unrelated.
+func shuffleOrder(engine string, seed uint64) uint64 {
+	digest := xxhash.NewWithSeed(seed)
 	_, _ = digest.WriteString(engine)
 	return digest.Sum64()
 }
 
-// firstOf returns the home and the first engines of the request's zone and of others,
-// sound ones before others, in the order of the request.
-func firstOf(candidates []Candidate, demand SelectionInput) []Candidate {
+// samplePerZone returns the affine engine and the first engines of the request's zone and of the
+// other zones in shuffle order. Engines that are not suspect come first.
+func samplePerZone(candidates []Candidate, input SelectionInput) []Candidate {
 	slices.SortFunc(candidates, func(a, b Candidate) int {
-		return cmp.Or(cmp.Compare(unsound(a, demand), unsound(b, demand)), cmp.Compare(a.order, b.order))
+		return cmp.Or(cmp.Compare(suspectKey(a, input), suspectKey(b, input)), cmp.Compare(a.shuffleOrder, b.shuffleOrder))
 	})
-	near, distant := nearCompared, farCompared
-	chosen := candidates[:0]
+	sameZone, otherZone := sameZoneSampleSize, otherZoneSampleSize
+	sample := candidates[:0]
 	for _, candidate := range candidates {
-		left := &near
-		if candidate.Zone != demand.Zone {
-			left = &distant
+		remaining := &sameZone
+		if candidate.Zone != input.Zone {
+			remaining = &otherZone
 		}
 		switch {
-		case candidate.ID == demand.AffineEngine:
-			chosen = append(chosen, candidate)
-		case *left > 0:
-			*left--
-			chosen = append(chosen, candidate)
+		case candidate.ID == input.AffineEngine:
+			sample = append(sample, candidate)
+		case *remaining > 0:
+			*remaining--
+			sample = append(sample, candidate)
 		}
 	}
-	return chosen
+	return sample
 }
 
-// slowFrom returns the factor from which an engine counts as slow: well above what the
-// spread over all of them explains, since in an overload each takes longer now and then,
-// and a session that leaves its engine for that only adds to the overload.
-func slowFrom(candidates []Candidate, nowMs int64) float64 {
-	factors := make([]float64, 0, len(candidates))
+// slowThreshold returns the latency ratio from which an engine counts as slow. It lies well above
+// what the spread over all engines explains: in an overload every engine is slow now and then, and
+// a session that leaves its engine for that reason only adds to the overload.
+func slowThreshold(candidates []Candidate, nowMs int64) float64 {
+	ratios := make([]float64, 0, len(candidates))
 	for _, candidate := range candidates {
-		factors = append(factors, candidate.Health.LatencyRatio(nowMs))
+		ratios = append(ratios, candidate.Health.LatencyRatio(nowMs))
 	}
-	middle := median(factors)
-	for position, factor := range factors {
-		factors[position] = math.Abs(factor - middle)
+	medianRatio := median(ratios)
+	for index, ratio := range ratios {
+		ratios[index] = math.Abs(ratio - medianRatio)
 	}
-	return max(leastSlowFactor*middle, middle+slowDeviations*deviationOfMedian*median(factors))
+	return max(minSlowRatio*medianRatio, medianRatio+slowDeviations*deviationPerMAD*median(ratios))
 }
 
 const (
-	// leastSlowFactor is how many times longer than at the one in the middle things take
-	// at a slow engine at the least, slowDeviations how many standard deviations it lies
-	// above, and deviationOfMedian what makes a median of absolute deviations one.
-	leastSlowFactor   = 1.8
-	slowDeviations    = 4
-	deviationOfMedian = 1.4826
+	// minSlowRatio is the lower bound of the threshold as a multiple of the median ratio.
+	// slowDeviations is the number of standard deviations that the threshold lies above the median,
+	// and deviationPerMAD converts a median absolute deviation to a standard deviation.
+	minSlowRatio    = 1.8
+	slowDeviations  = 4
+	deviationPerMAD = 1.4826
 )
 
-// median returns the middle of values, which it sorts; 1 where there are none.
+// median sorts values and returns the middle one, or 1 if there are none.
 func median(values []float64) float64 {
 	if len(values) == 0 {
 		return 1
--- a/internal/scheduling/distance.go
+++ b/internal/scheduling/distance.go
@@ -1,50 +1,50 @@
 package scheduling
 
 const (
-	// DefaultCrossZonePenaltyMs is the latency handicap of an engine in another zone beside the
-	// way there: it stands for the cross-zone traffic of a request and what its session keeps
-	// there.
+	// DefaultCrossZonePenaltyMs is the latency penalty of an engine in another zone in addition to
+	// the longer round trip. It stands for the cross-zone traffic of the request and for what its
+	// session keeps in the other zone.
 	DefaultCrossZonePenaltyMs = 25.0
-	// roundTripRise is which part of the difference a longer round trip adds to the one that is
-	// known: samples are delayed by busy processors at both ends, never shortened, so that short
-	// ones count at once and long ones only if they stay.
-	roundTripRise = 1.0 / 32
+	// slowerRoundTripWeight is the fraction of the difference by which a longer round trip raises
+	// the estimate. Samples are delayed by busy processors at both ends, never shortened, so that a
+	// shorter sample counts at once and longer ones only if they persist.
+	slowerRoundTripWeight = 1.0 / 32
 )
 
-// ZoneCosts is what it costs to send to engines of other zones, as one gateway has learnt it.
+// ZoneCosts is the cost of sending to engines in other zones, as learned by one gateway.
 type ZoneCosts struct {
-	// CrossZonePenaltyMs is what another zone costs however near it is, milliseconds.
+	// CrossZonePenaltyMs is the cost of another zone regardless of its distance, in milliseconds.
 	CrossZonePenaltyMs float64
 
-	// roundTrips are the round trips to engines by their zones, milliseconds.
-	roundTrips map[string]float64
+	// roundTripMs holds the estimated round trips to engines by zone, in milliseconds.
+	roundTripMs map[string]float64
 }
 
-// ObserveRoundTrip takes a measured round trip to an engine of a zone.
-func (d *ZoneCosts) ObserveRoundTrip(zone string, tookMs float64) {
-	if d.roundTrips == nil {
-		d.roundTrips = map[string]float64{}
+// ObserveRoundTrip records a measured round trip to an engine in a zone.
+func (z *ZoneCosts) ObserveRoundTrip(zone string, tookMs float64) {
+	if z.roundTripMs == nil {
+		z.roundTripMs = map[string]float64{}
 	}
-	known, measured := d.roundTrips[zone]
+	previousMs, measured := z.roundTripMs[zone]
 	switch {
 	case tookMs < 0:
-	case !measured || tookMs < known:
-		d.roundTrips[zone] = tookMs
+	case !measured || tookMs < previousMs:
+		z.roundTripMs[zone] = tookMs
 	default:
-		d.roundTrips[zone] = known + (tookMs-known)*roundTripRise
+		z.roundTripMs[zone] = previousMs + (tookMs-previousMs)*slowerRoundTripWeight
 	}
 }
 
-// CostMs returns what an engine of another zone costs a request, beside one of its own: the penalty,
-// and what the way there and back takes longer where both ways have been measured.
-func (d *ZoneCosts) CostMs(from, to string) float64 {
-	if d == nil {
+// CostMs returns the additional cost of a request from one zone to an engine in another zone, in
+// milliseconds: the penalty, and the difference of the round trips if both were measured.
+func (z *ZoneCosts) CostMs(from, to string) float64 {
+	if z == nil {
 		return DefaultCrossZonePenaltyMs
 	}
-	near, nearKnown := d.roundTrips[from]
-	distant, distantKnown := d.roundTrips[to]
-	if !nearKnown || !distantKnown {
-		return d.CrossZonePenaltyMs
+	fromMs, fromKnown := z.roundTripMs[from]
+	toMs, toKnown := z.roundTripMs[to]
+	if !fromKnown || !toKnown {
+		return z.CrossZonePenaltyMs
 	}
-	return d.CrossZonePenaltyMs + max(distant-near, 0)
+	return z.CrossZonePenaltyMs + max(toMs-fromMs, 0)
 }
--- a/internal/scheduling/evidence.go
+++ b/internal/scheduling/evidence.go
@@ -3,167 +3,167 @@
 import "math"
 
 const (
-	// evidenceHalfLifeMs is when a sample of one engine counts half.
-	evidenceHalfLifeMs = 1_500
-	// priorSamples is how many samples the expectation counts for while an engine's own
-	// are few or old.
-	priorSamples = 2
+	// defaultHalfLifeMs is the half-life of a sample of one engine.
+	defaultHalfLifeMs = 1_500
+	// priorWeight is the weight of the prior in ShrunkMean, in samples. It matters while an
+	// engine's samples are few or old.
+	priorWeight = 2
 )
 
-// DecayedMean is a mean over samples that count less as they age. Sums of several
-// observers may be added up, which gives the mean over all their samples.
+// DecayedMean is a mean over samples whose weight decays exponentially with their age. The sums of
+// several observers can be added, which gives the mean over all their samples.
 type DecayedMean struct {
 	Sum    float64 `msgpack:"s"`
 	Weight float64 `msgpack:"w"`
-	// AtMs is when the sums were last brought up to date.
+	// AtMs is when the sums were last decayed.
 	AtMs int64 `msgpack:"-"`
-	// HalfLifeMs is when a sample counts half; evidenceHalfLifeMs where it is 0.
+	// HalfLifeMs is the half-life of a sample; 0 stands for defaultHalfLifeMs.
 	HalfLifeMs int64 `msgpack:"-"`
 }
 
-// Add takes a sample that counts for a weight.
-func (e *DecayedMean) Add(nowMs int64, sample, weight float64) {
-	e.ageTo(nowMs)
-	e.Sum += sample * weight
-	e.Weight += weight
+// Add adds a sample with a weight.
+func (m *DecayedMean) Add(nowMs int64, sample, weight float64) {
+	m.decayTo(nowMs)
+	m.Sum += sample * weight
+	m.Weight += weight
 }
 
-// Merge adds another observer's samples, as they counted at nowMs.
-func (e *DecayedMean) Merge(nowMs int64, other DecayedMean) {
-	e.ageTo(nowMs)
-	e.Sum += other.Sum
-	e.Weight += other.Weight
+// Merge adds the sums of another observer, which must be decayed to nowMs.
+func (m *DecayedMean) Merge(nowMs int64, other DecayedMean) {
+	m.decayTo(nowMs)
+	m.Sum += other.Sum
+	m.Weight += other.Weight
 }
 
-// ageTo lets the samples lose weight up to nowMs; a clock that steps back changes
-// nothing.
-func (e *DecayedMean) ageTo(nowMs int64) {
-	if e.Weight > 0 && nowMs > e.AtMs {
-		halfLifeMs := e.HalfLifeMs
+// decayTo decays the sums to nowMs. A clock that steps backwards has no effect.
+func (m *DecayedMean) decayTo(nowMs int64) {
+	if m.Weight > 0 && nowMs > m.AtMs {
+		halfLifeMs := m.HalfLifeMs
 		if halfLifeMs == 0 {
-			halfLifeMs = evidenceHalfLifeMs
+			halfLifeMs = defaultHalfLifeMs
 		}
-		factor := math.Exp2(-float64(nowMs-e.AtMs) / float64(halfLifeMs))
-		e.Sum *= factor
-		e.Weight *= factor
+		factor := math.Exp2(-float64(nowMs-m.AtMs) / float64(halfLifeMs))
+		m.Sum *= factor
+		m.Weight *= factor
 	}
-	e.AtMs = max(e.AtMs, nowMs)
+	m.AtMs = max(m.AtMs, nowMs)
 }
 
-// At returns the evidence as it counts at nowMs.
-func (e DecayedMean) At(nowMs int64) DecayedMean {
-	e.ageTo(nowMs)
-	return e
+// At returns the mean decayed to nowMs.
+func (m DecayedMean) At(nowMs int64) DecayedMean {
+	m.decayTo(nowMs)
+	return m
 }
 
-// ShrunkMean returns the mean, drawn towards what is expected where the samples are few.
-func (e DecayedMean) ShrunkMean(expected float64) float64 {
-	return (e.Sum + priorSamples*expected) / (e.Weight + priorSamples)
+// ShrunkMean returns the mean, shrunk towards a prior while the samples are few.
+func (m DecayedMean) ShrunkMean(prior float64) float64 {
+	return (m.Sum + priorWeight*prior) / (m.Weight + priorWeight)
 }
 
-// own returns the mean of the samples alone; false where they count for nothing.
-func (e DecayedMean) own() (float64, bool) {
-	if e.Weight < minimumWeight {
+// mean returns the mean of the samples alone. It returns false if their weight is too low.
+func (m DecayedMean) mean() (float64, bool) {
+	if m.Weight < minWeight {
 		return 0, false
 	}
-	return e.Sum / e.Weight, true
+	return m.Sum / m.Weight, true
 }
 
-// minimumWeight is the weight below which samples say nothing.
-const minimumWeight = 0.05
+// minWeight is the weight below which samples are ignored.
+const minWeight = 0.05
 
 const (
-	// lineHalfLifeMs is when a sample of a fitted line counts half.
-	lineHalfLifeMs = 15_000
-	// lineSamples is how many samples it takes before a slope is believed.
-	lineSamples = 12
-	// clipDeviations bounds how far a sample may lie from the line, in standard
-	// deviations of those before it.
+	// fitHalfLifeMs is the half-life of a sample of a fit.
+	fitHalfLifeMs = 15_000
+	// minFitSamples is the weight of the samples from which a slope is computed.
+	minFitSamples = 12
+	// clipDeviations limits the distance of a sample from the line, in standard deviations of the
+	// earlier samples.
 	clipDeviations = 2.5
 )
 
-// LinearFit is a straight line fitted to samples by least squares; samples count less as
-// they age and outliers are clipped.
+// LinearFit is a least-squares line through samples whose weight decays exponentially with their
+// age. Outliers are clipped.
 type LinearFit struct {
 	weight, sumX, sumY, sumXX, sumXY, sumYY float64
 	atMs                                    int64
 }
 
-// Add takes the sample y at x.
-func (l *LinearFit) Add(nowMs int64, x, y float64) {
-	if l.weight > 0 && nowMs > l.atMs {
-		factor := math.Exp2(-float64(nowMs-l.atMs) / lineHalfLifeMs)
-		l.weight *= factor
-		l.sumX *= factor
-		l.sumY *= factor
-		l.sumXX *= factor
-		l.sumXY *= factor
-		l.sumYY *= factor
+// Add adds the sample y at x.
+func (f *LinearFit) Add(nowMs int64, x, y float64) {
+	if f.weight > 0 && nowMs > f.atMs {
+		factor := math.Exp2(-float64(nowMs-f.atMs) / fitHalfLifeMs)
+		f.weight *= factor
+		f.sumX *= factor
+		f.sumY *= factor
+		f.sumXX *= factor
+		f.sumXY *= factor
+		f.sumYY *= factor
 	}
-	l.atMs = max(l.atMs, nowMs)
-	if l.weight >= lineSamples {
-		y = l.clipped(x, y)
+	f.atMs = max(f.atMs, nowMs)
+	if f.weight >= minFitSamples {
+		y = f.clip(x, y)
 	}
-	l.weight++
-	l.sumX += x
-	l.sumY += y
-	l.sumXX += x * x
-	l.sumXY += x * y
-	l.sumYY += y * y
+	f.weight++
+	f.sumX += x
+	f.sumY += y
+	f.sumXX += x * x
+	f.sumXY += x * y
+	f.sumYY += y * y
 }
 
-// clipped bounds a sample to what the line and the spread around it make likely.
-func (l *LinearFit) clipped(x, y float64) float64 {
-	slope, residual, _ := l.fit()
-	expected := l.sumY/l.weight + slope*(x-l.sumX/l.weight)
-	reach := clipDeviations * math.Sqrt(residual)
-	return min(max(y, expected-reach), expected+reach)
+// clip limits a sample to what is likely given the line and the variance around it.
+func (f *LinearFit) clip(x, y float64) float64 {
+	slope, residual, _ := f.fit()
+	expected := f.sumY/f.weight + slope*(x-f.sumX/f.weight)
+	maxDeviation := clipDeviations * math.Sqrt(residual)
+	return min(max(y, expected-maxDeviation), expected+maxDeviation)
 }
 
-// fit returns the slope, the variance around the line and that of x; a slope of 0 where
-// x does not vary.
-func (l *LinearFit) fit() (slope, residual, varianceX float64) {
-	meanX := l.sumX / l.weight
-	meanY := l.sumY / l.weight
-	varianceX = max(l.sumXX/l.weight-meanX*meanX, 0)
-	varianceY := max(l.sumYY/l.weight-meanY*meanY, 0)
-	if varianceX <= leastVariance+leastSpread*meanX*meanX {
+// fit returns the slope, the variance around the line and the variance of x. The slope is 0 if x
+// does not vary.
+func (f *LinearFit) fit() (slope, residual, varianceX float64) {
+	meanX := f.sumX / f.weight
+	meanY := f.sumY / f.weight
+	varianceX = max(f.sumXX/f.weight-meanX*meanX, 0)
+	varianceY := max(f.sumYY/f.weight-meanY*meanY, 0)
+	if varianceX <= minVariance+minRelativeVariance*meanX*meanX {
 		return 0, varianceY, 0
 	}
-	covariance := l.sumXY/l.weight - meanX*meanY
+	covariance := f.sumXY/f.weight - meanX*meanY
 	slope = covariance / varianceX
 	return slope, max(varianceY-slope*covariance, 0), varianceX
 }
 
-// leastVariance is what the variance of x must exceed, in requests or tokens, and
-// leastSpread the share of its squared mean, for a slope to be more than rounding.
+// minVariance is the lower bound of the variance of x, in squared requests or tokens, for a slope
+// to be more than rounding. minRelativeVariance is added to it as a fraction of the squared mean of
+// x.
 const (
-	leastVariance = 0.01
-	leastSpread   = 1e-6
+	minVariance         = 0.01
+	minRelativeVariance = 1e-6
 )
 
-// Slope returns the slope where the samples show one above zero beyond chance, false
-// where they do not.
-func (l *LinearFit) Slope() (float64, bool) {
-	if l.weight < lineSamples {
+// Slope returns the slope. It returns false if the samples do not show a slope that is
+// significantly above zero.
+func (f *LinearFit) Slope() (float64, bool) {
+	if f.weight < minFitSamples {
 		return 0, false
 	}
-	slope, residual, varianceX := l.fit()
-	if varianceX <= 0 || slope <= significantDeviations*math.Sqrt(residual/varianceX/l.weight) {
+	slope, residual, varianceX := f.fit()
+	if varianceX <= 0 || slope <= minSlopeErrors*math.Sqrt(residual/varianceX/f.weight) {
 		return 0, false
 	}
 	return slope, true
 }
 
-// significantDeviations is how many standard errors a slope must be above zero.
-const significantDeviations = 1.5
+// minSlopeErrors is the number of standard errors by which a slope must exceed zero.
+const minSlopeErrors = 1.5
 
-// Intercept returns what the line gives at zero, at least 0, or the mean of the samples where
-// they show no slope; false where there are none.
-func (l *LinearFit) Intercept() (float64, bool) {
-	if l.weight < minimumWeight {
+// Intercept returns the value of the line at zero, at least 0, or the mean of the samples if they
+// show no slope. It returns false if there are none.
+func (f *LinearFit) Intercept() (float64, bool) {
+	if f.weight < minWeight {
 		return 0, false
 	}
-	slope, _ := l.Slope()
-	return max((l.sumY-slope*l.sumX)/l.weight, 0), true
+	slope, _ := f.Slope()
+	return max((f.sumY-slope*f.sumX)/f.weight, 0), true
 }
--- a/internal/scheduling/expected.go
+++ b/internal/scheduling/expected.go
@@ -1,11 +1,11 @@
 package scheduling
 
-// ExpectedServiceMs is how long a request is expected to occupy an engine that is like the others,
-// 0 where nothing is known yet. A stream that is new to its engine takes longer by what there
-// is to read.
-func (p *LatencyModel) ExpectedServiceMs(demand SelectionInput) float64 {
-	if demand.IsStream {
-		return p.streamMs(demand.NowMs, p.expectedEvents(demand.NowMs, demand.MaxEvents))
+// ExpectedServiceMs returns how long a request is expected to occupy an average engine, or 0 if
+// that is unknown. The prefill of a stream is not included: a stream whose prompt is not cached
+// takes longer.
+func (m *LatencyModel) ExpectedServiceMs(input SelectionInput) float64 {
+	if input.IsStream {
+		return m.usualStreamMs(input.NowMs, m.expectedEvents(input.NowMs, input.MaxEvents))
 	}
-	return p.usual(demand.RequestKind, demand.NowMs)
+	return m.usualResponseMs(input.RequestKind, input.NowMs)
 }
--- a/internal/scheduling/fairshare_test.go
+++ b/internal/scheduling/fairshare_test.go
@@ -11,24 +11,25 @@
 	"github.com/ochrebay/ochrebay/internal/engine"
 )
 
-// The load that this test answers: a burst over all tenants, in which one that usually sends a
-// third of all sends five times that.
+// The load of this test is a burst of all tenants, in which the hot tenant, which usually sends a
+// third of all requests, sends five times that share.
 const (
-	fairTenants   = 20
-	fairSlots     = 8
-	fairPerMs     = 0.024
-	fairBurst     = 1.5
-	fairHotPart   = 0.35
-	fairHotFactor = 5
-	fairFromMs    = 10_000
-	fairToMs      = 20_000
-	fairEndMs     = 24_000
-	// fairSettleMs is how long what the hot one has begun lasts before it was known to be above
-	// its share: 2 s until all gateways have heard of it, and the mean life of a program.
-	fairSettleMs = 6_000
+	fairTenants       = 20
+	fairSlots         = 8
+	fairProgramsPerMs = 0.024
+	fairBurst         = 1.5
+	fairHotFraction   = 0.35
+	fairHotFactor     = 5
+	fairFromMs        = 10_000
+	fairToMs          = 20_000
+	fairEndMs         = 24_000
+	// fairSettlingMs is how long the programs last that the hot tenant started before it was known
+	// to exceed its share: 2 s until all gateways have received the usage, plus the mean duration
+	// of a program.
+	fairSettlingMs = 6_000
 )
 
-// fairHardware is an engine that works on eight requests at once and reads quickly.
+// fairHardware is an engine that serves eight requests at once and prefills fast.
 var fairHardware = engine.Hardware{
 	PrefillTokensPerSecond: 99_300, StepMicros: 6_000, SequenceMicros: 900, ContextNanosPerToken: 3, MemoryTokens: 64_000,
 	ChunkTokens: 2_048, MaxSequences: fairSlots,
@@ -37,86 +38,87 @@
 // fairLoop is the closed loop with tenants.
 type fairLoop struct {
 	*loop
-	hot, shares bool
-	uses        *admission.UsageAggregator
-	meters      []*admission.UsageMeter
-	held        []*admission.FairShares
-	tenantOf    map[int]int
-	// times are first events of turns of all tenants but the large one, sent while the burst
-	// lasts, settled those of them sent once what was begun before the shares were known is over.
-	times, settled    []float64
-	rejectedOf, begun map[int]int
-	// rejectedOthers are the programs of tenants but the large one that were rejected, wronged
-	// those of them whose tenant asked for no more than its share, as far as the gateway knew.
-	rejectedOthers, wronged int
+	hot, sharesEnabled bool
+	usage              *admission.UsageAggregator
+	meters             []*admission.UsageMeter
+	fairShares         []*admission.FairShares
+	tenantOf           map[int]int
+	// firstEvents holds the times to first events of the turns that all tenants except the hot one
+	// sent during the burst. settled holds those of them that were sent after fairSettlingMs.
+	firstEvents, settled              []float64
+	rejectedByTenant, startedByTenant map[int]int
+	// rejectedOthers counts the rejected programs of all tenants except the hot one.
+	// falseRejections counts those of them whose tenant was within its share, as far as the gateway
+	// knew.
+	rejectedOthers, falseRejections int
 }
 
-func newFairLoop(seed uint64, hot, shares bool) *fairLoop {
+func newFairLoop(seed uint64, hot, sharesEnabled bool) *fairLoop {
 	f := &fairLoop{
-		loop: newLoop(seed, fairHardware, present(rand.New(rand.NewPCG(seed, 4)))), hot: hot, shares: shares,
-		uses: admission.NewUsageAggregator(), tenantOf: map[int]int{}, rejectedOf: map[int]int{}, begun: map[int]int{},
+		loop: newLoop(seed, fairHardware, currentPolicy(rand.New(rand.NewPCG(seed, 4)))), hot: hot, sharesEnabled: sharesEnabled,
+		usage: admission.NewUsageAggregator(), tenantOf: map[int]int{}, rejectedByTenant: map[int]int{}, startedByTenant: map[int]int{},
 	}
 	for range f.gateways {
 		f.meters = append(f.meters, admission.NewUsageMeter(0))
-		f.held = append(f.held, &admission.FairShares{})
+		f.fairShares = append(f.fairShares, &admission.FairShares{})
 	}
-	f.began = func(turn *loopTurn, tookMs float64) {
+	f.onFirstEvent = func(turn *loopTurn, tookMs float64) {
 		if turn.sentMs < fairFromMs || turn.sentMs >= fairToMs || f.tenantOf[turn.program.id] == 0 {
 			return
 		}
-		f.times = append(f.times, tookMs)
-		if turn.sentMs >= fairFromMs+fairSettleMs {
+		f.firstEvents = append(f.firstEvents, tookMs)
+		if turn.sentMs >= fairFromMs+fairSettlingMs {
 			f.settled = append(f.settled, tookMs)
 		}
 	}
-	f.onEnd = func(turn *loopTurn, nowMs int64) { f.change(turn, -1, nowMs) }
+	f.onEnd = func(turn *loopTurn, nowMs int64) { f.adjustInFlight(turn, -1, nowMs) }
 	return f
 }
 
-// weight is a tenant's rate: the large one's is a third of all.
+// weight returns the rate of a tenant as a fraction of all requests; the hot tenant has a third.
 func (f *fairLoop) weight(tenant int) float64 {
 	if tenant == 0 {
-		return fairHotPart
+		return fairHotFraction
 	}
-	return (1 - fairHotPart) / (fairTenants - 1)
+	return (1 - fairHotFraction) / (fairTenants - 1)
 }
 
-func (f *fairLoop) change(turn *loopTurn, change int, nowMs int64) {
+func (f *fairLoop) adjustInFlight(turn *loopTurn, delta int, nowMs int64) {
 	tenant := f.tenantOf[turn.program.id]
 	number := slices.Index(f.gateways, turn.gateway)
-	f.meters[number].AdjustInFlight("b", fmt.Sprint(tenant), f.weight(tenant), change, nowMs)
+	f.meters[number].AdjustInFlight("b", fmt.Sprint(tenant), f.weight(tenant), delta, nowMs)
 }
 
-// counted is the policy with the use of tenants counted.
-func (f *fairLoop) counted(decide decide) decide {
+// withUsage returns the policy with usage metering of tenants.
+func (f *fairLoop) withUsage(inner placementPolicy) placementPolicy {
 	return func(gateway *loopGateway, turn *loopTurn, nowMs int64) int {
-		chosen := decide(gateway, turn, nowMs)
-		f.change(turn, 1, nowMs)
-		return chosen
+		engine := inner(gateway, turn, nowMs)
+		f.adjustInFlight(turn, 1, nowMs)
+		return engine
 	}
 }
 
-// begin starts a program of a tenant where a gateway admits it.
-func (f *fairLoop) begin(tenant int, nowMs int64) {
+// startTenantProgram starts a program of a tenant if a gateway admits it.
+func (f *fairLoop) startTenantProgram(tenant int, nowMs int64) {
 	f.nextID++
-	program := &loopProgram{id: f.nextID, turns: 4, tokens: 600, home: -1}
-	if f.draw.IntN(4) == 0 {
-		program.turns = 11
+	program := &loopProgram{id: f.nextID, turnsLeft: 4, inputTokens: 600, affineEngine: -1}
+	if f.random.IntN(4) == 0 {
+		program.turnsLeft = 11
 	}
-	program.history = []emulator.Segment{{Chain: uint64(1 + f.draw.IntN(sharedParts)), Tokens: 512}}
+	program.history = []emulator.Segment{{Chain: uint64(1 + f.random.IntN(sharedPrefixes)), Tokens: 512}}
 	f.tenantOf[program.id] = tenant
-	number := f.draw.IntN(loopGateways)
+	number := f.random.IntN(loopGateways)
 	if !f.admitTenant(number, program, tenant, nowMs) {
-		f.rejectedOf[tenant]++
+		f.rejectedByTenant[tenant]++
 		if tenant > 0 {
 			f.rejectedOthers++
 		}
 		return
 	}
-	f.loop.begun++
-	f.begun[tenant]++
+	f.loop.startedPrograms++
+	f.startedByTenant[tenant]++
 	f.meters[number].RecordProgramStart("b", fmt.Sprint(tenant), f.weight(tenant), nowMs)
-	f.send(program, nowMs)
+	f.sendTurn(program, nowMs)
 }
 
 func (f *fairLoop) admitTenant(number int, program *loopProgram, tenant int, nowMs int64) bool {
@@ -125,56 +127,56 @@
 	for _, health := range gateway.health {
 		concurrency += health.EstimatedInFlight(nowMs) / loopEngines
 	}
-	gateway.admission.UpdateLimit(nowMs, concurrency, fairSlots)
-	draw := float64(program.id%97) / 97
-	position := admission.ShareStatus{}
-	if f.shares {
-		position = f.held[number].Status("b", fmt.Sprint(tenant), admission.UsableConcurrency(fairSlots, gateway.admission.UnrestrictedConcurrency())*loopEngines, nowMs)
+	gateway.controller.UpdateLimit(nowMs, concurrency, fairSlots)
+	sample := float64(program.id%97) / 97
+	status := admission.ShareStatus{}
+	if f.sharesEnabled {
+		status = f.fairShares[number].Status("b", fmt.Sprint(tenant), admission.UsableConcurrency(fairSlots, gateway.controller.UnrestrictedConcurrency())*loopEngines, nowMs)
 	}
-	if position.AboveFairShare {
-		_, admitted := position.Admit(draw)
+	if status.AboveFairShare {
+		_, admitted := status.Admit(sample)
 		return admitted
 	}
-	_, admitted := gateway.admission.Admit(concurrency-position.Excess/loopEngines, 0, 1, draw)
-	if !admitted && position.Known {
-		f.wronged++
+	_, admitted := gateway.controller.Admit(concurrency-status.Excess/loopEngines, 0, 1, sample)
+	if !admitted && status.Known {
+		f.falseRejections++
 	}
 	return admitted
 }
 
-// heartbeat is a gateway's, with the use of its tenants.
+// heartbeat is the heartbeat of a gateway, including the usage of its tenants.
 func (f *fairLoop) heartbeat(number int, nowMs int64) {
-	f.share(f.gateways[number], nowMs)
-	f.uses.ReportUsage(f.gateways[number].name, f.meters[number].CollectUsage(nowMs, func(string) bool { return true }), nowMs)
-	f.held[number].ApplyUsage(f.uses.Totals(nowMs), nowMs)
+	f.exchangeReports(f.gateways[number], nowMs)
+	f.usage.ReportUsage(f.gateways[number].name, f.meters[number].CollectUsage(nowMs, func(string) bool { return true }), nowMs)
+	f.fairShares[number].ApplyUsage(f.usage.Totals(nowMs), nowMs)
 }
 
-func (f *fairLoop) play() {
-	f.decide = f.counted(f.decide)
+func (f *fairLoop) simulate() {
+	f.policy = f.withUsage(f.policy)
 	for nowMs := int64(1); nowMs <= fairEndMs; nowMs++ {
 		burst := nowMs >= fairFromMs && nowMs < fairToMs
 		for tenant := range fairTenants {
-			rate := fairPerMs * f.weight(tenant)
+			rate := fairProgramsPerMs * f.weight(tenant)
 			if burst {
 				rate *= fairBurst
 			}
 			if burst && f.hot && tenant == 0 {
 				rate *= fairHotFactor
 			}
-			if f.draw.Float64() < rate {
-				f.begin(tenant, nowMs)
+			if f.random.Float64() < rate {
+				f.startTenantProgram(tenant, nowMs)
 			}
 		}
-		f.passTime(nowMs)
+		f.advanceClocks(nowMs)
 		for _, program := range f.due[nowMs] {
-			f.send(program, nowMs)
+			f.sendTurn(program, nowMs)
 		}
 		delete(f.due, nowMs)
 		for number, model := range f.models {
-			f.take(number, model.Advance(int64(f.clocks[number])), nowMs)
+			f.deliver(number, model.Advance(int64(f.clocks[number])), nowMs)
 		}
-		if nowMs%(loopShareMs/loopGateways) == 0 {
-			f.heartbeat(int(nowMs/(loopShareMs/loopGateways))%loopGateways, nowMs)
+		if nowMs%(reportIntervalMs/loopGateways) == 0 {
+			f.heartbeat(int(nowMs/(reportIntervalMs/loopGateways))%loopGateways, nowMs)
 		}
 	}
 }
@@ -184,53 +186,53 @@
 	return times[len(times)*95/100]
 }
 
-// TestFairShares holds, through a burst with a hot tenant, that the 95th percentile of the first
-// events of the others, once what it begun before its use was known is over, is no more than 1.3
-// times what it is through the burst alone; that over the whole burst shares take off half of what
-// it adds, and that more programs of the others begin; that fewer than one in twenty-five of the
-// others' programs is rejected although its tenant is within its share; and that shares leave the
-// burst alone: there fewer than one program in fifty is rejected.
+// TestFairShares checks four things during a burst with a hot tenant. Once the programs that the
+// hot tenant started before its usage was known have ended, the 95th percentile of the first events
+// of the others is at most 1.3 times that of the burst alone. Over the whole burst, shares remove
+// at least half of what the hot tenant adds to that percentile, and more programs of the others
+// start. Fewer than one in twenty-five of the others' programs is rejected although its tenant is
+// within its share. Without the hot tenant, fewer than one program in fifty is rejected.
 func TestFairShares(t *testing.T) {
-	var alone, without, with fairTimes
-	wronged, calmRejected, calmBegun := 0, 0, 0
-	begunWithout, begunWith := 0, 0
+	var burstOnly, withoutShares, withShares firstEventTimes
+	falseRejections, burstRejected, burstStarted := 0, 0, 0
+	startedWithout, startedWith := 0, 0
 	for seed := range uint64(6) {
-		play := func(hot, shares bool, into *fairTimes) *fairLoop {
-			f := newFairLoop(seed, hot, shares)
-			f.play()
-			into.all, into.settled = append(into.all, f.times...), append(into.settled, f.settled...)
-			t.Logf("seed %d, hot %t, shares %t: p95 of others %.0f ms, settled %.0f of %d; hot one: %d begun, %d rejected; others: %d begun, %d rejected, %d within their share",
-				seed, hot, shares, percentile95(f.times), percentile95(f.settled), len(f.times), f.begun[0], f.rejectedOf[0],
-				f.loop.begun-f.begun[0], f.rejectedOthers, f.wronged)
+		simulate := func(hot, sharesEnabled bool, times *firstEventTimes) *fairLoop {
+			f := newFairLoop(seed, hot, sharesEnabled)
+			f.simulate()
+			times.all, times.settled = append(times.all, f.firstEvents...), append(times.settled, f.settled...)
+			t.Logf("seed %d, hot %t, shares %t: p95 of others %.0f ms, settled %.0f of %d; hot tenant: %d started, %d rejected; others: %d started, %d rejected, %d within their share",
+				seed, hot, sharesEnabled, percentile95(f.firstEvents), percentile95(f.settled), len(f.firstEvents), f.startedByTenant[0], f.rejectedByTenant[0],
+				f.loop.startedPrograms-f.startedByTenant[0], f.rejectedOthers, f.falseRejections)
 			return f
 		}
-		quiet, unshared, shared := play(false, true, &alone), play(true, false, &without), play(true, true, &with)
-		calmRejected += quiet.rejectedOthers + quiet.rejectedOf[0]
-		calmBegun += quiet.loop.begun
-		begunWithout += unshared.loop.begun - unshared.begun[0]
-		begunWith += shared.loop.begun - shared.begun[0]
-		wronged += shared.wronged
+		calm, unshared, shared := simulate(false, true, &burstOnly), simulate(true, false, &withoutShares), simulate(true, true, &withShares)
+		burstRejected += calm.rejectedOthers + calm.rejectedByTenant[0]
+		burstStarted += calm.loop.startedPrograms
+		startedWithout += unshared.loop.startedPrograms - unshared.startedByTenant[0]
+		startedWith += shared.loop.startedPrograms - shared.startedByTenant[0]
+		falseRejections += shared.falseRejections
 	}
-	t.Logf("p95 of others: %.0f ms without the hot one, %.0f with it, %.0f with shares; settled %.0f, %.0f, %.0f",
-		percentile95(alone.all), percentile95(without.all), percentile95(with.all),
-		percentile95(alone.settled), percentile95(without.settled), percentile95(with.settled))
-	if percentile95(with.settled) > 1.3*percentile95(alone.settled) {
-		t.Errorf("settled: p95 of tenants within their share %.0f ms, without the hot one %.0f", percentile95(with.settled), percentile95(alone.settled))
+	t.Logf("p95 of others: %.0f ms without the hot tenant, %.0f with it, %.0f with shares; settled %.0f, %.0f, %.0f",
+		percentile95(burstOnly.all), percentile95(withoutShares.all), percentile95(withShares.all),
+		percentile95(burstOnly.settled), percentile95(withoutShares.settled), percentile95(withShares.settled))
+	if percentile95(withShares.settled) > 1.3*percentile95(burstOnly.settled) {
+		t.Errorf("settled: p95 of tenants within their share %.0f ms, without the hot tenant %.0f", percentile95(withShares.settled), percentile95(burstOnly.settled))
 	}
-	if added := percentile95(without.all) - percentile95(alone.all); percentile95(with.all)-percentile95(alone.all) > added/2 {
-		t.Errorf("p95 %.0f ms with shares, %.0f without, %.0f without the hot one", percentile95(with.all), percentile95(without.all), percentile95(alone.all))
+	if added := percentile95(withoutShares.all) - percentile95(burstOnly.all); percentile95(withShares.all)-percentile95(burstOnly.all) > added/2 {
+		t.Errorf("p95 %.0f ms with shares, %.0f without, %.0f without the hot tenant", percentile95(withShares.all), percentile95(withoutShares.all), percentile95(burstOnly.all))
 	}
-	t.Logf("others: %d begun without shares, %d with; %d rejected within their share; %d of %d rejected in the burst alone", begunWithout, begunWith, wronged, calmRejected, calmBegun)
-	if wronged*25 > begunWith {
-		t.Errorf("%d programs of tenants within their share rejected, %d begun", wronged, begunWith)
+	t.Logf("others: %d started without shares, %d with; %d rejected within their share; %d of %d rejected in the burst alone", startedWithout, startedWith, falseRejections, burstRejected, burstStarted)
+	if falseRejections*25 > startedWith {
+		t.Errorf("%d programs of tenants within their share rejected, %d started", falseRejections, startedWith)
 	}
-	if begunWith <= begunWithout {
-		t.Errorf("%d programs of the others begun, %d without shares", begunWith, begunWithout)
+	if startedWith <= startedWithout {
+		t.Errorf("%d programs of the others started, %d without shares", startedWith, startedWithout)
 	}
-	if calmRejected*50 > calmBegun {
-		t.Errorf("%d of %d programs rejected in the burst alone", calmRejected, calmBegun)
+	if burstRejected*50 > burstStarted {
+		t.Errorf("%d of %d programs rejected in the burst alone", burstRejected, burstStarted)
 	}
 }
 
-// fairTimes are first events over several seeds.
-type fairTimes struct{ all, settled []float64 }
+// firstEventTimes holds times to first events over several seeds.
+type firstEventTimes struct{ all, settled []float64 }
--- a/internal/scheduling/health.go
+++ b/internal/scheduling/health.go
@@ -1,145 +1,151 @@
 package scheduling
 
-// EngineHealth is what a gateway knows of one engine: what it has seen with its own
-// requests, and what all gateways together have. Times are in milliseconds.
+// EngineHealth is the state of one engine as seen by a gateway, from its own requests and from the
+// reports of all gateways. Times are in milliseconds.
 type EngineHealth struct {
-	// InFlight counts the requests under way.
+	// InFlight is the number of this gateway's requests in flight.
 	InFlight int
-	// failures counts failures in a row, and suspectUntilMs is how long the engine is
-	// passed over for them.
-	failures       int
-	suspectUntilMs int64
-	// failedMs is when a request last failed here, and sharedSuspectUntilMs how long the
-	// engine is passed over because others' requests failed.
-	failedMs             int64
+	// consecutiveFailures counts failures without a success in between, and suspectUntilMs is until
+	// when the engine is avoided because of them.
+	consecutiveFailures int
+	suspectUntilMs      int64
+	// lastFailureMs is when a request of this gateway last failed at the engine, and
+	// sharedSuspectUntilMs is until when the engine is avoided because requests of other gateways
+	// failed.
+	lastFailureMs        int64
 	sharedSuspectUntilMs int64
-	// own is what this gateway's requests have shown of the time that things take at the
-	// engine, as a multiple of what is usual; news is what of it was not reported yet, and
-	// shared what all gateways together have said.
-	own    DecayedMean
-	news   DecayedMean
-	shared DecayedMean
-	// pace is what is known of the engine's speed over a longer time.
+	// ownRatios are the latencies of this gateway's requests as multiples of the usual latency.
+	// unreportedRatios are those of them that were not yet reported, and sharedRatios those of all
+	// gateways.
+	ownRatios        DecayedMean
+	unreportedRatios DecayedMean
+	sharedRatios     DecayedMean
+	// pace is the speed of the engine over a longer time.
 	pace enginePace
-	// held is what requests under way take of the engine's memory.
-	held heldTokens
-	// pauses gathers the pauses between events for the next sample.
-	pauses pauseWindow
-	// sharedInFlight is how many requests all gateways had under way at sharedMs, and
-	// reportedInFlight what this one had said of it.
+	// kvCache is the part of the engine's KV cache that requests in flight reserve.
+	kvCache kvCacheReservation
+	// gaps collects the gaps between events for the next sample.
+	gaps minWindow
+	// sharedInFlight is the number of requests that all gateways had in flight at sharedMs, and
+	// reportedInFlight is what this gateway had contributed to it.
 	sharedInFlight   float64
 	sharedMs         int64
 	reportedInFlight float64
-	// busy adds up InFlight over time since reportedMs, as far as busyMs.
-	busy       float64
-	busyMs     int64
-	reportedMs int64
+	// requestMs is the integral of InFlight over the time from reportedMs to integratedMs, in
+	// requests times milliseconds.
+	requestMs    float64
+	integratedMs int64
+	reportedMs   int64
 }
 
 const (
-	firstSuspicionMs   = 300
-	longestSuspicionMs = 4_000
-	// failingMs is a little more than the time between two reports of a gateway (0.7 s).
-	failingMs = 1_000
-	// sharedSuspicionMs is a little more than the time between two answers that tell of others'
-	// failures (0.6 to 1.3 s).
+	// initialSuspicionMs is how long an engine is avoided after the first failure in a row. The
+	// time doubles with each further failure, up to maxSuspicionMs.
+	initialSuspicionMs = 300
+	maxSuspicionMs     = 4_000
+	// failingWindowMs is slightly longer than the time between two reports of a gateway (0.7 s).
+	failingWindowMs = 1_000
+	// sharedSuspicionMs is slightly longer than the time between two replies that report failures
+	// at other gateways (0.6 to 1.3 s).
 	sharedSuspicionMs = 1_500
 )
 
-// pauseWindow gathers a few pauses between events, whichever streams they are of.
-type pauseWindow struct {
-	shortest float64
-	count    int
-	sinceMs  int64
+// minWindow returns the minimum of every few samples, such as the gaps between events of any
+// streams.
+type minWindow struct {
+	minimum   float64
+	count     int
+	startedMs int64
 }
 
 const (
-	// windowPauses is how many pauses make one sample, and windowMs how long they may be
-	// gathered for.
-	windowPauses = 6
-	windowMs     = 2_000
+	// windowSamples is the number of samples in a window, and windowLifetimeMs is the time within
+	// which they must arrive.
+	windowSamples    = 6
+	windowLifetimeMs = 2_000
 )
 
-// add takes a pause; once there are enough, it returns the shortest and begins anew.
-func (w *pauseWindow) add(nowMs int64, pause float64) (shortest float64, enough bool) {
-	if w.count == 0 || nowMs-w.sinceMs > windowMs {
-		*w = pauseWindow{shortest: pause, sinceMs: nowMs}
+// add adds a sample. When the window is complete, it returns the minimum and starts a new window.
+func (w *minWindow) add(nowMs int64, sample float64) (minimum float64, complete bool) {
+	if w.count == 0 || nowMs-w.startedMs > windowLifetimeMs {
+		*w = minWindow{minimum: sample, startedMs: nowMs}
 	}
-	w.shortest = min(w.shortest, pause)
+	w.minimum = min(w.minimum, sample)
 	w.count++
-	if w.count < windowPauses {
+	if w.count < windowSamples {
 		return 0, false
 	}
-	shortest = w.shortest
-	*w = pauseWindow{}
-	return shortest, true
+	minimum = w.minimum
+	*w = minWindow{}
+	return minimum, true
 }
 
-// RecordStart notes a request that goes to the engine.
+// RecordStart records a request that is sent to the engine.
 func (h *EngineHealth) RecordStart(nowMs int64) {
-	h.count(nowMs)
+	h.integrate(nowMs)
 	h.InFlight++
 }
 
-// RecordEnd takes a request off the engine.
+// RecordEnd records that a request at the engine has ended.
 func (h *EngineHealth) RecordEnd(nowMs int64) {
-	h.count(nowMs)
+	h.integrate(nowMs)
 	h.InFlight = max(h.InFlight-1, 0)
 }
 
-// count adds up the requests under way until nowMs.
-func (h *EngineHealth) count(nowMs int64) {
-	h.busy += float64(h.InFlight) * float64(max(nowMs-h.busyMs, 0))
-	h.busyMs = max(h.busyMs, nowMs)
+// integrate adds the requests in flight up to nowMs to requestMs.
+func (h *EngineHealth) integrate(nowMs int64) {
+	h.requestMs += float64(h.InFlight) * float64(max(nowMs-h.integratedMs, 0))
+	h.integratedMs = max(h.integratedMs, nowMs)
 }
 
-// RecordFailure notes a request that the engine broke off or did not take.
+// RecordFailure records a request that the engine interrupted or did not accept.
 func (h *EngineHealth) RecordFailure(nowMs int64) {
-	h.failures++
-	pause := int64(firstSuspicionMs) << min(h.failures-1, 8)
-	h.suspectUntilMs = nowMs + min(pause, longestSuspicionMs)
-	h.failedMs = nowMs
+	h.consecutiveFailures++
+	suspicionMs := int64(initialSuspicionMs) << min(h.consecutiveFailures-1, 8)
+	h.suspectUntilMs = nowMs + min(suspicionMs, maxSuspicionMs)
+	h.lastFailureMs = nowMs
 }
 
-// RecordSuccess notes a whole answer.
+// RecordSuccess records a complete response.
 func (h *EngineHealth) RecordSuccess() {
-	h.failures = 0
+	h.consecutiveFailures = 0
 	h.suspectUntilMs = 0
 	h.sharedSuspectUntilMs = 0
 }
 
-// IsSuspect reports whether the engine is passed over for its failures.
+// IsSuspect reports whether the engine is avoided because of failures.
 func (h *EngineHealth) IsSuspect(nowMs int64) bool {
 	return nowMs < max(h.suspectUntilMs, h.sharedSuspectUntilMs)
 }
 
-// IsFailing reports whether this gateway's own requests failed since its last report or two,
-// and none has succeeded since.
+// IsFailing reports whether a request of this gateway failed since its last one or two reports, and
+// none has succeeded since.
 func (h *EngineHealth) IsFailing(nowMs int64) bool {
-	return h.failures > 0 && nowMs-h.failedMs <= failingMs
+	return h.consecutiveFailures > 0 && nowMs-h.lastFailureMs <= failingWindowMs
 }
 
-// ApplySharedSuspicion passes the engine over for a time, because requests of several others
-// failed there.
+// ApplySharedSuspicion makes the engine suspect for some time, because requests of several other
+// gateways failed there.
 func (h *EngineHealth) ApplySharedSuspicion(nowMs int64) {
 	h.sharedSuspectUntilMs = nowMs + sharedSuspicionMs
 }
 
-// sawFactor takes one sample.
-func (h *EngineHealth) sawFactor(nowMs int64, factor float64) {
-	h.own.Add(nowMs, factor, 1)
-	h.news.Add(nowMs, factor, 1)
+// addLatencyRatio adds a sample of the latency relative to the usual latency.
+func (h *EngineHealth) addLatencyRatio(nowMs int64, ratio float64) {
+	h.ownRatios.Add(nowMs, ratio, 1)
+	h.unreportedRatios.Add(nowMs, ratio, 1)
 }
 
-// LatencyRatio is how many times longer than at the other engines things take at this one, as
-// far as this gateway and all together have seen.
+// LatencyRatio returns the recent latencies at this engine as a multiple of those at the other
+// engines, from the samples of this gateway and of all gateways.
 func (h *EngineHealth) LatencyRatio(nowMs int64) float64 {
-	known := h.own
-	known.Merge(nowMs, h.shared.At(nowMs))
-	return known.ShrunkMean(1)
+	merged := h.ownRatios
+	merged.Merge(nowMs, h.sharedRatios.At(nowMs))
+	return merged.ShrunkMean(1)
 }
 
-// EstimatedInFlight is how many requests of all gateways are expected to be at the engine.
+// EstimatedInFlight returns the estimated number of requests that all gateways have in flight at
+// the engine.
 func (h *EngineHealth) EstimatedInFlight(nowMs int64) float64 {
 	if !h.HasRecentSharedLoad(nowMs) {
 		return float64(h.InFlight)
@@ -147,12 +153,12 @@
 	return max(h.sharedInFlight-h.reportedInFlight, 0) + float64(h.InFlight)
 }
 
-// HasRecentSharedLoad reports whether other gateways have spoken of the engine lately.
+// HasRecentSharedLoad reports whether the load over all gateways was received recently.
 func (h *EngineHealth) HasRecentSharedLoad(nowMs int64) bool {
-	return h.sharedMs > 0 && nowMs-h.sharedMs <= loadForgottenMs
+	return h.sharedMs > 0 && nowMs-h.sharedMs <= loadLifetimeMs
 }
 
-// SharedLoadAgeMs is how old what other gateways have said is, -1 where nothing is known.
+// SharedLoadAgeMs returns the age of the load over all gateways, or -1 if none was received.
 func (h *EngineHealth) SharedLoadAgeMs(nowMs int64) int64 {
 	if h.sharedMs == 0 {
 		return -1
@@ -160,24 +166,24 @@
 	return nowMs - h.sharedMs
 }
 
-// CollectLoad returns what is new since the last call, for the report to all; false where
-// there is nothing to say.
+// CollectLoad returns the load since the last call for the next report. It returns false if there
+// is nothing to report.
 func (h *EngineHealth) CollectLoad(engine string, nowMs int64) (EngineLoad, bool) {
-	h.count(nowMs)
+	h.integrate(nowMs)
 	elapsed := max(nowMs-h.reportedMs, 1)
-	mean := h.busy / float64(elapsed)
-	load := EngineLoad{Engine: engine, InFlight: float32(mean), LatencyRatios: h.news.samples(nowMs)}
-	said := mean > 0 || h.reportedInFlight > 0 || load.LatencyRatios.Weight > minimumWeight
-	h.busy = 0
+	mean := h.requestMs / float64(elapsed)
+	load := EngineLoad{Engine: engine, InFlight: float32(mean), LatencyRatios: h.unreportedRatios.weightedSum(nowMs)}
+	changed := mean > 0 || h.reportedInFlight > 0 || load.LatencyRatios.Weight > minWeight
+	h.requestMs = 0
 	h.reportedMs = nowMs
 	h.reportedInFlight = mean
-	h.news = DecayedMean{}
-	return load, said
+	h.unreportedRatios = DecayedMean{}
+	return load, changed
 }
 
-// ApplySharedLoad takes what all gateways together know.
+// ApplySharedLoad sets the load over all gateways.
 func (h *EngineHealth) ApplySharedLoad(load EngineLoad, nowMs int64) {
-	h.shared = load.LatencyRatios.evidence(nowMs)
+	h.sharedRatios = load.LatencyRatios.decayedMean(nowMs)
 	h.sharedInFlight = max(float64(load.InFlight), 0)
 	h.sharedMs = nowMs
 }
--- a/internal/scheduling/limits.go
+++ b/internal/scheduling/limits.go
@@ -8,34 +8,36 @@
 	"github.com/ochrebay/ochrebay/internal/result"
 )
 
+// msDuration converts milliseconds to a duration.
 func msDuration(ms int64) time.Duration {
 	return time.Duration(ms) * time.Millisecond
 }
 
-// drainMs estimates how long the pool needs for the calls that wait now.
-func (c *CellScheduler) drainMs(pool string) int64 {
+// queueDrainMs estimates how long the pool needs for the calls that wait now, in milliseconds.
+func (c *CellScheduler) queueDrainMs(pool string) int64 {
 	var total int64
 	for _, call := range c.Waiting {
 		if call.Pool == pool {
-			total += c.costMicros(call)
+			total += c.serviceMicros(call)
 		}
 	}
-	return total / 1000 / int64(max(1, c.slots(pool)))
+	return total / 1000 / int64(max(1, c.openSlots(pool)))
 }
 
-// aheadMs estimates how long the calls take that would go before this one.
-func (c *CellScheduler) aheadMs(call *Call, nowMs int64) int64 {
+// queueAheadMs estimates how long the calls ahead of this one take, in milliseconds.
+func (c *CellScheduler) queueAheadMs(call *Call, nowMs int64) int64 {
 	var total int64
-	own := c.effectiveRank(call, nowMs)
+	ownRank := c.effectiveRank(call, nowMs)
 	for _, other := range c.Waiting {
-		if other.Pool == call.Pool && c.effectiveRank(other, nowMs) <= own {
-			total += c.costMicros(other)
+		if other.Pool == call.Pool && c.effectiveRank(other, nowMs) <= ownRank {
+			total += c.serviceMicros(other)
 		}
 	}
-	return total / 1000 / int64(max(1, c.slots(call.Pool)))
+	return total / 1000 / int64(max(1, c.openSlots(call.Pool)))
 }
 
-func (c *CellScheduler) slots(pool string) int {
+// openSlots returns the number of slots of the pool's engines that accept new calls.
+func (c *CellScheduler) openSlots(pool string) int {
 	slots := 0
 	for _, engine := range c.Engines {
 		if engine.Pool == pool && engine.Ready && !engine.Closed {
@@ -45,8 +47,9 @@
 	return slots
 }
 
-// costMicros is the time a call takes on the pool's first engine in a full batch.
-func (c *CellScheduler) costMicros(call *Call) int64 {
+// serviceMicros estimates the time of a call on the pool's first ready engine with a full batch, in
+// microseconds.
+func (c *CellScheduler) serviceMicros(call *Call) int64 {
 	for _, engine := range c.Engines {
 		if engine.Pool == call.Pool && engine.Ready {
 			step := engine.StepMicros + int64(engine.Slots)*engine.StepMicrosPerSequence
@@ -56,55 +59,54 @@
 	return 0
 }
 
-// TenantLimits are a tenant's limits for the whole fleet; zero is no limit.
+// TenantLimits are a tenant's limits for the whole fleet; zero means no limit.
 type TenantLimits struct {
 	MaxInFlight     int64
 	TokensPerSecond int64
 }
 
 type tenantState struct {
-	inFlight int64
-	limiter  *rate.Limiter
-	perSec   int64
+	inFlight        int64
+	limiter         *rate.Limiter
+	tokensPerSecond int64
 }
 
-// TenantLimiter counts what tenants use at one scheduler. Each of n schedulers allows
-// its n-th part of a limit, at least one call, so that the sum holds without a
-// message between schedulers.
+// TenantLimiter enforces the limits of tenants at one scheduler. Each of n schedulers allows 1/n of
+// a limit, but at least one, so that the sum holds without messages between schedulers.
 type TenantLimiter struct {
 	states map[string]*tenantState
 }
 
-// NewTenantLimiter returns counts of zero.
+// NewTenantLimiter returns a limiter without calls.
 func NewTenantLimiter() *TenantLimiter {
 	return &TenantLimiter{states: map[string]*tenantState{}}
 }
 
-// Acquire counts a call of a tenant, or refuses it. Calls without a limit count as
-// well, since a limit may be set while they run.
+// Acquire counts a call of a tenant or refuses it. Calls of tenants without a limit are also
+// counted, since a limit may be set while they run.
 func (t *TenantLimiter) Acquire(tenant string, limits TenantLimits, tokens int64, schedulers int, nowMs int64) *result.Error {
 	state, ok := t.states[tenant]
 	if !ok {
 		state = &tenantState{}
 		t.states[tenant] = state
 	}
-	share := func(limit int64) int64 { return max(1, limit/int64(max(1, schedulers))) }
-	if limits.MaxInFlight > 0 && state.inFlight >= share(limits.MaxInFlight) {
-		return result.New(result.TenantLimit, "tenant %q has %d calls in flight here", tenant, state.inFlight)
+	schedulerShare := func(limit int64) int64 { return max(1, limit/int64(max(1, schedulers))) }
+	if limits.MaxInFlight > 0 && state.inFlight >= schedulerShare(limits.MaxInFlight) {
+		return result.New(result.TenantLimit, "tenant %q has %d calls in flight at this scheduler", tenant, state.inFlight)
 	}
 	if limits.TokensPerSecond > 0 {
-		perSecond := share(limits.TokensPerSecond)
-		if state.limiter == nil || state.perSec != perSecond {
-			state.perSec = perSecond
+		perSecond := schedulerShare(limits.TokensPerSecond)
+		if state.limiter == nil || state.tokensPerSecond != perSecond {
+			state.tokensPerSecond = perSecond
 			state.limiter = rate.NewLimiter(rate.Limit(perSecond), int(perSecond))
 		}
-		at := time.UnixMilli(nowMs)
-		// A call of more than a second's tokens takes a whole second's.
-		wanted := min(tokens, perSecond)
-		if !state.limiter.AllowN(at, int(wanted)) {
-			missing := float64(wanted) - state.limiter.TokensAt(at)
-			wait := time.Duration(missing / float64(perSecond) * float64(time.Second))
-			return result.New(result.TenantLimit, "tenant %q is over %d tokens a second", tenant, limits.TokensPerSecond).
+		now := time.UnixMilli(nowMs)
+		// A call with more tokens than a second's rate is charged one second.
+		charged := min(tokens, perSecond)
+		if !state.limiter.AllowN(now, int(charged)) {
+			deficit := float64(charged) - state.limiter.TokensAt(now)
+			wait := time.Duration(deficit / float64(perSecond) * float64(time.Second))
+			return result.New(result.TenantLimit, "tenant %q exceeds %d tokens per second", tenant, limits.TokensPerSecond).
 				WithRetryAfter(max(wait, time.Millisecond))
 		}
 	}
@@ -112,7 +114,7 @@
 	return nil
 }
 
-// Release counts the end of a call that Take allowed.
+// Release counts the end of a call that Acquire allowed.
 func (t *TenantLimiter) Release(tenant string) {
 	state, ok := t.states[tenant]
 	if !ok {
--- a/internal/scheduling/load.go
+++ b/internal/scheduling/load.go
@@ -2,20 +2,20 @@
 
 import "math"
 
-// EngineLoad is what observers know of one engine: one gateway since its last report, or all
+// EngineLoad is the load of one engine, as observed by one gateway since its last report or by all
 // gateways together.
 type EngineLoad struct {
 	//lint:ignore U1000 It tells the codec to leave the fields' names out.
 	_msgpack struct{} `msgpack:",as_array"`
 	Engine   string
-	// InFlight is how many requests were under way, on the mean since the last report.
+	// InFlight is the mean number of requests in flight since the last report.
 	InFlight float32
-	// LatencyRatios are samples of how many times longer than usual things took there.
+	// LatencyRatios holds samples of latencies as multiples of the usual latency.
 	LatencyRatios WeightedSum
 }
 
-// StreamLateness is what observers know of the streams of one back end: how many began, and how
-// many of these later than their target.
+// StreamLateness counts the streams of one back end that started, and those of them that started
+// later than their target.
 type StreamLateness struct {
 	//lint:ignore U1000 As above.
 	_msgpack struct{} `msgpack:",as_array"`
@@ -23,7 +23,7 @@
 	Streams  WeightedSum
 }
 
-// WeightedSum are the sums of some evidence without its time.
+// WeightedSum is a DecayedMean without its time.
 type WeightedSum struct {
 	//lint:ignore U1000 As above.
 	_msgpack struct{} `msgpack:",as_array"`
@@ -31,211 +31,214 @@
 	Weight   float32
 }
 
-// sound reports whether the sums can be counted: whatever comes over the network must
-// not make a mean of nothing.
-func (s WeightedSum) sound() bool {
+// isValid reports whether the sums may be used. Values that come over the network must not produce
+// a mean that is not a number.
+func (s WeightedSum) isValid() bool {
 	sum, weight := float64(s.Sum), float64(s.Weight)
 	return weight > 0 && sum >= 0 && !math.IsInf(sum, 0) && !math.IsInf(weight, 0) && !math.IsNaN(sum) && !math.IsNaN(weight)
 }
 
-// Mean returns the mean of the samples, 0 where there are none.
+// Mean returns the mean of the samples, or 0 if there are none.
 func (s WeightedSum) Mean() float64 {
-	if !s.sound() {
+	if !s.isValid() {
 		return 0
 	}
 	return float64(s.Sum) / float64(s.Weight)
 }
 
-// evidence returns the samples as they count at nowMs.
-func (s WeightedSum) evidence(nowMs int64) DecayedMean {
-	if !s.sound() {
+// decayedMean returns the samples as a mean that is current at nowMs.
+func (s WeightedSum) decayedMean(nowMs int64) DecayedMean {
+	if !s.isValid() {
 		return DecayedMean{AtMs: nowMs}
 	}
 	return DecayedMean{Sum: float64(s.Sum), Weight: float64(s.Weight), AtMs: nowMs}
 }
 
-// samples returns evidence as it counts at nowMs without its time.
-func (e DecayedMean) samples(nowMs int64) WeightedSum {
-	aged := e.At(nowMs)
-	return WeightedSum{Sum: float32(aged.Sum), Weight: float32(aged.Weight)}
+// weightedSum returns the sums of the mean, decayed to nowMs.
+func (m DecayedMean) weightedSum(nowMs int64) WeightedSum {
+	decayed := m.At(nowMs)
+	return WeightedSum{Sum: float32(decayed.Sum), Weight: float32(decayed.Weight)}
 }
 
 const (
-	// loadForgottenMs is when what an observer said of an engine's requests is too old.
-	loadForgottenMs = 2_500
-	// loadExpireMs is how often what is too old is looked for.
-	loadExpireMs = 500
-	// loadSweepMs is how often a board looks for what it can forget.
-	loadSweepMs = 5_000
+	// loadLifetimeMs is the age from which a reported load is ignored.
+	loadLifetimeMs = 2_500
+	// loadExpiryIntervalMs is the interval at which expired loads are removed.
+	loadExpiryIntervalMs = 500
+	// sweepIntervalMs is the interval at which an aggregator removes engines without reports, and
+	// the age from which it does.
+	sweepIntervalMs = 5_000
 )
 
-// boardEntry is what a board knows of one engine.
-type boardEntry struct {
-	factor DecayedMean
-	// inFlight is what each gateway said last, and total their sum, kept as they report: to add
-	// them up for each answer would cost as many steps as there are pairs of gateway and engine.
-	inFlight map[string]boardCount
-	total    float64
-	heardMs  int64
-}
-
-// count takes what a gateway says of its requests under way.
-func (e *boardEntry) count(gateway string, inFlight float64, nowMs int64) {
-	e.total += inFlight - e.inFlight[gateway].inFlight
-	e.inFlight[gateway] = boardCount{inFlight: inFlight, atMs: nowMs}
+// engineAggregate is the aggregated load of one engine.
+type engineAggregate struct {
+	latencyRatios DecayedMean
+	// byGateway is the last reported number of requests in flight of each gateway, and
+	// totalInFlight is their sum. The sum is maintained as reports arrive: to compute it for each
+	// reply would take as many steps as there are pairs of gateway and engine.
+	byGateway     map[string]gatewayValue
+	totalInFlight float64
+	reportedMs    int64
+}
+
+// setInFlight sets the requests in flight of a gateway.
+func (e *engineAggregate) setInFlight(gateway string, inFlight float64, nowMs int64) {
+	e.totalInFlight += inFlight - e.byGateway[gateway].value
+	e.byGateway[gateway] = gatewayValue{value: inFlight, atMs: nowMs}
 	if inFlight == 0 {
-		delete(e.inFlight, gateway)
+		delete(e.byGateway, gateway)
 	}
-	e.settle()
+	e.resetIfEmpty()
 }
 
-// expire takes out what gateways said too long ago.
-func (e *boardEntry) expire(nowMs int64) {
-	for gateway, count := range e.inFlight {
-		if nowMs-count.atMs > loadForgottenMs {
-			e.total -= count.inFlight
-			delete(e.inFlight, gateway)
+// expire removes reports that are too old.
+func (e *engineAggregate) expire(nowMs int64) {
+	for gateway, reported := range e.byGateway {
+		if nowMs-reported.atMs > loadLifetimeMs {
+			e.totalInFlight -= reported.value
+			delete(e.byGateway, gateway)
 		}
 	}
-	e.settle()
+	e.resetIfEmpty()
 }
 
-// settle keeps rounding errors of many additions from adding up.
-func (e *boardEntry) settle() {
-	if len(e.inFlight) == 0 {
-		e.total = 0
+// resetIfEmpty keeps the rounding errors of many additions from accumulating.
+func (e *engineAggregate) resetIfEmpty() {
+	if len(e.byGateway) == 0 {
+		e.totalInFlight = 0
 	}
 }
 
-type boardCount struct {
-	inFlight float64
-	atMs     int64
+// gatewayValue is a value reported by a gateway, and when it was reported.
+type gatewayValue struct {
+	value float64
+	atMs  int64
 }
 
-// LoadAggregator adds up what gateways report of engines, so that each learns from the requests
-// of all. It is soft state: one that is empty says nothing, and what it says is only
+// LoadAggregator aggregates the reports of gateways about engines, so that each gateway learns from
+// the requests of all. It is soft state: an empty aggregator returns nothing, and its data is only
 // ever a hint. Times are in milliseconds.
 type LoadAggregator struct {
-	engines map[string]*boardEntry
-	// late holds the streams of each back end.
-	late map[string]*DecayedMean
-	// failing are the gateways whose requests fail at an engine, with when they last said so.
-	failing map[string]map[string]witness
-	// usages holds what is known of engines over a longer time than their loads.
-	usages  map[string]*usageEntry
+	engines map[string]*engineAggregate
+	// lateness holds the streams of each back end.
+	lateness map[string]*DecayedMean
+	// failureReports holds, by engine, the gateways whose requests fail there.
+	failureReports map[string]map[string]failureReport
+	// usages holds the engine state with a longer lifetime than the loads.
+	usages  map[string]*usageAggregate
 	sweptMs int64
-	// expiredMs is when old counts were last taken out.
+	// expiredMs is when expired loads were last removed.
 	expiredMs int64
 }
 
-// NewLoadAggregator returns a board that has heard nothing.
+// NewLoadAggregator returns an empty aggregator.
 func NewLoadAggregator() *LoadAggregator {
-	return &LoadAggregator{engines: map[string]*boardEntry{}, late: map[string]*DecayedMean{}, failing: map[string]map[string]witness{}, usages: map[string]*usageEntry{}}
+	return &LoadAggregator{engines: map[string]*engineAggregate{}, lateness: map[string]*DecayedMean{}, failureReports: map[string]map[string]failureReport{}, usages: map[string]*usageAggregate{}}
 }
 
-// maxLateShares bounds the back ends of one report.
-const maxLateShares = 64
+// maxLatenessBackends limits the number of back ends in one report.
+const maxLatenessBackends = 64
 
-// ReportStreamLateness takes what a gateway has seen of streams since its last report.
-func (b *LoadAggregator) ReportStreamLateness(shares []StreamLateness, nowMs int64) {
-	for _, share := range shares[:min(len(shares), maxLateShares)] {
-		known := b.late[share.Backend]
-		if known == nil {
-			known = &DecayedMean{}
-			b.late[share.Backend] = known
+// ReportStreamLateness adds the streams that a gateway has observed since its last report.
+func (a *LoadAggregator) ReportStreamLateness(reports []StreamLateness, nowMs int64) {
+	for _, report := range reports[:min(len(reports), maxLatenessBackends)] {
+		mean := a.lateness[report.Backend]
+		if mean == nil {
+			mean = &DecayedMean{}
+			a.lateness[report.Backend] = mean
 		}
-		known.Merge(nowMs, share.Streams.evidence(nowMs))
+		mean.Merge(nowMs, report.Streams.decayedMean(nowMs))
 	}
-	for backend, known := range b.late {
-		if known.At(nowMs).Weight < minimumWeight {
-			delete(b.late, backend)
+	for backend, known := range a.lateness {
+		if known.At(nowMs).Weight < minWeight {
+			delete(a.lateness, backend)
 		}
 	}
 }
 
-// StreamLateness returns what all gateways together have seen of streams.
-func (b *LoadAggregator) StreamLateness(nowMs int64) []StreamLateness {
-	var shares []StreamLateness
-	for backend, known := range b.late {
-		shares = append(shares, StreamLateness{Backend: backend, Streams: known.samples(nowMs)})
+// StreamLateness returns the lateness of streams over all gateways.
+func (a *LoadAggregator) StreamLateness(nowMs int64) []StreamLateness {
+	var all []StreamLateness
+	for backend, mean := range a.lateness {
+		all = append(all, StreamLateness{Backend: backend, Streams: mean.weightedSum(nowMs)})
 	}
-	return shares
+	return all
 }
 
-// ReportLoads takes what a gateway says of engines that there are: the caller leaves others out,
-// so that a board never holds more than the fleet.
-func (b *LoadAggregator) ReportLoads(gateway string, loads []EngineLoad, nowMs int64) {
+// ReportLoads applies a gateway's report on existing engines. The caller omits others, so that an
+// aggregator never holds more engines than the fleet has.
+func (a *LoadAggregator) ReportLoads(gateway string, loads []EngineLoad, nowMs int64) {
 	for _, load := range loads {
-		entry, known := b.engines[load.Engine]
+		entry, known := a.engines[load.Engine]
 		if !known {
-			entry = &boardEntry{inFlight: map[string]boardCount{}}
-			b.engines[load.Engine] = entry
+			entry = &engineAggregate{byGateway: map[string]gatewayValue{}}
+			a.engines[load.Engine] = entry
 		}
-		entry.heardMs = nowMs
-		entry.factor.Merge(nowMs, load.LatencyRatios.evidence(nowMs))
+		entry.reportedMs = nowMs
+		entry.latencyRatios.Merge(nowMs, load.LatencyRatios.decayedMean(nowMs))
 		if inFlight := float64(load.InFlight); inFlight >= 0 && !math.IsInf(inFlight, 0) {
-			entry.count(gateway, inFlight, nowMs)
+			entry.setInFlight(gateway, inFlight, nowMs)
 		}
 	}
-	if nowMs-b.sweptMs >= loadSweepMs {
-		b.sweptMs = nowMs
-		b.sweep(nowMs)
+	if nowMs-a.sweptMs >= sweepIntervalMs {
+		a.sweptMs = nowMs
+		a.sweep(nowMs)
 	}
 }
 
-// ForgetEngine drops what is known of an engine, which has started again.
-func (b *LoadAggregator) ForgetEngine(engine string) {
-	delete(b.usages, engine)
-	delete(b.engines, engine)
-	delete(b.failing, engine)
+// ForgetEngine removes all data on an engine that has restarted.
+func (a *LoadAggregator) ForgetEngine(engine string) {
+	delete(a.usages, engine)
+	delete(a.engines, engine)
+	delete(a.failureReports, engine)
 }
 
-// sweep forgets engines that nobody speaks of any more and gateways that fell silent.
-func (b *LoadAggregator) sweep(nowMs int64) {
-	b.sweepFailing(nowMs)
-	b.sweepUsages(nowMs)
-	for engine, entry := range b.engines {
-		if nowMs-entry.heardMs > loadSweepMs {
-			delete(b.engines, engine)
+// sweep removes engines and gateways without recent reports.
+func (a *LoadAggregator) sweep(nowMs int64) {
+	a.sweepFailureReports(nowMs)
+	a.sweepUsages(nowMs)
+	for engine, entry := range a.engines {
+		if nowMs-entry.reportedMs > sweepIntervalMs {
+			delete(a.engines, engine)
 		}
 	}
 }
 
-// expire takes out what gateways said too long ago, so often at the most that it costs little
-// beside their reports.
-func (b *LoadAggregator) expire(nowMs int64) {
-	if nowMs-b.expiredMs < loadExpireMs {
+// expire removes reports that are too old. It runs at most every loadExpiryIntervalMs, so that its
+// cost is small compared with that of the reports.
+func (a *LoadAggregator) expire(nowMs int64) {
+	if nowMs-a.expiredMs < loadExpiryIntervalMs {
 		return
 	}
-	b.expiredMs = nowMs
-	for _, entry := range b.engines {
+	a.expiredMs = nowMs
+	for _, entry := range a.engines {
 		entry.expire(nowMs)
 	}
 }
 
-// Loads returns what all gateways together know of the engines named; those of which nobody
-// has spoken lately are left out.
-func (b *LoadAggregator) Loads(engines []string, nowMs int64) []EngineLoad {
-	b.expire(nowMs)
+// Loads returns the load over all gateways of the engines named, without those that were not
+// reported recently.
+func (a *LoadAggregator) Loads(engines []string, nowMs int64) []EngineLoad {
+	a.expire(nowMs)
 	var loads []EngineLoad
 	for _, engine := range engines {
-		if entry, known := b.engines[engine]; known {
+		if entry, known := a.engines[engine]; known {
 			loads = append(loads, entry.load(engine, nowMs))
 		}
 	}
 	return loads
 }
 
-// InFlight returns how many requests all gateways together have under way at an engine.
-func (b *LoadAggregator) InFlight(engine string, nowMs int64) float64 {
-	b.expire(nowMs)
-	entry, known := b.engines[engine]
+// InFlight returns the number of requests that all gateways together have in flight at an engine.
+func (a *LoadAggregator) InFlight(engine string, nowMs int64) float64 {
+	a.expire(nowMs)
+	entry, known := a.engines[engine]
 	if !known {
 		return 0
 	}
-	return max(entry.total, 0)
+	return max(entry.totalInFlight, 0)
 }
 
-func (e *boardEntry) load(engine string, nowMs int64) EngineLoad {
-	return EngineLoad{Engine: engine, InFlight: float32(max(e.total, 0)), LatencyRatios: e.factor.samples(nowMs)}
+func (e *engineAggregate) load(engine string, nowMs int64) EngineLoad {
+	return EngineLoad{Engine: engine, InFlight: float32(max(e.totalInFlight, 0)), LatencyRatios: e.latencyRatios.weightedSum(nowMs)}
 }
--- a/internal/scheduling/mechanism.go
+++ b/internal/scheduling/mechanism.go
@@ -2,58 +2,60 @@
 
 import "slices"
 
-// Mechanism names a part of the choice of engines that can be turned off, so that what
-// it is worth can be measured.
+// Mechanism names a part of engine selection or request handling that can be disabled, so that its
+// benefit can be measured.
 type Mechanism string
 
-// The mechanisms.
+// The mechanisms. Their values are used in the configuration.
 const (
-	// MechanismSessionAffinity keeps a session at the engine that holds what it has read.
+	// MechanismSessionAffinity keeps a session at the engine that has its prompt prefix cached.
 	MechanismSessionAffinity Mechanism = "home"
-	// MechanismPrefillCost learns what reading a token costs; without it a token costs
-	// as much as before anything is known.
+	// MechanismPrefillCost learns the prefill cost of a token. Without it a token keeps the cost
+	// that is assumed before any sample exists.
 	MechanismPrefillCost Mechanism = "reading"
-	// MechanismSharedState takes what other gateways have seen of engines.
+	// MechanismSharedState uses the engine state that other gateways have reported.
 	MechanismSharedState Mechanism = "shared"
-	// MechanismSlowDetection tells slow engines from others.
+	// MechanismSlowDetection detects engines that are slow compared with the others.
 	MechanismSlowDetection Mechanism = "slow"
-	// MechanismEngineSpeed goes by how quick each engine is.
+	// MechanismEngineSpeed takes the learned speed of each engine into account.
 	MechanismEngineSpeed Mechanism = "speed"
-	// MechanismKVCacheCost keeps requests from engines whose memory they would exceed.
+	// MechanismKVCacheCost keeps requests away from engines whose KV cache they would overflow.
 	MechanismKVCacheCost Mechanism = "memory"
-	// MechanismSuspicion passes engines over that have just failed.
+	// MechanismSuspicion avoids engines at which requests have just failed.
 	MechanismSuspicion Mechanism = "suspicion"
-	// MechanismCandidateSampling compares a few engines drawn at random in place of all.
+	// MechanismCandidateSampling compares a few randomly sampled engines instead of all of them.
 	MechanismCandidateSampling Mechanism = "drawing"
-	// MechanismZonePreference prefers engines of the request's zone.
+	// MechanismZonePreference prefers engines in the request's zone.
 	MechanismZonePreference Mechanism = "zone"
-	// MechanismBatchInterference counts the requests at an engine for new sessions.
+	// MechanismBatchInterference adds a cost for the other requests at an engine.
 	MechanismBatchInterference Mechanism = "company"
-	// MechanismEnginePriority tells engines the rank of a request.
+	// MechanismEnginePriority sends the rank of a request to the engine.
 	MechanismEnginePriority Mechanism = "rank"
-	// MechanismStreamResume takes a broken stream up at another engine.
+	// MechanismStreamResume resumes a broken stream at another engine.
 	MechanismStreamResume Mechanism = "take-up"
 	// MechanismZoneLocalReads reads histories from a replica in the zone.
 	MechanismZoneLocalReads Mechanism = "near-reads"
-	// MechanismAdmission rejects new programs while engines fall behind.
+	// MechanismAdmission rejects new programs while engines are overloaded.
 	MechanismAdmission Mechanism = "admission"
-	// MechanismWaitQueue lines up the calls that no engine has room for.
+	// MechanismWaitQueue queues calls while no engine has a free slot for them.
 	MechanismWaitQueue Mechanism = "waiting"
-	// MechanismRetry bounds a try and makes a second one.
+	// MechanismRetry limits how long an attempt may take and retries the request.
 	MechanismRetry Mechanism = "retry"
-	// MechanismFairShares holds tenants to their shares of a back end that is short of room.
+	// MechanismFairShares limits tenants to their fair shares of an oversubscribed back end.
 	MechanismFairShares Mechanism = "shares"
-	// MechanismHistoryCache keeps the chains of sessions that were served lately.
+	// MechanismHistoryCache caches the turn histories of recently served sessions.
 	MechanismHistoryCache Mechanism = "chains"
-	// MechanismCapacityWeights names gateways to callers in proportion to what they can take.
+	// MechanismCapacityWeights directs callers to gateways in proportion to the gateways' capacity.
 	MechanismCapacityWeights Mechanism = "capacity"
-	// MechanismLookupRate has callers ask the directory as often as it can afford to answer.
+	// MechanismLookupRate lets callers query the directory as often as the directory can afford to
+	// answer.
 	MechanismLookupRate Mechanism = "look-ups"
-	// MechanismFreshnessWait lets requests wait for the first proof after a pause of the gateway.
+	// MechanismFreshnessWait lets requests wait for the first proof that the routing table is
+	// current after a stall of the gateway process.
 	MechanismFreshnessWait Mechanism = "first-proof"
 )
 
-// Mechanisms lists them all.
+// Mechanisms returns all mechanisms.
 func Mechanisms() []Mechanism {
 	return []Mechanism{
 		MechanismSessionAffinity, MechanismPrefillCost, MechanismSharedState, MechanismSlowDetection, MechanismEngineSpeed, MechanismKVCacheCost, MechanismSuspicion, MechanismCandidateSampling,
@@ -63,8 +65,8 @@
 	}
 }
 
-// DisabledMechanisms lists the mechanisms that are turned off.
+// DisabledMechanisms lists the mechanisms that are disabled.
 type DisabledMechanisms []Mechanism
 
-// Has reports whether a mechanism is turned off.
+// Has reports whether a mechanism is disabled.
 func (d DisabledMechanisms) Has(mechanism Mechanism) bool { return slices.Contains(d, mechanism) }
--- a/internal/scheduling/mechanism_test.go
+++ b/internal/scheduling/mechanism_test.go
@@ -6,32 +6,32 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-func TestDisabled(t *testing.T) {
-	// share is how many of 200 requests go to engine e0.
-	share := func(pool *LatencyModel, all []Candidate, demand SelectionInput, disabled ...Mechanism) int {
-		demand.Disabled = disabled
+func TestDisabledMechanisms(t *testing.T) {
+	// countAtE0 returns how many of 200 requests go to engine e0.
+	countAtE0 := func(model *LatencyModel, all []Candidate, input SelectionInput, disabled ...Mechanism) int {
+		input.Disabled = disabled
 		count := 0
 		for number := range 200 {
-			demand.ShuffleSeed = draw(number)
-			if choose(pool, all, demand).ID == "e0" {
+			input.ShuffleSeed = requestSeed(number)
+			if selectCandidate(model, all, input).ID == "e0" {
 				count++
 			}
 		}
 		return count
 	}
 	stream := SelectionInput{IsStream: true, Zone: "near", MaxEvents: 10, NowMs: 1000, Prompt: []PromptPart{{"shared", 2000}, {"own", 3000}, {"new", 300}}}
-	Convey("each mechanism moves requests, and does not once it is turned off", t, func() {
+	Convey("each mechanism changes where requests go, and has no effect when it is disabled", t, func() {
 		for mechanism, row := range map[Mechanism]struct {
-			prepare func(pool *LatencyModel, all []Candidate, demand *SelectionInput)
+			prepare func(model *LatencyModel, all []Candidate, input *SelectionInput)
 			on, off [2]int
 		}{
-			MechanismSessionAffinity: {func(_ *LatencyModel, _ []Candidate, demand *SelectionInput) { demand.AffineEngine = "e0" }, [2]int{200, 200}, [2]int{0, 120}},
-			MechanismPrefillCost: {func(pool *LatencyModel, all []Candidate, demand *SelectionInput) {
-				demand.AffineEngine = "e0"
-				streams(pool, all, 30, 60, map[int][2]float64{0: {120, 120}})
+			MechanismSessionAffinity: {func(_ *LatencyModel, _ []Candidate, input *SelectionInput) { input.AffineEngine = "e0" }, [2]int{200, 200}, [2]int{0, 120}},
+			MechanismPrefillCost: {func(model *LatencyModel, all []Candidate, input *SelectionInput) {
+				input.AffineEngine = "e0"
+				runStreams(model, all, 30, 60, map[int][2]float64{0: {120, 120}})
 			}, [2]int{0, 0}, [2]int{200, 200}},
-			MechanismSlowDetection: {func(pool *LatencyModel, all []Candidate, demand *SelectionInput) {
-				streams(pool, all, 30, 60, map[int][2]float64{0: {300, 300}})
+			MechanismSlowDetection: {func(model *LatencyModel, all []Candidate, input *SelectionInput) {
+				runStreams(model, all, 30, 60, map[int][2]float64{0: {300, 300}})
 			}, [2]int{0, 0}, [2]int{20, 120}},
 			MechanismSuspicion: {func(_ *LatencyModel, all []Candidate, _ *SelectionInput) { all[0].Health.RecordFailure(1000) }, [2]int{0, 0}, [2]int{20, 120}},
 			MechanismCandidateSampling: {func(_ *LatencyModel, all []Candidate, _ *SelectionInput) {
@@ -44,22 +44,22 @@
 					all[number+1].Zone = "far"
 				}
 			}, [2]int{200, 200}, [2]int{20, 190}},
-			MechanismBatchInterference: {func(pool *LatencyModel, all []Candidate, _ *SelectionInput) {
-				streams(pool, all, 30, 60, nil)
+			MechanismBatchInterference: {func(model *LatencyModel, all []Candidate, _ *SelectionInput) {
+				runStreams(model, all, 30, 60, nil)
 				all[0].Health.InFlight = 6
 			}, [2]int{0, 0}, [2]int{20, 120}},
 		} {
-			for _, tried := range []struct {
+			for _, attempt := range []struct {
 				disabled []Mechanism
 				want     [2]int
 			}{{nil, row.on}, {[]Mechanism{mechanism}, row.off}} {
-				pool := reader(0.03, 1000)
-				all := candidates(5)
-				demand := stream
-				row.prepare(pool, all, &demand)
-				got := share(pool, all, demand, tried.disabled...)
-				SoMsg(string(mechanism), got, ShouldBeGreaterThanOrEqualTo, tried.want[0])
-				SoMsg(string(mechanism), got, ShouldBeLessThanOrEqualTo, tried.want[1])
+				model := modelWithTokenMs(0.03, 1000)
+				all := newCandidates(5)
+				input := stream
+				row.prepare(model, all, &input)
+				got := countAtE0(model, all, input, attempt.disabled...)
+				SoMsg(string(mechanism), got, ShouldBeGreaterThanOrEqualTo, attempt.want[0])
+				SoMsg(string(mechanism), got, ShouldBeLessThanOrEqualTo, attempt.want[1])
 			}
 		}
 	})
--- a/internal/scheduling/pool.go
+++ b/internal/scheduling/pool.go
@@ -1,173 +1,172 @@
 package scheduling
 
-// LatencyModel is what a gateway has learnt of the engines of one back end from its own
-// requests: what reading a token costs, what company costs, and how long things take at
-// an engine that is like the others. Times are in milliseconds.
+// LatencyModel is what a gateway has learned from its own requests about the engines of one back
+// end: the prefill cost of a token, the interference of other requests, and the latencies at an
+// average engine. Times are in milliseconds.
 type LatencyModel struct {
-	// reading is the time to the first event over the tokens that had to be read;
-	// waiting is what is left of it over the other requests at the engine, and pausing
-	// the pause between events over them.
-	reading LinearFit
-	waiting LinearFit
-	pausing LinearFit
-	// firstEvents and tokens are the means of what the line of reading is fitted to,
-	// wait, pace and events those of the time to the first event beyond the reading, of
-	// the pause between events and of the events of a stream.
-	firstEvents DecayedMean
-	tokens      DecayedMean
-	wait        DecayedMean
-	pace        DecayedMean
-	events      DecayedMean
-	// company is how many requests a stream met at its engine.
-	company DecayedMean
-	// paced is what tells the speeds of engines apart.
-	paced paced
-	// reads gathers the times to the first event over the tokens read, and leastRead is the
-	// mean of the shortest of a few.
-	reads     pauseWindow
-	leastRead DecayedMean
-	// took is the mean time of whole answers by kind of request, and of the shortest of a
-	// few pauses.
-	took map[string]*DecayedMean
-	// turns are the turns of sessions by kind of request.
-	turns map[string]*turnCounts
+	// prefillFit fits the time to the first event to the number of tokens to prefill. waitFit fits
+	// the remainder of that time, and gapFit the gap between events, to the number of other
+	// requests at the engine.
+	prefillFit LinearFit
+	waitFit    LinearFit
+	gapFit     LinearFit
+	// firstEventMs and prefillTokens are the means of the samples in prefillFit. waitMs, gapMs and
+	// streamEvents are the means of the time to the first event beyond the prefill, of the gap
+	// between events, and of the number of events of a stream.
+	firstEventMs  DecayedMean
+	prefillTokens DecayedMean
+	waitMs        DecayedMean
+	gapMs         DecayedMean
+	streamEvents  DecayedMean
+	// otherRequests is the mean number of other requests at the engine of a stream.
+	otherRequests DecayedMean
+	// pace compares the speeds of the engines.
+	pace paceModel
+	// tokenTimes collects the time to the first event divided by the number of tokens to prefill,
+	// and minTokenMs is the mean of the minima of its windows.
+	tokenTimes minWindow
+	minTokenMs DecayedMean
+	// responseMs is the mean latency of complete responses by request kind. Under gapKind it is the
+	// mean of the minima of windows of gaps.
+	responseMs map[string]*DecayedMean
+	// turnsByKind counts the turns of sessions by request kind.
+	turnsByKind map[string]*turnCounts
 }
 
 const (
-	// unknownTokenMs is what reading a token is taken to cost before anything is known:
-	// so much that a session stays where its memory is.
-	unknownTokenMs = 1.0
-	// maxKinds bounds the kinds of request that are told apart.
-	maxKinds = 512
-	// largestFactor bounds how many times longer than usual one sample may count.
-	largestFactor = 10
-	// leastReadTokens is from how many tokens on the time to the first event says something of
-	// reading them.
-	leastReadTokens = 256
-	// eventWeight is what one pause counts for: those of one stream say much the same.
-	eventWeight = 0.2
+	// defaultTokenMs is the assumed prefill cost of a token before any sample exists. It is high
+	// enough to keep a session at the engine that has its prefix cached.
+	defaultTokenMs = 1.0
+	// maxRequestKinds limits the number of request kinds that are tracked separately.
+	maxRequestKinds = 512
+	// maxSampleRatio limits how many times the usual latency a sample may count.
+	maxSampleRatio = 10
+	// minPrefillTokens is the number of tokens from which the time to the first event reveals the
+	// prefill cost of a token.
+	minPrefillTokens = 256
+	// gapSampleWeight is the weight of one gap, since the gaps of one stream carry nearly the same
+	// information.
+	gapSampleWeight = 0.2
 )
 
-// tokenMs is what reading a token takes an engine. Until the samples show a slope, all of
-// the time to the first event counts as reading, which is the most that it can be.
-func (p *LatencyModel) tokenMs() float64 {
-	if slope, known := p.reading.Slope(); known {
+// prefillTokenMs returns the prefill time of a token. Until the samples show a slope, the whole
+// time to the first event counts as prefill, which is an upper bound.
+func (m *LatencyModel) prefillTokenMs() float64 {
+	if slope, known := m.prefillFit.Slope(); known {
 		return slope
 	}
-	first, known := p.firstEvents.own()
-	if tokens, some := p.tokens.own(); known && some && tokens > 0 {
-		return min(first/tokens, unknownTokenMs)
+	firstEventMs, known := m.firstEventMs.mean()
+	if tokens, hasTokens := m.prefillTokens.mean(); known && hasTokens && tokens > 0 {
+		return min(firstEventMs/tokens, defaultTokenMs)
 	}
-	return unknownTokenMs
+	return defaultTokenMs
 }
 
-// ObserveFirstEvent learns from the first event of a stream that came took after its send to an
-// engine that had tokens to read.
-func (p *LatencyModel) ObserveFirstEvent(health *EngineHealth, nowMs int64, tokens int64, took float64) {
-	took /= health.Slowdown()
-	p.reading.Add(nowMs, float64(tokens), took)
-	if tokens >= leastReadTokens {
-		if shortest, enough := p.reads.add(nowMs, took/float64(tokens)); enough {
-			p.leastRead.HalfLifeMs = usualPaceHalfLifeMs
-			p.leastRead.Add(nowMs, shortest, 1)
+// ObserveFirstEvent learns from the first event of a stream, which arrived latencyMs after the
+// request was sent to an engine that had a number of tokens to prefill.
+func (m *LatencyModel) ObserveFirstEvent(health *EngineHealth, nowMs int64, tokens int64, latencyMs float64) {
+	latencyMs /= health.Slowdown()
+	m.prefillFit.Add(nowMs, float64(tokens), latencyMs)
+	if tokens >= minPrefillTokens {
+		if minimum, complete := m.tokenTimes.add(nowMs, latencyMs/float64(tokens)); complete {
+			m.minTokenMs.HalfLifeMs = baselineHalfLifeMs
+			m.minTokenMs.Add(nowMs, minimum, 1)
 		}
 	}
-	p.firstEvents.Add(nowMs, took, 1)
-	p.tokens.Add(nowMs, float64(tokens), 1)
-	rest := max(took-float64(tokens)*p.tokenMs(), 0)
+	m.firstEventMs.Add(nowMs, latencyMs, 1)
+	m.prefillTokens.Add(nowMs, float64(tokens), 1)
+	waitMs := max(latencyMs-float64(tokens)*m.prefillTokenMs(), 0)
 	others := max(health.EstimatedInFlight(nowMs)-1, 0)
-	p.wait.Add(nowMs, rest, 1)
-	p.waiting.Add(nowMs, others, rest)
-	p.company.Add(nowMs, others, 1)
+	m.waitMs.Add(nowMs, waitMs, 1)
+	m.waitFit.Add(nowMs, others, waitMs)
+	m.otherRequests.Add(nowMs, others, 1)
 }
 
-// ObserveEventGap learns from the pause before a further event of a stream. The shortest of a
-// few pauses tells a slow engine from a busy one: at a busy one the reading of others
-// makes some of them long, at a slow one none is short.
-func (p *LatencyModel) ObserveEventGap(health *EngineHealth, nowMs int64, gap float64) {
-	even := gap / health.Slowdown()
-	p.pace.Add(nowMs, even, eventWeight)
-	p.pausing.Add(nowMs, max(health.EstimatedInFlight(nowMs)-1, 0), even)
-	if shortest, enough := health.pauses.add(nowMs, gap); enough {
-		p.ObserveResponse(health, nowMs, pauseKind, shortest)
+// ObserveEventGap learns from the gap before a further event of a stream. The minimum of a few gaps
+// tells a slow engine from a busy one: at a busy engine the prefills of other requests lengthen
+// some of the gaps, while at a slow engine no gap is short.
+func (m *LatencyModel) ObserveEventGap(health *EngineHealth, nowMs int64, gapMs float64) {
+	normalizedMs := gapMs / health.Slowdown()
+	m.gapMs.Add(nowMs, normalizedMs, gapSampleWeight)
+	m.gapFit.Add(nowMs, max(health.EstimatedInFlight(nowMs)-1, 0), normalizedMs)
+	if minimum, complete := health.gaps.add(nowMs, gapMs); complete {
+		m.ObserveResponse(health, nowMs, gapKind, minimum)
 	}
 }
 
-// pauseKind is the kind under which the shortest of a few pauses is judged.
-const pauseKind = "\x00pause"
+// gapKind is the request kind under which the minima of windows of gaps are compared.
+const gapKind = "\x00pause"
 
-// ObserveStreamLength learns from a whole stream.
-func (p *LatencyModel) ObserveStreamLength(nowMs int64, events int64) {
-	p.events.Add(nowMs, float64(events), 1)
+// ObserveStreamLength learns the number of events of a complete stream.
+func (m *LatencyModel) ObserveStreamLength(nowMs int64, events int64) {
+	m.streamEvents.Add(nowMs, float64(events), 1)
 }
 
-// ObserveResponse learns from a whole answer of a kind of request.
-func (p *LatencyModel) ObserveResponse(health *EngineHealth, nowMs int64, kind string, took float64) {
-	mean := entryOfKind(&p.took, kind)
-	usual, some := mean.At(nowMs).own()
-	if !some {
-		usual = took
+// ObserveResponse learns from the latency of a complete response to a kind of request.
+func (m *LatencyModel) ObserveResponse(health *EngineHealth, nowMs int64, kind string, latencyMs float64) {
+	mean := entryForKind(&m.responseMs, kind)
+	usualMs, known := mean.At(nowMs).mean()
+	if !known {
+		usualMs = latencyMs
 	}
-	mean.Add(nowMs, min(took, largestFactor*usual), 1)
-	if usual > 0 {
-		health.sawFactor(nowMs, min(took/usual, largestFactor))
+	mean.Add(nowMs, min(latencyMs, maxSampleRatio*usualMs), 1)
+	if usualMs > 0 {
+		health.addLatencyRatio(nowMs, min(latencyMs/usualMs, maxSampleRatio))
 	}
 }
 
-// usual returns how long an answer to a kind of request takes, 0 where nothing is known.
-func (p *LatencyModel) usual(kind string, nowMs int64) float64 {
-	mean, known := p.took[kind]
+// usualResponseMs returns the latency of a response to a kind of request, or 0 if it is unknown.
+func (m *LatencyModel) usualResponseMs(kind string, nowMs int64) float64 {
+	mean, known := m.responseMs[kind]
 	if !known {
 		return 0
 	}
-	took, _ := mean.At(nowMs).own()
-	return took
+	latencyMs, _ := mean.At(nowMs).mean()
+	return latencyMs
 }
 
-// streamMs is how long a stream takes beyond the reading at an engine without company
-// that is like the others.
-func (p *LatencyModel) streamMs(nowMs int64, events float64) float64 {
-	wait, _ := p.wait.At(nowMs).own()
-	pace, _ := p.pace.At(nowMs).own()
-	return wait + events*pace
+// usualStreamMs returns how long a stream takes beyond the prefill at an average engine under the
+// usual load.
+func (m *LatencyModel) usualStreamMs(nowMs int64, events float64) float64 {
+	waitMs, _ := m.waitMs.At(nowMs).mean()
+	gapMs, _ := m.gapMs.At(nowMs).mean()
+	return waitMs + events*gapMs
 }
 
-// aloneMs is how long a stream is expected to take beyond the reading at an engine that is
-// like the others and works on nothing else.
-func (p *LatencyModel) aloneMs(events float64) float64 {
-	wait, _ := p.waiting.Intercept()
-	pace, _ := p.pausing.Intercept()
-	return wait + events*pace
+// unloadedStreamMs returns the expected time of a stream beyond the prefill at an average engine
+// that serves no other request.
+func (m *LatencyModel) unloadedStreamMs(events float64) float64 {
+	waitMs, _ := m.waitFit.Intercept()
+	gapMs, _ := m.gapFit.Intercept()
+	return waitMs + events*gapMs
 }
 
-// readAloneMs is what reading a token takes an engine that is like the others and reads
-// nothing else: at most the shortest of a few times to the first event shows. In an overload
-// the slope over the tokens holds what others have read meanwhile; it then says what reading
-// costs all, but not how much sooner a quick engine would have done it.
-func (p *LatencyModel) readAloneMs(nowMs int64) float64 {
-	if least, known := p.leastRead.At(nowMs).own(); known {
-		return min(p.tokenMs(), least)
+// unloadedTokenMs returns the prefill time of a token at an average engine without other prefills:
+// at most the mean of the windows' minima. In an overload the slope of prefillFit also contains the
+// prefills of other requests. It then shows what a prefilled token costs all requests, but not how
+// much sooner a fast engine would have prefilled it.
+func (m *LatencyModel) unloadedTokenMs(nowMs int64) float64 {
+	if minimum, known := m.minTokenMs.At(nowMs).mean(); known {
+		return min(m.prefillTokenMs(), minimum)
 	}
-	return p.tokenMs()
+	return m.prefillTokenMs()
 }
 
-// expectedEvents is how many events a stream is expected to have, at most as many as it
-// may.
-func (p *LatencyModel) expectedEvents(nowMs int64, most int64) float64 {
-	if mean, known := p.events.At(nowMs).own(); known {
-		return min(mean, float64(most))
+// expectedEvents returns the expected number of events of a stream, at most maxEvents.
+func (m *LatencyModel) expectedEvents(nowMs int64, maxEvents int64) float64 {
+	if mean, known := m.streamEvents.At(nowMs).mean(); known {
+		return min(mean, float64(maxEvents))
 	}
-	return float64(most) / 2
+	return float64(maxEvents) / 2
 }
 
-// companyMs is how much longer a stream takes for each other request at its engine.
-// Where the samples show nothing, a full engine is taken to be half as quick as one
-// without company.
-func (p *LatencyModel) companyMs(events, usual float64, slots int) float64 {
-	wait, waitKnown := p.waiting.Slope()
-	pause, pauseKnown := p.pausing.Slope()
-	if !waitKnown && !pauseKnown && slots > 0 {
-		return usual / float64(slots)
+// interferenceMs returns by how much each other request at the engine lengthens a stream. If the
+// samples show no slope, a full engine is assumed to be half as fast as one without other requests.
+func (m *LatencyModel) interferenceMs(events, usualMs float64, slots int) float64 {
+	waitSlope, waitKnown := m.waitFit.Slope()
+	gapSlope, gapKnown := m.gapFit.Slope()
+	if !waitKnown && !gapKnown && slots > 0 {
+		return usualMs / float64(slots)
 	}
-	return wait + events*pause
+	return waitSlope + events*gapSlope
 }
--- a/internal/scheduling/prompt.go
+++ b/internal/scheduling/prompt.go
@@ -5,14 +5,14 @@
 	"strings"
 )
 
-// PromptPart is one part of a prompt; prompts that begin with the same parts share
-// what an engine has read of them.
+// PromptPart is one part of a prompt. Prompts that begin with the same parts share the prefix that
+// an engine has cached.
 type PromptPart struct {
 	ID     string
 	Tokens int64
 }
 
-// PromptTokens adds up the parts of a prompt.
+// PromptTokens returns the total number of tokens of the parts of a prompt.
 func PromptTokens(parts []PromptPart) int64 {
 	total := int64(0)
 	for _, part := range parts {
@@ -21,11 +21,11 @@
 	return total
 }
 
-// maxPromptParts bounds the parts of a prompt that are looked at.
+// maxPromptParts limits the number of parts that are parsed.
 const maxPromptParts = 512
 
-// ParsePrompt reads parts written as ID:TOKENS, split by commas. It reads as far as
-// it understands: the parts only help to choose an engine.
+// ParsePrompt parses parts written as ID:TOKENS and separated by commas. It stops at the first
+// malformed part, since the parts are only a hint for selecting an engine.
 func ParsePrompt(text string) []PromptPart {
 	var parts []PromptPart
 	for text != "" && len(parts) < maxPromptParts {
--- a/internal/scheduling/scheduling.go
+++ b/internal/scheduling/scheduling.go
@@ -1,6 +1,6 @@
-// Package scheduling decides which engine runs which call next (design section
-// 8). It is pure: a Cell is what one scheduler knows of its engines and waiting
-// calls, and Decide returns what to start and what to refuse.
+// Package scheduling decides which engine runs which call next (design section 8). It is pure: a
+// CellScheduler holds the engines and the waiting calls of one scheduler, and Decide returns the
+// calls to dispatch and to refuse.
 package scheduling
 
 import (
@@ -11,56 +11,57 @@
 	"github.com/ochrebay/ochrebay/internal/result"
 )
 
-// Engine is one engine as its owner knows it.
+// Engine is the state of one engine at the scheduler that owns it.
 type Engine struct {
 	Name  string
 	Pool  string
 	Ready bool
-	// Closed engines take no new work: they drain, leave or don't answer.
+	// Closed engines accept no new calls: they are draining, leaving or not responding.
 	Closed bool
-	// Slots is how many calls the engine is sent at once.
+	// Slots is the maximum number of calls that are sent to the engine at once.
 	Slots    int
 	InFlight int
-	// PendingPromptTokens are prompt tokens sent and not yet answered, and
-	// OutputTokens the answer tokens expected of calls in flight.
+	// PendingPromptTokens is the number of prompt tokens of calls in flight that the engine has not
+	// cached, and PendingOutputTokens the expected number of their output tokens.
 	PendingPromptTokens int64
 	PendingOutputTokens int64
-	// PrefillTokensPerSecond and StepMicros describe its speed.
+	// PrefillTokensPerSecond is the speed of the prefill. A decoding step of a batch of n sequences
+	// takes StepMicros + n * StepMicrosPerSequence.
 	PrefillTokensPerSecond int64
 	StepMicros             int64
 	StepMicrosPerSequence  int64
 }
 
-// Call is one call that waits for an engine.
+// Call is a call that waits for an engine.
 type Call struct {
 	ID      uint64
 	Program string
 	Pool    string
-	// Rank is the service's rank; lower is more urgent.
+	// Rank is the rank of the service; lower is more urgent.
 	Rank int
-	// AttainedServiceMs is the engine time that the program has had.
+	// AttainedServiceMs is the engine time that the program has used so far.
 	AttainedServiceMs int64
 	ArrivedMs         int64
 	DeadlineMs        int64
-	// PromptTokens is the length of the whole prompt, OutputTokens what the
-	// answer is expected to need.
+	// PromptTokens is the length of the whole prompt, and OutputTokens the expected length of the
+	// answer.
 	PromptTokens int64
 	OutputTokens int64
-	// CachedTokens tells how many tokens of the prompt each engine holds.
+	// CachedTokens is the number of tokens of the prompt that each engine has cached.
 	CachedTokens map[string]int64
-	// ExcludedEngines engines failed this call before.
+	// ExcludedEngines are the engines at which this call has failed.
 	ExcludedEngines map[string]bool
 }
 
-// Policy holds the parameters of the decision. The zero value of a switch means
-// that the mechanism is on.
+// Policy holds the parameters of the scheduler. The zero value of a switch leaves its mechanism
+// enabled.
 type Policy struct {
-	// AgeingMs is the wait after which a call counts as one rank more urgent.
+	// AgeingMs is the waiting time after which a call counts as one rank more urgent.
 	AgeingMs int64
-	// QueueLimit bounds the waiting calls of the cell.
+	// QueueLimit limits the number of waiting calls.
 	QueueLimit int
-	// MoveFactor is how much sooner another engine must be expected to finish
-	// before a call leaves the engine that holds its prefix.
+	// MoveFactor is how many times sooner the engine with the cached prefix must be expected to
+	// finish for a call to wait for it instead of moving to an engine with a free slot.
 	MoveFactor float64
 
 	IgnoreRank            bool
@@ -71,103 +72,104 @@
 	FirstComeFirstServed  bool
 }
 
-// DefaultPolicy returns the parameters in use; they were chosen before any
-// measurement, from the design.
+// DefaultPolicy returns the default parameters.
 func DefaultPolicy() Policy {
 	return Policy{AgeingMs: 10_000, QueueLimit: 2000, MoveFactor: 1.25}
 }
 
-// Dispatch sends a call to an engine.
+// Dispatch assigns a call to an engine.
 type Dispatch struct {
 	Call   *Call
 	Engine *Engine
 }
 
-// Refusal ends a call that waits.
+// Refusal ends a waiting call with an error.
 type Refusal struct {
 	Call  *Call
 	Error *result.Error
 }
 
-// Decision is what Decide returns.
+// Decision is the result of Decide.
 type Decision struct {
 	Dispatches []Dispatch
 	Refusals   []Refusal
 }
 
-// CellScheduler is one scheduler's engines and waiting calls.
+// CellScheduler holds the engines and the waiting calls of one scheduler.
 type CellScheduler struct {
 	Policy  Policy
 	Engines []*Engine
 	Waiting []*Call
 }
 
-// Decide goes through the waiting calls in order of urgency and starts those for
-// which an engine should be used now. Started and refused calls leave Waiting;
-// the engines' counts are updated.
+// Decide goes through the waiting calls in order of urgency and dispatches those for which an
+// engine should be used now. Dispatched and refused calls are removed from Waiting, and the counts
+// of the engines are updated.
 func (c *CellScheduler) Decide(nowMs int64) Decision {
 	var decision Decision
-	c.order(nowMs)
-	var still []*Call
+	c.sortWaiting(nowMs)
+	var waiting []*Call
 	full := map[string]bool{}
 	for _, call := range c.Waiting {
-		if refusal := c.overdue(call, nowMs); refusal != nil {
+		if refusal := c.deadlineError(call, nowMs); refusal != nil {
 			decision.Refusals = append(decision.Refusals, Refusal{call, refusal})
 			continue
 		}
 		if full[call.Pool] {
-			still = append(still, call)
+			waiting = append(waiting, call)
 			continue
 		}
-		engine, open := c.place(call)
+		engine, hasFreeSlot := c.findEngine(call)
 		if engine == nil {
-			// A call that has excluded the engines with room says nothing of the others.
-			full[call.Pool] = !open && len(call.ExcludedEngines) == 0
-			still = append(still, call)
+			// A call that has excluded the engines with free slots says nothing about the other
+			// calls of the pool.
+			full[call.Pool] = !hasFreeSlot && len(call.ExcludedEngines) == 0
+			waiting = append(waiting, call)
 			continue
 		}
 		engine.AddCall(call)
 		decision.Dispatches = append(decision.Dispatches, Dispatch{call, engine})
 	}
-	c.Waiting = still
+	c.Waiting = waiting
 	return decision
 }
 
-// AddCall counts a call that the engine is sent.
+// AddCall counts a call that is sent to the engine.
 func (e *Engine) AddCall(call *Call) {
 	e.InFlight++
 	e.PendingPromptTokens += call.PromptTokens - call.CachedTokens[e.Name]
 	e.PendingOutputTokens += call.OutputTokens
 }
 
-// RemoveCall counts a call that the engine is rid of.
+// RemoveCall counts a call that the engine no longer runs.
 func (e *Engine) RemoveCall(call *Call) {
 	e.InFlight = max(0, e.InFlight-1)
 	e.PendingPromptTokens = max(0, e.PendingPromptTokens-(call.PromptTokens-call.CachedTokens[e.Name]))
 	e.PendingOutputTokens = max(0, e.PendingOutputTokens-call.OutputTokens)
 }
 
-// order sorts the waiting calls: by rank, which waiting improves so that the
-// lowest rank still ends; inside a rank by least attained service; then by
-// arrival.
-func (c *CellScheduler) order(nowMs int64) {
+// sortWaiting sorts the waiting calls by rank, within a rank by least attained service, and then by
+// arrival. The rank improves with the waiting time, so that calls of the lowest rank are not
+// starved.
+func (c *CellScheduler) sortWaiting(nowMs int64) {
 	slices.SortStableFunc(c.Waiting, func(a, b *Call) int {
 		if c.Policy.FirstComeFirstServed {
 			return int(a.ArrivedMs - b.ArrivedMs)
 		}
-		if ranks := c.effectiveRank(a, nowMs) - c.effectiveRank(b, nowMs); ranks != 0 {
-			return ranks
+		if rankDifference := c.effectiveRank(a, nowMs) - c.effectiveRank(b, nowMs); rankDifference != 0 {
+			return rankDifference
 		}
-		if service := a.AttainedServiceMs - b.AttainedServiceMs; service != 0 && !c.Policy.IgnoreAttainedService {
-			return int(min(max(service, math.MinInt32), math.MaxInt32))
+		if serviceDifference := a.AttainedServiceMs - b.AttainedServiceMs; serviceDifference != 0 && !c.Policy.IgnoreAttainedService {
+			return int(min(max(serviceDifference, math.MinInt32), math.MaxInt32))
 		}
-		if arrival := a.ArrivedMs - b.ArrivedMs; arrival != 0 {
-			return int(arrival)
+		if arrivalDifference := a.ArrivedMs - b.ArrivedMs; arrivalDifference != 0 {
+			return int(arrivalDifference)
 		}
 		return strings.Compare(a.Program, b.Program)
 	})
 }
 
+// effectiveRank returns the rank of a call, improved by its waiting time.
 func (c *CellScheduler) effectiveRank(call *Call, nowMs int64) int {
 	if c.Policy.IgnoreRank {
 		return 0
@@ -178,100 +180,103 @@
 	return call.Rank - int((nowMs-call.ArrivedMs)/c.Policy.AgeingMs)
 }
 
-func (c *CellScheduler) overdue(call *Call, nowMs int64) *result.Error {
+// deadlineError returns an error if the deadline of a call has passed.
+func (c *CellScheduler) deadlineError(call *Call, nowMs int64) *result.Error {
 	if c.Policy.IgnoreDeadline || call.DeadlineMs == 0 || nowMs < call.DeadlineMs {
 		return nil
 	}
 	return result.New(result.DeadlinePassed, "the deadline passed after %d ms in the queue", nowMs-call.ArrivedMs)
 }
 
-// place returns the engine that should run the call now, nil where it should
-// wait; open reports whether any engine of the pool has a free slot.
-func (c *CellScheduler) place(call *Call) (best *Engine, open bool) {
-	best, open, usable := c.placeAmong(call, false)
-	if usable || len(call.ExcludedEngines) == 0 {
-		return best, open
+// findEngine returns the engine that should run the call now, or nil if the call should wait.
+// hasFreeSlot reports whether any engine considered has a free slot.
+func (c *CellScheduler) findEngine(call *Call) (best *Engine, hasFreeSlot bool) {
+	best, hasFreeSlot, hasUsable := c.findEngineAmong(call, false)
+	if hasUsable || len(call.ExcludedEngines) == 0 {
+		return best, hasFreeSlot
 	}
-	// Every open engine has failed the call once: all may be tried again.
-	best, open, _ = c.placeAmong(call, true)
-	return best, open
+	// The call has failed at every open engine: all of them may be tried again.
+	best, hasFreeSlot, _ = c.findEngineAmong(call, true)
+	return best, hasFreeSlot
 }
 
-func (c *CellScheduler) placeAmong(call *Call, excluded bool) (best *Engine, open, usable bool) {
+// findEngineAmong considers the engines of the pool that the call has excluded, or those that it
+// has not. hasUsable reports whether there is any that accepts calls.
+func (c *CellScheduler) findEngineAmong(call *Call, excluded bool) (best *Engine, hasFreeSlot, hasUsable bool) {
 	var bestFree, bestAny *Engine
 	var freeMicros, anyMicros int64
 	for _, engine := range c.Engines {
 		if engine.Pool != call.Pool || !engine.Ready || engine.Closed || call.ExcludedEngines[engine.Name] != excluded {
 			continue
 		}
-		usable = true
+		hasUsable = true
 		micros := c.EstimateCompletionMicros(engine, call)
 		if bestAny == nil || micros < anyMicros {
 			bestAny, anyMicros = engine, micros
 		}
 		if engine.InFlight < engine.Slots {
-			open = true
+			hasFreeSlot = true
 			if bestFree == nil || micros < freeMicros {
 				bestFree, freeMicros = engine, micros
 			}
 		}
 	}
 	if bestFree == nil {
-		return nil, open, usable
+		return nil, hasFreeSlot, hasUsable
 	}
-	// A call waits for the engine that holds its prefix while starting elsewhere
-	// would end much later.
+	// A call waits for a busy engine, usually the one with its cached prefix, while starting
+	// elsewhere would end much later.
 	if bestAny != bestFree && float64(freeMicros) > c.Policy.MoveFactor*float64(anyMicros) {
-		return nil, open, usable
+		return nil, hasFreeSlot, hasUsable
 	}
-	return bestFree, open, usable
+	return bestFree, hasFreeSlot, hasUsable
 }
 
-// EstimateCompletionMicros estimates how long a call would take on an engine: the backlog
-// before it, the prompt tokens the engine lacks, and the answer at the batch it
-// would run in.
+// EstimateCompletionMicros estimates how long a call would take on an engine: the prefill of the
+// backlog and of the prompt tokens that are not cached, the decoding of the output in the batch it
+// would join, and for a full engine the wait for a slot.
 func (c *CellScheduler) EstimateCompletionMicros(engine *Engine, call *Call) int64 {
-	missing := call.PromptTokens
+	uncached := call.PromptTokens
 	if !c.Policy.IgnorePrefix {
-		missing -= call.CachedTokens[engine.Name]
+		uncached -= call.CachedTokens[engine.Name]
 	}
-	backlog := engine.PendingPromptTokens
+	backlogTokens := engine.PendingPromptTokens
 	if c.Policy.IgnoreBacklog {
-		backlog = 0
+		backlogTokens = 0
 	}
-	rate := max(1, engine.PrefillTokensPerSecond)
-	prefill := (backlog + missing) * 1_000_000 / rate
-	step := engine.StepMicros + int64(engine.InFlight+1)*engine.StepMicrosPerSequence
-	queue := int64(0)
+	tokensPerSecond := max(1, engine.PrefillTokensPerSecond)
+	prefillMicros := (backlogTokens + uncached) * 1_000_000 / tokensPerSecond
+	stepMicros := engine.StepMicros + int64(engine.InFlight+1)*engine.StepMicrosPerSequence
+	queueMicros := int64(0)
 	if engine.InFlight >= engine.Slots && engine.Slots > 0 {
-		// The call waits for one of the calls in flight to end.
-		queue = engine.PendingOutputTokens / int64(engine.InFlight) * step / 2
+		// The call waits until one of the calls in flight ends.
+		queueMicros = engine.PendingOutputTokens / int64(engine.InFlight) * stepMicros / 2
 	}
-	return queue + prefill + call.OutputTokens*step
+	return queueMicros + prefillMicros + call.OutputTokens*stepMicros
 }
 
-// Admit decides whether a new call may join the queue: a refusal is final and at
-// once, with the time after which the queue will have drained.
+// Admit decides whether a new call may join the queue. A refusal is final and immediate, and
+// carries the time after which the queue will have drained.
 func (c *CellScheduler) Admit(call *Call, nowMs int64) *result.Error {
 	ready := 0
-	var best int64 = math.MaxInt64
+	var bestMicros int64 = math.MaxInt64
 	for _, engine := range c.Engines {
 		if engine.Pool == call.Pool && engine.Ready && !engine.Closed {
 			ready++
-			best = min(best, c.EstimateCompletionMicros(engine, call))
+			bestMicros = min(bestMicros, c.EstimateCompletionMicros(engine, call))
 		}
 	}
-	drain := c.drainMs(call.Pool)
+	drainMs := c.queueDrainMs(call.Pool)
 	if ready > 0 && len(c.Waiting) >= c.Policy.QueueLimit {
-		return result.New(result.Overloaded, "%d calls wait", len(c.Waiting)).WithRetryAfter(msDuration(drain))
+		return result.New(result.Overloaded, "the queue of the scheduler is full with %d waiting calls", len(c.Waiting)).WithRetryAfter(msDuration(drainMs))
 	}
 	if ready == 0 || c.Policy.IgnoreDeadline || call.DeadlineMs == 0 {
 		return nil
 	}
-	expected := c.aheadMs(call, nowMs) + best/1000
-	if nowMs+expected > call.DeadlineMs {
-		return result.New(result.DeadlineTooClose, "expected to finish in %d ms, the deadline is in %d ms", expected, call.DeadlineMs-nowMs).
-			WithRetryAfter(msDuration(max(drain, 100)))
+	expectedMs := c.queueAheadMs(call, nowMs) + bestMicros/1000
+	if nowMs+expectedMs > call.DeadlineMs {
+		return result.New(result.DeadlineTooClose, "the call is expected to finish in %d ms, but its deadline is in %d ms", expectedMs, call.DeadlineMs-nowMs).
+			WithRetryAfter(msDuration(max(drainMs, 100)))
 	}
 	return nil
 }
