--- a/internal/scheduling/speed.go
+++ b/internal/scheduling/speed.go
@@ -1,166 +1,167 @@
 package scheduling
 
 const (
-	// paceHalfLifeMs is when a sample of an engine's pace counts half: many times as long as
-	// an engine that shares its machine is held up at a stretch (0.6 s), so that such spells
+	// paceHalfLifeMs is the half-life of the samples of an engine's pace. It is many times as long
+	// as an engine that shares its machine is stalled at a stretch (0.6 s), so that such stalls
 	// average out, and short enough to follow an engine that was moved or throttled.
 	paceHalfLifeMs = 8_000
-	// usualPaceHalfLifeMs is the same for what all engines together show.
-	usualPaceHalfLifeMs = 15_000
-	// longestPaced is from how many pauses on streams are compared with each other: the
-	// shortest of many pauses hardly gets shorter with more of them.
-	longestPaced = 8
-	// clippedPace bounds one sample to so many times what its engine showed before, so that
-	// one stream that was held up moves the mean little.
-	clippedPace = 3
-	// independentSamples bounds what the samples of one engine count for when its mean is
-	// held against chance: those of one spell are no independent ones, and paceHalfLifeMs
-	// holds about so many spells.
-	independentSamples = 16
-	// speedMargin is how many times more than by chance engines must differ before their
+	// baselineHalfLifeMs is the half-life of the samples of all engines together.
+	baselineHalfLifeMs = 15_000
+	// maxGapCountClass is the number of gaps from which on all streams are compared with each
+	// other: the minimum of many gaps hardly falls any further with more of them.
+	maxGapCountClass = 8
+	// maxPaceRatio limits a sample to this multiple of the engine's previous mean, so that one
+	// stalled stream moves the mean little.
+	maxPaceRatio = 3
+	// maxIndependentSamples limits the weight of an engine's samples when its mean is tested
+	// against chance. The samples of one stall are not independent, and paceHalfLifeMs holds about
+	// this number of stalls.
+	maxIndependentSamples = 16
+	// paceVarianceMargin is how many times more than by chance the engines must differ before their
 	// speeds count at all.
-	speedMargin = 4
-	// largestCrowding bounds what company may explain of one sample.
-	largestCrowding = 4.0
-	// learnEveryMs bounds how often the slowness of all engines is worked out, which takes as
-	// many steps as there are engines: their means move with paceHalfLifeMs.
-	learnEveryMs = 50
-	// gaugeSamples draws the mean pace of all engines towards 1, so that ratios that several
+	paceVarianceMargin = 4
+	// maxLoadCorrection limits the part of a sample that is attributed to other requests.
+	maxLoadCorrection = 4.0
+	// slowdownIntervalMs limits how often the slowdowns of all engines are recomputed, which takes
+	// as many steps as there are engines. Their means only move with paceHalfLifeMs.
+	slowdownIntervalMs = 50
+	// anchorWeight pulls the mean pace of all engines towards 1, so that the ratios that several
 	// gateways learn from each other do not drift together.
-	gaugeSamples = 2
+	anchorWeight = 2
 )
 
-// paced is what is known of the pace of streams over the engines of a back end.
-type paced struct {
-	// shortest are the means of the shortest pause of streams by how many pauses they have,
-	// at an engine whose slowness is 1: the shortest of many is shorter than that of a few.
-	shortest [longestPaced + 1]DecayedMean
-	// spread is the mean squared deviation of one sample from its engine's mean, as a share
-	// of the mean.
-	spread DecayedMean
-	// crowding is a sample over the other requests at its engine: what more company makes of a
-	// pause is no speed of the engine.
-	crowding LinearFit
-	// learntMs is when the slowness of engines was last worked out, and learntOf of how many.
-	learntMs int64
-	learntOf int
+// paceModel is the pace of streams over the engines of a back end.
+type paceModel struct {
+	// minGapMs holds the means of the minimum gap of a stream by the number of its gaps, at an
+	// engine with a slowdown of 1. The minimum of many gaps is lower than that of a few.
+	minGapMs [maxGapCountClass + 1]DecayedMean
+	// relativeVariance is the mean squared deviation of a sample from the mean of its engine,
+	// relative to that mean.
+	relativeVariance DecayedMean
+	// loadFit fits a sample to the number of other requests at its engine, since a gap that is
+	// longer because of them says nothing about the engine's speed.
+	loadFit LinearFit
+	// updatedMs is when the slowdowns were last recomputed, and updatedEngines for how many
+	// engines.
+	updatedMs      int64
+	updatedEngines int
 }
 
-// ObserveStreamPace learns from the pauses of a stream that ended, broke off or was cancelled: how
-// many it had and the shortest. The shortest tells a slow engine from a busy one, and streams
-// with as many pauses are compared with each other, so that one stream is enough for a
-// sample however few of them a gateway sends to an engine.
-func (p *LatencyModel) ObserveStreamPace(health *EngineHealth, nowMs int64, pauses int, shortest float64) {
-	if pauses < 1 || shortest <= 0 {
+// ObserveStreamPace learns from the gaps of a stream that has ended, was interrupted or was
+// cancelled: their number and their minimum. The minimum tells a slow engine from a busy one. Only
+// streams with the same number of gaps are compared, so that one stream yields a sample even if a
+// gateway sends few of them to an engine.
+func (m *LatencyModel) ObserveStreamPace(health *EngineHealth, nowMs int64, gaps int, minGapMs float64) {
+	if gaps < 1 || minGapMs <= 0 {
 		return
 	}
-	usual := &p.paced.shortest[min(pauses, longestPaced)]
-	usual.HalfLifeMs = usualPaceHalfLifeMs
-	expected, known := usual.At(nowMs).own()
+	baseline := &m.pace.minGapMs[min(gaps, maxGapCountClass)]
+	baseline.HalfLifeMs = baselineHalfLifeMs
+	expected, known := baseline.At(nowMs).mean()
 	if !known {
-		expected = shortest / health.Slowdown()
+		expected = minGapMs / health.Slowdown()
 	}
-	ratio := p.paced.alone(health, nowMs, shortest/expected)
-	before, weight := health.paceMean(nowMs)
-	if weight > minimumWeight {
-		ratio = min(ratio, clippedPace*before)
-		deviation := ratio/before - 1
-		p.paced.spread.HalfLifeMs = usualPaceHalfLifeMs
-		p.paced.spread.Add(nowMs, deviation*deviation, 1)
+	ratio := m.pace.loadAdjusted(health, nowMs, minGapMs/expected)
+	previous, weight := health.paceMean(nowMs)
+	if weight > minWeight {
+		ratio = min(ratio, maxPaceRatio*previous)
+		deviation := ratio/previous - 1
+		m.pace.relativeVariance.HalfLifeMs = baselineHalfLifeMs
+		m.pace.relativeVariance.Add(nowMs, deviation*deviation, 1)
 	}
-	usual.Add(nowMs, ratio*expected/health.Slowdown(), 1)
-	health.sawPace(nowMs, ratio)
+	baseline.Add(nowMs, ratio*expected/health.Slowdown(), 1)
+	health.addPaceSample(nowMs, ratio)
 }
 
-// alone returns a sample as it would be with as many requests at its engine as at others on
-// the mean.
-func (p *paced) alone(health *EngineHealth, nowMs int64, ratio float64) float64 {
+// loadAdjusted returns a sample corrected to the mean number of other requests at an engine.
+func (p *paceModel) loadAdjusted(health *EngineHealth, nowMs int64, ratio float64) float64 {
 	others := max(health.EstimatedInFlight(nowMs)-1, 0)
-	p.crowding.Add(nowMs, others, ratio/health.Slowdown())
-	slope, known := p.crowding.Slope()
+	p.loadFit.Add(nowMs, others, ratio/health.Slowdown())
+	slope, known := p.loadFit.Slope()
 	if !known {
 		return ratio
 	}
-	meanOthers, meanRatio := p.crowding.sumX/p.crowding.weight, p.crowding.sumY/p.crowding.weight
-	crowded := (meanRatio + slope*(others-meanOthers)) / meanRatio
-	return ratio / min(max(crowded, 1/largestCrowding), largestCrowding)
+	meanOthers, meanRatio := p.loadFit.sumX/p.loadFit.weight, p.loadFit.sumY/p.loadFit.weight
+	loadFactor := (meanRatio + slope*(others-meanOthers)) / meanRatio
+	return ratio / min(max(loadFactor, 1/maxLoadCorrection), maxLoadCorrection)
 }
 
-// learnSpeeds brings the slowness of all engines up to nowMs. Each engine's mean is drawn
-// towards that of all by as much as chance explains of their differences (James and Stein,
-// Estimation with Quadratic Loss, 1961): engines that are alike stay alike, and one that is
-// new starts where the others are on the mean.
-func (p *LatencyModel) learnSpeeds(candidates []Candidate, nowMs int64) {
-	if since := nowMs - p.paced.learntMs; since >= 0 && since < learnEveryMs && p.paced.learntOf == len(candidates) {
+// updateSlowdowns brings the slowdowns of all engines up to nowMs. The mean of each engine is
+// shrunk towards the mean of all engines by as much as chance explains of their differences (James
+// and Stein, Estimation with Quadratic Loss, 1961). Engines that are alike stay alike, and a new
+// engine starts at the mean.
+func (m *LatencyModel) updateSlowdowns(candidates []Candidate, nowMs int64) {
+	if elapsedMs := nowMs - m.pace.updatedMs; elapsedMs >= 0 && elapsedMs < slowdownIntervalMs && m.pace.updatedEngines == len(candidates) {
 		return
 	}
-	p.paced.learntMs, p.paced.learntOf = nowMs, len(candidates)
-	spread, known := p.paced.spread.At(nowMs).own()
-	sum, total := float64(gaugeSamples), float64(gaugeSamples)
-	for position := range candidates {
-		health := candidates[position].Health
+	m.pace.updatedMs, m.pace.updatedEngines = nowMs, len(candidates)
+	relativeVariance, known := m.pace.relativeVariance.At(nowMs).mean()
+	sum, total := float64(anchorWeight), float64(anchorWeight)
+	for index := range candidates {
+		health := candidates[index].Health
 		mean, weight := health.paceMean(nowMs)
-		health.pace.mean, health.pace.weight = mean, min(weight, independentSamples)
+		health.pace.mean, health.pace.weight = mean, min(weight, maxIndependentSamples)
 		sum += mean * health.pace.weight
 		total += health.pace.weight
 	}
-	middle := sum / total
-	varied, chance := 0.0, 0.0
-	for position := range candidates {
-		pace := &candidates[position].Health.pace
-		varied += pace.weight * (pace.mean - middle) * (pace.mean - middle)
-		if pace.weight > minimumWeight {
-			chance += spread * pace.mean * pace.mean
+	center := sum / total
+	observed, expected := 0.0, 0.0
+	for index := range candidates {
+		pace := &candidates[index].Health.pace
+		observed += pace.weight * (pace.mean - center) * (pace.mean - center)
+		if pace.weight > minWeight {
+			expected += relativeVariance * pace.mean * pace.mean
 		}
 	}
-	variance := max(varied-speedMargin*chance, 0) / total
-	for position := range candidates {
-		pace := &candidates[position].Health.pace
-		pace.slowness = middle
-		if known && variance > 0 && pace.weight > minimumWeight {
-			noise := spread * pace.mean * pace.mean / pace.weight
-			pace.slowness = middle + (pace.mean-middle)*variance/(variance+noise)
+	variance := max(observed-paceVarianceMargin*expected, 0) / total
+	for index := range candidates {
+		pace := &candidates[index].Health.pace
+		pace.slowdown = center
+		if known && variance > 0 && pace.weight > minWeight {
+			noise := relativeVariance * pace.mean * pace.mean / pace.weight
+			pace.slowdown = center + (pace.mean-center)*variance/(variance+noise)
 		}
 	}
 }
 
-// enginePace is what is known of how long an engine takes for a token, as a multiple of what
-// is usual over the engines of its back end.
+// enginePace is the time that an engine takes for a token, as a multiple of the usual time at the
+// engines of its back end.
 type enginePace struct {
-	// own, news and shared are as for the quick samples of EngineHealth.
-	own    DecayedMean
-	news   DecayedMean
-	shared DecayedMean
-	// mean, weight and slowness are as of the last choice.
+	// own holds the samples of this gateway, unreported those of them that were not yet reported,
+	// and shared those of all gateways.
+	own        DecayedMean
+	unreported DecayedMean
+	shared     DecayedMean
+	// mean, weight and slowdown are those of the last update of the slowdowns.
 	mean     float64
 	weight   float64
-	slowness float64
+	slowdown float64
 }
 
-// sawPace takes one sample.
-func (h *EngineHealth) sawPace(nowMs int64, ratio float64) {
+// addPaceSample adds a sample of the engine's pace.
+func (h *EngineHealth) addPaceSample(nowMs int64, ratio float64) {
 	h.pace.own.HalfLifeMs = paceHalfLifeMs
-	h.pace.news.HalfLifeMs = paceHalfLifeMs
+	h.pace.unreported.HalfLifeMs = paceHalfLifeMs
 	h.pace.own.Add(nowMs, ratio, 1)
-	h.pace.news.Add(nowMs, ratio, 1)
+	h.pace.unreported.Add(nowMs, ratio, 1)
 }
 
-// paceMean returns the mean of all samples and what they count for; 1 where there are none.
+// paceMean returns the mean of all samples and their weight, or 1 and 0 if there are none.
 func (h *EngineHealth) paceMean(nowMs int64) (mean, weight float64) {
-	known := h.pace.shared.At(nowMs)
-	known.HalfLifeMs = paceHalfLifeMs
-	known.Merge(nowMs, h.pace.own.At(nowMs))
-	if mean, some := known.own(); some {
-		return mean, known.Weight
+	merged := h.pace.shared.At(nowMs)
+	merged.HalfLifeMs = paceHalfLifeMs
+	merged.Merge(nowMs, h.pace.own.At(nowMs))
+	if mean, known := merged.mean(); known {
+		return mean, merged.Weight
 	}
 	return 1, 0
 }
 
-// Slowdown is how many times longer than at the usual engine of its back end a token takes at
-// this one, as of the last choice.
+// Slowdown returns how many times longer a token takes at this engine than at the usual engine of
+// its back end, as of the last selection.
 func (h *EngineHealth) Slowdown() float64 {
-	if h.pace.slowness <= 0 {
+	if h.pace.slowdown <= 0 {
 		return 1
 	}
-	return h.pace.slowness
+	return h.pace.slowdown
 }
--- a/internal/scheduling/suspicion.go
+++ b/internal/scheduling/suspicion.go
@@ -5,52 +5,52 @@
 	"slices"
 )
 
-// leastWitnesses is how many gateways' requests must have failed at an engine before all
-// others pass it over: one alone may have lost its own way to it.
-const leastWitnesses = 2
+// minFailingGateways is the number of gateways whose requests must have failed at an engine before
+// all others avoid it. A single gateway may have lost its own connection to the engine.
+const minFailingGateways = 2
 
-// witness is a gateway at whose requests an engine failed.
-type witness struct {
+// failureReport is a gateway's report that its requests fail at an engine.
+type failureReport struct {
 	zone string
 	atMs int64
 }
 
-// ReportFailingEngines takes the engines at which a gateway's requests fail.
-func (b *LoadAggregator) ReportFailingEngines(gateway, zone string, engines []string, nowMs int64) {
+// ReportFailingEngines records the engines at which a gateway's requests fail.
+func (a *LoadAggregator) ReportFailingEngines(gateway, zone string, engines []string, nowMs int64) {
 	for _, engine := range engines {
-		if b.failing[engine] == nil {
-			b.failing[engine] = map[string]witness{}
+		if a.failureReports[engine] == nil {
+			a.failureReports[engine] = map[string]failureReport{}
 		}
-		b.failing[engine][gateway] = witness{zone, nowMs}
+		a.failureReports[engine][gateway] = failureReport{zone, nowMs}
 	}
 }
 
-// FailingEngines returns those of the engines named at which requests of several gateways of a zone
-// fail. In a large fleet each gateway sends so few requests that it would learn of an engine
-// that is gone only by losing one of its own. Gateways of other zones are no witnesses: the way
-// between zones may be cut.
-func (b *LoadAggregator) FailingEngines(engines []string, zone string, nowMs int64) []string {
+// FailingEngines returns those of the engines named at which requests of several gateways in a zone
+// fail. In a large fleet each gateway sends few requests to an engine, and would detect that the
+// engine is gone only by losing one of its own requests. Reports from other zones don't count,
+// because the network between the zones may be partitioned.
+func (a *LoadAggregator) FailingEngines(engines []string, zone string, nowMs int64) []string {
 	var failing []string
 	for _, engine := range engines {
-		witnesses := 0
-		for _, seen := range b.failing[engine] {
-			if seen.zone == zone && nowMs-seen.atMs <= loadForgottenMs {
-				witnesses++
+		gateways := 0
+		for _, report := range a.failureReports[engine] {
+			if report.zone == zone && nowMs-report.atMs <= loadLifetimeMs {
+				gateways++
 			}
 		}
-		if witnesses >= leastWitnesses {
+		if gateways >= minFailingGateways {
 			failing = append(failing, engine)
 		}
 	}
 	return failing
 }
 
-// sweepFailing forgets what was reported long ago.
-func (b *LoadAggregator) sweepFailing(nowMs int64) {
-	for engine, witnesses := range b.failing {
-		maps.DeleteFunc(witnesses, func(_ string, seen witness) bool { return nowMs-seen.atMs > loadForgottenMs })
-		if len(witnesses) == 0 {
-			delete(b.failing, engine)
+// sweepFailureReports removes reports that are too old.
+func (a *LoadAggregator) sweepFailureReports(nowMs int64) {
+	for engine, reports := range a.failureReports {
+		maps.DeleteFunc(reports, func(_ string, report failureReport) bool { return nowMs-report.atMs > loadLifetimeMs })
+		if len(reports) == 0 {
+			delete(a.failureReports, engine)
 		}
 	}
 }
--- a/internal/scheduling/turns.go
+++ b/internal/scheduling/turns.go
@@ -1,60 +1,61 @@
 package scheduling
 
 const (
-	// countedParts bounds the lengths of prompts that are told apart.
-	countedParts = 128
-	// countedTurns is at how many turns of a kind all counts are halved, so that what is
-	// learnt follows the programs of today.
-	countedTurns = 2_000
+	// maxCountedParts limits the prompt lengths, in parts, that are counted separately.
+	maxCountedParts = 128
+	// maxCountedTurns is the number of turns of a kind at which all counts are halved, so that they
+	// follow the current programs.
+	maxCountedTurns = 2_000
 )
 
-// turnCounts are the turns of one kind seen, by the number of parts of their prompts.
+// turnCounts counts the turns of one kind by the number of parts of their prompts.
 type turnCounts struct {
-	byParts [countedParts]float64
+	byParts [maxCountedParts]float64
 	total   float64
 }
 
-// ObserveTurn learns from a turn that is sent.
-func (p *LatencyModel) ObserveTurn(kind string, parts int) {
+// ObserveTurn counts a turn that is sent.
+func (m *LatencyModel) ObserveTurn(kind string, parts int) {
 	if parts <= 0 {
 		return
 	}
-	counts := entryOfKind(&p.turns, kind)
-	counts.byParts[min(parts, countedParts-1)]++
+	counts := entryForKind(&m.turnsByKind, kind)
+	counts.byParts[min(parts, maxCountedParts-1)]++
 	counts.total++
-	if counts.total < countedTurns {
+	if counts.total < maxCountedTurns {
 		return
 	}
 	const half = 2
-	for position := range counts.byParts {
-		counts.byParts[position] /= half
+	for index := range counts.byParts {
+		counts.byParts[index] /= half
 	}
 	counts.total /= half
 }
 
-// RemainingTurns returns how many turns, this one included, a session is expected to have yet
-// whose prompt has some number of parts. Prompts of a session only grow, so that each of its
-// turns is counted under another number of parts: over many sessions the turns with more
-// parts, divided by those with as many, are those that follow one of these on the mean.
-func (p *LatencyModel) RemainingTurns(kind string, parts int) float64 {
-	counts, known := p.turns[kind]
+// RemainingTurns returns the expected number of remaining turns, including this one, of a session
+// whose prompt has a number of parts. The prompts of a session only grow, so that each of its turns
+// is counted under a different number of parts. Over many sessions, the number of turns with more
+// parts divided by the number of turns with the same number of parts is the mean number of turns
+// that follow.
+func (m *LatencyModel) RemainingTurns(kind string, parts int) float64 {
+	counts, known := m.turnsByKind[kind]
 	if !known || parts <= 0 {
 		return 1
 	}
-	position := min(parts, countedParts-1)
+	class := min(parts, maxCountedParts-1)
 	longer := 0.0
-	for _, count := range counts.byParts[position+1:] {
+	for _, count := range counts.byParts[class+1:] {
 		longer += count
 	}
-	return 1 + longer/(counts.byParts[position]+1)
+	return 1 + longer/(counts.byParts[class]+1)
 }
 
-// entryOfKind returns the entry of a kind of request; once there are too many kinds all are
-// forgotten.
-func entryOfKind[T any](entries *map[string]*T, kind string) *T {
+// entryForKind returns the entry of a kind of request. When there are too many kinds, it drops all
+// of them.
+func entryForKind[T any](entries *map[string]*T, kind string) *T {
 	entry, known := (*entries)[kind]
 	if !known {
-		if *entries == nil || len(*entries) >= maxKinds {
+		if *entries == nil || len(*entries) >= maxRequestKinds {
 			*entries = map[string]*T{}
 		}
 		entry = new(T)
--- a/internal/scheduling/usage.go
+++ b/internal/scheduling/usage.go
@@ -2,160 +2,166 @@
 
 import "math"
 
-// EngineUsage is what observers know of one engine besides its Load: one gateway since its last
-// report, or all gateways together. It goes as a map, so that processes of an older or newer
-// release read what they know of it.
+// EngineUsage is the state of one engine beyond its EngineLoad, as observed by one gateway since
+// its last report or by all gateways together. It is encoded as a map, so that processes of an
+// older or newer release can read the fields that they know.
 type EngineUsage struct {
 	Engine string `msgpack:"e"`
-	// Pace are samples of how many times longer than usual a token took there.
+	// Pace holds samples of the time per token at the engine as a multiple of the usual time.
 	Pace WeightedSum `msgpack:"p"`
-	// ReservedKVCacheTokens is what requests under way took of the engine's memory, on the mean since the
-	// last report.
+	// ReservedKVCacheTokens is the mean size of the KV cache that requests in flight reserved since
+	// the last report, in tokens.
 	ReservedKVCacheTokens float32 `msgpack:"h,omitempty"`
 }
 
-// heldTokens is what requests under way take of an engine's memory, as far as one gateway
-// knows. Those that wait for a slot count too: they will run there.
-type heldTokens struct {
-	// own adds up this gateway's requests, and area is own over time since reportedMs, as far
-	// as countedMs.
-	own        int64
-	area       float64
-	countedMs  int64
-	reportedMs int64
-	// shared is what all gateways said at sharedMs, reported what of it this one had said.
-	shared   float64
-	sharedMs int64
-	reported float64
+// kvCacheReservation is the part of an engine's KV cache that is reserved by requests in flight, as
+// far as one gateway can tell. Requests that wait for a slot also count, since they will run at the
+// engine.
+type kvCacheReservation struct {
+	// ownTokens is the sum over the requests of this gateway, and tokenMs is its integral over the
+	// time from reportedMs to integratedMs, in tokens times milliseconds.
+	ownTokens    int64
+	tokenMs      float64
+	integratedMs int64
+	reportedMs   int64
+	// sharedTokens is the sum over all gateways at sharedMs, and reportedTokens is what this
+	// gateway had contributed to it.
+	sharedTokens   float64
+	sharedMs       int64
+	reportedTokens float64
 }
 
-// add counts a request that is sent, or with a negative number one that has ended.
-func (t *heldTokens) add(nowMs, tokens int64) {
-	t.count(nowMs)
-	t.own = max(t.own+tokens, 0)
+// add reserves tokens for a request that is sent, or with a negative number releases those of one
+// that has ended.
+func (t *kvCacheReservation) add(nowMs, tokens int64) {
+	t.integrate(nowMs)
+	t.ownTokens = max(t.ownTokens+tokens, 0)
 }
 
-func (t *heldTokens) count(nowMs int64) {
-	t.area += float64(t.own) * float64(max(nowMs-t.countedMs, 0))
-	t.countedMs = max(t.countedMs, nowMs)
+// integrate adds the reserved tokens up to nowMs to tokenMs.
+func (t *kvCacheReservation) integrate(nowMs int64) {
+	t.tokenMs += float64(t.ownTokens) * float64(max(nowMs-t.integratedMs, 0))
+	t.integratedMs = max(t.integratedMs, nowMs)
 }
 
-// take returns the mean since the last call.
-func (t *heldTokens) take(nowMs int64) float64 {
-	t.count(nowMs)
-	mean := t.area / float64(max(nowMs-t.reportedMs, 1))
-	t.area = 0
+// collectMean returns the mean number of reserved tokens since the last call.
+func (t *kvCacheReservation) collectMean(nowMs int64) float64 {
+	t.integrate(nowMs)
+	mean := t.tokenMs / float64(max(nowMs-t.reportedMs, 1))
+	t.tokenMs = 0
 	t.reportedMs = nowMs
-	t.reported = mean
+	t.reportedTokens = mean
 	return mean
 }
 
-// ReserveKVCache notes what a request that goes to the engine takes of its memory, and Release that it
-// does not any more.
-func (h *EngineHealth) ReserveKVCache(nowMs, tokens int64) { h.held.add(nowMs, tokens) }
+// ReserveKVCache reserves the KV cache tokens of a request that is sent to the engine, until
+// ReleaseKVCache.
+func (h *EngineHealth) ReserveKVCache(nowMs, tokens int64) { h.kvCache.add(nowMs, tokens) }
 
-// ReleaseKVCache undoes a Hold of as many tokens.
-func (h *EngineHealth) ReleaseKVCache(nowMs, tokens int64) { h.held.add(nowMs, -tokens) }
+// ReleaseKVCache releases tokens reserved by ReserveKVCache.
+func (h *EngineHealth) ReleaseKVCache(nowMs, tokens int64) { h.kvCache.add(nowMs, -tokens) }
 
-// ReservedKVCacheTokens is what the requests of all gateways are expected to take of the engine's memory.
+// ReservedKVCacheTokens returns the estimated number of KV cache tokens that requests of all
+// gateways reserve at the engine.
 func (h *EngineHealth) ReservedKVCacheTokens(nowMs int64) float64 {
-	if h.held.sharedMs == 0 || nowMs-h.held.sharedMs > loadForgottenMs {
-		return float64(h.held.own)
+	if h.kvCache.sharedMs == 0 || nowMs-h.kvCache.sharedMs > loadLifetimeMs {
+		return float64(h.kvCache.ownTokens)
 	}
-	return max(h.held.shared-h.held.reported, 0) + float64(h.held.own)
+	return max(h.kvCache.sharedTokens-h.kvCache.reportedTokens, 0) + float64(h.kvCache.ownTokens)
 }
 
-// CollectUsage returns what is new since the last call, for the report to all; false where
-// there is nothing to say.
+// CollectUsage returns the usage since the last call for the next report. It returns false if there
+// is nothing to report.
 func (h *EngineHealth) CollectUsage(engine string, nowMs int64) (EngineUsage, bool) {
-	before := h.held.reported
-	usage := EngineUsage{Engine: engine, Pace: h.pace.news.samples(nowMs), ReservedKVCacheTokens: float32(h.held.take(nowMs))}
-	h.pace.news = DecayedMean{HalfLifeMs: paceHalfLifeMs}
-	return usage, usage.Pace.Weight > minimumWeight || usage.ReservedKVCacheTokens > 0 || before > 0
+	previous := h.kvCache.reportedTokens
+	usage := EngineUsage{Engine: engine, Pace: h.pace.unreported.weightedSum(nowMs), ReservedKVCacheTokens: float32(h.kvCache.collectMean(nowMs))}
+	h.pace.unreported = DecayedMean{HalfLifeMs: paceHalfLifeMs}
+	return usage, usage.Pace.Weight > minWeight || usage.ReservedKVCacheTokens > 0 || previous > 0
 }
 
-// ApplySharedUsage takes what all gateways together know.
+// ApplySharedUsage sets the usage over all gateways.
 func (h *EngineHealth) ApplySharedUsage(usage EngineUsage, nowMs int64) {
-	h.pace.shared = usage.Pace.evidence(nowMs)
+	h.pace.shared = usage.Pace.decayedMean(nowMs)
 	h.pace.shared.HalfLifeMs = paceHalfLifeMs
-	h.held.shared = max(float64(usage.ReservedKVCacheTokens), 0)
-	h.held.sharedMs = nowMs
+	h.kvCache.sharedTokens = max(float64(usage.ReservedKVCacheTokens), 0)
+	h.kvCache.sharedMs = nowMs
 }
 
-// RunningKVCacheTokens is what of HeldTokens those requests take that have one of the slots.
+// RunningKVCacheTokens returns the part of ReservedKVCacheTokens that belongs to requests in one of
+// the slots.
 func (h *EngineHealth) RunningKVCacheTokens(nowMs int64, slots int) float64 {
-	held, inFlight := h.ReservedKVCacheTokens(nowMs), h.EstimatedInFlight(nowMs)
+	reserved, inFlight := h.ReservedKVCacheTokens(nowMs), h.EstimatedInFlight(nowMs)
 	if slots <= 0 || inFlight <= float64(slots) {
-		return held
+		return reserved
 	}
-	return held * float64(slots) / inFlight
+	return reserved * float64(slots) / inFlight
 }
 
-// usageEntry is what a board knows of one engine's use.
-type usageEntry struct {
-	pace    DecayedMean
-	heardMs int64
-	// held is what each gateway said last of the memory that its requests take.
-	held map[string]boardCount
+// usageAggregate is the aggregated usage of one engine.
+type usageAggregate struct {
+	pace       DecayedMean
+	reportedMs int64
+	// tokensByGateway is the last reported number of reserved KV cache tokens of each gateway.
+	tokensByGateway map[string]gatewayValue
 }
 
-// heldTokens adds up what gateways said lately, and forgets the rest.
-func (e *usageEntry) heldTokens(nowMs int64) float64 {
+// reservedTokens returns the sum of the recent reports and removes the others.
+func (e *usageAggregate) reservedTokens(nowMs int64) float64 {
 	total := 0.0
-	for gateway, said := range e.held {
-		if nowMs-said.atMs > loadForgottenMs {
-			delete(e.held, gateway)
+	for gateway, reported := range e.tokensByGateway {
+		if nowMs-reported.atMs > loadLifetimeMs {
+			delete(e.tokensByGateway, gateway)
 			continue
 		}
-		total += said.inFlight
+		total += reported.value
 	}
 	return total
 }
 
-// usageForgottenMs is when a board forgets the use of an engine of which nobody speaks: its
-// samples count for little by then.
-const usageForgottenMs = 6 * paceHalfLifeMs
+// usageLifetimeMs is how long an aggregator keeps the usage of an engine that is no longer
+// reported. The samples have little weight by then.
+const usageLifetimeMs = 6 * paceHalfLifeMs
 
-// ReportUsage takes what a gateway says of engines that there are, as Report does.
-func (b *LoadAggregator) ReportUsage(gateway string, usages []EngineUsage, nowMs int64) {
+// ReportUsage applies a gateway's report on existing engines, like ReportLoads.
+func (a *LoadAggregator) ReportUsage(gateway string, usages []EngineUsage, nowMs int64) {
 	for _, usage := range usages {
-		entry, known := b.usages[usage.Engine]
+		entry, known := a.usages[usage.Engine]
 		if !known {
-			entry = &usageEntry{pace: DecayedMean{HalfLifeMs: paceHalfLifeMs}, held: map[string]boardCount{}}
-			b.usages[usage.Engine] = entry
+			entry = &usageAggregate{pace: DecayedMean{HalfLifeMs: paceHalfLifeMs}, tokensByGateway: map[string]gatewayValue{}}
+			a.usages[usage.Engine] = entry
 		}
-		entry.heardMs = nowMs
-		entry.pace.Merge(nowMs, usage.Pace.evidence(nowMs))
-		switch held := float64(usage.ReservedKVCacheTokens); {
-		case held > 0 && !math.IsInf(held, 0):
-			entry.held[gateway] = boardCount{inFlight: held, atMs: nowMs}
+		entry.reportedMs = nowMs
+		entry.pace.Merge(nowMs, usage.Pace.decayedMean(nowMs))
+		switch reserved := float64(usage.ReservedKVCacheTokens); {
+		case reserved > 0 && !math.IsInf(reserved, 0):
+			entry.tokensByGateway[gateway] = gatewayValue{value: reserved, atMs: nowMs}
 		default:
-			delete(entry.held, gateway)
+			delete(entry.tokensByGateway, gateway)
 		}
 	}
 }
 
-// Usages returns what all gateways together know of the use of the engines named.
-func (b *LoadAggregator) Usages(engines []string, nowMs int64) []EngineUsage {
+// Usages returns the usage over all gateways of the engines named.
+func (a *LoadAggregator) Usages(engines []string, nowMs int64) []EngineUsage {
 	var usages []EngineUsage
 	for _, engine := range engines {
-		entry, known := b.usages[engine]
+		entry, known := a.usages[engine]
 		if !known {
 			continue
 		}
-		usage := EngineUsage{Engine: engine, Pace: entry.pace.samples(nowMs), ReservedKVCacheTokens: float32(entry.heldTokens(nowMs))}
-		if usage.Pace.Weight > minimumWeight || usage.ReservedKVCacheTokens > 0 {
+		usage := EngineUsage{Engine: engine, Pace: entry.pace.weightedSum(nowMs), ReservedKVCacheTokens: float32(entry.reservedTokens(nowMs))}
+		if usage.Pace.Weight > minWeight || usage.ReservedKVCacheTokens > 0 {
 			usages = append(usages, usage)
 		}
 	}
 	return usages
 }
 
-// sweepUsages forgets engines of which nobody has spoken for long.
-func (b *LoadAggregator) sweepUsages(nowMs int64) {
-	for engine, entry := range b.usages {
-		if nowMs-entry.heardMs > usageForgottenMs {
-			delete(b.usages, engine)
+// sweepUsages removes engines that were not reported for a long time.
+func (a *LoadAggregator) sweepUsages(nowMs int64) {
+	for engine, entry := range a.usages {
+		if nowMs-entry.reportedMs > usageLifetimeMs {
+			delete(a.usages, engine)
 		}
 	}
 }
