--- a/internal/routing/capacity_test.go
+++ b/internal/routing/capacity_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// BenchmarkTenants measures what a gateway holds and does for 48,000 tenants of two keys:
-// bytes held, and the time to put a table in force in which one route has changed.
+// BenchmarkTenants measures the heap use per tenant of a gateway with 48,000 tenants of two keys,
+// and the time to apply and index a delta with a new generation.
 func BenchmarkTenants(b *testing.B) {
 	const tenants = 48_000
 	build := func() *Table {
@@ -26,7 +26,7 @@
 	index := NewIndex(build())
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	held := float64(after.HeapAlloc) - float64(before.HeapAlloc)
+	heapBytes := float64(after.HeapAlloc) - float64(before.HeapAlloc)
 	next := *index.Table
 	next.Generation = 2
 	delta := NewDelta(index.Table, &next)
@@ -34,6 +34,6 @@
 		table, _ := delta.Apply(index.Table)
 		NewIndex(table)
 	}
-	b.ReportMetric(held/tenants, "B/tenant")
+	b.ReportMetric(heapBytes/tenants, "B/tenant")
 	runtime.KeepAlive(index)
 }
--- a/internal/routing/delta.go
+++ b/internal/routing/delta.go
@@ -2,10 +2,11 @@
 
 import "reflect"
 
-// Delta is what changed from one table to a later one: fan-out sends it in place
-// of whole tables.
+// Delta is the difference between a table and a later one. It is distributed instead of whole
+// tables.
 type Delta struct {
-	// BaseGeneration is the generation that the delta builds on; zero carries a whole table.
+	// BaseGeneration is the generation that the delta applies to; zero means that the delta
+	// contains a whole table.
 	BaseGeneration uint64    `msgpack:"f,omitempty"`
 	Generation     uint64    `msgpack:"g"`
 	PutRoutes      []Route   `msgpack:"p,omitempty"`
@@ -13,50 +14,52 @@
 	Backends       []Backend `msgpack:"b,omitempty"`
 	Limits         Limits    `msgpack:"l"`
 	RequiresKey    bool      `msgpack:"y,omitempty"`
-	// PutTenants are new or changed, RemovedTenants gone, by name.
+	// PutTenants are the new or changed tenants, and RemovedTenants the names of the removed ones.
 	PutTenants     []Tenant `msgpack:"t,omitempty"`
 	RemovedTenants []string `msgpack:"d,omitempty"`
 }
 
+// routeKey returns the key that identifies a route in deltas.
 func routeKey(route *Route) string { return route.Host + "\x00" + route.PathPrefix }
 
+// tenantKey returns the key that identifies a tenant in deltas.
 func tenantKey(tenant *Tenant) string { return tenant.Name }
 
-// NewDelta returns what leads from a table, nil for none, to a later one.
+// NewDelta returns the delta from a table, which may be nil, to a later one.
 func NewDelta(from, to *Table) *Delta {
 	delta := &Delta{Generation: to.Generation, Backends: to.Backends, Limits: to.Limits, RequiresKey: to.RequiresKey}
 	if from == nil {
 		from = &Table{}
 	}
 	delta.BaseGeneration = from.Generation
-	delta.PutRoutes, delta.RemovedRoutes = difference(from.Routes, to.Routes, routeKey)
-	delta.PutTenants, delta.RemovedTenants = difference(from.Tenants, to.Tenants, tenantKey)
+	delta.PutRoutes, delta.RemovedRoutes = diff(from.Routes, to.Routes, routeKey)
+	delta.PutTenants, delta.RemovedTenants = diff(from.Tenants, to.Tenants, tenantKey)
 	return delta
 }
 
-// difference returns the items of to that from lacks or has otherwise, and the keys of those
-// that to lacks.
-func difference[T any](from, to []T, key func(*T) string) (put []T, removed []string) {
-	old := make(map[string]*T, len(from))
-	for position := range from {
-		old[key(&from[position])] = &from[position]
+// diff returns the items of to that are new or differ from those of from, and the keys of the items
+// that are missing in to.
+func diff[T any](from, to []T, key func(*T) string) (put []T, removed []string) {
+	remaining := make(map[string]*T, len(from))
+	for number := range from {
+		remaining[key(&from[number])] = &from[number]
 	}
-	for position := range to {
-		item := &to[position]
-		previous, known := old[key(item)]
-		delete(old, key(item))
+	for number := range to {
+		item := &to[number]
+		previous, known := remaining[key(item)]
+		delete(remaining, key(item))
 		if !known || !reflect.DeepEqual(previous, item) {
 			put = append(put, *item)
 		}
 	}
-	for gone := range old {
-		removed = append(removed, gone)
+	for removedKey := range remaining {
+		removed = append(removed, removedKey)
 	}
 	return put, removed
 }
 
-// Apply returns the table after a delta; false where the delta builds on another
-// table or leads to an older one. Invariant: the generation only grows.
+// Apply returns the table after the delta. It returns the current table and false if the delta
+// applies to another table or leads to an older one. Invariant: the generation only grows.
 func (d *Delta) Apply(current *Table) (*Table, bool) {
 	if current != nil && d.Generation <= current.Generation {
 		return current, false
@@ -70,25 +73,25 @@
 	}
 	return &Table{
 		Generation: d.Generation, Backends: d.Backends, Limits: d.Limits, RequiresKey: d.RequiresKey,
-		Routes:  applied(base.Routes, d.PutRoutes, d.RemovedRoutes, routeKey),
-		Tenants: applied(base.Tenants, d.PutTenants, d.RemovedTenants, tenantKey),
+		Routes:  applyChanges(base.Routes, d.PutRoutes, d.RemovedRoutes, routeKey),
+		Tenants: applyChanges(base.Tenants, d.PutTenants, d.RemovedTenants, tenantKey),
 	}, true
 }
 
-// applied returns the items without the removed and replaced ones, and after them the new.
-func applied[T any](items, put []T, removed []string, key func(*T) string) []T {
-	gone := make(map[string]bool, len(removed)+len(put))
+// applyChanges returns the items that are neither removed nor replaced, followed by those in put.
+func applyChanges[T any](items, put []T, removed []string, key func(*T) string) []T {
+	superseded := make(map[string]bool, len(removed)+len(put))
 	for _, name := range removed {
-		gone[name] = true
+		superseded[name] = true
 	}
-	for position := range put {
-		gone[key(&put[position])] = true
+	for number := range put {
+		superseded[key(&put[number])] = true
 	}
-	var next []T
-	for position := range items {
-		if !gone[key(&items[position])] {
-			next = append(next, items[position])
+	var result []T
+	for number := range items {
+		if !superseded[key(&items[number])] {
+			result = append(result, items[number])
 		}
 	}
-	return append(next, put...)
+	return append(result, put...)
 }
--- a/internal/routing/index.go
+++ b/internal/routing/index.go
@@ -6,59 +6,62 @@
 	"strings"
 )
 
-// Index finds the route of a request in one table; it is never changed.
+// Index finds routes, tenants and back ends of one table. It is immutable.
 type Index struct {
-	Table    *Table
-	byHost   map[string][]*Route
-	backends map[string]Backend
-	holders  map[KeyDigest]*Tenant
-	// meanRate is that of the tenants that have one, requests a second.
-	meanRate float64
-	// ranks are those of the streams of each back end, the least urgent first.
-	ranks map[string][]rank
+	Table        *Table
+	routesByHost map[string][]*Route
+	backends     map[string]Backend
+	tenantsByKey map[KeyDigest]*Tenant
+	// meanTenantRate is the mean rate of the tenants with a rate limit, in requests per second.
+	meanTenantRate float64
+	// streamPriorities holds the priorities of the streams of each back end, the least urgent
+	// first.
+	streamPriorities map[string][]requestPriority
 }
 
-// rank orders requests: by the tenant's priority, then by the route's, 0 first.
-type rank struct{ first, second int }
+// requestPriority is the priority of a request: the effective priority first, then that of the
+// route. 0 is the highest.
+type requestPriority struct{ effective, route int }
 
-func rankOf(tenant *Tenant, route *Route) rank {
-	return rank{tenant.EffectivePriority(route), route.Priority}
+// priorityOf returns the priority of a tenant's requests on a route.
+func priorityOf(tenant *Tenant, route *Route) requestPriority {
+	return requestPriority{tenant.EffectivePriority(route), route.Priority}
 }
 
-// lessUrgent orders ranks, the least urgent first.
-func lessUrgent(a, b rank) int {
-	return cmp.Or(cmp.Compare(b.first, a.first), cmp.Compare(b.second, a.second))
+// compareLeastUrgentFirst orders priorities, the least urgent first.
+func compareLeastUrgentFirst(a, b requestPriority) int {
+	return cmp.Or(cmp.Compare(b.effective, a.effective), cmp.Compare(b.route, a.route))
 }
 
-// NewIndex returns the index of a table, which must not change after that.
+// NewIndex returns the index of a table, which must not be changed afterwards.
 func NewIndex(table *Table) *Index {
-	index := &Index{Table: table, byHost: map[string][]*Route{}, backends: map[string]Backend{}, holders: map[KeyDigest]*Tenant{}, ranks: map[string][]rank{}}
-	for position := range table.Routes {
-		route := &table.Routes[position]
+	index := &Index{Table: table, routesByHost: map[string][]*Route{}, backends: map[string]Backend{}, tenantsByKey: map[KeyDigest]*Tenant{}, streamPriorities: map[string][]requestPriority{}}
+	for number := range table.Routes {
+		route := &table.Routes[number]
 		host := strings.ToLower(route.Host)
-		index.byHost[host] = append(index.byHost[host], route)
+		index.routesByHost[host] = append(index.routesByHost[host], route)
 	}
-	for _, routes := range index.byHost {
+	for _, routes := range index.routesByHost {
 		slices.SortFunc(routes, func(a, b *Route) int { return len(b.PathPrefix) - len(a.PathPrefix) })
 	}
 	for _, backend := range table.Backends {
 		index.backends[backend.Name] = backend
 	}
-	for position := range table.Tenants {
-		for _, digest := range table.Tenants[position].Keys {
-			index.holders[digest] = &table.Tenants[position]
+	for number := range table.Tenants {
+		for _, digest := range table.Tenants[number].Keys {
+			index.tenantsByKey[digest] = &table.Tenants[number]
 		}
 	}
-	index.addRanks()
-	index.meanRate = meanRate(table.Tenants)
+	index.addStreamPriorities()
+	index.meanTenantRate = meanTenantRate(table.Tenants)
 	return index
 }
 
-// FindRoute returns the route with the longest prefix of path on host, nil where there
-// is none. A port in host does not count.
+// FindRoute returns the route on the host with the longest prefix of path, or nil if there is none.
+// A port in host is ignored.
 func (i *Index) FindRoute(host, path string) *Route {
 	name, _, _ := strings.Cut(strings.ToLower(host), ":")
-	for _, route := range i.byHost[name] {
+	for _, route := range i.routesByHost[name] {
 		if strings.HasPrefix(path, route.PathPrefix) {
 			return route
 		}
@@ -66,85 +69,85 @@
 	return nil
 }
 
-// addRanks gathers the ranks that the table gives to the streams of each back end.
-func (i *Index) addRanks() {
+// addStreamPriorities collects the priorities of the streams of each back end.
+func (i *Index) addStreamPriorities() {
 	table := i.Table
-	for position := range table.Routes {
-		route := &table.Routes[position]
+	for number := range table.Routes {
+		route := &table.Routes[number]
 		if route.Kind != KindStream {
 			continue
 		}
-		given := []rank{rankOf(nil, route)}
+		priorities := []requestPriority{priorityOf(nil, route)}
 		if len(table.Tenants) > 0 {
-			given = given[:0]
+			priorities = priorities[:0]
 		}
-		for number := range table.Tenants {
-			given = append(given, rankOf(&table.Tenants[number], route))
+		for tenantNumber := range table.Tenants {
+			priorities = append(priorities, priorityOf(&table.Tenants[tenantNumber], route))
 		}
 		for _, share := range route.Shares {
-			ranks := append(i.ranks[share.Backend], given...)
-			slices.SortFunc(ranks, lessUrgent)
-			i.ranks[share.Backend] = slices.Compact(ranks)
+			merged := append(i.streamPriorities[share.Backend], priorities...)
+			slices.SortFunc(merged, compareLeastUrgentFirst)
+			i.streamPriorities[share.Backend] = slices.Compact(merged)
 		}
 	}
 }
 
-// PriorityPosition returns how many of the ranks in use at a back end are less urgent than a
-// request's, and how many are in use.
-func (i *Index) PriorityPosition(backend string, tenant *Tenant, route *Route) (position, ranks int) {
-	known := i.ranks[backend]
-	place, _ := slices.BinarySearchFunc(known, rankOf(tenant, route), lessUrgent)
-	return place, len(known)
+// PriorityPosition returns how many of the priorities in use at a back end are less urgent than
+// that of a request, and how many are in use.
+func (i *Index) PriorityPosition(backend string, tenant *Tenant, route *Route) (position, priorities int) {
+	known := i.streamPriorities[backend]
+	index, _ := slices.BinarySearchFunc(known, priorityOf(tenant, route), compareLeastUrgentFirst)
+	return index, len(known)
 }
 
-// TenantByKey returns the tenant that holds a key, nil where there is none. Look-ups go by digest:
-// how long one takes tells nothing of the keys that exist.
-func (i *Index) TenantByKey(key string) *Tenant { return i.holders[DigestKey(key)] }
+// TenantByKey returns the tenant that owns a key, or nil if there is none. The lookup uses the
+// digest, so that its duration reveals nothing about the keys that exist.
+func (i *Index) TenantByKey(key string) *Tenant { return i.tenantsByKey[DigestKey(key)] }
 
 // Backend returns a back end of the table.
 func (i *Index) Backend(name string) Backend { return i.backends[name] }
 
-// SelectBackend returns the back end of a route for a draw within 0..1.
-func (r *Route) SelectBackend(draw float64) string {
+// SelectBackend returns a back end of the route by weight, for a random sample within 0..1.
+func (r *Route) SelectBackend(sample float64) string {
 	total := 0.0
 	for _, share := range r.Shares {
 		total += share.Weight
 	}
-	left := draw * total
-	chosen := ""
+	remaining := sample * total
+	selected := ""
 	for _, share := range r.Shares {
 		if share.Weight <= 0 {
 			continue
 		}
-		chosen = share.Backend
-		if left < share.Weight {
-			return chosen
+		selected = share.Backend
+		if remaining < share.Weight {
+			return selected
 		}
-		left -= share.Weight
+		remaining -= share.Weight
 	}
-	return chosen
+	return selected
 }
 
-// meanRate returns the mean rate of the tenants that are bounded, 1 where none is.
-func meanRate(tenants []Tenant) float64 {
-	sum, bounded := 0.0, 0
-	for position := range tenants {
-		if tenants[position].HasRateLimit() {
-			sum += tenants[position].RatePerSecond
-			bounded++
+// meanTenantRate returns the mean rate of the tenants with a rate limit, or 1 if there are none.
+func meanTenantRate(tenants []Tenant) float64 {
+	sum, limited := 0.0, 0
+	for number := range tenants {
+		if tenants[number].HasRateLimit() {
+			sum += tenants[number].RatePerSecond
+			limited++
 		}
 	}
-	if bounded == 0 {
+	if limited == 0 {
 		return 1
 	}
-	return sum / float64(bounded)
+	return sum / float64(limited)
 }
 
-// TenantWeight returns a tenant's part in what is shared while it is short: its rate, and for one
-// without a bound the mean of the others.
+// TenantWeight returns a tenant's weight in the sharing of an oversubscribed back end: its rate
+// limit, or the mean rate of the other tenants if it has none.
 func (i *Index) TenantWeight(tenant *Tenant) float64 {
 	if tenant == nil || !tenant.HasRateLimit() {
-		return i.meanRate
+		return i.meanTenantRate
 	}
 	return tenant.RatePerSecond
 }
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -14,7 +14,7 @@
 	"github.com/ochrebay/ochrebay/internal/result"
 )
 
-func table() *Table {
+func testTable() *Table {
 	return &Table{
 		Generation: 3,
 		Routes: []Route{
@@ -31,55 +31,55 @@
 }
 
 func TestTable(t *testing.T) {
-	Convey("the longest prefix on the host wins; host names are matched without case and port", t, func() {
-		index := NewIndex(table())
+	Convey("the longest prefix on the host matches, and the case and port of host names are ignored", t, func() {
+		index := NewIndex(testTable())
 		So(index.FindRoute("a.example", "/x/y/z").Name, ShouldEqual, "narrow")
 		So(index.FindRoute("A.example:80", "/x/z").Name, ShouldEqual, "wide")
 		So(index.FindRoute("a.example", "/xy/"), ShouldBeNil)
 		So(index.FindRoute("b.example", "/x/y/z"), ShouldBeNil)
 	})
-	Convey("a table with a fault is refused whole", t, func() {
+	Convey("a table with any error is rejected as a whole", t, func() {
 		faults := map[string]func(*Table){
-			"no back end":   func(t *Table) { t.Routes[0].Shares[0].Backend = "three" },
-			"stands twice":  func(t *Table) { t.Routes[1].PathPrefix = "/x/" },
-			"sum to 0":      func(t *Table) { t.Routes[0].Shares[0].Weight = 0 },
-			"below 0":       func(t *Table) { t.Routes[0].Shares[0].Weight = -1 },
-			"time-out":      func(t *Table) { t.Routes[0].TimeoutMs = 0 },
-			"kind":          func(t *Table) { t.Routes[0].Kind = "other" },
-			"with a slash":  func(t *Table) { t.Routes[0].PathPrefix = "/x" },
-			"another route": func(t *Table) { t.Routes[1].PathPrefix, t.Routes[1].Host = "/x/", "A.EXAMPLE" },
-			"has no name":   func(t *Table) { t.Backends[1].Name = "one" },
-			"a key twice":   func(t *Table) { t.Tenants[1].Keys[0] = t.Tenants[0].Keys[1] },
-			"tenant twice":  func(t *Table) { t.Tenants[1].Name = "t" },
-			"no tenant":     func(t *Table) { t.Tenants[1].Name = "" },
-			"empty key":     func(t *Table) { t.Tenants[0].Keys[0] = DigestKey("") },
-			"rate below 0":  func(t *Table) { t.Tenants[0].RatePerSecond = -1 },
-			"no number":     func(t *Table) { t.Tenants[0].Burst = math.NaN() },
-			"infinite":      func(t *Table) { t.Tenants[0].RatePerSecond = math.Inf(1) },
+			"no back end":           func(t *Table) { t.Routes[0].Shares[0].Backend = "three" },
+			"listed twice":          func(t *Table) { t.Routes[1].PathPrefix = "/x/" },
+			"sum to 0":              func(t *Table) { t.Routes[0].Shares[0].Weight = 0 },
+			"below 0":               func(t *Table) { t.Routes[0].Shares[0].Weight = -1 },
+			"time-out":              func(t *Table) { t.Routes[0].TimeoutMs = 0 },
+			"kind":                  func(t *Table) { t.Routes[0].Kind = "other" },
+			"with a slash":          func(t *Table) { t.Routes[0].PathPrefix = "/x" },
+			"same prefix":           func(t *Table) { t.Routes[1].PathPrefix, t.Routes[1].Host = "/x/", "A.EXAMPLE" },
+			"has no name":           func(t *Table) { t.Backends[1].Name = "one" },
+			"shared key":            func(t *Table) { t.Tenants[1].Keys[0] = t.Tenants[0].Keys[1] },
+			"tenant listed twice":   func(t *Table) { t.Tenants[1].Name = "t" },
+			"tenant without a name": func(t *Table) { t.Tenants[1].Name = "" },
+			"empty key":             func(t *Table) { t.Tenants[0].Keys[0] = DigestKey("") },
+			"rate below 0":          func(t *Table) { t.Tenants[0].RatePerSecond = -1 },
+			"not a number":          func(t *Table) { t.Tenants[0].Burst = math.NaN() },
+			"infinite":              func(t *Table) { t.Tenants[0].RatePerSecond = math.Inf(1) },
 		}
-		So(table().Validate(), ShouldBeNil)
-		for name, spoil := range faults {
-			spoiled := table()
-			spoil(spoiled)
-			failure := spoiled.Validate()
+		So(testTable().Validate(), ShouldBeNil)
+		for name, breakTable := range faults {
+			broken := testTable()
+			breakTable(broken)
+			failure := broken.Validate()
 			So(name, ShouldNotBeNil)
 			So(failure, ShouldNotBeNil)
 			So(failure.Code, ShouldEqual, result.SettingsInvalid)
 		}
 	})
-	Convey("a key leads to the tenant that holds it, and a tenant's rank replaces the route's", t, func() {
-		index := NewIndex(table())
+	Convey("a key identifies the tenant that owns it, and a tenant's priority replaces the route's", t, func() {
+		index := NewIndex(testTable())
 		So(index.TenantByKey("k2").Name, ShouldEqual, "t")
 		So(index.TenantByKey("k3").Name, ShouldEqual, "u")
 		So(index.TenantByKey("k4"), ShouldBeNil)
 		So(index.TenantByKey(""), ShouldBeNil)
-		rank := 3
+		priority := 3
 		route := &Route{Priority: 1}
 		So((*Tenant)(nil).EffectivePriority(route), ShouldEqual, 1)
 		So((&Tenant{}).EffectivePriority(route), ShouldEqual, 1)
-		So((&Tenant{Priority: &rank}).EffectivePriority(route), ShouldEqual, 3)
+		So((&Tenant{Priority: &priority}).EffectivePriority(route), ShouldEqual, 3)
 	})
-	Convey("shares are drawn by their weights, and one of weight 0 never", t, func() {
+	Convey("back ends are selected by weight, and one of weight 0 never is", t, func() {
 		route := Route{Shares: []BackendShare{{"none", 0}, {"most", 90}, {"few", 10}, {"nobody", 0}}}
 		counts := map[string]int{}
 		for step := range 1000 {
@@ -87,7 +87,7 @@
 		}
 		So(counts, ShouldResemble, map[string]int{"most": 900, "few": 100})
 	})
-	Convey("only safe requests and streams that can be taken up are repeatable", t, func() {
+	Convey("only safe requests and resumable streams are repeatable", t, func() {
 		So((&Route{Kind: KindSafe}).IsRepeatable(), ShouldBeTrue)
 		So((&Route{Kind: KindUnsafe}).IsRepeatable(), ShouldBeFalse)
 		So((&Route{Kind: KindStream}).IsRepeatable(), ShouldBeFalse)
@@ -95,25 +95,25 @@
 	})
 }
 
-// TestDeltaProperty holds that a follower which applies differences has the table
-// that was sent, and that none makes it step back.
+// TestDeltaProperty checks that a follower that applies deltas has the table that was sent, and
+// that no delta returns it to an older table.
 func TestDeltaProperty(t *testing.T) {
-	draw := rapid.Custom(func(t *rapid.T) *Table {
-		drawn := &Table{Backends: []Backend{{Name: "one"}}, RequiresKey: rapid.Bool().Draw(t, "keyed")}
+	tables := rapid.Custom(func(t *rapid.T) *Table {
+		generated := &Table{Backends: []Backend{{Name: "one"}}, RequiresKey: rapid.Bool().Draw(t, "keyed")}
 		for number := range 4 {
 			if rapid.Bool().Draw(t, "tenant") {
 				key := DigestKey(fmt.Sprint(rapid.IntRange(0, 2).Draw(t, "key")))
-				drawn.Tenants = append(drawn.Tenants, Tenant{Name: fmt.Sprint(number), Keys: []KeyDigest{key}})
+				generated.Tenants = append(generated.Tenants, Tenant{Name: fmt.Sprint(number), Keys: []KeyDigest{key}})
 			}
 		}
 		for number := range 6 {
 			if rapid.Bool().Draw(t, "present") {
-				drawn.Routes = append(drawn.Routes, Route{
+				generated.Routes = append(generated.Routes, Route{
 					Host: "h", PathPrefix: fmt.Sprintf("/%d/", number), TimeoutMs: rapid.Int64Range(1, 3).Draw(t, "timeout"),
 				})
 			}
 		}
-		return drawn
+		return generated
 	})
 	sorted := func(routes []Route) []Route {
 		copied := slices.Clone(routes)
@@ -126,22 +126,22 @@
 		return copied
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		first, second := draw.Draw(t, "first"), draw.Draw(t, "second")
+		first, second := tables.Draw(t, "first"), tables.Draw(t, "second")
 		first.Generation, second.Generation = 4, 9
-		held, ok := NewDelta(nil, first).Apply(nil)
+		current, ok := NewDelta(nil, first).Apply(nil)
 		if !ok {
-			t.Fatal("a whole table was not taken")
+			t.Fatal("a delta with a whole table was not applied")
 		}
-		next, ok := NewDelta(first, second).Apply(held)
+		next, ok := NewDelta(first, second).Apply(current)
 		if !ok || next.Generation != 9 || !reflect.DeepEqual(sorted(next.Routes), sorted(second.Routes)) ||
 			next.RequiresKey != second.RequiresKey || !reflect.DeepEqual(byName(next.Tenants), byName(second.Tenants)) {
-			t.Fatalf("%+v became %+v for %+v", held, next, second)
+			t.Fatalf("applying a delta to %+v yielded %+v, want %+v", current, next, second)
 		}
-		if back, ok := NewDelta(nil, first).Apply(next); ok || back != next {
-			t.Fatal("an older table was taken")
+		if unchanged, ok := NewDelta(nil, first).Apply(next); ok || unchanged != next {
+			t.Fatal("a delta with an older table was applied")
 		}
-		if _, ok := NewDelta(second, second).Apply(held); ok {
-			t.Fatal("a difference to another table was taken")
+		if _, ok := NewDelta(second, second).Apply(current); ok {
+			t.Fatal("a delta to another base table was applied")
 		}
 	})
 }
--- a/internal/routing/tenants.go
+++ b/internal/routing/tenants.go
@@ -7,32 +7,33 @@
 	"github.com/ochrebay/ochrebay/internal/result"
 )
 
-// KeyDigest is the SHA-256 of a tenant's key. Only the document of the operator holds keys
-// as they are; tables, gateways and logs never do.
+// KeyDigest is the SHA-256 of a tenant's key. Only the operator's source document contains keys in
+// plain text; tables, gateways and logs never do.
 type KeyDigest [sha256.Size]byte
 
 // DigestKey returns the digest of a key.
 func DigestKey(key string) KeyDigest { return sha256.Sum256([]byte(key)) }
 
-// Tenant is one customer of the operator's: whoever holds one of its keys.
+// Tenant is a customer of the operator, identified by any of its keys.
 type Tenant struct {
 	Name string `msgpack:"n" json:"name"`
-	// Keys are the digests of the tenant's keys, several while one is replaced. A tenant
-	// without keys can't be reached.
+	// Keys are the digests of the tenant's keys. There are several while a key is being replaced. A
+	// tenant without keys can't be used.
 	Keys []KeyDigest `msgpack:"k,omitempty" json:"-"`
-	// Priority is the tenant's rank, 0 first; it replaces the route's. Nil leaves the
-	// route's in force.
+	// Priority is the priority of the tenant's requests, 0 is the highest. It replaces the priority
+	// of the route; nil leaves that in force.
 	Priority *int `msgpack:"p,omitempty" json:"priority,omitempty"`
-	// RatePerSecond and Burst bound the tenant's requests over all gateways, requests a
-	// second and requests; a rate of 0 is no bound.
+	// RatePerSecond and Burst limit the tenant's requests over all gateways, in requests per second
+	// and in requests. A rate of 0 means no limit.
 	RatePerSecond float64 `msgpack:"r,omitempty" json:"rate_per_s,omitempty"`
 	Burst         float64 `msgpack:"b,omitempty" json:"burst,omitempty"`
 }
 
-// HasRateLimit reports whether the tenant's requests are bounded.
+// HasRateLimit reports whether the rate of the tenant's requests is limited.
 func (t *Tenant) HasRateLimit() bool { return t.RatePerSecond > 0 }
 
-// EffectivePriority returns the rank of the tenant's requests on a route, 0 first; t may be nil.
+// EffectivePriority returns the priority of the tenant's requests on a route; 0 is the highest. t
+// may be nil.
 func (t *Tenant) EffectivePriority(route *Route) int {
 	if t == nil || t.Priority == nil {
 		return route.Priority
@@ -40,32 +41,34 @@
 	return *t.Priority
 }
 
-// validateTenants returns the first fault of the tenants; it names the place and never a key.
+// validateTenants returns the first error in the tenants. It identifies a key by its number and
+// never contains the key.
 func (t *Table) validateTenants() *result.Error {
 	names := map[string]bool{}
-	holders := map[KeyDigest]string{}
-	for position := range t.Tenants {
-		tenant := &t.Tenants[position]
+	owners := map[KeyDigest]string{}
+	for number := range t.Tenants {
+		tenant := &t.Tenants[number]
 		if tenant.Name == "" || names[tenant.Name] {
-			return invalid("tenant %d %q: has no name or stands twice", position, tenant.Name)
+			return invalid("tenant %d %q: has no name or is listed twice", number, tenant.Name)
 		}
 		names[tenant.Name] = true
-		if !isLimit(tenant.RatePerSecond) || !isLimit(tenant.Burst) {
-			return invalid("tenant %q: rate and burst must be numbers of 0 or more", tenant.Name)
+		if !isValidLimit(tenant.RatePerSecond) || !isValidLimit(tenant.Burst) {
+			return invalid("tenant %q: rate and burst must be finite and not negative", tenant.Name)
 		}
-		for place, digest := range tenant.Keys {
+		for keyNumber, digest := range tenant.Keys {
 			if digest == DigestKey("") {
-				return invalid("tenant %q: key %d is empty", tenant.Name, place)
+				return invalid("tenant %q: key %d is empty", tenant.Name, keyNumber)
 			}
-			if holder, taken := holders[digest]; taken && holder != tenant.Name {
-				return invalid("tenant %q: key %d is a key of tenant %q too", tenant.Name, place, holder)
+			if owner, isTaken := owners[digest]; isTaken && owner != tenant.Name {
+				return invalid("tenant %q: key %d is a key of tenant %q too", tenant.Name, keyNumber, owner)
 			}
-			holders[digest] = tenant.Name
+			owners[digest] = tenant.Name
 		}
 	}
 	return nil
 }
 
-func isLimit(value float64) bool {
+// isValidLimit reports whether a limit is finite and not negative.
+func isValidLimit(value float64) bool {
 	return value >= 0 && !math.IsInf(value, 0) && !math.IsNaN(value)
 }
