--- a/internal/admission/kinds.go
+++ b/internal/admission/kinds.go
@@ -1,217 +1,223 @@
-// Package admission decides which programs may begin: within the limit of their tenant,
-// from what programs of their kind have asked for so far, and within their tenant's share of
-// a back end that is short. It is pure: its callers pass the time.
+// Package admission decides which programs may start: within the limit of their tenant, based on
+// the requests of earlier programs of the same kind, and within their tenant's fair share of an
+// oversubscribed back end. The package is pure: its callers pass the time.
 package admission
 
 import "math"
 
 const (
-	// priorGapMs and priorRequests describe a program of a kind of which nothing is learnt:
-	// the time between two of its requests, milliseconds, and how many it makes. They count
-	// as priorWeight observations.
+	// priorGapMs and priorRequests describe a program of a kind without observations: the time
+	// between two of its requests in milliseconds, and the number of its requests. They count as
+	// priorWeight observations.
 	priorGapMs    = 500
 	priorRequests = 8
 	priorWeight   = 8
-	// mostWeight is the weight from which on what was learnt is halved, so that a kind whose
-	// programs change is learnt anew within some hundred requests.
-	mostWeight = 1024
-	// gapBuckets are the buckets of the time between two requests; bucket i holds times from
-	// shortestGapMs * 2^i on.
-	gapBuckets    = 12
-	shortestGapMs = 25
-	// madeBuckets tell apart how far a program has got: bucket i holds programs that have
-	// made from 2^i requests on.
-	madeBuckets = 10
-	// endedAfterGaps is after how many mean gaps of silence a program counts as ended,
-	// endedAfterMs the least time: a caller that was refused comes back within a second.
-	endedAfterGaps = 8
-	endedAfterMs   = 1500
+	// maxObservedWeight is the weight at which all observations are halved, so that changes in a
+	// kind of programs are learned within some hundred requests.
+	maxObservedWeight = 1024
+	// gapBuckets is the number of buckets of the time between two requests. Bucket i starts at
+	// minGapMs * 2^i milliseconds.
+	gapBuckets = 12
+	minGapMs   = 25
+	// progressBuckets is the number of buckets of the progress of a program. Bucket i starts at 2^i
+	// requests.
+	progressBuckets = 10
+	// inactivityGaps is the number of mean gaps without a request after which a program counts as
+	// ended, and minInactivityMs is the minimum of that time. A caller that was refused retries
+	// within a second.
+	inactivityGaps  = 8
+	minInactivityMs = 1500
 )
 
-// ProgramKinds are the kinds of programs, by the route of their first turn. What is learnt of a kind
-// is shared by all tenants.
+// ProgramKinds are the kinds of programs, identified by the route of their first turn. Observations
+// of a kind are shared by all tenants.
 type ProgramKinds struct{ byName map[string]*ProgramKind }
 
 // NewProgramKinds returns an empty set.
 func NewProgramKinds() *ProgramKinds { return &ProgramKinds{byName: map[string]*ProgramKind{}} }
 
-// GetOrCreate returns a kind, which is created where it is new.
+// GetOrCreate returns the kind with a name and creates it if necessary.
 func (k *ProgramKinds) GetOrCreate(name string) *ProgramKind {
-	known := k.byName[name]
-	if known == nil {
-		known = &ProgramKind{}
-		k.byName[name] = known
+	kind := k.byName[name]
+	if kind == nil {
+		kind = &ProgramKind{}
+		k.byName[name] = kind
 	}
-	return known
+	return kind
 }
 
-// ProgramKind is what was learnt of one kind of programs: their requests and the times between
-// them, tool calls and sub-agents included.
+// ProgramKind holds the observations of one kind of programs: the number of their requests and the
+// times between them, including tool calls and sub-agents.
 //
-// Whether a program goes on after a request is counted for requests that were followed by
-// another one and for those that were not, as in a survival estimate by Kaplan and Meier, so
-// that programs which are still under way don't make programs look short.
+// Whether a program continues after a request is estimated from the requests that were followed by
+// another one and those that were not, as in the estimator of Kaplan and Meier. Programs that are
+// still in progress therefore don't make programs appear short.
 type ProgramKind struct {
-	continued [madeBuckets]float64
-	ended     [madeBuckets]float64
-	gapSum    float64
-	gaps      [gapBuckets]float64
-	gapWeight float64
-	outlook   outlook
+	continued      [progressBuckets]float64
+	ended          [progressBuckets]float64
+	gapSumMs       float64
+	gapCounts      [gapBuckets]float64
+	gapWeight      float64
+	cachedForecast kindForecast
 }
 
-func madeBucket(made int) int {
+// progressBucket returns the bucket of a program that has made a number of requests.
+func progressBucket(requests int) int {
 	bucket := 0
-	for made > 1 && bucket < madeBuckets-1 {
-		made /= 2
+	for requests > 1 && bucket < progressBuckets-1 {
+		requests /= 2
 		bucket++
 	}
 	return bucket
 }
 
+// gapBucket returns the bucket of the time between two requests.
 func gapBucket(gapMs float64) int {
 	bucket := 0
-	for gapMs >= 2*shortestGapMs && bucket < gapBuckets-1 {
+	for gapMs >= 2*minGapMs && bucket < gapBuckets-1 {
 		gapMs /= 2
 		bucket++
 	}
 	return bucket
 }
 
-// ObserveContinuation notes that a program which had made some requests has asked for another one, a
-// time after its last was granted.
-func (k *ProgramKind) ObserveContinuation(made int, gapMs int64) {
-	k.continued[madeBucket(made)]++
-	gap := math.Max(float64(gapMs), 0)
-	k.gaps[gapBucket(gap)]++
-	k.gapSum += gap
+// ObserveContinuation records that a program with a number of requests has made another one, gapMs
+// after the last one was granted.
+func (k *ProgramKind) ObserveContinuation(requests int, gapMs int64) {
+	k.continued[progressBucket(requests)]++
+	clampedMs := math.Max(float64(gapMs), 0)
+	k.gapCounts[gapBucket(clampedMs)]++
+	k.gapSumMs += clampedMs
 	k.gapWeight++
-	if k.gapWeight >= mostWeight {
-		k.halve()
+	if k.gapWeight >= maxObservedWeight {
+		k.halveWeights()
 	}
 }
 
-// UndoContinuation takes back that a program which had made some requests asked for another one: nothing
-// of it ran, as when the program's budget is spent.
-func (k *ProgramKind) UndoContinuation(made int) {
-	bucket := madeBucket(made)
+// UndoContinuation reverts ObserveContinuation for a request of which nothing ran, for example
+// because the budget of the program was spent. The gap remains recorded.
+func (k *ProgramKind) UndoContinuation(requests int) {
+	bucket := progressBucket(requests)
 	k.continued[bucket] = math.Max(k.continued[bucket]-1, 0)
 }
 
-// ObserveEnd notes that a program has ended with the last of some requests, Resumed that it has
-// not, although that was said.
-func (k *ProgramKind) ObserveEnd(made int) { k.ended[madeBucket(made)]++ }
+// ObserveEnd records that a program has ended after a number of requests.
+func (k *ProgramKind) ObserveEnd(requests int) { k.ended[progressBucket(requests)]++ }
 
-// UndoEnd takes Ended back.
-func (k *ProgramKind) UndoEnd(made int) {
-	bucket := madeBucket(made)
+// UndoEnd reverts ObserveEnd for a program that has continued after all.
+func (k *ProgramKind) UndoEnd(requests int) {
+	bucket := progressBucket(requests)
 	k.ended[bucket] = math.Max(k.ended[bucket]-1, 0)
 }
 
-func (k *ProgramKind) halve() {
+// halveWeights halves the weight of all observations.
+func (k *ProgramKind) halveWeights() {
 	for bucket := range k.continued {
 		k.continued[bucket] /= 2
 		k.ended[bucket] /= 2
 	}
-	for bucket := range k.gaps {
-		k.gaps[bucket] /= 2
+	for bucket := range k.gapCounts {
+		k.gapCounts[bucket] /= 2
 	}
-	k.gapSum /= 2
+	k.gapSumMs /= 2
 	k.gapWeight /= 2
 }
 
-// MeanGapMs is the mean time between two requests of a program, milliseconds.
+// MeanGapMs returns the mean time between two requests of a program, in milliseconds.
 func (k *ProgramKind) MeanGapMs() float64 {
-	return math.Max((k.gapSum+priorWeight*priorGapMs)/(k.gapWeight+priorWeight), 1)
+	return math.Max((k.gapSumMs+priorWeight*priorGapMs)/(k.gapWeight+priorWeight), 1)
 }
 
-// endsAt is the chance that a program ends with a request, by the bucket of the request. What
-// is known of all requests stands in where there are few in the bucket.
-func (k *ProgramKind) endsAt(bucket int) float64 {
+// endProbability returns the probability that a program ends after a request in a bucket. While
+// there are few observations in the bucket, the estimate is close to that of all requests.
+func (k *ProgramKind) endProbability(bucket int) float64 {
 	ended, all := float64(priorWeight), float64(priorWeight*priorRequests)
-	for position := range k.ended {
-		ended += k.ended[position]
-		all += k.ended[position] + k.continued[position]
+	for index := range k.ended {
+		ended += k.ended[index]
+		all += k.ended[index] + k.continued[index]
 	}
 	overall := ended / all
 	own := k.ended[bucket] + k.continued[bucket]
 	return (k.ended[bucket] + priorWeight*overall) / (own + priorWeight)
 }
 
-// InactivityTimeoutMs is after which silence a program counts as ended.
+// InactivityTimeoutMs returns the time without a request after which a program counts as ended.
 func (k *ProgramKind) InactivityTimeoutMs() float64 {
-	return math.Max(endedAfterGaps*k.MeanGapMs(), endedAfterMs)
+	return math.Max(inactivityGaps*k.MeanGapMs(), minInactivityMs)
 }
 
-// underWay is the chance that a program which has been silent for a time goes on.
-func (k *ProgramKind) underWay(endsNow, silentMs float64) float64 {
+// continueProbability returns the probability that a program continues after silentMs without a
+// request.
+func (k *ProgramKind) continueProbability(endProbability, silentMs float64) float64 {
 	if silentMs >= k.InactivityTimeoutMs() {
 		return 0
 	}
-	longer := 0.0
+	longerGaps := 0.0
 	for bucket := gapBucket(silentMs); bucket < gapBuckets; bucket++ {
-		longer += k.gaps[bucket]
+		longerGaps += k.gapCounts[bucket]
 	}
-	longer += priorWeight * math.Exp(-silentMs/priorGapMs)
-	goesOn := (1 - endsNow) * longer / (k.gapWeight + priorWeight)
-	return goesOn / (goesOn + endsNow)
+	longerGaps += priorWeight * math.Exp(-silentMs/priorGapMs)
+	continueWeight := (1 - endProbability) * longerGaps / (k.gapWeight + priorWeight)
+	return continueWeight / (continueWeight + endProbability)
 }
 
-// mostSteps bounds how many requests ahead are looked at.
-const mostSteps = 512
-
-// outlook is what follows a request of a program of a kind, by how far the program has got.
-type outlook struct {
-	endsNow [madeBuckets]float64
-	// within is how many requests follow within each horizon in the mean, if the program goes on.
-	within [madeBuckets][horizons]float64
-	// requests is how many a program makes in the mean.
-	requests float64
-	// atMs is when it was made, 0 for never.
+// maxForecastRequests limits the number of requests of a forecast.
+const maxForecastRequests = 512
+
+// kindForecast is the forecast of the requests that follow a request of a program, by the progress
+// of the program.
+type kindForecast struct {
+	endProbability [progressBuckets]float64
+	// requestsWithin is the mean number of requests that follow within each horizon if the program
+	// continues.
+	requestsWithin [progressBuckets][horizonCount]float64
+	// meanRequests is the mean number of requests of a program.
+	meanRequests float64
+	// atMs is the time of the forecast, 0 for none.
 	atMs int64
 }
 
-// outlookAt returns the outlook, made anew where it is old.
-func (k *ProgramKind) outlookAt(nowMs, windowMs int64) *outlook {
-	if k.outlook.atMs > 0 && nowMs-k.outlook.atMs < forecastMs {
-		return &k.outlook
+// forecastAt returns the forecast, and recomputes it when it is out of date.
+func (k *ProgramKind) forecastAt(nowMs, windowMs int64) *kindForecast {
+	if k.cachedForecast.atMs > 0 && nowMs-k.cachedForecast.atMs < forecastLifetimeMs {
+		return &k.cachedForecast
 	}
-	k.outlook = outlook{atMs: nowMs}
-	for bucket := range k.outlook.endsNow {
-		k.outlook.endsNow[bucket] = k.endsAt(bucket)
+	k.cachedForecast = kindForecast{atMs: nowMs}
+	for bucket := range k.cachedForecast.endProbability {
+		k.cachedForecast.endProbability[bucket] = k.endProbability(bucket)
 	}
-	for bucket := range k.outlook.within {
-		k.look(bucket, windowMs)
+	for bucket := range k.cachedForecast.requestsWithin {
+		k.forecastRequests(bucket, windowMs)
 	}
-	k.outlook.requests = 1
-	goesOn := 1.0
-	for made := 1; made < mostSteps; made++ {
-		goesOn *= 1 - k.outlook.endsNow[madeBucket(made)]
-		k.outlook.requests += goesOn
+	k.cachedForecast.meanRequests = 1
+	survival := 1.0
+	for requests := 1; requests < maxForecastRequests; requests++ {
+		survival *= 1 - k.cachedForecast.endProbability[progressBucket(requests)]
+		k.cachedForecast.meanRequests += survival
 	}
-	return &k.outlook
+	return &k.cachedForecast
 }
 
-// look counts the requests that follow one of a bucket: one after each mean gap, each followed
-// by another one with the chance of its own bucket.
-func (k *ProgramKind) look(bucket int, windowMs int64) {
-	goesOn, gap := 1.0, k.MeanGapMs()
+// forecastRequests computes the number of requests that follow a request in a bucket: one after
+// each mean gap, each with the probability that the program has not ended before it.
+func (k *ProgramKind) forecastRequests(bucket int, windowMs int64) {
+	survival, gapMs := 1.0, k.MeanGapMs()
 	sum, horizon := 0.0, 0
-	for step := 1; horizon < horizons && step <= mostSteps; step++ {
+	for step := 1; horizon < horizonCount && step <= maxForecastRequests; step++ {
 		if step > 1 {
-			goesOn *= 1 - k.outlook.endsNow[madeBucket(1<<bucket+step-1)]
+			survival *= 1 - k.cachedForecast.endProbability[progressBucket(1<<bucket+step-1)]
 		}
-		for horizon < horizons && float64(horizonMs(windowMs, horizon)) < gap*float64(step) {
-			part := float64(horizonMs(windowMs, horizon))/gap - float64(step-1)
-			k.outlook.within[bucket][horizon] = sum + part*goesOn
+		for horizon < horizonCount && float64(horizonMs(windowMs, horizon)) < gapMs*float64(step) {
+			fraction := float64(horizonMs(windowMs, horizon))/gapMs - float64(step-1)
+			k.cachedForecast.requestsWithin[bucket][horizon] = sum + fraction*survival
 			horizon++
 		}
-		sum += goesOn
+		sum += survival
 	}
-	for ; horizon < horizons; horizon++ {
-		k.outlook.within[bucket][horizon] = sum
+	for ; horizon < horizonCount; horizon++ {
+		k.cachedForecast.requestsWithin[bucket][horizon] = sum
 	}
 }
 
-// horizonMs is the end of a part of a window.
-func horizonMs(windowMs int64, position int) int64 { return windowMs * int64(position+1) / horizons }
+// horizonMs returns the end of a part of the window.
+func horizonMs(windowMs int64, horizon int) int64 { return windowMs * int64(horizon+1) / horizonCount }
--- a/internal/admission/meter.go
+++ b/internal/admission/meter.go
@@ -1,87 +1,92 @@
 package admission
 
-// UsageMeter measures at a gateway how many requests of each tenant are under way at each back end, in
-// the mean since it was read last.
+// UsageMeter measures at a gateway the mean number of requests of each tenant in flight at each
+// back end since the last collection.
 type UsageMeter struct {
-	byKey  map[meterKey]*metered
-	readMs int64
+	counters    map[meterKey]*usageCounter
+	collectedMs int64
 }
 
 type meterKey struct{ backend, tenant string }
 
-type metered struct {
+type usageCounter struct {
 	weight   float64
 	inFlight int
-	// sum is in requests x milliseconds, begun in programs since the last reading.
-	sum    float64
-	begun  float64
-	lastMs int64
+	// requestMs is the integral of inFlight in requests times milliseconds, and programStarts the
+	// number of programs started, both since the last collection.
+	requestMs     float64
+	programStarts float64
+	integratedMs  int64
 }
 
-// NewUsageMeter returns a meter that has seen nothing.
+// NewUsageMeter returns a meter without usage.
 func NewUsageMeter(nowMs int64) *UsageMeter {
-	return &UsageMeter{byKey: map[meterKey]*metered{}, readMs: nowMs}
+	return &UsageMeter{counters: map[meterKey]*usageCounter{}, collectedMs: nowMs}
 }
 
-func (m *metered) bringTo(nowMs int64) {
-	m.sum += float64(m.inFlight) * float64(max(nowMs-m.lastMs, 0))
-	m.lastMs = max(nowMs, m.lastMs)
+// integrate adds the requests in flight up to nowMs to requestMs.
+func (c *usageCounter) integrate(nowMs int64) {
+	c.requestMs += float64(c.inFlight) * float64(max(nowMs-c.integratedMs, 0))
+	c.integratedMs = max(nowMs, c.integratedMs)
 }
 
-func (m *UsageMeter) of(backend, tenant string, weight float64, nowMs int64) *metered {
+// counter returns the counter of a tenant at a back end, which is created if necessary, and sets
+// its weight.
+func (m *UsageMeter) counter(backend, tenant string, weight float64, nowMs int64) *usageCounter {
 	key := meterKey{backend, tenant}
-	known := m.byKey[key]
-	if known == nil {
-		known = &metered{lastMs: nowMs}
-		m.byKey[key] = known
+	counter := m.counters[key]
+	if counter == nil {
+		counter = &usageCounter{integratedMs: nowMs}
+		m.counters[key] = counter
 	}
-	known.weight = weight
-	return known
+	counter.weight = weight
+	return counter
 }
 
-// AdjustInFlight notes that requests of a tenant, "" for none, have begun or ended.
-func (m *UsageMeter) AdjustInFlight(backend, tenant string, weight float64, change int, nowMs int64) {
-	known := m.of(backend, tenant, weight, nowMs)
-	known.bringTo(nowMs)
-	known.inFlight += change
+// AdjustInFlight adds delta to the requests in flight of a tenant; tenant is empty for requests
+// without one.
+func (m *UsageMeter) AdjustInFlight(backend, tenant string, weight float64, delta int, nowMs int64) {
+	counter := m.counter(backend, tenant, weight, nowMs)
+	counter.integrate(nowMs)
+	counter.inFlight += delta
 }
 
-// RecordProgramStart notes that a program of a tenant has begun.
+// RecordProgramStart records that a program of a tenant has started.
 func (m *UsageMeter) RecordProgramStart(backend, tenant string, weight float64, nowMs int64) {
-	m.of(backend, tenant, weight, nowMs).begun++
+	m.counter(backend, tenant, weight, nowMs).programStarts++
 }
 
-// CollectUsage returns the use since the last reading, naming the tenants of back ends that are nearly
-// short, and forgets tenants without any.
-func (m *UsageMeter) CollectUsage(nowMs int64, short func(backend string) bool) []BackendUsage {
-	elapsed := float64(max(nowMs-m.readMs, 1))
-	m.readMs = nowMs
+// CollectUsage returns the usage since the last call, and removes tenants without requests in
+// flight. It lists the tenants only of back ends that are nearly oversubscribed.
+func (m *UsageMeter) CollectUsage(nowMs int64, isNearlyOversubscribed func(backend string) bool) []BackendUsage {
+	elapsed := float64(max(nowMs-m.collectedMs, 1))
+	m.collectedMs = nowMs
 	byBackend := map[string]*BackendUsage{}
-	for key, known := range m.byKey {
-		known.bringTo(nowMs)
-		read := *known
-		known.sum, known.begun = 0, 0
-		if known.inFlight == 0 {
-			delete(m.byKey, key)
+	for key, counter := range m.counters {
+		counter.integrate(nowMs)
+		collected := *counter
+		counter.requestMs, counter.programStarts = 0, 0
+		if counter.inFlight == 0 {
+			delete(m.counters, key)
 		}
-		if read.sum <= 0 && read.begun == 0 {
+		if collected.requestMs <= 0 && collected.programStarts == 0 {
 			continue
 		}
-		use := byBackend[key.backend]
-		if use == nil {
-			use = &BackendUsage{Backend: key.backend}
-			byBackend[key.backend] = use
+		usage := byBackend[key.backend]
+		if usage == nil {
+			usage = &BackendUsage{Backend: key.backend}
+			byBackend[key.backend] = usage
 		}
-		mean := float32(read.sum / elapsed)
-		use.InFlight += mean
-		use.ProgramStarts += float32(read.begun)
-		if key.tenant != "" && short(key.backend) {
-			use.Tenants = append(use.Tenants, TenantUsage{Tenant: key.tenant, Weight: float32(known.weight), InFlight: mean, ProgramStarts: float32(read.begun)})
+		mean := float32(collected.requestMs / elapsed)
+		usage.InFlight += mean
+		usage.ProgramStarts += float32(collected.programStarts)
+		if key.tenant != "" && isNearlyOversubscribed(key.backend) {
+			usage.Tenants = append(usage.Tenants, TenantUsage{Tenant: key.tenant, Weight: float32(counter.weight), InFlight: mean, ProgramStarts: float32(collected.programStarts)})
 		}
 	}
-	var uses []BackendUsage
-	for _, use := range byBackend {
-		uses = append(uses, *use)
+	var usages []BackendUsage
+	for _, usage := range byBackend {
+		usages = append(usages, *usage)
 	}
-	return uses
+	return usages
 }
--- a/internal/admission/programs.go
+++ b/internal/admission/programs.go
@@ -3,166 +3,171 @@
 import "math"
 
 const (
-	// horizons is at how many points of the coming window the demand is compared with the
-	// room.
-	horizons = 10
-	// forecastMs is how long a forecast over all programs of a tenant is kept.
-	forecastMs = 100
-	// programIdleMs is how long a program without requests is remembered.
-	programIdleMs = 30_000
+	// horizonCount is the number of points of the coming window at which the demand is compared
+	// with the limit.
+	horizonCount = 10
+	// forecastLifetimeMs is how long a forecast is used, both for a kind and over all programs of a
+	// tenant.
+	forecastLifetimeMs = 100
+	// idleProgramLifetimeMs is how long a program without requests is kept.
+	idleProgramLifetimeMs = 30_000
 )
 
-// TenantPrograms are the programs of one tenant that have begun, and what they will ask for within
-// the coming window.
+// TenantPrograms holds the programs of one tenant that have started, and the forecast of their
+// requests within the coming window.
 type TenantPrograms struct {
 	kinds    *ProgramKinds
 	windowMs int64
 	byName   map[string]*program
-	// demand is how many requests the programs will make up to each horizon in the mean, as of
-	// forecastedMs; what began since is added.
-	demand       [horizons]float64
+	// demand is the mean number of requests that the programs will make up to each horizon, as of
+	// forecastedMs. Programs that started later are added to it.
+	demand       [horizonCount]float64
 	forecastedMs int64
-	forecasted   bool
-	// begunMs is when a program began last, 0 for never.
-	begunMs int64
+	hasForecast  bool
+	// lastStartMs is when a program last started, 0 for never.
+	lastStartMs int64
 }
 
-// program is one that has begun.
+// program is a program that has started.
 type program struct {
 	kind *ProgramKind
-	// made is how many of its requests were granted, lastMs when the last one was.
-	made   int
-	lastMs int64
-	// ended says that it has been silent for so long that it counts as ended.
-	ended bool
+	// grantedRequests is the number of its granted requests, and lastGrantMs is when the last one
+	// was granted.
+	grantedRequests int
+	lastGrantMs     int64
+	// countsAsEnded means that the program has made no request for so long that it counts as ended.
+	countsAsEnded bool
 }
 
-// NewTenantPrograms returns the programs of a tenant whose limit counts over a window.
+// NewTenantPrograms returns the programs of a tenant whose limit applies to a window.
 func NewTenantPrograms(kinds *ProgramKinds, windowMs int64) *TenantPrograms {
 	return &TenantPrograms{kinds: kinds, windowMs: windowMs, byName: map[string]*program{}}
 }
 
-// IsInProgress reports whether a program has begun.
+// IsInProgress reports whether a program has started and is still kept.
 func (p *TenantPrograms) IsInProgress(name string) bool {
-	_, known := p.byName[name]
-	return known
+	_, inProgress := p.byName[name]
+	return inProgress
 }
 
-// Len returns how many programs are remembered.
+// Len returns the number of programs that are kept.
 func (p *TenantPrograms) Len() int { return len(p.byName) }
 
-// RecordGrant notes a request of a program that was asked for and granted at times; kind is that
-// of the program where the request is a turn.
-func (p *TenantPrograms) RecordGrant(name, kind string, askedMs, nowMs int64) {
-	known := p.byName[name]
-	if known == nil {
-		known = &program{kind: p.kinds.GetOrCreate(kind), made: 1, lastMs: nowMs}
-		p.byName[name] = known
-		p.begunMs = nowMs
-		p.add(known, nowMs)
+// RecordGrant records a request of a program that was made at requestedMs and granted at nowMs. For
+// a turn, kind is the kind of the program.
+func (p *TenantPrograms) RecordGrant(name, kind string, requestedMs, nowMs int64) {
+	current := p.byName[name]
+	if current == nil {
+		current = &program{kind: p.kinds.GetOrCreate(kind), grantedRequests: 1, lastGrantMs: nowMs}
+		p.byName[name] = current
+		p.lastStartMs = nowMs
+		p.addDemand(current, nowMs)
 		return
 	}
-	if known.ended {
-		known.ended = false
-		known.kind.UndoEnd(known.made)
+	if current.countsAsEnded {
+		current.countsAsEnded = false
+		current.kind.UndoEnd(current.grantedRequests)
 	}
-	known.kind.ObserveContinuation(known.made, askedMs-known.lastMs)
-	known.made++
-	known.lastMs = nowMs
+	current.kind.ObserveContinuation(current.grantedRequests, requestedMs-current.lastGrantMs)
+	current.grantedRequests++
+	current.lastGrantMs = nowMs
 }
 
-// UndoGrant takes back a request that no engine ran: a program of which nothing has run has not
-// begun.
+// UndoGrant reverts RecordGrant for a request that no engine ran. A program of which nothing has
+// run has not started.
 func (p *TenantPrograms) UndoGrant(name string) {
-	known := p.byName[name]
-	if known == nil {
+	current := p.byName[name]
+	if current == nil {
 		return
 	}
-	known.made--
-	if known.made <= 0 {
+	current.grantedRequests--
+	if current.grantedRequests <= 0 {
 		delete(p.byName, name)
-		p.forecasted = false
+		p.hasForecast = false
 		return
 	}
-	known.kind.UndoContinuation(known.made)
+	current.kind.UndoContinuation(current.grantedRequests)
 }
 
-// add counts what one program will ask for.
-func (p *TenantPrograms) add(known *program, nowMs int64) {
-	ahead, bucket := known.kind.outlookAt(nowMs, p.windowMs), madeBucket(known.made)
-	goesOn := known.kind.underWay(ahead.endsNow[bucket], float64(nowMs-known.lastMs))
-	for position, coming := range ahead.within[bucket] {
-		p.demand[position] += goesOn * coming
+// addDemand adds the forecast of one program to the demand.
+func (p *TenantPrograms) addDemand(current *program, nowMs int64) {
+	forecast, bucket := current.kind.forecastAt(nowMs, p.windowMs), progressBucket(current.grantedRequests)
+	continueProbability := current.kind.continueProbability(forecast.endProbability[bucket], float64(nowMs-current.lastGrantMs))
+	for horizon, requests := range forecast.requestsWithin[bucket] {
+		p.demand[horizon] += continueProbability * requests
 	}
 }
 
-// forecast brings the demand up to date.
-func (p *TenantPrograms) forecast(nowMs int64) {
-	if p.forecasted && nowMs-p.forecastedMs < forecastMs {
+// updateForecast recomputes the demand when it is out of date. It also removes idle programs and
+// marks those that count as ended.
+func (p *TenantPrograms) updateForecast(nowMs int64) {
+	if p.hasForecast && nowMs-p.forecastedMs < forecastLifetimeMs {
 		return
 	}
-	p.forecasted, p.forecastedMs = true, nowMs
-	p.demand = [horizons]float64{}
-	for name, known := range p.byName {
-		silentMs := nowMs - known.lastMs
+	p.hasForecast, p.forecastedMs = true, nowMs
+	p.demand = [horizonCount]float64{}
+	for name, current := range p.byName {
+		silentMs := nowMs - current.lastGrantMs
 		switch {
-		case silentMs > programIdleMs:
+		case silentMs > idleProgramLifetimeMs:
 			delete(p.byName, name)
-		case known.ended:
-		case float64(silentMs) >= known.kind.InactivityTimeoutMs():
-			known.ended = true
-			known.kind.ObserveEnd(known.made)
+		case current.countsAsEnded:
+		case float64(silentMs) >= current.kind.InactivityTimeoutMs():
+			current.countsAsEnded = true
+			current.kind.ObserveEnd(current.grantedRequests)
 		default:
-			p.add(known, nowMs)
+			p.addDemand(current, nowMs)
 		}
 	}
 }
 
-// RemoveIdle forgets idle programs.
-func (p *TenantPrograms) RemoveIdle(nowMs int64) { p.forecast(nowMs) }
+// RemoveIdle removes idle programs, if the forecast is out of date.
+func (p *TenantPrograms) RemoveIdle(nowMs int64) { p.updateForecast(nowMs) }
 
-// AdmissionDecision is whether a program may begin, with what that was decided by.
+// AdmissionDecision is the decision whether a program may start, with the figures that it is based
+// on.
 type AdmissionDecision struct {
 	Admitted bool
-	// CountedRequests are the requests that count already, Expected those that programs under way
-	// will ask for and Own those of the program itself, up to the moment at which the room is
-	// least.
+	// CountedRequests is the number of granted requests that still count, ExpectedRequests the
+	// number expected of the programs in progress, and OwnRequests the number of the program
+	// itself, all up to the moment with the least headroom.
 	CountedRequests  int64
 	ExpectedRequests float64
 	OwnRequests      float64
-	// AdmissionIntervalMs is at which intervals programs of the kind find room in the long run.
+	// AdmissionIntervalMs is the mean interval at which programs of the kind fit the limit in the
+	// long run.
 	AdmissionIntervalMs int64
 }
 
-// DecideAdmission decides whether a program of a kind may begin: whether at no moment of the coming
-// window more would count in the mean than is allowed. The spread around the mean is for the
-// queue: to keep a standard deviation free besides refuses a fifth more programs, and what waits
-// then waits 0.1 s in place of 0.3 at the 99th percentile (docs/design/0011-limits-by-program.md). Counted returns what of the requests granted so
-// far still counts at a time. Expecting is a demand within the window that is known of
-// otherwise, as of programs of which a new owner has not heard yet.
+// DecideAdmission decides whether a program of a kind may start: at no moment of the coming window
+// may the mean number of requests exceed allowed. The queue absorbs the spread around the mean. To
+// keep a standard deviation free as well refuses a fifth more programs, and shortens the wait at
+// the 99th percentile from 0.3 to 0.1 s (docs/design/0011-limits-by-program.md). countedAt returns
+// how many of the requests granted so far still count at a time. externalDemand is demand within
+// the window that is known from elsewhere, such as from programs that a new owner has not seen yet.
 //
-// A tenant without a program under way may always begin one, however small its limit: it
-// then uses what there is.
-func (p *TenantPrograms) DecideAdmission(kind string, nowMs int64, allowed int64, expecting float64, counted func(atMs int64) int64) AdmissionDecision {
-	p.forecast(nowMs)
-	own := p.kinds.GetOrCreate(kind).outlookAt(nowMs, p.windowMs)
-	goesOn := 1 - own.endsNow[0]
-	result := AdmissionDecision{AdmissionIntervalMs: int64(float64(p.windowMs) * own.requests / math.Max(float64(allowed), 1))}
-	least := math.Inf(1)
-	for position, coming := range own.within[0] {
-		horizon := horizonMs(p.windowMs, position)
-		ownDemand := 1 + goesOn*coming
-		expected := math.Max(p.demand[position], expecting*float64(horizon)/float64(p.windowMs))
-		past := counted(nowMs + horizon)
-		room := float64(allowed) - float64(past) - expected - ownDemand
-		if room < least {
-			least = room
-			result.CountedRequests, result.ExpectedRequests, result.OwnRequests = past, expected, ownDemand
+// A tenant without a program in progress may always start one, however small its limit. The program
+// then uses what the limit allows.
+func (p *TenantPrograms) DecideAdmission(kind string, nowMs int64, allowed int64, externalDemand float64, countedAt func(atMs int64) int64) AdmissionDecision {
+	p.updateForecast(nowMs)
+	ownForecast := p.kinds.GetOrCreate(kind).forecastAt(nowMs, p.windowMs)
+	continueProbability := 1 - ownForecast.endProbability[0]
+	decision := AdmissionDecision{AdmissionIntervalMs: int64(float64(p.windowMs) * ownForecast.meanRequests / math.Max(float64(allowed), 1))}
+	minHeadroom := math.Inf(1)
+	for index, requests := range ownForecast.requestsWithin[0] {
+		aheadMs := horizonMs(p.windowMs, index)
+		ownDemand := 1 + continueProbability*requests
+		expected := math.Max(p.demand[index], externalDemand*float64(aheadMs)/float64(p.windowMs))
+		counted := countedAt(nowMs + aheadMs)
+		headroom := float64(allowed) - float64(counted) - expected - ownDemand
+		if headroom < minHeadroom {
+			minHeadroom = headroom
+			decision.CountedRequests, decision.ExpectedRequests, decision.OwnRequests = counted, expected, ownDemand
 		}
 	}
-	result.Admitted = least >= 0 || (p.demand[horizons-1] < 1 && expecting < 1)
-	return result
+	decision.Admitted = minHeadroom >= 0 || (p.demand[horizonCount-1] < 1 && externalDemand < 1)
+	return decision
 }
 
-// LastStartMs is when a program began last, 0 for never.
-func (p *TenantPrograms) LastStartMs() int64 { return p.begunMs }
+// LastStartMs returns when a program last started, 0 for never.
+func (p *TenantPrograms) LastStartMs() int64 { return p.lastStartMs }
--- a/internal/admission/useboard.go
+++ b/internal/admission/useboard.go
@@ -7,27 +7,28 @@
 )
 
 const (
-	// sumEveryMs is how old the sums may be: to add them up takes as many steps as there are
-	// tenants in the reports of all gateways.
-	sumEveryMs = 200
-	// begunHalfLifeMs is when a program that has begun counts half: long enough that one program
-	// of a small tenant does not look like a crowd.
-	begunHalfLifeMs = 2_000
-	// busyHalfLifeMs is that of what a program brings, longer than programs live; fewer than
-	// leastBegun programs say nothing of it.
-	busyHalfLifeMs = 10_000
-	leastBegun     = 8
-	// forgottenCount is a count that has decayed to nothing.
-	forgottenCount = 0.01
+	// totalsLifetimeMs is how long totals are reused. To compute them takes as many steps as there
+	// are tenants in the reports of all gateways.
+	totalsLifetimeMs = 200
+	// startHalfLifeMs is the half-life of a program start. It is long enough that one program of a
+	// small tenant does not look like a burst.
+	startHalfLifeMs = 2_000
+	// serviceHalfLifeMs is the half-life of the observed service time of programs, longer than the
+	// duration of programs. With fewer than minProgramStarts programs the service time is unknown.
+	serviceHalfLifeMs = 10_000
+	minProgramStarts  = 8
+	// minDecayedCount is the count below which a decayed count is removed.
+	minDecayedCount = 0.01
 )
 
-// decaying is a count whose parts count half after a half-life.
-type decaying struct {
+// decayingCount is a count that decays exponentially.
+type decayingCount struct {
 	count float64
 	atMs  int64
 }
 
-func (d *decaying) at(nowMs int64, halfLifeMs float64) float64 {
+// at returns the count decayed to nowMs.
+func (d *decayingCount) at(nowMs int64, halfLifeMs float64) float64 {
 	if nowMs > d.atMs {
 		d.count *= math.Exp2(-float64(nowMs-d.atMs) / halfLifeMs)
 		d.atMs = nowMs
@@ -35,189 +36,197 @@
 	return d.count
 }
 
-func (d *decaying) add(count float64, nowMs int64, halfLifeMs float64) {
+// add adds to the count at nowMs.
+func (d *decayingCount) add(count float64, nowMs int64, halfLifeMs float64) {
 	d.at(nowMs, halfLifeMs)
 	d.count += count
 }
 
-// UsageAggregator adds up at control what gateways say of the use of back ends. It is soft state: an
-// empty one says nothing, and then no tenant is held to a share.
+// UsageAggregator aggregates the usage reports of gateways at control. It is soft state: an empty
+// aggregator returns no usage, and no tenant is then limited to a share.
 type UsageAggregator struct {
-	byGateway map[string]gatewayUse
-	backends  map[string]*boardBackend
-	summed    []BackendUsage
-	summedMs  int64
-	// Version counts the sums.
+	byGateway map[string]gatewayReport
+	backends  map[string]*backendStatistics
+	totals    []BackendUsage
+	totalsMs  int64
+	// Version is incremented with every new computation of the totals.
 	Version uint64
 }
 
-type gatewayUse struct {
-	atMs int64
-	uses []BackendUsage
+// gatewayReport is the last report of a gateway.
+type gatewayReport struct {
+	atMs   int64
+	usages []BackendUsage
 }
 
-// boardBackend is what is learnt of one back end.
-type boardBackend struct {
-	// busy is in seconds of requests, begun in programs.
-	busy, begun decaying
-	byTenant    map[string]*decaying
+// backendStatistics holds the statistics of one back end.
+type backendStatistics struct {
+	// serviceSeconds is the total duration of requests in seconds, and programStarts the number of
+	// programs started.
+	serviceSeconds, programStarts decayingCount
+	startsByTenant                map[string]*decayingCount
 }
 
-// NewUsageAggregator returns a board that has heard nothing.
+// NewUsageAggregator returns an empty aggregator.
 func NewUsageAggregator() *UsageAggregator {
-	return &UsageAggregator{byGateway: map[string]gatewayUse{}, backends: map[string]*boardBackend{}}
+	return &UsageAggregator{byGateway: map[string]gatewayReport{}, backends: map[string]*backendStatistics{}}
 }
 
-// ReportUsage takes what a gateway says of back ends; it says nothing of those without any use.
-func (b *UsageAggregator) ReportUsage(gateway string, uses []BackendUsage, nowMs int64) {
-	earlier, heard := b.byGateway[gateway]
-	delete(b.byGateway, gateway)
-	if len(uses) == 0 {
+// ReportUsage replaces the report of a gateway, which omits back ends without usage.
+func (a *UsageAggregator) ReportUsage(gateway string, usages []BackendUsage, nowMs int64) {
+	previous, hasPrevious := a.byGateway[gateway]
+	delete(a.byGateway, gateway)
+	if len(usages) == 0 {
 		return
 	}
-	uses = uses[:min(len(uses), mostBackends)]
-	b.byGateway[gateway] = gatewayUse{atMs: nowMs, uses: uses}
+	usages = usages[:min(len(usages), maxReportedBackends)]
+	a.byGateway[gateway] = gatewayReport{atMs: nowMs, usages: usages}
 	const millisecondsPerSecond = 1000
 	elapsed := 0.0
-	if heard {
-		elapsed = float64(min(nowMs-earlier.atMs, useForgottenMs)) / millisecondsPerSecond
+	if hasPrevious {
+		elapsed = float64(min(nowMs-previous.atMs, usageLifetimeMs)) / millisecondsPerSecond
 	}
-	for _, use := range uses {
-		if !sound(use.InFlight, use.ProgramStarts) {
+	for _, usage := range usages {
+		if !areValid(usage.InFlight, usage.ProgramStarts) {
 			continue
 		}
-		known := b.backends[use.Backend]
-		if known == nil {
-			known = &boardBackend{byTenant: map[string]*decaying{}}
-			b.backends[use.Backend] = known
+		statistics := a.backends[usage.Backend]
+		if statistics == nil {
+			statistics = &backendStatistics{startsByTenant: map[string]*decayingCount{}}
+			a.backends[usage.Backend] = statistics
 		}
-		known.busy.add(float64(use.InFlight)*elapsed, nowMs, busyHalfLifeMs)
-		known.begun.add(float64(use.ProgramStarts), nowMs, busyHalfLifeMs)
-		known.take(use.Tenants, nowMs)
+		statistics.serviceSeconds.add(float64(usage.InFlight)*elapsed, nowMs, serviceHalfLifeMs)
+		statistics.programStarts.add(float64(usage.ProgramStarts), nowMs, serviceHalfLifeMs)
+		statistics.addTenantStarts(usage.Tenants, nowMs)
 	}
 }
 
-func (b *boardBackend) take(tenants []TenantUsage, nowMs int64) {
+// addTenantStarts adds the programs that tenants have started.
+func (s *backendStatistics) addTenantStarts(tenants []TenantUsage, nowMs int64) {
 	for _, tenant := range tenants {
-		if !sound(tenant.ProgramStarts) || tenant.ProgramStarts == 0 {
+		if !areValid(tenant.ProgramStarts) || tenant.ProgramStarts == 0 {
 			continue
 		}
-		if b.byTenant[tenant.Tenant] == nil {
-			b.byTenant[tenant.Tenant] = &decaying{}
+		if s.startsByTenant[tenant.Tenant] == nil {
+			s.startsByTenant[tenant.Tenant] = &decayingCount{}
 		}
-		b.byTenant[tenant.Tenant].add(float64(tenant.ProgramStarts), nowMs, begunHalfLifeMs)
+		s.startsByTenant[tenant.Tenant].add(float64(tenant.ProgramStarts), nowMs, startHalfLifeMs)
 	}
 }
 
-// perProgram is how many seconds of requests a program brings, 0 where that is not known.
-func (b *boardBackend) perProgram(nowMs int64) float32 {
-	begun := b.begun.at(nowMs, busyHalfLifeMs)
-	if begun < leastBegun {
+// serviceSecondsPerProgram returns the mean total duration of a program's requests in seconds, 0 if
+// unknown.
+func (s *backendStatistics) serviceSecondsPerProgram(nowMs int64) float32 {
+	starts := s.programStarts.at(nowMs, serviceHalfLifeMs)
+	if starts < minProgramStarts {
 		return 0
 	}
-	return float32(b.busy.at(nowMs, busyHalfLifeMs) / begun)
+	return float32(s.serviceSeconds.at(nowMs, serviceHalfLifeMs) / starts)
 }
 
-// begunPerSecond is how many programs a tenant begins in a second.
-func (b *boardBackend) begunPerSecond(tenant string, nowMs int64) float32 {
-	known := b.byTenant[tenant]
-	if known == nil {
+// startsPerSecond returns how many programs a tenant starts per second.
+func (s *backendStatistics) startsPerSecond(tenant string, nowMs int64) float32 {
+	starts := s.startsByTenant[tenant]
+	if starts == nil {
 		return 0
 	}
 	const perSecond = math.Ln2 * 1000
-	return float32(known.at(nowMs, begunHalfLifeMs) * perSecond / begunHalfLifeMs)
+	return float32(starts.at(nowMs, startHalfLifeMs) * perSecond / startHalfLifeMs)
 }
 
-// Totals returns the use of each back end over all gateways, with at most mostShares tenants each.
-func (b *UsageAggregator) Totals(nowMs int64) []BackendUsage {
-	if b.Version > 0 && nowMs-b.summedMs < sumEveryMs && nowMs >= b.summedMs {
-		return b.summed
+// Totals returns the usage of each back end over all gateways, with at most maxReportedTenants
+// tenants each.
+func (a *UsageAggregator) Totals(nowMs int64) []BackendUsage {
+	if a.Version > 0 && nowMs-a.totalsMs < totalsLifetimeMs && nowMs >= a.totalsMs {
+		return a.totals
 	}
-	b.summedMs = nowMs
-	b.Version++
-	b.forget(nowMs)
-	b.summed = b.sum(nowMs)
-	return b.summed
-}
-
-// forget drops gateways that fell silent and counts that have decayed.
-func (b *UsageAggregator) forget(nowMs int64) {
-	for gateway, known := range b.byGateway {
-		if nowMs-known.atMs > useForgottenMs {
-			delete(b.byGateway, gateway)
+	a.totalsMs = nowMs
+	a.Version++
+	a.removeExpired(nowMs)
+	a.totals = a.computeTotals(nowMs)
+	return a.totals
+}
+
+// removeExpired removes gateways without recent reports and counts that have decayed.
+func (a *UsageAggregator) removeExpired(nowMs int64) {
+	for gateway, report := range a.byGateway {
+		if nowMs-report.atMs > usageLifetimeMs {
+			delete(a.byGateway, gateway)
 		}
 	}
-	for name, known := range b.backends {
-		for tenant, count := range known.byTenant {
-			if count.at(nowMs, begunHalfLifeMs) < forgottenCount {
-				delete(known.byTenant, tenant)
+	for name, statistics := range a.backends {
+		for tenant, count := range statistics.startsByTenant {
+			if count.at(nowMs, startHalfLifeMs) < minDecayedCount {
+				delete(statistics.startsByTenant, tenant)
 			}
 		}
-		if known.busy.at(nowMs, busyHalfLifeMs) < forgottenCount && known.begun.at(nowMs, busyHalfLifeMs) < forgottenCount {
-			delete(b.backends, name)
+		if statistics.serviceSeconds.at(nowMs, serviceHalfLifeMs) < minDecayedCount && statistics.programStarts.at(nowMs, serviceHalfLifeMs) < minDecayedCount {
+			delete(a.backends, name)
 		}
 	}
 }
 
-func (b *UsageAggregator) sum(nowMs int64) []BackendUsage {
-	sums := map[string]*BackendUsage{}
+// computeTotals adds up the reports of all gateways.
+func (a *UsageAggregator) computeTotals(nowMs int64) []BackendUsage {
+	totals := map[string]*BackendUsage{}
 	tenants := map[string]map[string]TenantUsage{}
-	for _, known := range b.byGateway {
-		for _, use := range known.uses {
-			if sums[use.Backend] == nil {
-				sums[use.Backend] = &BackendUsage{Backend: use.Backend}
-				tenants[use.Backend] = map[string]TenantUsage{}
+	for _, report := range a.byGateway {
+		for _, usage := range report.usages {
+			if totals[usage.Backend] == nil {
+				totals[usage.Backend] = &BackendUsage{Backend: usage.Backend}
+				tenants[usage.Backend] = map[string]TenantUsage{}
 			}
-			if sound(use.InFlight) {
-				sums[use.Backend].InFlight += use.InFlight
+			if areValid(usage.InFlight) {
+				totals[usage.Backend].InFlight += usage.InFlight
 			}
-			addTenants(tenants[use.Backend], use.Tenants)
+			addTenantUsages(tenants[usage.Backend], usage.Tenants)
 		}
 	}
 	var all []BackendUsage
-	for backend, sum := range sums {
-		if known := b.backends[backend]; known != nil {
-			sum.ServiceSecondsPerProgram = known.perProgram(nowMs)
-			known.addBegun(tenants[backend], nowMs)
+	for backend, total := range totals {
+		if statistics := a.backends[backend]; statistics != nil {
+			total.ServiceSecondsPerProgram = statistics.serviceSecondsPerProgram(nowMs)
+			statistics.setProgramStarts(tenants[backend], nowMs)
 		}
-		all = append(all, sum.withTenants(tenants[backend]))
+		all = append(all, total.withTopTenants(tenants[backend]))
 	}
 	slices.SortFunc(all, func(x, y BackendUsage) int { return cmp.Compare(x.Backend, y.Backend) })
 	return all
 }
 
-func addTenants(into map[string]TenantUsage, tenants []TenantUsage) {
+// addTenantUsages adds the valid usages of tenants to the totals.
+func addTenantUsages(totals map[string]TenantUsage, tenants []TenantUsage) {
 	for _, tenant := range tenants {
-		if !sound(tenant.InFlight, tenant.Weight) {
+		if !areValid(tenant.InFlight, tenant.Weight) {
 			continue
 		}
-		sum := into[tenant.Tenant]
-		sum.Tenant, sum.Weight = tenant.Tenant, max(sum.Weight, tenant.Weight)
-		sum.InFlight += tenant.InFlight
-		into[tenant.Tenant] = sum
+		total := totals[tenant.Tenant]
+		total.Tenant, total.Weight = tenant.Tenant, max(total.Weight, tenant.Weight)
+		total.InFlight += tenant.InFlight
+		totals[tenant.Tenant] = total
 	}
 }
 
-// addBegun fills in how many programs each tenant that is named begins in a second.
-func (b *boardBackend) addBegun(tenants map[string]TenantUsage, nowMs int64) {
+// setProgramStarts sets the program starts per second of each listed tenant.
+func (s *backendStatistics) setProgramStarts(tenants map[string]TenantUsage, nowMs int64) {
 	for name, tenant := range tenants {
-		tenant.ProgramStarts = b.begunPerSecond(name, nowMs)
+		tenant.ProgramStarts = s.startsPerSecond(name, nowMs)
 		tenants[name] = tenant
 	}
 }
 
-// withTenants returns the sum with the tenants that ask for the most for their weight.
-func (u *BackendUsage) withTenants(tenants map[string]TenantUsage) BackendUsage {
-	sum, named := *u, 0.0
+// withTopTenants returns the total with the tenants that have the highest demand for their weight.
+func (u *BackendUsage) withTopTenants(tenants map[string]TenantUsage) BackendUsage {
+	total, namedInFlight := *u, 0.0
 	for _, tenant := range tenants {
-		sum.Tenants = append(sum.Tenants, tenant)
-		sum.Demand += float32(sum.TenantDemand(tenant))
-		named += float64(tenant.InFlight)
+		total.Tenants = append(total.Tenants, tenant)
+		total.Demand += float32(total.TenantDemand(tenant))
+		namedInFlight += float64(tenant.InFlight)
 	}
-	sum.Demand += float32(max(float64(sum.InFlight)-named, 0))
-	slices.SortFunc(sum.Tenants, func(x, y TenantUsage) int {
-		return cmp.Or(cmp.Compare(sum.perWeight(y), sum.perWeight(x)), cmp.Compare(x.Tenant, y.Tenant))
+	total.Demand += float32(max(float64(total.InFlight)-namedInFlight, 0))
+	slices.SortFunc(total.Tenants, func(x, y TenantUsage) int {
+		return cmp.Or(cmp.Compare(total.demandPerWeight(y), total.demandPerWeight(x)), cmp.Compare(x.Tenant, y.Tenant))
 	})
-	sum.Tenants = sum.Tenants[:min(len(sum.Tenants), mostShares)]
-	return sum
+	total.Tenants = total.Tenants[:min(len(total.Tenants), maxReportedTenants)]
+	return total
 }
