--- a/internal/scheduling/admission.go
+++ b/internal/scheduling/admission.go
@@ -30,13 +30,13 @@
 	// empty cache.
 	minLimitSlotDivisor = 4
 	minLimit            = 2
-	// unrestrictedFraction is the fraction of the limit up to which all programs of the least
-	// urgent rank are admitted. rankFraction is added to it in steps up to the most urgent rank,
+	// unrestrictedFraction is the fraction of the limit up to which all programs of the lowest
+	// priority are admitted. priorityFraction is added to it in steps up to the highest priority,
 	// and over a further rampFraction the admitted share of programs falls from all to the minimum.
 	unrestrictedFraction = 0.7
-	rankFraction         = 0.2
+	priorityFraction     = 0.2
 	rampFraction         = 0.2
-	// maxRejectedFraction limits the fraction of new programs that is rejected, so that no rank
+	// maxRejectedFraction limits the fraction of new programs that is rejected, so that no priority
 	// starves.
 	maxRejectedFraction = 0.9
 	// retrySpreadMs spreads the retries of programs that are rejected together. It is the longest
@@ -140,12 +140,12 @@
 }
 
 // Admit reports whether a new program may start at a mean concurrency, and otherwise the delay
-// after which it is to retry, in milliseconds. position is the number of ranks in use, out of
-// ranks, that are less urgent than the program's own. sample is a random number within 0..1 that is
-// the same for every attempt of a program at every gateway, so that retrying more often does not
-// raise the chance of admission.
-func (a *AdmissionController) Admit(concurrency float64, position, ranks int, sample float64) (retryAfterMs int64, admitted bool) {
-	rejected := a.RejectedFraction(concurrency, position, ranks)
+// after which it is to retry, in milliseconds. priorities is the number of priorities in use, and
+// position the number of those that are lower than the program's own. sample is a random number
+// within 0..1 that is the same for every attempt of a program at every gateway, so that retrying
+// more often does not raise the chance of admission.
+func (a *AdmissionController) Admit(concurrency float64, position, priorities int, sample float64) (retryAfterMs int64, admitted bool) {
+	rejected := a.RejectedFraction(concurrency, position, priorities)
 	if rejected > 0 {
 		a.lastBindingMs = a.updatedMs
 	}
@@ -157,13 +157,13 @@
 }
 
 // RejectedFraction returns the fraction of new programs that is rejected at a concurrency.
-func (a *AdmissionController) RejectedFraction(concurrency float64, position, ranks int) float64 {
+func (a *AdmissionController) RejectedFraction(concurrency float64, position, priorities int) float64 {
 	if a.limit == 0 {
 		return 0
 	}
 	unrestricted := unrestrictedFraction
-	if ranks > 1 {
-		unrestricted += rankFraction * float64(position) / float64(ranks-1)
+	if priorities > 1 {
+		unrestricted += priorityFraction * float64(position) / float64(priorities-1)
 	}
 	excess := (concurrency/a.limit - unrestricted) / rampFraction
 	return math.Min(math.Max(excess, 0), 1) * maxRejectedFraction
@@ -172,7 +172,7 @@
 // Limit returns the learned limit of the concurrency, in requests per engine, 0 for no limit.
 func (a *AdmissionController) Limit() float64 { return a.limit }
 
-// UnrestrictedConcurrency returns the concurrency up to which all programs of the least urgent rank
+// UnrestrictedConcurrency returns the concurrency up to which all programs of the lowest priority
 // are admitted, in requests per engine, 0 for no limit.
 func (a *AdmissionController) UnrestrictedConcurrency() float64 {
 	return a.limit * unrestrictedFraction
--- a/internal/scheduling/admission_test.go
+++ b/internal/scheduling/admission_test.go
@@ -8,7 +8,7 @@
 )
 
 // TestAdmissionProperty checks for any history of streams and concurrency that nobody is rejected
-// below the minimum limit, that some programs are always admitted, that a more urgent rank is never
+// below the minimum limit, that some programs are always admitted, that a higher priority is never
 // rejected more often, and that a program admitted with one random sample is admitted with any
 // higher one.
 func TestAdmissionProperty(t *testing.T) {
@@ -24,20 +24,20 @@
 			controller.UpdateLimit(nowMs, rapid.Float64Range(0, 200).Draw(t, "concurrency"), slots)
 		}
 		concurrency := rapid.Float64Range(0, 200).Draw(t, "now")
-		ranks := rapid.IntRange(1, 5).Draw(t, "ranks")
+		priorities := rapid.IntRange(1, 5).Draw(t, "ranks")
 		floor := max(float64(slots)/minLimitSlotDivisor, minLimit)
 		previous := 1.0
-		for position := range ranks {
-			rejected := controller.RejectedFraction(concurrency, position, ranks)
+		for position := range priorities {
+			rejected := controller.RejectedFraction(concurrency, position, priorities)
 			if rejected < 0 || rejected > maxRejectedFraction || rejected > previous {
-				t.Fatalf("rank %d of %d: %v rejected, the previous rank %v", position, ranks, rejected, previous)
+				t.Fatalf("priority %d of %d: %v rejected, but %v of the next lower priority", position, priorities, rejected, previous)
 			}
 			if rejected > 0 && concurrency < unrestrictedFraction*floor {
 				t.Fatalf("%v rejected at %v requests per engine of %d slots", rejected, concurrency, slots)
 			}
 			previous = rejected
 			sample := rapid.Float64Range(0, 1).Draw(t, "draw")
-			retryAfterMs, admitted := controller.Admit(concurrency, position, ranks, sample)
+			retryAfterMs, admitted := controller.Admit(concurrency, position, priorities, sample)
 			if admitted != (sample >= rejected) || admitted == (retryAfterMs > 0) {
 				t.Fatalf("sample %v with a rejected fraction of %v: admitted %v, retry after %d ms", sample, rejected, admitted, retryAfterMs)
 			}
--- a/internal/scheduling/choice.go
+++ b/internal/scheduling/choice.go
@@ -83,7 +83,7 @@
 	// AffineEngineSlowdown that at the affine engine, 0 if there is none.
 	Slowdown             float64
 	AffineEngineSlowdown float64
-	// MoveReason is why the session leaves its affine engine.
+	// MoveReason is the reason why the session leaves its affine engine.
 	MoveReason MoveReason
 
 	// The keys are 0 or 1, and less compares them in this order.
@@ -134,7 +134,7 @@
 	return best, hasBest
 }
 
-// MoveReason is why a session leaves its affine engine.
+// MoveReason is the reason why a session leaves its affine engine.
 type MoveReason string
 
 // The reasons for a move.
--- a/internal/scheduling/mechanism.go
+++ b/internal/scheduling/mechanism.go
@@ -29,7 +29,7 @@
 	MechanismZonePreference Mechanism = "zone"
 	// MechanismBatchInterference adds a cost for the other requests at an engine.
 	MechanismBatchInterference Mechanism = "company"
-	// MechanismEnginePriority sends the rank of a request to the engine.
+	// MechanismEnginePriority sends the priority of a request to the engine.
 	MechanismEnginePriority Mechanism = "rank"
 	// MechanismStreamResume resumes a broken stream at another engine.
 	MechanismStreamResume Mechanism = "take-up"
