--- a/cmd/ochrebay/capacity.go
+++ b/cmd/ochrebay/capacity.go
@@ -21,7 +21,7 @@
 			return err
 		}
 		if *plots != "" {
-			if err := report.Plots(*plots); err != nil {
+			if err := report.WritePlots(*plots); err != nil {
 				return err
 			}
 		}
--- a/cmd/ochrebay/compare.go
+++ b/cmd/ochrebay/compare.go
@@ -17,7 +17,7 @@
 			return err
 		}
 		defer opened.Close()
-		plays, err := experiment.Read(opened)
+		plays, err := experiment.ReadRuns(opened)
 		if err != nil {
 			return err
 		}
--- a/cmd/ochrebay/control.go
+++ b/cmd/ochrebay/control.go
@@ -36,7 +36,7 @@
 		return err
 	}
 	daemon.Frontends = controlFrontends(process, daemon)
-	if process.Cluster.Discovered() {
+	if process.Cluster.UsesDiscovery() {
 		stopWatching := watchSettings(signals, flags, logger, daemon.SetSeeds)
 		defer stopWatching()
 	}
@@ -47,7 +47,7 @@
 
 // dataInUse is the fault of a data folder that another process holds.
 func dataInUse(flags processFlags, process config.Process) error {
-	return settingsError{config.Problem{
+	return settingsError{config.FileError{
 		File: *flags.file, Field: "data.path", Value: process.Data.Path, Reason: "another process uses this data folder",
 	}}
 }
--- a/cmd/ochrebay/docs_test.go
+++ b/cmd/ochrebay/docs_test.go
@@ -64,7 +64,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, message := range literals(t, packages, map[string]int{"Info": 1, "Warn": 1, "Calm": 2, "logFailure": 0}) {
+	for _, message := range literals(t, packages, map[string]int{"Info": 1, "Warn": 1, "InfoSampled": 2, "logFailure": 0}) {
 		if !strings.Contains(string(logs), "| `"+message+"` |") {
 			t.Errorf("docs/LOGS.md lacks the message %q", message)
 		}
@@ -73,7 +73,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	names := literals(t, packages, map[string]int{"Gauge": 0, "Counters": 0, "Latencies": 0})
+	names := literals(t, packages, map[string]int{"RegisterGauge": 0, "RegisterCounter": 0, "RegisterLatencyHistogram": 0})
 	for _, name := range names {
 		if !strings.Contains(string(metrics), "| `ochrebay_"+name+"` |") {
 			t.Errorf("docs/METRICS.md lacks ochrebay_%s", name)
--- a/cmd/ochrebay/emulate.go
+++ b/cmd/ochrebay/emulate.go
@@ -24,8 +24,8 @@
 		make func(config.Process, log.Logger) standIn
 	}{
 		{config.RoleEngine, "A model engine.", func(p config.Process, l log.Logger) standIn { return emulator.NewEngine(p, l) }},
-		{config.RoleWeights, "The weight store.", func(p config.Process, l log.Logger) standIn { return emulator.NewWeights(p, l) }},
-		{config.RoleTools, "Tool services.", func(p config.Process, l log.Logger) standIn { return emulator.NewTools(p, l) }},
+		{config.RoleWeights, "The weight store.", func(p config.Process, l log.Logger) standIn { return emulator.NewWeightStore(p, l) }},
+		{config.RoleTools, "Tool services.", func(p config.Process, l log.Logger) standIn { return emulator.NewToolServices(p, l) }},
 		{config.RolePlatform, "The platform's list of machines.", func(p config.Process, l log.Logger) standIn { return emulator.NewPlatform(p, l) }},
 	}
 	for _, kind := range kinds {
--- a/cmd/ochrebay/emulatefleet_test.go
+++ b/cmd/ochrebay/emulatefleet_test.go
@@ -17,12 +17,12 @@
 	Convey("engines register, gateways follow those advertised, and hear of one that drains", t, func() {
 		f := startPlatformFleet(t)
 		var out bytes.Buffer
-		fleet := &emulator.HollowFleet{
-			Controls: f.operators, Seeds: []string{f.addresses["control-0"], f.addresses["control-1"], f.addresses["control-2"]},
-			Engines: 500, Gateways: 20, Zones: 5, Heartbeat: time.Second, Steady: time.Second,
+		fleet := &emulator.EmulatedFleet{
+			ControlAddresses: f.operators, SeedAddresses: []string{f.addresses["control-0"], f.addresses["control-1"], f.addresses["control-2"]},
+			EngineCount: 500, GatewayCount: 20, ZoneCount: 5, HeartbeatInterval: time.Second, SteadyDuration: time.Second,
 			// 12 engines of its own zone and 4 of each other.
-			Known:  28,
-			Report: hollowReporter(), Out: &out, Logger: log.NewNopLogger(),
+			EnginesPerGateway: 28,
+			SendReport:        hollowReporter(), Out: &out, Logger: log.NewNopLogger(),
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
--- a/cmd/ochrebay/failure_test.go
+++ b/cmd/ochrebay/failure_test.go
@@ -57,11 +57,11 @@
 	return workload.Generate(deployment, seed, 2, 5000)
 }
 
-func (f *fleet) expectNoneCut(outcomes []workload.Outcome) {
+func (f *fleet) expectNoneCut(outcomes []workload.ProgramOutcome) {
 	f.t.Helper()
 	for _, outcome := range outcomes {
-		if outcome.Cuts > 0 {
-			f.t.Errorf("program %s: %d answers were cut off by a planned stop", outcome.ID, outcome.Cuts)
+		if outcome.TruncatedStreams > 0 {
+			f.t.Errorf("program %s: %d answers were cut off by a planned stop", outcome.ID, outcome.TruncatedStreams)
 		}
 	}
 }
@@ -87,7 +87,7 @@
 	voters := map[uint32]consensus.ReplicaID{}
 	for _, group := range f.status().Groups {
 		for _, replica := range group.Replicas {
-			if replica.Member == member && !replica.Learner {
+			if replica.Member == member && !replica.IsLearner {
 				voters[group.Group] = replica.ID
 			}
 		}
@@ -203,6 +203,6 @@
 
 // endedHonestly reports whether an error is the truthful end of a call that may
 // not be repeated and whose engine or scheduler was lost.
-func endedHonestly(outcome workload.Outcome) bool {
-	return outcome.Program.Once && outcome.Err.Code == result.OutcomeUnknown
+func endedHonestly(outcome workload.ProgramOutcome) bool {
+	return outcome.Program.AtMostOnce && outcome.Err.Code == result.OutcomeUnknown
 }
--- a/cmd/ochrebay/fleet_test.go
+++ b/cmd/ochrebay/fleet_test.go
@@ -162,15 +162,15 @@
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	driver.Label = fmt.Sprint("test-", time.Now().UnixNano())
+	driver.RequestIDPrefix = fmt.Sprint("test-", time.Now().UnixNano())
 	return driver
 }
 
 // underLoad drives programs while disturb runs, and returns their outcomes once
 // both are done.
-func (f *fleet) underLoad(driver *workload.Driver, programs []workload.Program, disturb func()) []workload.Outcome {
+func (f *fleet) underLoad(driver *workload.Driver, programs []workload.Program, disturb func()) []workload.ProgramOutcome {
 	f.t.Helper()
-	done := make(chan []workload.Outcome, 1)
+	done := make(chan []workload.ProgramOutcome, 1)
 	ctx, cancel := context.WithTimeout(context.Background(), 2*patience)
 	defer cancel()
 	go func() { done <- driver.RunAll(ctx, programs) }()
@@ -180,7 +180,7 @@
 
 // expectAllEnded fails the test for violations and for programs that were not
 // answered to their end.
-func (f *fleet) expectAllEnded(driver *workload.Driver, outcomes []workload.Outcome) {
+func (f *fleet) expectAllEnded(driver *workload.Driver, outcomes []workload.ProgramOutcome) {
 	f.t.Helper()
 	for _, violation := range driver.Violations() {
 		f.t.Error("violation: ", violation)
--- a/cmd/ochrebay/load.go
+++ b/cmd/ochrebay/load.go
@@ -61,7 +61,7 @@
 		return runPath(ctx, driver, deployment, flags)
 	}
 	programs := workload.Generate(deployment, *flags.seed, *flags.load, flags.duration.Milliseconds())
-	driver.Label = fmt.Sprintf("load-%d-%d", *flags.seed, time.Now().UnixNano())
+	driver.RequestIDPrefix = fmt.Sprintf("load-%d-%d", *flags.seed, time.Now().UnixNano())
 	report := workload.NewReport(driver.RunAll(ctx, programs), driver.Violations())
 	if *flags.output == "json" {
 		if err := printJSON(report); err != nil {
@@ -94,7 +94,7 @@
 		return nil, err
 	}
 	if len(tools) > 0 {
-		driver.Tools = tools[0].address
+		driver.ToolAddress = tools[0].address
 	}
 	return driver, nil
 }
@@ -107,24 +107,24 @@
 	if len(service.Tools) > 0 {
 		tool = service.Tools[0]
 	}
-	driver.Print = os.Stdout
-	driver.Label = fmt.Sprintf("demo-%d", time.Now().UnixNano())
+	driver.ResponseLog = os.Stdout
+	driver.RequestIDPrefix = fmt.Sprintf("demo-%d", time.Now().UnixNano())
 	program := workload.Program{Service: service.Service, Tenant: "demo", Steps: []workload.Step{
 		{PromptTokens: 300, OutputTokens: 60},
-		{PromptTokens: 80, OutputTokens: 40, Tool: tool, PauseMs: 300, SubAgent: []workload.Step{
+		{PromptTokens: 80, OutputTokens: 40, Tool: tool, ToolDurationMs: 300, SubAgent: []workload.Step{
 			{PromptTokens: 60, OutputTokens: 30},
-			{PromptTokens: 40, OutputTokens: 30, Tool: tool, PauseMs: 200},
+			{PromptTokens: 40, OutputTokens: 30, Tool: tool, ToolDurationMs: 200},
 		}},
 		{PromptTokens: 50, OutputTokens: 50},
-		{PromptTokens: 40, OutputTokens: 40, Tool: tool, PauseMs: 100},
+		{PromptTokens: 40, OutputTokens: 40, Tool: tool, ToolDurationMs: 100},
 	}}
-	fmt.Printf("one %s program: %d calls, a tool and a sub-agent\n", program.Service, program.Calls())
+	fmt.Printf("one %s program: %d calls, a tool and a sub-agent\n", program.Service, program.CallCount())
 	outcome := driver.Run(ctx, program)
 	fmt.Printf("program %s: %.0f ms, of which tools %.0f ms\n", outcome.ID, outcome.LatencyMs, outcome.ToolMs)
 	if outcome.Err != nil {
 		return outcome.Err
 	}
-	raw, err := driver.Sidecars[0].Show(ctx, outcome.ID, program.Tenant)
+	raw, err := driver.Sidecars[0].FetchProgram(ctx, outcome.ID, program.Tenant)
 	if err != nil {
 		return err
 	}
@@ -141,7 +141,7 @@
 	for _, violation := range driver.Violations() {
 		fmt.Println("violation:", violation)
 	}
-	if len(driver.Violations()) > 0 || !view.Ended || view.LastTurn != uint64(program.Calls()) {
+	if len(driver.Violations()) > 0 || !view.Ended || view.LastTurn != uint64(program.CallCount()) {
 		return errors.New("ochrebay: the program did not go as it should")
 	}
 	return nil
@@ -168,7 +168,7 @@
 	if err != nil {
 		return err
 	}
-	report, err := driver.MeasurePath(ctx, deployment.Workload[0].Service, state.Target.Model, engines[0].address, addresses, *flags.callers, *flags.duration)
+	report, err := driver.MeasureOverhead(ctx, deployment.Workload[0].Service, state.Target.Model, engines[0].address, addresses, *flags.callers, *flags.duration)
 	if err != nil {
 		return err
 	}
--- a/cmd/ochrebay/path_test.go
+++ b/cmd/ochrebay/path_test.go
@@ -47,12 +47,12 @@
 		So(json.Unmarshal([]byte(f.must("program", "show", first.Program, "--output", "json")), &view), ShouldBeNil)
 		f.script("kill", view.Engine)
 		second, err := client.Do(context.Background(), workload.Call{
-			Service: "triage", Program: first.Program, Messages: []program.Message{user("and the gearbox? #out=20")}, DeadlineMs: patience.Milliseconds(),
+			Service: "triage", Program: first.Program, Messages: []program.Message{user("and the gearbox? #out=20")}, TimeoutMs: patience.Milliseconds(),
 		})
 		So(err, ShouldBeNil)
 		So(second.Error, ShouldBeNil)
 		history := []program.Message{user("vibration #out=20"), assistant(first.Content), user("and the gearbox? #out=20")}
-		So(second.Content, ShouldStartWith, emulator.SawOf(history))
+		So(second.Content, ShouldStartWith, emulator.ResponsePrefix(history))
 		So(json.Unmarshal([]byte(f.must("program", "show", first.Program, "--output", "json")), &view), ShouldBeNil)
 		So(view.LastTurn, ShouldEqual, 2)
 		So(view.Turns[0].Engine, ShouldNotEqual, view.Turns[1].Engine)
@@ -69,7 +69,7 @@
 		return reply
 	}
 	Convey("the same request id gives the same answer and no second run", t, func() {
-		call := workload.Call{Service: "notices", Request: "ack-1", Once: true, Messages: []program.Message{user("ack #out=10")}}
+		call := workload.Call{Service: "notices", RequestID: "ack-1", AtMostOnce: true, Messages: []program.Message{user("ack #out=10")}}
 		first := do(call)
 		So(first.Error, ShouldBeNil)
 		again := do(call)
@@ -91,12 +91,12 @@
 		whole := []program.Message{user("one #out=10"), assistant(first.Content), user("two #out=10")}
 		second := do(workload.Call{Service: "triage", Program: first.Program, Messages: whole})
 		So(second.Error, ShouldBeNil)
-		So(second.Content, ShouldStartWith, emulator.SawOf(whole))
+		So(second.Content, ShouldStartWith, emulator.ResponsePrefix(whole))
 		wrong := []program.Message{user("one #out=10"), assistant("never said"), user("three")}
 		So(do(workload.Call{Service: "triage", Program: first.Program, Messages: wrong}).Error.Code, ShouldEqual, result.HistoryMismatch)
 		forked := do(workload.Call{Service: "triage", Program: first.Program, Thread: "bearing", Messages: []program.Message{user("sub #out=10")}})
-		So(forked.Content, ShouldStartWith, emulator.SawOf(append(whole, assistant(second.Content), user("sub #out=10"))))
-		orphan := do(workload.Call{Service: "triage", Program: first.Program, Thread: "x", Parent: "nowhere", Messages: []program.Message{user("sub")}})
+		So(forked.Content, ShouldStartWith, emulator.ResponsePrefix(append(whole, assistant(second.Content), user("sub #out=10"))))
+		orphan := do(workload.Call{Service: "triage", Program: first.Program, Thread: "x", ParentThread: "nowhere", Messages: []program.Message{user("sub")}})
 		So(orphan.Error.Code, ShouldEqual, result.UnknownThread)
 		_, _, body := httpDo(t, "GET", "http://"+f.address("sidecar-")+"/v1/programs/"+first.Program+"/history?thread=bearing", "", nil)
 		var history struct{ Messages []program.Message }
@@ -117,7 +117,7 @@
 		f.until("engines to release the program", func() bool { return !f.held(first.Program) })
 	})
 	Convey("a budget holds, and the refusal says that nothing ran", t, func() {
-		first := do(workload.Call{Service: "triage", Budget: 500, MaxTokens: 20, Messages: []program.Message{user(workload.Text("a", 400, 20))}})
+		first := do(workload.Call{Service: "triage", BudgetTokens: 500, MaxTokens: 20, Messages: []program.Message{user(workload.Text("a", 400, 20))}})
 		So(first.Error, ShouldBeNil)
 		refused := do(workload.Call{Service: "triage", Program: first.Program, MaxTokens: 20, Messages: []program.Message{user(workload.Text("b", 400, 20))}})
 		So(refused.Error.Code, ShouldEqual, result.BudgetExhausted)
@@ -140,7 +140,7 @@
 		if err != nil {
 			return true
 		}
-		for _, item := range state.Held {
+		for _, item := range state.CachedPrograms {
 			if item.Program == id {
 				return true
 			}
@@ -322,7 +322,7 @@
 		}
 		before := served()
 		for range 8 {
-			reply, err := f.client().Do(context.Background(), workload.Call{Service: "triage", Messages: []program.Message{user("x #out=8")}, DeadlineMs: patience.Milliseconds()})
+			reply, err := f.client().Do(context.Background(), workload.Call{Service: "triage", Messages: []program.Message{user("x #out=8")}, TimeoutMs: patience.Milliseconds()})
 			So(err, ShouldBeNil)
 			So(reply.Error, ShouldBeNil)
 		}
--- a/cmd/ochrebay/platform.go
+++ b/cmd/ochrebay/platform.go
@@ -21,7 +21,7 @@
 // gatewayHeaders returns the headers by which a gateway speaks.
 func gatewayHeaders(process config.Process) gateway.HeaderNames {
 	if process.Interface == interfacePlatform {
-		return platform.Headers()
+		return platform.HeaderNames()
 	}
 	return gateway.DefaultHeaderNames()
 }
--- a/cmd/ochrebay/process.go
+++ b/cmd/ochrebay/process.go
@@ -57,11 +57,11 @@
 		return process, nil, settingsError{err}
 	}
 	if process.Role != role {
-		problem := config.Problem{File: *f.file, Field: "role", Value: process.Role, Reason: "this command starts a " + role}
+		problem := config.FileError{File: *f.file, Field: "role", Value: process.Role, Reason: "this command starts a " + role}
 		return process, nil, settingsError{problem}
 	}
 	limitMemory(process.Limits)
-	return process, telemetry.NewLogger(telemetry.LogTo(os.Stdout), role, process.Name, process.Log.Level), nil
+	return process, telemetry.NewLogger(telemetry.SetLogOutput(os.Stdout), role, process.Name, process.Log.Level), nil
 }
 
 // heapShare is the part of the process's memory that the heap may take before the
--- a/cmd/ochrebay/report.go
+++ b/cmd/ochrebay/report.go
@@ -20,7 +20,7 @@
 // writeReport reads logs and writes the page; it says on standard output what it found.
 func writeReport(output string, files []string) error {
 	report := &logreport.Report{}
-	err := eachLine(files, func(line logLine) { report.Add(line.keys) })
+	err := eachLine(files, func(line logLine) { report.AddLine(line.keys) })
 	if err != nil {
 		return err
 	}
--- a/cmd/ochrebay/settings.go
+++ b/cmd/ochrebay/settings.go
@@ -229,7 +229,7 @@
 	if err := yaml.Unmarshal(raw, &nodes); err != nil {
 		return settingsError{fmt.Errorf("%s: %w", file, err)}
 	}
-	change, err := workload.ChangeFromYAML(nodes, *flags.operator, 0)
+	change, err := workload.SettingsChangeFromYAML(nodes, *flags.operator, 0)
 	if err != nil {
 		return settingsError{fmt.Errorf("%s: %w", file, err)}
 	}
@@ -317,7 +317,7 @@
 	})
 }
 
-func printChange(table *tabwriter.Writer, accepted settings.Accepted) {
+func printChange(table *tabwriter.Writer, accepted settings.AcceptedChange) {
 	var nodes []string
 	for _, node := range accepted.Change.Nodes {
 		if node.Delete {
--- a/cmd/ochrebay/status.go
+++ b/cmd/ochrebay/status.go
@@ -46,7 +46,7 @@
 		var replicas []string
 		for _, replica := range group.Replicas {
 			name := replica.Member
-			if replica.Learner {
+			if replica.IsLearner {
 				name += " (learner)"
 			}
 			replicas = append(replicas, name)
@@ -73,8 +73,8 @@
 	row(table, "ID", "BACKEND", "ZONE", "ADDRESS", "SLOTS", "IN FLIGHT", "TOKENS HELD", "SLOWNESS", "BORN", "AVOIDED")
 	for _, engine := range engines {
 		slowness, born, avoided := "-", "-", "-"
-		if engine.Slowness > 0 {
-			slowness = fmt.Sprintf("%.2f", engine.Slowness)
+		if engine.Slowdown > 0 {
+			slowness = fmt.Sprintf("%.2f", engine.Slowdown)
 		}
 		if engine.StartedMs > 0 {
 			born = time.UnixMilli(engine.StartedMs).UTC().Format(time.RFC3339)
@@ -83,6 +83,6 @@
 			avoided = engine.AvoidReason
 		}
 		row(table, engine.ID, engine.Backend, engine.Zone, engine.Address, engine.Slots, fmt.Sprintf("%.1f", engine.InFlight),
-			fmt.Sprintf("%.0f", engine.HeldTokens), slowness, born, avoided)
+			fmt.Sprintf("%.0f", engine.ReservedKVCacheTokens), slowness, born, avoided)
 	}
 }
--- a/cmd/ochrebay/status_test.go
+++ b/cmd/ochrebay/status_test.go
@@ -16,7 +16,7 @@
 		var out strings.Builder
 		table := tabwriter.NewWriter(&out, 0, 0, 1, ' ', 0)
 		printEngines(table, control.EnginesView{Serving: []control.ServingView{
-			{ServingEngine: membership.ServingEngine{ID: "i-1", Backend: "b", Zone: "z", Slots: 8, StartedMs: 1_800_000_000_000}, InFlight: 3.25, HeldTokens: 9100, Slowness: 1.7},
+			{ServingEngine: membership.ServingEngine{ID: "i-1", Backend: "b", Zone: "z", Slots: 8, StartedMs: 1_800_000_000_000}, InFlight: 3.25, ReservedKVCacheTokens: 9100, Slowdown: 1.7},
 			{ServingEngine: membership.ServingEngine{ID: "i-2", Backend: "b", Zone: "z", Draining: true}, AvoidReason: "draining"},
 		}})
 		So(table.Flush(), ShouldBeNil)
--- a/internal/admission/programs.go
+++ b/internal/admission/programs.go
@@ -124,9 +124,9 @@
 // RemoveIdle removes idle programs, if the forecast is out of date.
 func (p *TenantPrograms) RemoveIdle(nowMs int64) { p.updateForecast(nowMs) }
 
-// AdmissionDecision is the decision whether a program may start, with the figures that it is based
+// Decision is the decision whether a program may start, with the figures that it is based
 // on.
-type AdmissionDecision struct {
+type Decision struct {
 	Admitted bool
 	// CountedRequests is the number of granted requests that still count, ExpectedRequests the
 	// number expected of the programs in progress, and OwnRequests the number of the program
@@ -148,11 +148,11 @@
 //
 // A tenant without a program in progress may always start one, however small its limit. The program
 // then uses what the limit allows.
-func (p *TenantPrograms) DecideAdmission(kind string, nowMs int64, allowed int64, externalDemand float64, countedAt func(atMs int64) int64) AdmissionDecision {
+func (p *TenantPrograms) DecideAdmission(kind string, nowMs int64, allowed int64, externalDemand float64, countedAt func(atMs int64) int64) Decision {
 	p.updateForecast(nowMs)
 	ownForecast := p.kinds.GetOrCreate(kind).forecastAt(nowMs, p.windowMs)
 	continueProbability := 1 - ownForecast.endProbability[0]
-	decision := AdmissionDecision{AdmissionIntervalMs: int64(float64(p.windowMs) * ownForecast.meanRequests / math.Max(float64(allowed), 1))}
+	decision := Decision{AdmissionIntervalMs: int64(float64(p.windowMs) * ownForecast.meanRequests / math.Max(float64(allowed), 1))}
 	minHeadroom := math.Inf(1)
 	for index, requests := range ownForecast.requestsWithin[0] {
 		aheadMs := horizonMs(p.windowMs, index)
--- a/internal/admission/shares.go
+++ b/internal/admission/shares.go
@@ -106,9 +106,9 @@
 
 // ShareStatus is the state of a tenant at a back end with respect to its fair share.
 type ShareStatus struct {
-	// Known means that the usage of all gateways was received recently; otherwise the other fields
+	// HasRecentUsage means that the usage of all gateways was received recently; otherwise the other fields
 	// are zero.
-	Known bool
+	HasRecentUsage bool
 	// Oversubscribed means that the demand on the back end exceeds its capacity, and AboveFairShare
 	// that the tenant's demand exceeds its share.
 	Oversubscribed, AboveFairShare bool
@@ -165,7 +165,7 @@
 		return ShareStatus{}
 	}
 	level := usage.FairShareLevel(capacity)
-	status := ShareStatus{Known: true, Oversubscribed: !math.IsInf(level, 1)}
+	status := ShareStatus{HasRecentUsage: true, Oversubscribed: !math.IsInf(level, 1)}
 	if !status.Oversubscribed {
 		return status
 	}
--- a/internal/admission/shares_test.go
+++ b/internal/admission/shares_test.go
@@ -96,7 +96,7 @@
 		aggregator.ReportUsage("g", report("t", 20), 0)
 		shares.ApplyUsage(aggregator.Totals(100), 100)
 		So(shares.Status("b", "t", 10, 100+usageLifetimeMs).AboveFairShare, ShouldBeTrue)
-		So(shares.Status("b", "t", 10, 100+usageLifetimeMs+1).Known, ShouldBeFalse)
+		So(shares.Status("b", "t", 10, 100+usageLifetimeMs+1).HasRecentUsage, ShouldBeFalse)
 		So(aggregator.Totals(usageLifetimeMs+1), ShouldBeEmpty)
 	})
 	Convey("started programs count as demand before their requests are in flight, once the service time of a program is known", t, func() {
--- a/internal/capacity/report.go
+++ b/internal/capacity/report.go
@@ -32,19 +32,19 @@
 	}
 	for _, part := range []struct {
 		name    string
-		measure func() ([]Slope, error)
+		measure func() ([]LinearFit, error)
 	}{
-		{"program headers", func() ([]Slope, error) {
+		{"program headers", func() ([]LinearFit, error) {
 			return ledgerSlopes(scale([]int{25_000, 50_000, 100_000, 200_000}, []int{1000, 2000, 4000, 8000}))
 		}},
-		{"turns of a program", func() ([]Slope, error) {
-			return []Slope{turnSlope(scale([]int{4000}, []int{400})[0], []int{10, 50, 110, 220})}, nil
+		{"turns of a program", func() ([]LinearFit, error) {
+			return []LinearFit{turnSlope(scale([]int{4000}, []int{400})[0], []int{10, 50, 110, 220})}, nil
 		}},
-		{"tenants", func() ([]Slope, error) {
+		{"tenants", func() ([]LinearFit, error) {
 			return tenantSlopes(scale([]int{6000, 12_000, 24_000, 48_000}, []int{500, 1000, 2000, 4000}))
 		}},
-		{"engine reports", func() ([]Slope, error) { return reportSlopes([]int{0, 50, 100, 200}), nil }},
-		{"synced writes", func() ([]Slope, error) { return storeSlopes([]int{1, 8, 32, 128}, 2048) }},
+		{"engine reports", func() ([]LinearFit, error) { return reportSlopes([]int{0, 50, 100, 200}), nil }},
+		{"synced writes", func() ([]LinearFit, error) { return storeSlopes([]int{1, 8, 32, 128}, 2048) }},
 	} {
 		if only != "" && only != part.name {
 			continue
@@ -54,13 +54,13 @@
 		if err != nil {
 			return report, fmt.Errorf("%s: %w", part.name, err)
 		}
-		report.Slopes = append(report.Slopes, slopes...)
+		report.Fits = append(report.Fits, slopes...)
 	}
 	var err error
-	if len(report.Slopes) == 0 || only == "" {
+	if len(report.Fits) == 0 || only == "" {
 		err = report.takeRuns(quick, only, progress)
 	}
-	report.PeakMB = peakMB()
+	report.PeakMemoryMB = peakMB()
 	return report, err
 }
 
@@ -71,10 +71,10 @@
 	}
 	for _, part := range []struct {
 		name string
-		body func() ([]Value, error)
+		body func() ([]Measurement, error)
 	}{
-		{"1 million program headers", func() ([]Value, error) { return manyPrograms(programs) }},
-		{"48,000 tenants", func() ([]Value, error) { return manyTenants(tenants) }},
+		{"1 million program headers", func() ([]Measurement, error) { return manyPrograms(programs) }},
+		{"48,000 tenants", func() ([]Measurement, error) { return manyTenants(tenants) }},
 	} {
 		if only != "" && only != "runs" && only != part.name {
 			continue
@@ -84,7 +84,7 @@
 		if err != nil {
 			return fmt.Errorf("%s: %w", part.name, err)
 		}
-		_, _ = fmt.Fprintf(progress, "capacity: %s took %.0f s of processor\n", part.name, outcome.ProcessorSeconds)
+		_, _ = fmt.Fprintf(progress, "capacity: %s took %.0f s of processor\n", part.name, outcome.CPUSeconds)
 		r.Runs = append(r.Runs, outcome)
 	}
 	return nil
@@ -92,17 +92,17 @@
 
 // Print writes the report as tables.
 func (r Report) Print(out io.Writer) {
-	_, _ = fmt.Fprintf(out, "machine: %s; peak memory %.0f MB\n\n", r.Machine, r.PeakMB)
+	_, _ = fmt.Fprintf(out, "machine: %s; peak memory %.0f MB\n\n", r.Machine, r.PeakMemoryMB)
 	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	_, _ = fmt.Fprintln(table, "ROLE\tWHAT\tUNIT\tPER\tSLOPE\tBASE\tRANGE\tR2\tRESIDUAL\tFIT")
-	for _, slope := range r.Slopes {
+	for _, slope := range r.Fits {
 		_, _ = fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%.4g\t%.4g\t%.4g..%.4g\t%.3f\t%.1f%%\t%s\n", slope.Role, slope.Name, slope.Unit, slope.Driver,
-			slope.PerDriver, slope.Base, slope.Points[0].X, slope.Points[len(slope.Points)-1].X, slope.R2, 100*slope.Residual, slope.Verdict())
+			slope.Slope, slope.Intercept, slope.Points[0].X, slope.Points[len(slope.Points)-1].X, slope.R2, 100*slope.Residual, slope.Quality())
 	}
 	_ = table.Flush()
 	for _, run := range r.Runs {
-		_, _ = fmt.Fprintf(out, "\n%s (heap after it %.0f MB, %.1f s of processor)\n", run.Name, run.HeapMB, run.ProcessorSeconds)
-		for _, value := range run.Values {
+		_, _ = fmt.Fprintf(out, "\n%s (heap after it %.0f MB, %.1f s of processor)\n", run.Name, run.HeapMB, run.CPUSeconds)
+		for _, value := range run.Measurements {
 			_, _ = fmt.Fprintf(out, "  %-76s %12.4g %s\n", value.Name, value.Value, value.Unit)
 		}
 	}
@@ -114,12 +114,12 @@
 	folderMode = 0o755
 )
 
-// Plots writes one SVG for each slope below a folder.
-func (r Report) Plots(folder string) error {
+// WritePlots writes one SVG for each slope below a folder.
+func (r Report) WritePlots(folder string) error {
 	if err := os.MkdirAll(folder, folderMode); err != nil {
 		return err
 	}
-	for _, slope := range r.Slopes {
+	for _, slope := range r.Fits {
 		if err := slope.plot(folder); err != nil {
 			return fmt.Errorf("%s: %w", slope.Name, err)
 		}
@@ -127,13 +127,13 @@
 	return nil
 }
 
-// FileName is the slope's name as a file.
-func (s Slope) FileName() string {
+// PlotFileName is the slope's name as a file.
+func (s LinearFit) PlotFileName() string {
 	name := strings.ToLower(s.Name + " by " + s.Driver)
 	return "capacity-" + strings.NewReplacer(" ", "-", ",", "", "/", "-per-").Replace(name) + ".svg"
 }
 
-func (s Slope) plot(folder string) error {
+func (s LinearFit) plot(folder string) error {
 	picture := plot.New()
 	picture.Title.Text = s.Name
 	picture.X.Label.Text = s.Driver
@@ -150,10 +150,10 @@
 		return err
 	}
 	last := s.Points[len(s.Points)-1].X
-	line, err := plotter.NewLine(plotter.XYs{{X: 0, Y: s.Base}, {X: last, Y: s.at(last)}})
+	line, err := plotter.NewLine(plotter.XYs{{X: 0, Y: s.Intercept}, {X: last, Y: s.at(last)}})
 	if err != nil {
 		return err
 	}
 	picture.Add(plotter.NewGrid(), line, scatter)
-	return picture.Save(plotWidth, plotHeight, filepath.Join(folder, s.FileName()))
+	return picture.Save(plotWidth, plotHeight, filepath.Join(folder, s.PlotFileName()))
 }
--- a/internal/capacity/runs.go
+++ b/internal/capacity/runs.go
@@ -9,7 +9,7 @@
 )
 
 // manyPrograms holds a ledger of program headers and restarts from its snapshot.
-func manyPrograms(count int) ([]Value, error) {
+func manyPrograms(count int) ([]Measurement, error) {
 	before := heapBytes()
 	ledger := buildLedger(count, sampleTurns)
 	memory := heapBytes() - before
@@ -27,7 +27,7 @@
 	took := time.Since(begun)
 	begun = time.Now()
 	due := restored.IsSweepDue(0, 1<<40)
-	return []Value{
+	return []Measurement{
 		{Name: "programs", Value: float64(restored.Len())},
 		{Name: "memory", Value: memory / megabyte, Unit: "MB"},
 		{Name: "snapshot", Value: float64(len(data)) / megabyte, Unit: "MB"},
@@ -38,7 +38,7 @@
 }
 
 // manyTenants follows a tree with all tenants in it.
-func manyTenants(count int) ([]Value, error) {
+func manyTenants(count int) ([]Measurement, error) {
 	state, err := buildTree(count).FollowerState()
 	if err != nil {
 		return nil, err
@@ -51,7 +51,7 @@
 	}
 	took := time.Since(begun)
 	memory := heapBytes() - before
-	return []Value{
+	return []Measurement{
 		{Name: "tenants", Value: float64(len(follower.Paths("/tenants")))},
 		{Name: "memory of a daemon's tree", Value: memory / megabyte, Unit: "MB"},
 		{Name: "whole tree on the wire", Value: float64(len(state)) / megabyte, Unit: "MB"},
--- a/internal/capacity/slope.go
+++ b/internal/capacity/slope.go
@@ -18,16 +18,16 @@
 	Y float64 `json:"y"`
 }
 
-// Slope is a straight line through measurements at several sizes.
-type Slope struct {
+// LinearFit is a straight line through measurements at several sizes.
+type LinearFit struct {
 	Name   string  `json:"name"`
 	Role   string  `json:"role"`
 	Driver string  `json:"driver"`
 	Unit   string  `json:"unit"`
 	Points []Point `json:"points"`
-	// PerDriver is Y per unit of X, Base the Y at X = 0.
-	PerDriver float64 `json:"per_driver"`
-	Base      float64 `json:"base"`
+	// Slope is Y per unit of X, Base the Y at X = 0.
+	Slope     float64 `json:"per_driver"`
+	Intercept float64 `json:"base"`
 	// R2 is the share of the variation that the line explains, and Residual the
 	// largest distance of a point from it, as a share of the largest Y.
 	R2       float64 `json:"r2"`
@@ -38,8 +38,8 @@
 const goodFit = 0.95
 
 // fit computes the line of a slope.
-func fit(name, role, driver, unit string, points []Point) Slope {
-	slope := Slope{Name: name, Role: role, Driver: driver, Unit: unit, Points: points}
+func fit(name, role, driver, unit string, points []Point) LinearFit {
+	slope := LinearFit{Name: name, Role: role, Driver: driver, Unit: unit, Points: points}
 	xs := make([]float64, len(points))
 	ys := make([]float64, len(points))
 	largest := 0.0
@@ -48,8 +48,8 @@
 		ys[position] = point.Y
 		largest = max(largest, math.Abs(point.Y))
 	}
-	slope.Base, slope.PerDriver = stat.LinearRegression(xs, ys, nil, false)
-	slope.R2 = stat.RSquared(xs, ys, nil, slope.Base, slope.PerDriver)
+	slope.Intercept, slope.Slope = stat.LinearRegression(xs, ys, nil, false)
+	slope.R2 = stat.RSquared(xs, ys, nil, slope.Intercept, slope.Slope)
 	if math.IsNaN(slope.R2) {
 		// Nothing varies, so there is nothing to explain.
 		slope.R2 = 0
@@ -63,11 +63,11 @@
 	return slope
 }
 
-func (s Slope) at(x float64) float64 { return s.Base + s.PerDriver*x }
+func (s LinearFit) at(x float64) float64 { return s.Intercept + s.Slope*x }
 
-// Verdict says whether the line may be relied on. A line that doesn't rise has
+// Quality says whether the line may be relied on. A line that doesn't rise has
 // nothing to explain.
-func (s Slope) Verdict() string {
+func (s LinearFit) Quality() string {
 	switch {
 	case s.R2 >= goodFit:
 		return "good"
@@ -79,7 +79,7 @@
 }
 
 // isFlat reports whether Y varies little over the range.
-func (s Slope) isFlat() bool {
+func (s LinearFit) isFlat() bool {
 	low, high := math.Inf(1), math.Inf(-1)
 	for _, point := range s.Points {
 		low = min(low, point.Y)
@@ -89,8 +89,8 @@
 	return high-low <= little*math.Abs(high)
 }
 
-// Value is one figure of a run.
-type Value struct {
+// Measurement is one figure of a run.
+type Measurement struct {
 	Name  string  `json:"name"`
 	Value float64 `json:"value"`
 	Unit  string  `json:"unit"`
@@ -98,22 +98,22 @@
 
 // RunResult is one run at a fixed size.
 type RunResult struct {
-	Name   string  `json:"name"`
-	Values []Value `json:"values"`
+	Name         string        `json:"name"`
+	Measurements []Measurement `json:"values"`
 	// HeapMB is the Go heap after the run, and ProcessorSeconds what the process
 	// used in it.
-	HeapMB           float64 `json:"heap_mb"`
-	ProcessorSeconds float64 `json:"processor_seconds"`
+	HeapMB     float64 `json:"heap_mb"`
+	CPUSeconds float64 `json:"processor_seconds"`
 }
 
 // Report is everything measured.
 type Report struct {
 	Machine string      `json:"machine"`
 	Quick   bool        `json:"quick"`
-	Slopes  []Slope     `json:"slopes"`
+	Fits    []LinearFit `json:"slopes"`
 	Runs    []RunResult `json:"runs"`
-	// PeakMB is the most memory that the process ever held.
-	PeakMB float64 `json:"peak_mb"`
+	// PeakMemoryMB is the most memory that the process ever held.
+	PeakMemoryMB float64 `json:"peak_mb"`
 }
 
 const megabyte = 1 << 20
@@ -144,10 +144,10 @@
 }
 
 // run carries out one run and adds its cost.
-func run(name string, body func() ([]Value, error)) (RunResult, error) {
+func run(name string, body func() ([]Measurement, error)) (RunResult, error) {
 	begun := processorTime()
 	values, err := body()
 	return RunResult{
-		Name: name, Values: values, HeapMB: heapBytes() / megabyte, ProcessorSeconds: (processorTime() - begun).Seconds(),
+		Name: name, Measurements: values, HeapMB: heapBytes() / megabyte, CPUSeconds: (processorTime() - begun).Seconds(),
 	}, err
 }
--- a/internal/capacity/state.go
+++ b/internal/capacity/state.go
@@ -39,7 +39,7 @@
 }
 
 // ledgerSlopes measures what program headers cost.
-func ledgerSlopes(sizes []int) ([]Slope, error) {
+func ledgerSlopes(sizes []int) ([]LinearFit, error) {
 	var memory, bytes, restore []Point
 	for _, size := range sizes {
 		before := heapBytes()
@@ -56,14 +56,14 @@
 		}
 		restore = append(restore, Point{float64(size), float64(time.Since(begun).Microseconds()) / 1000})
 	}
-	return []Slope{
+	return []LinearFit{
 		fit("memory of program headers", "control", "programs", "bytes", memory),
 		fit("snapshot of program headers", "control", "programs", "bytes", bytes),
 		fit("restart from a snapshot of headers", "control", "programs", "ms", restore),
 	}, nil
 }
 
-func turnSlope(programs int, turns []int) Slope {
+func turnSlope(programs int, turns []int) LinearFit {
 	var points []Point
 	for _, count := range turns {
 		before := heapBytes()
@@ -83,7 +83,7 @@
 			rate := int64(1000 + tenant)
 			change.Nodes = append(change.Nodes, settings.NodeChange{
 				Path: fmt.Sprintf("/tenants/tenant-%06d", tenant), Version: settings.AnyVersion,
-				Fields: settings.Fields{TenantInFlight: &inFlight, TokensPerSecond: &rate},
+				Fields: settings.Fields{TenantMaxInFlight: &inFlight, TokensPerSecond: &rate},
 			})
 		}
 		tree.Apply(change)
@@ -92,7 +92,7 @@
 }
 
 // tenantSlopes measures what tenants in the tree cost a daemon that follows it.
-func tenantSlopes(sizes []int) ([]Slope, error) {
+func tenantSlopes(sizes []int) ([]LinearFit, error) {
 	var memory, bytes, restore []Point
 	for _, size := range sizes {
 		state, err := buildTree(size).FollowerState()
@@ -113,7 +113,7 @@
 			return nil, fmt.Errorf("capacity: the follower restored nothing")
 		}
 	}
-	return []Slope{
+	return []LinearFit{
 		fit("memory of the followed tree", "scheduler", "tenants", "bytes", memory),
 		fit("whole tree sent to a fresh daemon", "scheduler", "tenants", "bytes", bytes),
 		fit("restoring the whole tree", "scheduler", "tenants", "ms", restore),
@@ -121,12 +121,12 @@
 }
 
 // reportSlope measures what one report of an engine costs its owner, in JSON.
-func reportSlopes(sizes []int) []Slope {
+func reportSlopes(sizes []int) []LinearFit {
 	var size, cost []Point
 	for _, held := range sizes {
 		state := engine.State{Name: "engine-agents-east-1", Ready: true}
 		for number := range held {
-			state.Held = append(state.Held, engine.HeldProgram{Program: fmt.Sprintf("p-%024x", number), Tokens: 4000})
+			state.CachedPrograms = append(state.CachedPrograms, engine.CachedProgram{Program: fmt.Sprintf("p-%024x", number), Tokens: 4000})
 		}
 		raw, _ := json.Marshal(state)
 		const repeats = 200
@@ -138,7 +138,7 @@
 		size = append(size, Point{float64(held), float64(len(raw))})
 		cost = append(cost, Point{float64(held), float64(time.Since(begun).Microseconds()) / repeats})
 	}
-	return []Slope{
+	return []LinearFit{
 		fit("bytes of one engine report", "scheduler", "programs held by the engine", "bytes", size),
 		fit("decoding one engine report", "scheduler", "programs held by the engine", "us", cost),
 	}
@@ -146,7 +146,7 @@
 
 // storeSlopes measures the real store: one synced write of several entries, each
 // with its turn record, as group commit makes them.
-func storeSlopes(sizes []int, recordBytes int) ([]Slope, error) {
+func storeSlopes(sizes []int, recordBytes int) ([]LinearFit, error) {
 	folder, err := os.MkdirTemp("", "ochrebay-capacity")
 	if err != nil {
 		return nil, err
@@ -176,5 +176,5 @@
 		}
 		points = append(points, Point{float64(size), float64(time.Since(begun).Microseconds()) / repeats})
 	}
-	return []Slope{fit("one synced write", "control", "entries in the write", "us", points)}, nil
+	return []LinearFit{fit("one synced write", "control", "entries in the write", "us", points)}, nil
 }
--- a/internal/compat/compat.go
+++ b/internal/compat/compat.go
@@ -34,10 +34,10 @@
 	Encoded []byte `json:"encoded"`
 }
 
-// Hold checks the types of one package, given by name as pointers to zero values, against the
+// CheckTypes checks the types of one package, given by name as pointers to zero values, against the
 // golden files in testdata/compat. Types that a release did not have yet are left alone, but a
 // type that it had must be given.
-func Hold(t *testing.T, types map[string]any) {
+func CheckTypes(t *testing.T, types map[string]any) {
 	t.Helper()
 	folder := filepath.Join("testdata", "compat")
 	if *record != "" {
@@ -171,9 +171,9 @@
 	return buffer.Bytes(), err
 }
 
-// HoldBytes checks that this release writes the same bytes as earlier ones, for what has a
+// CheckBytes checks that this release writes the same bytes as earlier ones, for what has a
 // form of its own, and returns those of each release by its name.
-func HoldBytes(t *testing.T, name string, present []byte) map[string][]byte {
+func CheckBytes(t *testing.T, name string, present []byte) map[string][]byte {
 	t.Helper()
 	folder := filepath.Join("testdata", "compat")
 	if *record != "" {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -48,9 +48,9 @@
 	// Schedulers are the inner addresses by which a sidecar finds its first
 	// scheduler; later it follows the directory.
 	Schedulers []Peer `yaml:"schedulers" validate:"dive"`
-	// Platform is the HTTP address of the platform's list of machines.
-	Platform string   `yaml:"platform" validate:"omitempty,ipport"`
-	Emulator Emulator `yaml:"emulator"`
+	// PlatformAddress is the HTTP address of the platform's list of machines.
+	PlatformAddress string   `yaml:"platform" validate:"omitempty,ipport"`
+	Emulator        Emulator `yaml:"emulator"`
 	// Region is the zone's region, where there are several.
 	Region string `yaml:"region,omitempty"`
 	// Interface names the interface towards callers, engines and operators of a
@@ -89,8 +89,8 @@
 	// CrossZonePenaltyMs is the latency handicap of an engine in another zone beside the measured
 	// way there: more where traffic between zones is dear.
 	CrossZonePenaltyMs float64 `yaml:"cross_zone_penalty_ms,omitempty" validate:"min=0,max=60000"`
-	// FairShares holds tenants to their shares of a back end that is short of room.
-	FairShares bool `yaml:"fair_shares,omitempty"`
+	// EnforcesFairShares holds tenants to their shares of a back end that is short of room.
+	EnforcesFairShares bool `yaml:"fair_shares,omitempty"`
 }
 
 // Limits are what the machine grants the process.
@@ -136,8 +136,8 @@
 	return time.Duration(l.RevokeWithinMs * float64(time.Millisecond)), l.RevokeWithinMs > 0
 }
 
-// Grace returns how long a stopping process may go on serving.
-func (l Limits) Grace() time.Duration {
+// DrainTimeout returns how long a stopping process may go on serving.
+func (l Limits) DrainTimeout() time.Duration {
 	return max(time.Duration(l.GraceSeconds*float64(time.Second))-graceMargin, 0)
 }
 
@@ -173,12 +173,12 @@
 	LedgerGroups int `yaml:"ledger_groups" validate:"min=1,max=4096"`
 	// EngineHeartbeatMs is how often engines report to control, 0 where it is not known.
 	EngineHeartbeatMs int64 `yaml:"engine_heartbeat_ms" validate:"min=0,max=600000"`
-	// LeaseMs is how long a scheduler may be silent before it is taken over.
-	LeaseMs int64 `yaml:"lease_ms" validate:"min=200,max=600000"`
+	// SchedulerLeaseMs is how long a scheduler may be silent before it is taken over.
+	SchedulerLeaseMs int64 `yaml:"lease_ms" validate:"min=200,max=600000"`
 }
 
-// Discovered reports whether members are found through seeds instead of listed.
-func (c Cluster) Discovered() bool { return len(c.Seeds) > 0 }
+// UsesDiscovery reports whether members are found through seeds instead of listed.
+func (c Cluster) UsesDiscovery() bool { return len(c.Seeds) > 0 }
 
 // Network stands in for distance on one machine.
 type Network struct {
@@ -199,17 +199,17 @@
 	TimeScale float64 `yaml:"time_scale" validate:"gt=0,max=100000"`
 	// Hardware names an entry of the emulator's table.
 	Hardware string `yaml:"hardware" validate:"omitempty"`
-	// Slowness is how many times longer than on that hardware things take; 0 is 1.
-	Slowness float64 `yaml:"slowness" validate:"min=0,max=100"`
+	// Slowdown is how many times longer than on that hardware things take; 0 is 1.
+	Slowdown float64 `yaml:"slowness" validate:"min=0,max=100"`
 	Pool     string  `yaml:"pool"`
-	// Weights is the HTTP address of the weight store.
-	Weights string `yaml:"weights" validate:"omitempty,ipport"`
+	// WeightStoreAddress is the HTTP address of the weight store.
+	WeightStoreAddress string `yaml:"weights" validate:"omitempty,ipport"`
 	// Instances is the list that the platform serves at first.
 	Instances []Instance `yaml:"instances" validate:"dive"`
-	// LagMs is how late load reports and platform lists are.
-	LagMs int64 `yaml:"lag_ms" validate:"min=0,max=600000"`
-	// Instant makes an engine answer at once, for measuring what ochrebay adds.
-	Instant bool `yaml:"instant"`
+	// ReportDelayMs is how late load reports and platform lists are.
+	ReportDelayMs int64 `yaml:"lag_ms" validate:"min=0,max=600000"`
+	// RespondsInstantly makes an engine answer at once, for measuring what ochrebay adds.
+	RespondsInstantly bool `yaml:"instant"`
 	// BytesPerSecond is the weight store's rate over all loads.
 	BytesPerSecond int64 `yaml:"bytes_per_second" validate:"min=0"`
 }
@@ -227,17 +227,17 @@
 	return Process{
 		Listen:  Listen{Address: "127.0.0.1:0", HTTP: "127.0.0.1:0"},
 		Limits:  Limits{HeaderBytes: 16 << 10, GraceSeconds: 10},
-		Cluster: Cluster{LedgerGroups: 8, LeaseMs: 3000},
+		Cluster: Cluster{LedgerGroups: 8, SchedulerLeaseMs: 3000},
 		Log:     Log{Level: "info"},
 		Policy: Policy{
 			CrossZonePenaltyMs: scheduling.DefaultCrossZonePenaltyMs, Waiting: waiting.DefaultSettings(), Retry: retry.DefaultSettings(),
 		},
-		Emulator: Emulator{TimeScale: 1, LagMs: 200, BytesPerSecond: 2 << 30},
+		Emulator: Emulator{TimeScale: 1, ReportDelayMs: 200, BytesPerSecond: 2 << 30},
 	}
 }
 
-// Problem is one fault of a settings file, printed in one line.
-type Problem struct {
+// FileError is one fault of a settings file, printed in one line.
+type FileError struct {
 	File   string
 	Field  string
 	Value  string
@@ -245,7 +245,7 @@
 }
 
 // Error names file, field, value and reason in one line.
-func (p Problem) Error() string {
+func (p FileError) Error() string {
 	text := p.File + ": "
 	if p.Field != "" {
 		text += p.Field + ": "
@@ -262,13 +262,13 @@
 	process := Defaults()
 	raw, err := os.ReadFile(file)
 	if err != nil {
-		return process, Problem{File: file, Reason: "can't be read: " + lastPart(err)}
+		return process, FileError{File: file, Reason: "can't be read: " + lastPart(err)}
 	}
 	err = yaml.UnmarshalWithOptions(raw, &process, yaml.Strict())
 	// A document without content empties the whole struct.
 	process.file = file
 	if err != nil {
-		return process, Problem{File: file, Reason: firstLine(err)}
+		return process, FileError{File: file, Reason: firstLine(err)}
 	}
 	if override != nil {
 		override(&process)
@@ -323,7 +323,7 @@
 	return errors.Join(append(problems, p.checkRole()...)...)
 }
 
-func (p Process) problem(field validator.FieldError) Problem {
+func (p Process) problem(field validator.FieldError) FileError {
 	_, name, _ := strings.Cut(field.Namespace(), ".")
 	reasons := map[string]string{
 		"required":         "is missing",
@@ -343,7 +343,7 @@
 	if field.Tag() == "required" {
 		value = ""
 	}
-	return Problem{File: p.file, Field: name, Value: value, Reason: reason}
+	return FileError{File: p.file, Field: name, Value: value, Reason: reason}
 }
 
 func mechanismNames() string {
@@ -358,12 +358,12 @@
 func (p Process) checkRole() []error {
 	var problems []error
 	missing := func(field, reason string) {
-		problems = append(problems, Problem{File: p.file, Field: field, Reason: reason})
+		problems = append(problems, FileError{File: p.file, Field: field, Reason: reason})
 	}
 	if p.Role == RoleGateway || p.Role == RoleLedger {
 		problems = append(problems, p.checkDiscovered()...)
 	}
-	if p.Role == RoleControl && p.Cluster.Discovered() {
+	if p.Role == RoleControl && p.Cluster.UsesDiscovery() {
 		if len(p.Cluster.Members) > 0 {
 			missing("cluster.members", "can't stand beside cluster.seeds")
 		}
@@ -381,7 +381,7 @@
 			missing("data.path", "is missing: a control process keeps its state there")
 		}
 		if !p.isMember() {
-			problems = append(problems, Problem{File: p.file, Field: "cluster.members", Value: p.Name, Reason: "lacks this process"})
+			problems = append(problems, FileError{File: p.file, Field: "cluster.members", Value: p.Name, Reason: "lacks this process"})
 		}
 	}
 	if p.Role == RoleSidecar && len(p.Schedulers) == 0 {
@@ -390,7 +390,7 @@
 	seen := map[string]bool{}
 	for position, member := range p.Cluster.Members {
 		if seen[member.Name] {
-			problems = append(problems, Problem{
+			problems = append(problems, FileError{
 				File: p.file, Field: fmt.Sprintf("cluster.members[%d].name", position), Value: member.Name, Reason: "stands twice",
 			})
 		}
@@ -403,9 +403,9 @@
 func (p Process) checkDiscovered() []error {
 	var problems []error
 	missing := func(field, reason string) {
-		problems = append(problems, Problem{File: p.file, Field: field, Reason: reason})
+		problems = append(problems, FileError{File: p.file, Field: field, Reason: reason})
 	}
-	if !p.Cluster.Discovered() {
+	if !p.Cluster.UsesDiscovery() {
 		missing("cluster.seeds", "is missing: the control processes to ask first")
 	}
 	if p.Role == RoleLedger && p.Data.Path == "" {
--- a/internal/consensus/cluster_test.go
+++ b/internal/consensus/cluster_test.go
@@ -66,7 +66,7 @@
 	options := c.options
 	options.ID = id
 	stored := c.disks[id]
-	c.nodes[id] = NewNode(options, Restored{HardState: stored.hard, Snapshot: stored.snapshot, Entries: slices.Clone(stored.entries)})
+	c.nodes[id] = NewNode(options, PersistedState{HardState: stored.hard, Snapshot: stored.snapshot, Entries: slices.Clone(stored.entries)})
 	c.applied[id] = stored.snapshot.Index
 }
 
@@ -120,8 +120,8 @@
 	}
 	c.check(id, ready)
 	node.Advance(ready)
-	for _, to := range ready.SnapshotsWanted {
-		index := node.Applied()
+	for _, to := range ready.SnapshotTargets {
+		index := node.AppliedIndex()
 		term, ok := node.log.term(index)
 		if ok {
 			node.SendSnapshot(to, Snapshot{Index: index, Term: term, Configuration: node.ConfigurationAt(index)})
@@ -137,7 +137,7 @@
 		}
 		c.leaders[node.Term()] = id
 	}
-	for _, entry := range ready.Committed {
+	for _, entry := range ready.CommittedEntries {
 		if entry.Index != c.applied[id]+1 {
 			c.fault = fmt.Sprintf("replica %d applied %d after %d", id, entry.Index, c.applied[id])
 		}
@@ -190,7 +190,7 @@
 	id := ReplicaID(rapid.IntRange(1, 5).Draw(t, "changed replica"))
 	switch rapid.IntRange(0, 2).Draw(t, "change") {
 	case 0:
-		next = next.With(Replica{ID: id, Learner: true})
+		next = next.With(Replica{ID: id, IsLearner: true})
 	case 1:
 		next = next.With(Replica{ID: id})
 	default:
@@ -226,8 +226,8 @@
 		c.process(id, 2)
 	case action == 14:
 		c.anyChange(t)
-	case action == 15 && node.Applied() > 2:
-		index := node.Applied() - 1
+	case action == 15 && node.AppliedIndex() > 2:
+		index := node.AppliedIndex() - 1
 		if index > node.SnapshotIndex() {
 			term, _ := node.log.term(index)
 			c.disks[id].entries = c.disks[id].entries[index-c.disks[id].snapshot.Index:]
@@ -275,7 +275,7 @@
 		c.settle(60)
 		leader := c.leader()
 		So(leader, ShouldNotBeNil)
-		So(leader.Quiescent(), ShouldBeTrue)
+		So(leader.IsQuiescent(), ShouldBeTrue)
 		index, _, err := leader.Propose([]byte("x"))
 		So(err, ShouldBeNil)
 		c.settle(6)
@@ -337,9 +337,9 @@
 		c.settle(10)
 		So(leader.ProposeConfiguration(leader.Configuration().Without(lost)), ShouldBeNil)
 		c.settle(5)
-		So(leader.ProposeConfiguration(leader.Configuration().With(Replica{ID: 9, Learner: true})), ShouldBeNil)
+		So(leader.ProposeConfiguration(leader.Configuration().With(Replica{ID: 9, IsLearner: true})), ShouldBeNil)
 		c.settle(10)
-		So(leader.CaughtUp(9, 0), ShouldBeTrue)
+		So(leader.IsCaughtUp(9, 0), ShouldBeTrue)
 		So(leader.ProposeConfiguration(leader.Configuration().With(Replica{ID: 9})), ShouldBeNil)
 		c.settle(10)
 		before := len(c.committed)
--- a/internal/consensus/election.go
+++ b/internal/consensus/election.go
@@ -3,10 +3,10 @@
 func (n *Node) resetElectionTimer() {
 	n.electionElapsed = 0
 	shortest := n.options.ElectionTicks
-	if n.options.StartTicks > 0 && !n.knewLeader {
+	if n.options.InitialElectionTicks > 0 && !n.knewLeader {
 		// A replica that has known no leader since it started has none to wait for; it
 		// asks again soon, since those that it asked may only just be starting.
-		shortest = min(n.options.StartTicks, n.options.ElectionTicks)
+		shortest = min(n.options.InitialElectionTicks, n.options.ElectionTicks)
 	}
 	n.electionTimeout = shortest + int(n.nextRandom()%uint64(shortest))
 }
--- a/internal/consensus/node.go
+++ b/internal/consensus/node.go
@@ -12,8 +12,8 @@
 	// ErrChangePending means that an earlier configuration is not committed, or
 	// that the leader has not committed an entry of its own term yet.
 	ErrChangePending = errors.New("consensus: a configuration change is pending")
-	// ErrNotOneStep means that more than one voter would change at once.
-	ErrNotOneStep = errors.New("consensus: a change adds or removes more than one voter")
+	// ErrMultipleVoterChanges means that more than one voter would change at once.
+	ErrMultipleVoterChanges = errors.New("consensus: a change adds or removes more than one voter")
 )
 
 // Options configure a Node. Ticks are the owner's.
@@ -23,11 +23,11 @@
 	Seed           uint64
 	ElectionTicks  int
 	HeartbeatTicks int
-	// StartTicks spaces the first campaigns of voters that start together: the voter
+	// InitialElectionTicks spaces the first campaigns of voters that start together: the voter
 	// whose turn it is by the group's seed campaigns after a tick, the next one
 	// StartTicks later. Pre-vote keeps a leader that is still there in place. Zero
 	// gives the first timeout no special treatment.
-	StartTicks int
+	InitialElectionTicks int
 	// QuiesceTicks is how long a group must be idle before it goes quiet; zero
 	// turns quiescence off.
 	QuiesceTicks int
@@ -38,13 +38,13 @@
 
 	// DisablePreVote, DisableCheckQuorum and DisableReadConfirm turn one
 	// mechanism off, for runs that show what it is for.
-	DisablePreVote     bool
-	DisableCheckQuorum bool
-	DisableReadConfirm bool
+	DisablePreVote          bool
+	DisableCheckQuorum      bool
+	DisableReadConfirmation bool
 }
 
-// Restored is what the owner read back from its disk.
-type Restored struct {
+// PersistedState is what the owner read back from its disk.
+type PersistedState struct {
 	HardState HardState
 	// Snapshot carries the position and configuration; its data stays with the
 	// owner, which has applied it.
@@ -98,7 +98,7 @@
 }
 
 // NewNode returns a replica as its disk describes it, a follower.
-func NewNode(options Options, restored Restored) *Node {
+func NewNode(options Options, restored PersistedState) *Node {
 	node := &Node{options: options, random: options.Seed*0x9e3779b97f4a7c15 + uint64(options.ID)}
 	node.log.restore(restored.Snapshot)
 	node.log.append(restored.Entries...)
@@ -117,11 +117,11 @@
 func (n *Node) shortenFirstTimeout() {
 	voters := n.log.configuration().Voters()
 	place := slices.Index(voters, n.options.ID)
-	if n.options.StartTicks <= 0 || place < 0 {
+	if n.options.InitialElectionTicks <= 0 || place < 0 {
 		return
 	}
 	turn := (place + int(n.options.Seed%uint64(len(voters)))) % len(voters)
-	n.electionTimeout = 1 + turn*n.options.StartTicks
+	n.electionTimeout = 1 + turn*n.options.InitialElectionTicks
 }
 
 func (n *Node) hardState() HardState {
@@ -155,11 +155,11 @@
 // ConfigurationAt returns the configuration that was in force at index.
 func (n *Node) ConfigurationAt(index uint64) Configuration { return n.log.configurationAt(index) }
 
-// Applied returns the last index handed out in Ready.Committed.
-func (n *Node) Applied() uint64 { return n.log.applied }
+// AppliedIndex returns the last index handed out in Ready.Committed.
+func (n *Node) AppliedIndex() uint64 { return n.log.applied }
 
-// Commit returns the last index known to be committed.
-func (n *Node) Commit() uint64 { return n.log.commit }
+// CommitIndex returns the last index known to be committed.
+func (n *Node) CommitIndex() uint64 { return n.log.commit }
 
 // LastIndex returns the last index of the log.
 func (n *Node) LastIndex() uint64 { return n.log.lastIndex() }
@@ -167,13 +167,13 @@
 // SnapshotIndex returns the index up to which the log is compacted.
 func (n *Node) SnapshotIndex() uint64 { return n.log.snapshotIndex }
 
-// Quiescent reports whether the group has gone quiet.
-func (n *Node) Quiescent() bool { return n.quiescent }
+// IsQuiescent reports whether the group has gone quiet.
+func (n *Node) IsQuiescent() bool { return n.quiescent }
 
-// CaughtUp reports whether the leader knows that id has all of its log but at
+// IsCaughtUp reports whether the leader knows that id has all of its log but at
 // most lag entries. Invariant: a replica that has acknowledged nothing is never caught up: in a
 // short log it lacks few entries too.
-func (n *Node) CaughtUp(id ReplicaID, lag uint64) bool {
+func (n *Node) IsCaughtUp(id ReplicaID, lag uint64) bool {
 	follower, ok := n.progress[id]
 	return n.role == Leader && ok && follower.match > 0 && follower.match+lag >= n.log.lastIndex()
 }
@@ -184,9 +184,9 @@
 	return term
 }
 
-// RecentlyActive reports whether the leader has heard from a replica within the
+// IsRecentlyActive reports whether the leader has heard from a replica within the
 // last one or two election timeouts.
-func (n *Node) RecentlyActive(id ReplicaID) bool {
+func (n *Node) IsRecentlyActive(id ReplicaID) bool {
 	if id == n.options.ID {
 		return true
 	}
@@ -238,7 +238,7 @@
 		return ErrChangePending
 	}
 	if votersChanged(n.log.configuration(), next) > 1 {
-		return ErrNotOneStep
+		return ErrMultipleVoterChanges
 	}
 	n.appendOwn(Entry{Kind: EntryConfiguration, Configuration: &next})
 	n.syncProgress()
@@ -268,7 +268,7 @@
 // reports whether the hand-over was started. Proposals are refused meanwhile, so that the
 // voter can get the rest (thesis, section 3.10).
 func (n *Node) TransferLeadership(to ReplicaID) bool {
-	if n.role != Leader || n.transfer != None || !n.log.configuration().IsVoter(to) || !n.CaughtUp(to, transferLag) {
+	if n.role != Leader || n.transfer != None || !n.log.configuration().IsVoter(to) || !n.IsCaughtUp(to, transferLag) {
 		return false
 	}
 	n.Wake()
@@ -280,7 +280,7 @@
 
 // completeTransfer tells the voter that is to lead to campaign, once it has the whole log.
 func (n *Node) completeTransfer() {
-	if n.transfer != None && n.CaughtUp(n.transfer, 0) {
+	if n.transfer != None && n.IsCaughtUp(n.transfer, 0) {
 		n.send(Message{Kind: MessageTimeoutNow, To: n.transfer})
 	}
 }
@@ -290,15 +290,15 @@
 	n.log.compact(index)
 }
 
-// KeepFrom returns how far the log may be compacted so that the entries up to index stay
+// CompactionIndex returns how far the log may be compacted so that the entries up to index stay
 // which are the latest that the bounds allow, in number and in bytes of their data; zero
 // bytes is no bound.
-func (n *Node) KeepFrom(index, entries uint64, maxBytes int) uint64 {
+func (n *Node) CompactionIndex(index, entries uint64, maxBytes int) uint64 {
 	return n.log.keepFrom(index, entries, maxBytes)
 }
 
-// Match returns the last index that a replica is known to hold, zero at a follower.
-func (n *Node) Match(id ReplicaID) uint64 {
+// MatchIndex returns the last index that a replica is known to hold, zero at a follower.
+func (n *Node) MatchIndex(id ReplicaID) uint64 {
 	if follower, ok := n.progress[id]; ok && n.role == Leader {
 		return follower.match
 	}
@@ -329,10 +329,10 @@
 		MessagesAfterSync: n.messagesAfter,
 		Snapshot:          n.pendingSnapshot,
 		ReadStates:        n.readStates,
-		LostReads:         n.lostReads,
-		SnapshotsWanted:   n.snapshotsWanted,
+		AbortedReads:      n.lostReads,
+		SnapshotTargets:   n.snapshotsWanted,
 		Entries:           n.log.slice(n.log.stable+1, n.log.lastIndex(), maxInt),
-		Committed:         n.log.slice(n.log.applied+1, n.log.commit, maxInt),
+		CommittedEntries:  n.log.slice(n.log.applied+1, n.log.commit, maxInt),
 	}
 	if state := n.hardState(); state != n.savedHardState {
 		ready.HardState = &state
@@ -360,8 +360,8 @@
 			n.log.stable = last.Index
 		}
 	}
-	if count := len(ready.Committed); count > 0 {
-		n.log.applied = max(n.log.applied, ready.Committed[count-1].Index)
+	if count := len(ready.CommittedEntries); count > 0 {
+		n.log.applied = max(n.log.applied, ready.CommittedEntries[count-1].Index)
 	}
 	if n.role == Leader {
 		// The leader's synced entries count in the quorum.
--- a/internal/consensus/read.go
+++ b/internal/consensus/read.go
@@ -63,7 +63,7 @@
 func (n *Node) releaseReads() {
 	var waiting []pendingRead
 	for _, read := range n.reads {
-		confirmed := len(read.acks) >= n.log.configuration().Quorum() || n.options.DisableReadConfirm
+		confirmed := len(read.acks) >= n.log.configuration().Quorum() || n.options.DisableReadConfirmation
 		if read.round == 0 || !confirmed {
 			waiting = append(waiting, read)
 			continue
--- a/internal/consensus/replication.go
+++ b/internal/consensus/replication.go
@@ -340,7 +340,7 @@
 	if !n.log.matches(message.Index, message.LogTerm) {
 		n.respond(Message{
 			Kind: MessageAppendResponse, To: message.From, Index: message.Index,
-			Reject: true, Hint: min(n.log.lastIndex(), message.Index-1),
+			Reject: true, RejectHint: min(n.log.lastIndex(), message.Index-1),
 		})
 		return
 	}
@@ -404,7 +404,7 @@
 	if message.Index <= follower.match {
 		return
 	}
-	follower.next = max(follower.match+1, min(message.Index, message.Hint+1))
+	follower.next = max(follower.match+1, min(message.Index, message.RejectHint+1))
 	follower.probing = true
 	follower.inflight = 0
 	n.sendAppend(message.From)
--- a/internal/consensus/resend_test.go
+++ b/internal/consensus/resend_test.go
@@ -14,7 +14,7 @@
 		options := testOptions()
 		options.ID = 1
 		configuration := Configuration{Replicas: []Replica{{ID: 1}, {ID: 2}, {ID: 3}}}
-		node := NewNode(options, Restored{Snapshot: Snapshot{Configuration: configuration}})
+		node := NewNode(options, PersistedState{Snapshot: Snapshot{Configuration: configuration}})
 		node.campaignForReal()
 		node.Step(Message{Kind: MessageVoteResponse, From: 2, To: 1, Term: node.Term()})
 		for range 50 {
@@ -24,7 +24,7 @@
 		node.Step(Message{Kind: MessageAppendResponse, From: 2, To: 1, Term: node.Term(), Index: node.LastIndex()})
 		node.Advance(node.Ready())
 		if compacted {
-			node.Compact(node.Applied())
+			node.Compact(node.AppliedIndex())
 		}
 		// Replica 3 is cut off for as long as an answer may take.
 		for range options.HeartbeatTicks {
@@ -36,9 +36,9 @@
 		for range 40 {
 			node.Step(Message{Kind: MessageHeartbeatResponse, From: 3, To: 1, Term: node.Term()})
 			ready := node.Ready()
-			for _, to := range ready.SnapshotsWanted {
+			for _, to := range ready.SnapshotTargets {
 				snapshots++
-				node.SendSnapshot(to, Snapshot{Index: node.Applied(), Term: node.Term(), Configuration: node.Configuration()})
+				node.SendSnapshot(to, Snapshot{Index: node.AppliedIndex(), Term: node.Term(), Configuration: node.Configuration()})
 			}
 			for _, message := range ready.Messages {
 				if message.Kind == MessageAppend && message.To == 3 {
--- a/internal/consensus/types.go
+++ b/internal/consensus/types.go
@@ -24,8 +24,8 @@
 	ID ReplicaID `msgpack:"i" json:"id"`
 	// Member is the name of the process that hosts the replica.
 	Member string `msgpack:"m" json:"member"`
-	// Learner marks a replica that receives the log and counts in no quorum.
-	Learner bool `msgpack:"l,omitempty" json:"learner,omitempty"`
+	// IsLearner marks a replica that receives the log and counts in no quorum.
+	IsLearner bool `msgpack:"l,omitempty" json:"learner,omitempty"`
 }
 
 // Configuration is the list of a group's replicas.
@@ -47,7 +47,7 @@
 func (c Configuration) Voters() []ReplicaID {
 	var voters []ReplicaID
 	for _, replica := range c.Replicas {
-		if !replica.Learner {
+		if !replica.IsLearner {
 			voters = append(voters, replica.ID)
 		}
 	}
@@ -62,7 +62,7 @@
 // IsVoter reports whether id counts in quorums.
 func (c Configuration) IsVoter(id ReplicaID) bool {
 	replica, ok := c.Find(id)
-	return ok && !replica.Learner
+	return ok && !replica.IsLearner
 }
 
 // With returns a copy in which replica is added, or replaces the one of its id.
@@ -147,8 +147,8 @@
 	Entries []Entry `msgpack:"e,omitempty"`
 	Commit  uint64  `msgpack:"c,omitempty"`
 	Reject  bool    `msgpack:"r,omitempty"`
-	// Hint is the follower's last index where it rejects an append.
-	Hint uint64 `msgpack:"h,omitempty"`
+	// RejectHint is the follower's last index where it rejects an append.
+	RejectHint uint64 `msgpack:"h,omitempty"`
 	// Context is the read round that a heartbeat confirms.
 	Context uint64 `msgpack:"x,omitempty"`
 	// Quiesce tells a follower to stop its election timer.
@@ -188,12 +188,12 @@
 	Snapshot          *Snapshot
 	Entries           []Entry
 	MessagesAfterSync []Message
-	Committed         []Entry
+	CommittedEntries  []Entry
 	ReadStates        []ReadState
-	// LostReads are the contexts of ReadIndex calls whose term ended before a quorum
+	// AbortedReads are the contexts of ReadIndex calls whose term ended before a quorum
 	// confirmed them: they get no ReadState.
-	LostReads []uint64
-	// SnapshotsWanted lists replicas that need a snapshot; the owner answers
+	AbortedReads []uint64
+	// SnapshotTargets lists replicas that need a snapshot; the owner answers
 	// with SendSnapshot.
-	SnapshotsWanted []ReplicaID
+	SnapshotTargets []ReplicaID
 }
--- a/internal/control/api.go
+++ b/internal/control/api.go
@@ -21,26 +21,26 @@
 )
 
 // sendOrder has the leader execute a fleet order.
-func (d *Daemon) sendOrder(order *protocol.FleetOrder) *protocol.FleetOrderReply {
-	answer := d.askLeaderWithin(orderTimeout, protocol.KindFleetOrder, order, func() any { return &protocol.FleetOrderReply{} },
+func (d *Daemon) sendOrder(order *protocol.FleetRequest) *protocol.FleetReply {
+	answer := d.askLeaderWithin(orderTimeout, protocol.KindFleetRequest, order, func() any { return &protocol.FleetReply{} },
 		func(reply any) (*result.Error, string) {
-			typed := reply.(*protocol.FleetOrderReply)
+			typed := reply.(*protocol.FleetReply)
 			return typed.Error, typed.Leader
 		})
 	if answer == nil {
-		return &protocol.FleetOrderReply{Error: result.New(result.NoQuorum, "no leader answered")}
+		return &protocol.FleetReply{Error: result.New(result.NoQuorum, "no leader answered")}
 	}
-	return answer.(*protocol.FleetOrderReply)
+	return answer.(*protocol.FleetReply)
 }
 
 // ReportEngine handles an engine's report about itself. It returns once any change is
 // committed.
 func (d *Daemon) ReportEngine(engine membership.ServingEngine) *result.Error {
-	reply := d.sendOrder(&protocol.FleetOrder{Report: &engine, Incarnations: true})
-	if reply.Void != "" {
-		d.recordIgnoredReport(engine, reply.Void)
+	reply := d.sendOrder(&protocol.FleetRequest{Report: &engine, SupportsIncarnations: true})
+	if reply.IgnoredReason != "" {
+		d.recordIgnoredReport(engine, reply.IgnoredReason)
 	}
-	if reply.Restarted {
+	if reply.IsNewIncarnation {
 		telemetry.Info(d.logger, "engine restarted", "engine", engine.ID, "backend", engine.Backend, "born", engine.StartedMs)
 	}
 	if engine.Draining {
@@ -58,9 +58,9 @@
 
 // DeregisterEngine handles an engine's announcement that it is stopping.
 func (d *Daemon) DeregisterEngine(incarnation membership.Incarnation) *result.Error {
-	reply := d.sendOrder(&protocol.FleetOrder{Leave: incarnation.ID, LeaveBorn: incarnation.StartedMs, Incarnations: true})
-	if reply.Void != "" {
-		d.recordIgnoredReport(membership.ServingEngine{ID: incarnation.ID, StartedMs: incarnation.StartedMs}, reply.Void)
+	reply := d.sendOrder(&protocol.FleetRequest{LeaveEngine: incarnation.ID, LeaveStartedMs: incarnation.StartedMs, SupportsIncarnations: true})
+	if reply.IgnoredReason != "" {
+		d.recordIgnoredReport(membership.ServingEngine{ID: incarnation.ID, StartedMs: incarnation.StartedMs}, reply.IgnoredReason)
 	}
 	telemetry.Info(d.logger, "engine deregistration", "engine", incarnation.ID, "born", incarnation.StartedMs, "err", reply.Error)
 	return reply.Error
@@ -89,7 +89,7 @@
 		telemetry.Info(d.logger, "routing table rejected", "generation", table.Generation, "err", failure)
 		return failure
 	}
-	failure := d.sendOrder(&protocol.FleetOrder{Routing: table}).Error
+	failure := d.sendOrder(&protocol.FleetRequest{Routing: table}).Error
 	telemetry.Info(d.logger, "routing table replacement finished", "generation", table.Generation, "routes", len(table.Routes), "tenants", len(table.Tenants), "err", failure)
 	return failure
 }
@@ -97,21 +97,21 @@
 // ReadRouting returns the routing table in force, confirmed by a quorum; nil if there
 // is none yet.
 func (d *Daemon) ReadRouting() (*routing.Table, *result.Error) {
-	reply := d.sendOrder(&protocol.FleetOrder{ReadRouting: true})
+	reply := d.sendOrder(&protocol.FleetRequest{ReadRouting: true})
 	return reply.Routing, reply.Error
 }
 
 // RetireLedgerHost starts to move all groups off a ledger host.
 func (d *Daemon) RetireLedgerHost(name string) *result.Error {
-	failure := d.sendOrder(&protocol.FleetOrder{Retire: name}).Error
+	failure := d.sendOrder(&protocol.FleetRequest{RetireLedgerHost: name}).Error
 	telemetry.Info(d.logger, "ledger host retirement requested", "host", name, "err", failure)
 	return failure
 }
 
 // IsLedgerHostRetired reports whether a retiring ledger host holds no group any more.
 func (d *Daemon) IsLedgerHostRetired(name string) (bool, *result.Error) {
-	reply := d.sendOrder(&protocol.FleetOrder{RetireState: name})
-	return reply.Done, reply.Error
+	reply := d.sendOrder(&protocol.FleetRequest{RetirementStatusOf: name})
+	return reply.IsRetired, reply.Error
 }
 
 // GatewayAddresses returns the addresses of the gateways that a caller should use, and for how long
--- a/internal/control/compat_test.go
+++ b/internal/control/compat_test.go
@@ -9,7 +9,7 @@
 // TestEarlierReleases checks that what this package sends and stores is compatible with earlier
 // releases.
 func TestEarlierReleases(t *testing.T) {
-	compat.Hold(t, map[string]any{
+	compat.CheckTypes(t, map[string]any{
 		"systemCommand": &systemCommand{}, "systemSnapshot": &systemSnapshot{},
 	})
 }
--- a/internal/control/core.go
+++ b/internal/control/core.go
@@ -38,7 +38,7 @@
 	Bootstrap() (consensus.Configuration, bool, error)
 	SetBootstrap(configuration consensus.Configuration) error
 	Write(writes []storage.GroupWrite) error
-	Load(group storage.GroupID) (consensus.Restored, error)
+	Load(group storage.GroupID) (consensus.PersistedState, error)
 	Records(group storage.GroupID, program string, after uint64) ([]storage.Record, error)
 	RecordsAfter(group storage.GroupID, after storage.RecordKey, maxBytes int) ([]storage.Record, bool, error)
 }
@@ -79,14 +79,14 @@
 
 	// The remaining options each turn off one mechanism, for runs that demonstrate
 	// which failures the mechanism prevents.
-	DisablePreVote      bool
-	DisableCheckQuorum  bool
-	DisableReadConfirm  bool
-	DisableFence        bool
-	DisableBudget       bool
-	DisableAtMostOnce   bool
-	DisableVersionCheck bool
-	DisableTurnOrder    bool
+	DisablePreVote          bool
+	DisableCheckQuorum      bool
+	DisableReadConfirmation bool
+	DisableFencing          bool
+	DisableBudget           bool
+	DisableAtMostOnce       bool
+	DisableVersionCheck     bool
+	DisableTurnOrder        bool
 }
 
 // DefaultOptions returns options with timings for a fleet whose zones are a few
@@ -235,11 +235,11 @@
 
 func hostOptions(options Options) replication.Options {
 	return replication.Options{
-		Name: options.Name, StartTicks: startElectionTicks, ElectionTicks: options.ElectionTicks, HeartbeatTicks: options.HeartbeatTicks,
+		Name: options.Name, InitialElectionTicks: startElectionTicks, ElectionTicks: options.ElectionTicks, HeartbeatTicks: options.HeartbeatTicks,
 		QuiesceTicks: options.QuiesceTicks, MaxAppendBytes: maxAppendBytes, MaxInflight: maxInflightAppends,
 		ProposalTimeoutMs: proposalTimeoutMs, CompactAfterEntries: options.CompactEntries, CompactAfterBytes: compactBytes,
 		DisablePreVote: options.DisablePreVote, DisableCheckQuorum: options.DisableCheckQuorum,
-		DisableReadConfirm: options.DisableReadConfirm,
+		DisableReadConfirm: options.DisableReadConfirmation,
 	}
 }
 
@@ -270,8 +270,8 @@
 // configuration or to be admitted to an existing cluster.
 func (c *Core) Formed() bool { return c.formed }
 
-// Leads reports whether this process leads the group.
-func (c *Core) Leads(id storage.GroupID) bool {
+// IsLeader reports whether this process leads the group.
+func (c *Core) IsLeader(id storage.GroupID) bool {
 	return c.formed && int(id) < len(c.host.Groups) && c.host.Groups[id].Node.Role() == consensus.Leader
 }
 
@@ -288,8 +288,8 @@
 	return true
 }
 
-// Revision returns the settings revision that this process has applied, 0 before it has formed.
-func (c *Core) Revision() uint64 {
+// SettingsRevision returns the settings revision that this process has applied, 0 before it has formed.
+func (c *Core) SettingsRevision() uint64 {
 	if !c.formed {
 		return 0
 	}
@@ -372,7 +372,7 @@
 		for _, member := range c.memberNames() {
 			if member != c.options.Name {
 				c.transport.Send(member, protocol.KindPeer, protocol.PeerBatch{
-					From: c.options.Name, Revision: c.Revision(), Engines: c.engineList(member), Incarnations: true,
+					From: c.options.Name, Revision: c.SettingsRevision(), EngineLiveness: c.engineList(member), SupportsIncarnations: true,
 				})
 			}
 		}
@@ -419,19 +419,19 @@
 	c.setNow(nowMs)
 	c.lastReceivedMs[batch.From] = nowMs
 	c.memberRevisions[batch.From] = batch.Revision
-	c.supportsIncarnations[batch.From] = batch.Incarnations
+	c.supportsIncarnations[batch.From] = batch.SupportsIncarnations
 	if !c.formed {
 		return
 	}
 	c.host.Step(batch)
 	c.updateLeaderState()
-	c.handleEngineList(batch.From, batch.Engines)
+	c.handleEngineList(batch.From, batch.EngineLiveness)
 }
 
 // sendBatch sends the replication host's messages to another control process.
 func (c *Core) sendBatch(member string, messages []protocol.PeerMessage) {
 	c.transport.Send(member, protocol.KindPeer, protocol.PeerBatch{
-		From: c.options.Name, Revision: c.Revision(), Messages: messages, Incarnations: true,
+		From: c.options.Name, Revision: c.SettingsRevision(), Messages: messages, SupportsIncarnations: true,
 	})
 }
 
@@ -493,7 +493,7 @@
 		var names []string
 		ids := map[string]consensus.ReplicaID{}
 		for _, replica := range configuration.Replicas {
-			if !replica.Learner {
+			if !replica.IsLearner {
 				names = append(names, replica.Member)
 				ids[replica.Member] = replica.ID
 			}
--- a/internal/control/daemon.go
+++ b/internal/control/daemon.go
@@ -100,10 +100,10 @@
 	monitor    *telemetry.Monitor
 	server     *protocol.Server
 	httpServer *fasthttp.Server
-	loop       *daemon.Loop
+	loop       *daemon.EventLoop
 	status     atomic.Pointer[status]
 	links      *daemon.Links
-	caller     *daemon.Caller
+	caller     *daemon.Client
 	// refusedReports counts the engine reports that were refused since the last log line about
 	// them; refusalLog limits these lines to one per refusalLogInterval.
 	refusedReports atomic.Int64
@@ -117,7 +117,7 @@
 	// instanceListLog limits the log lines about entries of the platform's list in the same way.
 	instanceListLog rate.Sometimes
 
-	replies daemon.Replies[RequestID, any]
+	replies daemon.PendingReplies[RequestID, any]
 	// lookupTTL tracks the rate at which callers look up gateways at this process.
 	lookupTTLMutex sync.Mutex
 	lookupTTL      membership.LookupTTL
@@ -134,7 +134,7 @@
 		ignoredLog: rate.Sometimes{First: 1, Interval: ignoredLogInterval}, instanceListLog: rate.Sometimes{First: 1, Interval: ignoredLogInterval}}
 	d.status.Store(&status{gatewaySelector: membership.NewGatewaySelector(nil)})
 	d.links = daemon.NewLinks(d.addressOf, d.delayOf)
-	d.caller = daemon.NewCaller()
+	d.caller = daemon.NewClient()
 	d.core, err = NewCore(coreOptions(process), store, d, clock.NowMs())
 	if err != nil {
 		_ = store.Close()
@@ -151,19 +151,19 @@
 // addresses.
 func coreOptions(process config.Process) Options {
 	var members []Member
-	if !process.Cluster.Discovered() {
+	if !process.Cluster.UsesDiscovery() {
 		for _, peer := range process.Cluster.Members {
 			members = append(members, Member{Name: peer.Name, Zone: peer.Zone, Address: peer.Address})
 		}
 		options := DefaultOptions(process.Name, members, process.Cluster.LedgerGroups)
-		options.LeaseMs = process.Cluster.LeaseMs
+		options.LeaseMs = process.Cluster.SchedulerLeaseMs
 		return options
 	}
 	for _, seed := range process.Cluster.Seeds {
 		members = append(members, Member{Name: seed, Address: seed})
 	}
 	options := DefaultOptions(process.Listen.Address, members, 0)
-	options.LeaseMs = process.Cluster.LeaseMs
+	options.LeaseMs = process.Cluster.SchedulerLeaseMs
 	options.Discovered = true
 	options.ElectionTicks = discoveredElectionTicks
 	options.MayBootstrap = process.Cluster.Bootstrap
@@ -171,7 +171,7 @@
 	options.Fleet = membership.FleetOptions{
 		Groups: process.Cluster.LedgerGroups, Replicas: options.MinVoters,
 		EngineTimeoutMs:  max(engineTimeoutMs, engineTimeoutReports*process.Cluster.EngineHeartbeatMs),
-		GatewayTimeoutMs: gatewayTimeoutMs, GatewayRepollTimeoutMs: gatewayRepollTimeoutMs, GatewaySmallDeltaRepollTimeoutMs: gatewaySmallDeltaRepollTimeoutMs, LedgerTimeoutMs: ledgerTimeoutMs, LedgerRetentionMs: ledgerRetentionMs,
+		GatewayTimeoutMs: gatewayTimeoutMs, GatewayRepollTimeoutMs: gatewayRepollTimeoutMs, GatewaySmallUpdateRepollTimeoutMs: gatewaySmallDeltaRepollTimeoutMs, LedgerTimeoutMs: ledgerTimeoutMs, LedgerRetentionMs: ledgerRetentionMs,
 		InitialPlacementDelayMs: initialPlacementDelayMs,
 	}
 	return options
@@ -185,7 +185,7 @@
 // addressOf returns the internal address of another control process, "" if it is
 // unknown. Discovered members are named by their addresses.
 func (d *Daemon) addressOf(member string) string {
-	if d.process.Cluster.Discovered() {
+	if d.process.Cluster.UsesDiscovery() {
 		return member
 	}
 	for _, peer := range d.process.Cluster.Members {
@@ -208,13 +208,13 @@
 }
 
 func (d *Daemon) registerMetrics() {
-	d.monitor.JSON("/v1/shares", d.shares)
-	d.ignoredReports = d.monitor.Counters("control_engine_reports_void_total", "Reports of engines that changed nothing, by reason.", "reason")
-	d.monitor.Gauge("settings_revision", "Settings revision in force.", func() float64 { return float64(d.status.Load().revision) })
-	d.monitor.Gauge("groups_led", "Log groups that this process leads.", func() float64 { return float64(d.status.Load().groupsLed) })
-	d.monitor.Gauge("programs", "Program headers held.", func() float64 { return float64(d.status.Load().programCount) })
-	d.monitor.Gauge("entries_applied", "Log entries applied over all groups.", func() float64 { return float64(d.status.Load().entriesApplied) })
-	d.monitor.Gauge("store_syncs", "Synced writes to the data folder.", func() float64 { return float64(d.status.Load().syncCount) })
+	d.monitor.RegisterView("/v1/shares", d.shares)
+	d.ignoredReports = d.monitor.RegisterCounter("control_engine_reports_void_total", "Reports of engines that changed nothing, by reason.", "reason")
+	d.monitor.RegisterGauge("settings_revision", "Settings revision in force.", func() float64 { return float64(d.status.Load().revision) })
+	d.monitor.RegisterGauge("groups_led", "Log groups that this process leads.", func() float64 { return float64(d.status.Load().groupsLed) })
+	d.monitor.RegisterGauge("programs", "Program headers held.", func() float64 { return float64(d.status.Load().programCount) })
+	d.monitor.RegisterGauge("entries_applied", "Log entries applied over all groups.", func() float64 { return float64(d.status.Load().entriesApplied) })
+	d.monitor.RegisterGauge("store_syncs", "Synced writes to the data folder.", func() float64 { return float64(d.status.Load().syncCount) })
 }
 
 func (d *Daemon) zoneDelay(zone string) time.Duration {
@@ -239,7 +239,7 @@
 	}
 	defer closeHTTP()
 	telemetry.Info(d.logger, "listening", "address", server.Address(), "http", address, "replica", uint64(d.store.Replica()))
-	tasks := daemon.NewGroup()
+	tasks := daemon.NewTaskGroup()
 	tasks.Go(d.loop.Run)
 	tasks.Go(d.pollPlatform)
 	tasks.Go(func(ctx context.Context) error { return daemon.ServeFrontends(ctx, d.Frontends) })
@@ -264,8 +264,8 @@
 }
 
 // newLoop returns the event loop, whose goroutine alone uses the core.
-func (d *Daemon) newLoop() *daemon.Loop {
-	loop := daemon.NewLoop(time.Duration(d.core.options.TickMs) * time.Millisecond)
+func (d *Daemon) newLoop() *daemon.EventLoop {
+	loop := daemon.NewEventLoop(time.Duration(d.core.options.TickMs) * time.Millisecond)
 	wasFormed := d.core.Formed()
 	loop.Tick = func() { d.core.Tick(clock.NowMs()) }
 	loop.Flush = d.core.Flush
@@ -282,21 +282,21 @@
 // submit passes a request to the core on the event loop, which also calls reply.
 func (d *Daemon) submit(request any, reply func(reply any)) {
 	d.loop.Post(func() {
-		d.core.HandleRequest(d.replies.Expect(reply), request, clock.NowMs())
+		d.core.HandleRequest(d.replies.Register(reply), request, clock.NowMs())
 	})
 }
 
 func (d *Daemon) publish() {
-	current := &status{formed: d.core.Formed(), syncCount: d.core.SyncCount(), isReady: d.core.Ready(), revision: d.core.Revision(), gatewaySelector: d.status.Load().gatewaySelector}
+	current := &status{formed: d.core.Formed(), syncCount: d.core.SyncCount(), isReady: d.core.Ready(), revision: d.core.SettingsRevision(), gatewaySelector: d.status.Load().gatewaySelector}
 	if current.formed {
 		d.publishFleet(current)
 		current.isDrained = d.core.Drained()
 		current.hasSilentMember = d.core.HasSilentMember()
 		for id := range d.core.host.Groups {
-			if d.core.Leads(storage.GroupID(id)) {
+			if d.core.IsLeader(storage.GroupID(id)) {
 				current.groupsLed++
 			}
-			current.entriesApplied += d.core.host.Groups[id].Node.Applied()
+			current.entriesApplied += d.core.host.Groups[id].Node.AppliedIndex()
 			if id > 0 {
 				current.programCount += d.core.Ledger(storage.GroupID(id)).Len()
 			}
@@ -320,7 +320,7 @@
 	}
 	current.lastFleetLog = fleetLog{version: fleet.Version(), at: time.Now()}
 	telemetry.Info(d.logger, "fleet in force", "version", fleet.Version(), "engines", fleet.EngineCount(), "advertised", fleet.AdvertisedCount(),
-		"gateways", current.gatewaySelector.ReadyCount(), "ledgers", fleet.LedgerCount(), "leads", d.core.Leads(0))
+		"gateways", current.gatewaySelector.ReadyCount(), "ledgers", fleet.LedgerCount(), "leads", d.core.IsLeader(0))
 }
 
 // Send sends a message of the core to another control process.
@@ -330,7 +330,7 @@
 
 // Reply sends a reply of the core to the requester. The reply is encoded before Reply
 // returns, since it may share memory with the core's state.
-func (d *Daemon) Reply(request RequestID, reply any) { d.replies.Take(request, reply) }
+func (d *Daemon) Reply(request RequestID, reply any) { d.replies.Deliver(request, reply) }
 
 // handleFrame handles a frame from another process. It closes the connection on a frame
 // that cannot be decoded.
--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -20,39 +20,39 @@
 const subsetPlanIntervalMs = 300
 
 // handleFleetOrder executes one order of an engine or of the platform's operator.
-func (c *Core) handleFleetOrder(id RequestID, order *protocol.FleetOrder) {
+func (c *Core) handleFleetOrder(id RequestID, order *protocol.FleetRequest) {
 	group, leader, failure := c.ledGroup(0)
 	if failure != nil || c.fleetTracker == nil {
 		if order.Report != nil && c.acknowledgeLocally(*order.Report) {
-			c.transport.Reply(id, &protocol.FleetOrderReply{})
+			c.transport.Reply(id, &protocol.FleetReply{})
 			return
 		}
-		c.transport.Reply(id, &protocol.FleetOrderReply{Error: result.New(result.NotLeader, "not the leader"), Leader: leader})
+		c.transport.Reply(id, &protocol.FleetReply{Error: result.New(result.NotLeader, "not the leader"), Leader: leader})
 		return
 	}
 	switch {
 	case order.Report != nil:
 		c.handleEngineReport(id, group, order)
-	case order.Leave != "":
+	case order.LeaveEngine != "":
 		c.handleEngineLeave(id, group, order)
 	case order.Routing != nil:
 		c.replaceRouting(id, group, order.Routing)
 	case order.ReadRouting:
 		c.readRouting(id, group)
-	case order.Retire != "":
-		c.retireLedgerHost(id, group, order.Retire)
-	case order.RetireState != "":
-		c.readRetirement(id, group, order.RetireState)
+	case order.RetireLedgerHost != "":
+		c.retireLedgerHost(id, group, order.RetireLedgerHost)
+	case order.RetirementStatusOf != "":
+		c.readRetirement(id, group, order.RetirementStatusOf)
 	}
 }
 
 // proposeFleetUpdate proposes an update and answers the order once the update is applied.
 func (c *Core) proposeFleetUpdate(id RequestID, group *replication.Group, update *membership.FleetUpdate) {
-	c.proposeOrder(id, group, &systemCommand{Fleet: update}, &protocol.FleetOrderReply{})
+	c.proposeOrder(id, group, &systemCommand{Fleet: update}, &protocol.FleetReply{})
 }
 
 // proposeOrder proposes a command and sends the reply once the command is applied.
-func (c *Core) proposeOrder(id RequestID, group *replication.Group, command *systemCommand, reply *protocol.FleetOrderReply) {
+func (c *Core) proposeOrder(id RequestID, group *replication.Group, command *systemCommand, reply *protocol.FleetReply) {
 	failure := c.host.Propose(group, command, func(outcome any) {
 		switch typed := outcome.(type) {
 		case *result.Error:
@@ -63,16 +63,16 @@
 		c.transport.Reply(id, reply)
 	})
 	if failure != nil {
-		c.transport.Reply(id, &protocol.FleetOrderReply{Error: failure})
+		c.transport.Reply(id, &protocol.FleetReply{Error: failure})
 	}
 }
 
 // handleEngineReport records that an engine is alive and replicates what has changed
 // about it. Invariant: a change, above all that the engine drains, is acknowledged only
 // once it is committed.
-func (c *Core) handleEngineReport(id RequestID, group *replication.Group, order *protocol.FleetOrder) {
+func (c *Core) handleEngineReport(id RequestID, group *replication.Group, order *protocol.FleetRequest) {
 	updates, reportOutcome := c.fleetTracker.HandleReport(c.system.fleet, *order.Report, membership.ReportContext{
-		IsRelayed: !order.Incarnations, IsBackendKnown: c.isBackendKnown(order.Report.Backend), AllSupportIncarnations: c.allSupportIncarnations(), NowMs: c.nowMs,
+		IsRelayed: !order.SupportsIncarnations, IsBackendKnown: c.isBackendKnown(order.Report.Backend), AllSupportIncarnations: c.allSupportIncarnations(), NowMs: c.nowMs,
 	})
 	current, inFleet := c.system.fleet.Engine(order.Report.ID)
 	if reportOutcome == membership.ReportAccepted && !(inFleet && current.StartedMs == order.Report.StartedMs) {
@@ -82,17 +82,17 @@
 	c.proposeUpdates(id, group, updates, reportOutcome)
 }
 
-func (c *Core) handleEngineLeave(id RequestID, group *replication.Group, order *protocol.FleetOrder) {
-	updates, reportOutcome := c.fleetTracker.HandleLeave(c.system.fleet, membership.Incarnation{ID: order.Leave, StartedMs: order.LeaveBorn})
+func (c *Core) handleEngineLeave(id RequestID, group *replication.Group, order *protocol.FleetRequest) {
+	updates, reportOutcome := c.fleetTracker.HandleLeave(c.system.fleet, membership.Incarnation{ID: order.LeaveEngine, StartedMs: order.LeaveStartedMs})
 	c.proposeUpdates(id, group, updates, reportOutcome)
 }
 
 // proposeUpdates proposes updates in order and answers the order once the last one is applied.
 func (c *Core) proposeUpdates(id RequestID, group *replication.Group, updates []membership.FleetUpdate, reportOutcome membership.ReportOutcome) {
 	if len(updates) == 0 {
-		reply := &protocol.FleetOrderReply{}
+		reply := &protocol.FleetReply{}
 		if reportOutcome.IsRejected() {
-			reply.Void = reportOutcome.String()
+			reply.IgnoredReason = reportOutcome.String()
 		}
 		c.transport.Reply(id, reply)
 		return
@@ -102,7 +102,7 @@
 		// If this entry is lost, the entries after it are lost too, and the last one reports it.
 		_ = c.host.Propose(group, &systemCommand{Fleet: &updates[position]}, func(any) {})
 	}
-	c.proposeOrder(id, group, &systemCommand{Fleet: &updates[last]}, &protocol.FleetOrderReply{Restarted: last > 0})
+	c.proposeOrder(id, group, &systemCommand{Fleet: &updates[last]}, &protocol.FleetReply{IsNewIncarnation: last > 0})
 }
 
 // isBackendKnown reports whether engines of a backend may register: the routing table in force
@@ -127,15 +127,15 @@
 // replaceRouting validates a routing table and proposes it.
 func (c *Core) replaceRouting(id RequestID, group *replication.Group, table *routing.Table) {
 	if failure := table.Validate(); failure != nil {
-		c.transport.Reply(id, &protocol.FleetOrderReply{Error: failure})
+		c.transport.Reply(id, &protocol.FleetReply{Error: failure})
 		return
 	}
-	c.proposeOrder(id, group, &systemCommand{Change: &settings.Change{AtMs: c.nowMs, Routing: table}}, &protocol.FleetOrderReply{})
+	c.proposeOrder(id, group, &systemCommand{Change: &settings.Change{AtMs: c.nowMs, Routing: table}}, &protocol.FleetReply{})
 }
 
 func (c *Core) readRouting(id RequestID, group *replication.Group) {
 	c.host.LinearizableRead(group, func(failure *result.Error) {
-		c.transport.Reply(id, &protocol.FleetOrderReply{Error: failure, Routing: c.system.tree.Routing()})
+		c.transport.Reply(id, &protocol.FleetReply{Error: failure, Routing: c.system.tree.Routing()})
 	})
 }
 
@@ -153,11 +153,11 @@
 	host, known := c.ledgerHostByName(name)
 	switch {
 	case !known:
-		c.transport.Reply(id, &protocol.FleetOrderReply{Error: result.New(result.NotFound, "no ledger host %s", name)})
+		c.transport.Reply(id, &protocol.FleetReply{Error: result.New(result.NotFound, "no ledger host %s", name)})
 	case host.Retiring:
-		c.transport.Reply(id, &protocol.FleetOrderReply{})
+		c.transport.Reply(id, &protocol.FleetReply{})
 	case !c.fleetTracker.CanRetire(c.system.fleet, host.Member, c.nowMs):
-		c.transport.Reply(id, &protocol.FleetOrderReply{Error: result.New(result.TooFewLeft, "too few ledger hosts would remain without %s", name)})
+		c.transport.Reply(id, &protocol.FleetReply{Error: result.New(result.TooFewLeft, "too few ledger hosts would remain without %s", name)})
 	default:
 		host.Retiring = true
 		c.proposeFleetUpdate(id, group, &membership.FleetUpdate{PutLedgers: []membership.LedgerHost{host}})
@@ -171,7 +171,7 @@
 			failure = result.New(result.NotFound, "ledger host %s is not retiring", name)
 		}
 		done := failure == nil && c.fleetTracker != nil && c.fleetTracker.IsDrained(c.system.fleet, host.Member)
-		c.transport.Reply(id, &protocol.FleetOrderReply{Error: failure, Done: done})
+		c.transport.Reply(id, &protocol.FleetReply{Error: failure, IsRetired: done})
 	})
 }
 
@@ -184,7 +184,7 @@
 	group := c.host.Groups[0]
 	// Invariant: a leader plans only from a fleet that includes every update of
 	// earlier leaders.
-	if group.Node.TermAt(group.Node.Applied()) != group.Node.Term() {
+	if group.Node.TermAt(group.Node.AppliedIndex()) != group.Node.Term() {
 		return
 	}
 	c.lastFleetPlanMs = c.nowMs
--- a/internal/control/fleetnews_test.go
+++ b/internal/control/fleetnews_test.go
@@ -30,7 +30,7 @@
 		}
 		report := func(number int) {
 			engine := membership.ServingEngine{ID: fmt.Sprint("e", number), Backend: fmt.Sprint("b", number), Slots: 1, Sequence: 1}
-			h.core.HandleRequest(RequestID(1_000_000+number), &protocol.FleetOrder{Report: &engine}, h.nowMs)
+			h.core.HandleRequest(RequestID(1_000_000+number), &protocol.FleetRequest{Report: &engine}, h.nowMs)
 		}
 		h.advance(t, 1000, stepMs)
 		answers = 0
@@ -61,9 +61,9 @@
 			confirmed := 0
 			before := c.consensusMessages
 			for number := range gateways {
-				request := &protocol.FleetSync{Gateway: &membership.Gateway{Name: fmt.Sprint("g", number)}, Fresh: true, HoldMs: 700}
+				request := &protocol.FleetSync{Gateway: &membership.Gateway{Name: fmt.Sprint("g", number)}, ConfirmNow: true, LongPollMs: 700}
 				leader.ask(request, func(answer any) {
-					if answer.(*protocol.FleetSyncReply).Confirmed {
+					if answer.(*protocol.FleetSyncReply).IsConfirmed {
 						confirmed++
 					}
 				})
@@ -86,8 +86,8 @@
 		leader := c.leader()
 		receivedControls := func(knownDigest uint64) []string {
 			var controls []string
-			request := &protocol.FleetSync{Gateway: &membership.Gateway{Name: "g"}, Controls: knownDigest}
-			leader.ask(request, func(answer any) { controls = answer.(*protocol.FleetSyncReply).Controls })
+			request := &protocol.FleetSync{Gateway: &membership.Gateway{Name: "g"}, ControlsDigest: knownDigest}
+			leader.ask(request, func(answer any) { controls = answer.(*protocol.FleetSyncReply).ControlAddresses })
 			c.run(200)
 			return controls
 		}
--- a/internal/control/formation.go
+++ b/internal/control/formation.go
@@ -78,10 +78,10 @@
 }
 
 func (c *Core) newHello() protocol.Hello {
-	hello := protocol.Hello{From: c.options.Name, Replica: c.storage.Replica(), Formed: c.formed}
+	hello := protocol.Hello{From: c.options.Name, Replica: c.storage.Replica(), HasClusterState: c.formed}
 	if c.formed {
 		hello.Bootstrap, _, _ = c.storage.Bootstrap()
-		hello.Joining = !c.isAdmitted() || c.isOrphaned()
+		hello.IsJoining = !c.isAdmitted() || c.isOrphaned()
 	}
 	return hello
 }
@@ -99,14 +99,14 @@
 // HandleHello handles the hello message of another process.
 func (c *Core) HandleHello(hello protocol.Hello, nowMs int64) {
 	c.setNow(nowMs)
-	if !hello.Forwarded {
+	if !hello.IsForwarded {
 		c.lastReceivedMs[hello.From] = nowMs
 	}
 	if c.formed {
 		c.handleHelloWhenFormed(hello)
 		return
 	}
-	if !hello.Formed {
+	if !hello.HasClusterState {
 		c.unformedReplicas[hello.From] = hello.Replica
 		c.formCluster()
 		return
@@ -124,10 +124,10 @@
 }
 
 func (c *Core) handleHelloWhenFormed(hello protocol.Hello) {
-	if !hello.Formed {
+	if !hello.HasClusterState {
 		c.transport.Send(hello.From, protocol.KindHello, c.newHello())
 	}
-	if !hello.Joining {
+	if !hello.IsJoining {
 		return
 	}
 	c.forwardHello(hello)
@@ -147,10 +147,10 @@
 // not be among the processes that the joining one contacts.
 func (c *Core) forwardHello(hello protocol.Hello) {
 	leader := c.host.Groups[0].LeaderMember()
-	if !c.options.Discovered || hello.Forwarded || leader == "" || leader == c.options.Name {
+	if !c.options.Discovered || hello.IsForwarded || leader == "" || leader == c.options.Name {
 		return
 	}
-	hello.Forwarded = true
+	hello.IsForwarded = true
 	c.transport.Send(leader, protocol.KindHello, hello)
 }
 
@@ -242,7 +242,7 @@
 		}
 		// Invariant: a replica that still answers is not removed, since its disk
 		// is not lost.
-		if !group.Node.RecentlyActive(other.ID) {
+		if !group.Node.IsRecentlyActive(other.ID) {
 			_ = group.Node.ProposeConfiguration(configuration.Without(other.ID))
 		}
 		return
@@ -250,8 +250,8 @@
 	current, ok := configuration.Find(replica)
 	switch {
 	case !ok:
-		_ = group.Node.ProposeConfiguration(configuration.With(consensus.Replica{ID: replica, Member: name, Learner: true}))
-	case current.Learner && group.Node.CaughtUp(replica, 0):
+		_ = group.Node.ProposeConfiguration(configuration.With(consensus.Replica{ID: replica, Member: name, IsLearner: true}))
+	case current.IsLearner && group.Node.IsCaughtUp(replica, 0):
 		_ = group.Node.ProposeConfiguration(configuration.With(consensus.Replica{ID: replica, Member: name}))
 	}
 }
--- a/internal/control/heartbeats.go
+++ b/internal/control/heartbeats.go
@@ -59,7 +59,7 @@
 		pending.heartbeatNumber = c.fleetTracker.RecordGatewayHeartbeat(request.Gateway.Name, c.nowMs)
 	}
 	c.recordSender(group, request)
-	if !request.Fresh && !request.Prove {
+	if !request.ConfirmNow && !request.ConfirmLeadership {
 		c.answerOrHoldFleetSync(pending)
 		return
 	}
@@ -72,16 +72,16 @@
 // within maxHoldExpiriesPerSecond.
 func (c *Core) holdMs(request *protocol.FleetSync) int64 {
 	if request.Gateway == nil {
-		return request.HoldMs
+		return request.LongPollMs
 	}
 	affordableMs := int64(c.system.fleet.GatewayCount()) * 1000 / maxHoldExpiriesPerSecond
-	return min(request.HoldMs, max(minHoldMs, affordableMs))
+	return min(request.LongPollMs, max(minHoldMs, affordableMs))
 }
 
 // answerOrHoldFleetSync answers a heartbeat that allows no hold or whose sender lacks a change, and
 // holds any other.
 func (c *Core) answerOrHoldFleetSync(pending pendingFleetSync) {
-	if pending.request.HoldMs == 0 || c.hasFleetChanges(pending.request) {
+	if pending.request.LongPollMs == 0 || c.hasFleetChanges(pending.request) {
 		c.answerFleetSync(pending, c.fleetReply(pending.request))
 		return
 	}
@@ -111,7 +111,7 @@
 				continue
 			}
 			pending.confirmed = true
-			if pending.request.Fresh {
+			if pending.request.ConfirmNow {
 				c.answerFleetSync(pending, c.fleetReply(pending.request))
 				continue
 			}
@@ -126,7 +126,7 @@
 	if pending.request.Gateway != nil && c.fleetTracker != nil {
 		c.fleetTracker.RecordGatewayReply(pending.request.Gateway.Name, pending.heartbeatNumber, c.isSmallUpdate(reply), c.nowMs)
 	}
-	reply.Confirmed = reply.Confirmed || (pending.confirmed && reply.Error == nil)
+	reply.IsConfirmed = reply.IsConfirmed || (pending.confirmed && reply.Error == nil)
 	c.transport.Reply(pending.id, reply)
 }
 
@@ -151,15 +151,15 @@
 		// A gateway that has not received an engine's restart yet reports on the previous
 		// incarnation.
 		isStale := func(engine string) bool {
-			return c.notInFleet(engine) || request.Version < c.system.fleet.IncarnationVersion(engine)
+			return c.notInFleet(engine) || request.FleetVersion < c.system.fleet.IncarnationVersion(engine)
 		}
-		loads := slices.DeleteFunc(request.Loads, func(load scheduling.EngineLoad) bool { return isStale(load.Engine) })
+		loads := slices.DeleteFunc(request.EngineLoads, func(load scheduling.EngineLoad) bool { return isStale(load.Engine) })
 		c.loadAggregator.ReportLoads(gateway.Name, loads, c.nowMs)
-		usages := slices.DeleteFunc(request.Usages, func(usage scheduling.EngineUsage) bool { return isStale(usage.Engine) })
+		usages := slices.DeleteFunc(request.EngineUsages, func(usage scheduling.EngineUsage) bool { return isStale(usage.Engine) })
 		c.loadAggregator.ReportUsage(gateway.Name, usages, c.nowMs)
-		c.loadAggregator.ReportFailingEngines(gateway.Name, gateway.Zone, slices.DeleteFunc(request.Failing, isStale), c.nowMs)
-		c.loadAggregator.ReportStreamLateness(request.Late, c.nowMs)
-		c.usageAggregator.ReportUsage(gateway.Name, request.Uses, c.nowMs)
+		c.loadAggregator.ReportFailingEngines(gateway.Name, gateway.Zone, slices.DeleteFunc(request.FailingEngines, isStale), c.nowMs)
+		c.loadAggregator.ReportStreamLateness(request.StreamLateness, c.nowMs)
+		c.usageAggregator.ReportUsage(gateway.Name, request.BackendUsages, c.nowMs)
 		if known, ok := c.system.fleet.Gateway(gateway.Name); !ok || known != *gateway {
 			update.PutGateways = append(update.PutGateways, *gateway)
 		}
@@ -190,10 +190,10 @@
 // change.
 func (c *Core) hasFleetChanges(request *protocol.FleetSync) bool {
 	table := c.system.tree.Routing()
-	if request.WithRouting && table != nil && table.Generation > request.Generation {
+	if request.WithRouting && table != nil && table.Generation > request.RoutingGeneration {
 		return true
 	}
-	return c.fleetNotifyDue() && c.system.fleet.ChangedSince(request.Version, scopeOf(request))
+	return c.fleetNotifyDue() && c.system.fleet.ChangedSince(request.FleetVersion, scopeOf(request))
 }
 
 // fleetNotifyDue reports whether changes of the fleet may be sent now, and starts a new round of
@@ -221,29 +221,29 @@
 
 func (c *Core) fleetReply(request *protocol.FleetSync) *protocol.FleetSyncReply {
 	reply := &protocol.FleetSyncReply{}
-	if controls := c.memberNames(); protocol.ControlsDigest(controls) != request.Controls {
-		reply.Controls = controls
+	if controls := c.memberNames(); protocol.ControlsDigest(controls) != request.ControlsDigest {
+		reply.ControlAddresses = controls
 	}
 	fleet := c.system.fleet
 	scope := scopeOf(request)
-	if request.Version == 0 || fleet.ChangedSince(request.Version, scope) {
-		reply.Fleet = c.deltas.fleetSince(fleet, request.Version, scope)
+	if request.FleetVersion == 0 || fleet.ChangedSince(request.FleetVersion, scope) {
+		reply.Fleet = c.deltas.fleetSince(fleet, request.FleetVersion, scope)
 	}
 	// A new leader's aggregates lack the gateways that have not reported to it yet.
 	hasAggregates := c.loadAggregator != nil && c.nowMs-c.leadingSinceMs >= loadWarmupMs
 	if request.WithLoads && hasAggregates {
 		aggregates := c.deltas.loadsFor(c.loadAggregator, fleet, scope, c.nowMs)
-		reply.Loads, reply.Usages, reply.Failing = aggregates.loads, aggregates.usages, aggregates.failing
+		reply.EngineLoads, reply.EngineUsages, reply.FailingEngines = aggregates.loads, aggregates.usages, aggregates.failing
 		if table := c.system.tree.Routing(); table != nil && table.RequiresKey {
-			reply.Uses = c.deltas.tenantUsage(c.usageAggregator, c.nowMs)
+			reply.BackendUsages = c.deltas.tenantUsage(c.usageAggregator, c.nowMs)
 		}
 	}
 	if request.Gateway != nil && hasAggregates {
-		reply.Late = c.loadAggregator.StreamLateness(c.nowMs)
+		reply.StreamLateness = c.loadAggregator.StreamLateness(c.nowMs)
 	}
 	table := c.system.tree.Routing()
-	if request.WithRouting && table != nil && table.Generation > request.Generation {
-		reply.Routing = c.deltas.routingSince(c.recentTable(request.Generation), table)
+	if request.WithRouting && table != nil && table.Generation > request.RoutingGeneration {
+		reply.Routing = c.deltas.routingSince(c.recentTable(request.RoutingGeneration), table)
 	}
 	return reply
 }
--- a/internal/control/incarnations_test.go
+++ b/internal/control/incarnations_test.go
@@ -12,14 +12,14 @@
 )
 
 // orderReply returns the reply to an order, nil if there is none yet.
-func (s *scriptedControl) orderReply(id RequestID) *protocol.FleetOrderReply {
-	reply, _ := s.replies[id].(*protocol.FleetOrderReply)
+func (s *scriptedControl) orderReply(id RequestID) *protocol.FleetReply {
+	reply, _ := s.replies[id].(*protocol.FleetReply)
 	return reply
 }
 
 // report sends an engine's report to the leader and returns the reply, once all is committed.
-func (s *scriptedControl) report(engine membership.ServingEngine) *protocol.FleetOrderReply {
-	id := s.ask(&protocol.FleetOrder{Report: &engine, Incarnations: true})
+func (s *scriptedControl) report(engine membership.ServingEngine) *protocol.FleetReply {
+	id := s.ask(&protocol.FleetRequest{Report: &engine, SupportsIncarnations: true})
 	s.confirm()
 	return s.orderReply(id)
 }
@@ -40,23 +40,23 @@
 		s := newLeader()
 		So(s.report(first).Error, ShouldBeNil)
 		version := s.core.Fleet().Version()
-		So(s.report(second), ShouldResemble, &protocol.FleetOrderReply{Restarted: true})
+		So(s.report(second), ShouldResemble, &protocol.FleetReply{IsNewIncarnation: true})
 		current, _ := s.core.Fleet().Engine("e")
 		So(current, ShouldResemble, second)
 		So(s.core.Fleet().DeltaSince(version, membership.Scope{IncludesEngines: true, Zone: "z"}).Engines, ShouldResemble, []membership.ServingEngine{second})
 		lateReport := first
 		lateReport.Sequence++
-		So(s.report(lateReport).Void, ShouldEqual, membership.ReportOutdated.String())
+		So(s.report(lateReport).IgnoredReason, ShouldEqual, membership.ReportOutdated.String())
 		current, _ = s.core.Fleet().Engine("e")
 		So(current, ShouldResemble, second)
 		Convey("even if the previous one's report comes before the newer one is committed", func() {
 			third := second
 			third.StartedMs = 300
-			newerID := s.ask(&protocol.FleetOrder{Report: &third, Incarnations: true})
-			lateID := s.ask(&protocol.FleetOrder{Report: &lateReport, Incarnations: true})
+			newerID := s.ask(&protocol.FleetRequest{Report: &third, SupportsIncarnations: true})
+			lateID := s.ask(&protocol.FleetRequest{Report: &lateReport, SupportsIncarnations: true})
 			s.confirm()
 			So(s.orderReply(newerID).Error, ShouldBeNil)
-			So(s.orderReply(lateID).Void, ShouldEqual, membership.ReportOutdated.String())
+			So(s.orderReply(lateID).IgnoredReason, ShouldEqual, membership.ReportOutdated.String())
 			current, _ := s.core.Fleet().Engine("e")
 			So(current, ShouldResemble, third)
 		})
@@ -66,8 +66,8 @@
 		s.report(first)
 		sync := func(version uint64) {
 			s.ask(&protocol.FleetSync{
-				Gateway: &membership.Gateway{Name: "g", Zone: "z", IsReady: true}, Version: version,
-				Loads: []scheduling.EngineLoad{{Engine: "e", InFlight: 5}},
+				Gateway: &membership.Gateway{Name: "g", Zone: "z", IsReady: true}, FleetVersion: version,
+				EngineLoads: []scheduling.EngineLoad{{Engine: "e", InFlight: 5}},
 			})
 			s.confirm()
 		}
@@ -84,29 +84,29 @@
 	Convey("an engine that has left does not return until all processes support incarnations", t, func() {
 		s := newLeader()
 		s.report(first)
-		leaveID := s.ask(&protocol.FleetOrder{Leave: "e", LeaveBorn: first.StartedMs, Incarnations: true})
+		leaveID := s.ask(&protocol.FleetRequest{LeaveEngine: "e", LeaveStartedMs: first.StartedMs, SupportsIncarnations: true})
 		s.confirm()
 		So(s.orderReply(leaveID).Error, ShouldBeNil)
-		So(s.report(second).Void, ShouldEqual, membership.ReportAwaitsUpgrade.String())
+		So(s.report(second).IgnoredReason, ShouldEqual, membership.ReportAwaitsUpgrade.String())
 		for _, member := range []string{"b:1", "c:1"} {
-			s.core.HandlePeerBatch(protocol.PeerBatch{From: member, Incarnations: true}, s.nowMs)
+			s.core.HandlePeerBatch(protocol.PeerBatch{From: member, SupportsIncarnations: true}, s.nowMs)
 		}
-		So(s.report(second).Void, ShouldBeEmpty)
+		So(s.report(second).IgnoredReason, ShouldBeEmpty)
 		current, inFleet := s.core.Fleet().Engine("e")
 		So(inFleet, ShouldBeTrue)
 		So(current, ShouldResemble, second)
-		So(s.report(first).Void, ShouldEqual, membership.ReportOutdated.String())
+		So(s.report(first).IgnoredReason, ShouldEqual, membership.ReportOutdated.String())
 	})
 	Convey("an unknown engine of a backend that the routing table does not name is acknowledged and ignored", t, func() {
 		s := newLeader()
 		table := &routing.Table{Generation: 1, Backends: []routing.Backend{{Name: "b"}}}
-		s.ask(&protocol.FleetOrder{Routing: table})
+		s.ask(&protocol.FleetRequest{Routing: table})
 		s.confirm()
 		unnamedBackend := first
 		unnamedBackend.Backend = "nowhere"
-		So(s.report(unnamedBackend).Void, ShouldEqual, membership.ReportUnknownBackend.String())
+		So(s.report(unnamedBackend).IgnoredReason, ShouldEqual, membership.ReportUnknownBackend.String())
 		So(s.core.Fleet().EngineCount(), ShouldEqual, 0)
-		So(s.report(first).Void, ShouldBeEmpty)
+		So(s.report(first).IgnoredReason, ShouldBeEmpty)
 		So(s.core.Fleet().EngineCount(), ShouldEqual, 1)
 	})
 }
--- a/internal/control/leader.go
+++ b/internal/control/leader.go
@@ -77,7 +77,7 @@
 	}
 	// Invariant: a leader plans only from a directory that includes every update of
 	// earlier leaders.
-	if c.host.Groups[0].Node.TermAt(c.host.Groups[0].Node.Applied()) != c.host.Groups[0].Node.Term() {
+	if c.host.Groups[0].Node.TermAt(c.host.Groups[0].Node.AppliedIndex()) != c.host.Groups[0].Node.Term() {
 		return
 	}
 	c.lastPlanMs = c.nowMs
@@ -105,7 +105,7 @@
 		return
 	}
 	c.lastSweepMs = c.nowMs
-	retainMs := *c.system.tree.Effective("/").RetainMs
+	retainMs := *c.system.tree.EffectiveFields("/").RetentionMs
 	for _, group := range c.host.Groups[1:] {
 		ledger := group.StateMachine.(*ledgerStateMachine).ledger
 		if group.Node.Role() != consensus.Leader || !ledger.IsSweepDue(c.nowMs, retainMs) {
--- a/internal/control/liveness_test.go
+++ b/internal/control/liveness_test.go
@@ -41,7 +41,7 @@
 	h.nextID++
 	h.senders[h.nextID] = name
 	gateway := &membership.Gateway{Name: name, IsReady: true}
-	h.core.HandleRequest(h.nextID, &protocol.FleetSync{Gateway: gateway, Version: h.core.Fleet().Version(), HoldMs: h.holdMs}, h.nowMs)
+	h.core.HandleRequest(h.nextID, &protocol.FleetSync{Gateway: gateway, FleetVersion: h.core.Fleet().Version(), LongPollMs: h.holdMs}, h.nowMs)
 }
 
 // advance advances time with one tick per step.
@@ -131,7 +131,7 @@
 		h.frozen["gateway-7"] = true
 		const reportID = 1 << 40
 		report := &membership.ServingEngine{ID: "e", Backend: "b", Address: "e", Slots: 8, Sequence: 1}
-		h.core.HandleRequest(reportID, &protocol.FleetOrder{Report: report}, h.nowMs)
+		h.core.HandleRequest(reportID, &protocol.FleetRequest{Report: report}, h.nowMs)
 		h.advance(t, fleetNotifyIntervalMs+gatewaySmallDeltaRepollTimeoutMs+fleetPlanIntervalMs+4*tickMs, tickMs)
 		So(h.listedGateways(), ShouldHaveLength, 19)
 		replyWithEngines := func(engines int) *protocol.FleetSyncReply {
--- a/internal/control/machines.go
+++ b/internal/control/machines.go
@@ -100,7 +100,7 @@
 
 func newLedgerStateMachine(options Options) *ledgerStateMachine {
 	ledger := program.NewLedger()
-	ledger.DisableFence = options.DisableFence
+	ledger.DisableFencing = options.DisableFencing
 	ledger.DisableBudget = options.DisableBudget
 	ledger.DisableAtMostOnce = options.DisableAtMostOnce
 	ledger.DisableTurnOrder = options.DisableTurnOrder
--- a/internal/control/proof_test.go
+++ b/internal/control/proof_test.go
@@ -73,7 +73,7 @@
 		options := DefaultOptions(member.name, members, 0)
 		options.Discovered = true
 		options.MinVoters = 3
-		options.Fleet = membership.FleetOptions{EngineTimeoutMs: engineTimeoutMs, GatewayTimeoutMs: gatewayTimeoutMs, GatewayRepollTimeoutMs: gatewayRepollTimeoutMs, GatewaySmallDeltaRepollTimeoutMs: gatewaySmallDeltaRepollTimeoutMs, LedgerTimeoutMs: ledgerTimeoutMs, LedgerRetentionMs: ledgerRetentionMs, InitialPlacementDelayMs: initialPlacementDelayMs}
+		options.Fleet = membership.FleetOptions{EngineTimeoutMs: engineTimeoutMs, GatewayTimeoutMs: gatewayTimeoutMs, GatewayRepollTimeoutMs: gatewayRepollTimeoutMs, GatewaySmallUpdateRepollTimeoutMs: gatewaySmallDeltaRepollTimeoutMs, LedgerTimeoutMs: ledgerTimeoutMs, LedgerRetentionMs: ledgerRetentionMs, InitialPlacementDelayMs: initialPlacementDelayMs}
 		core, err := NewCore(options, member.store, member, c.nowMs)
 		if err != nil {
 			t.Fatal(err)
@@ -154,8 +154,8 @@
 	generation := c.generation
 	table := &routing.Table{Generation: generation, RequiresKey: true}
 	for _, member := range c.members {
-		member.ask(&protocol.FleetOrder{Routing: table}, func(reply any) {
-			if reply.(*protocol.FleetOrderReply).Error == nil {
+		member.ask(&protocol.FleetRequest{Routing: table}, func(reply any) {
+			if reply.(*protocol.FleetReply).Error == nil {
 				c.acknowledged = max(c.acknowledged, generation)
 			}
 		})
@@ -169,11 +169,11 @@
 	acknowledgedBefore := c.acknowledged
 	for _, member := range c.members {
 		request := &protocol.FleetSync{
-			Gateway: &membership.Gateway{Name: "g", IsReady: true}, WithRouting: true, Generation: heldGeneration, Prove: true, HoldMs: int64(c.random.IntN(2)) * 700,
+			Gateway: &membership.Gateway{Name: "g", IsReady: true}, WithRouting: true, RoutingGeneration: heldGeneration, ConfirmLeadership: true, LongPollMs: int64(c.random.IntN(2)) * 700,
 		}
 		member.ask(request, func(answer any) {
 			reply := answer.(*protocol.FleetSyncReply)
-			if reply.Error != nil || !reply.Confirmed {
+			if reply.Error != nil || !reply.IsConfirmed {
 				c.refused++
 				return
 			}
--- a/internal/control/reads.go
+++ b/internal/control/reads.go
@@ -27,8 +27,8 @@
 
 // HistoryView lists accepted settings changes, newest last.
 type HistoryView struct {
-	Revision uint64              `json:"revision"`
-	Changes  []settings.Accepted `json:"changes"`
+	Revision uint64                    `json:"revision"`
+	Changes  []settings.AcceptedChange `json:"changes"`
 }
 
 // DaemonView describes one daemon from the view of the settings group's leader.
@@ -130,7 +130,7 @@
 	case protocol.ReadSettings:
 		return c.settingsView(request.Path)
 	case protocol.ReadHistory:
-		return HistoryView{Revision: c.Revision(), Changes: c.system.tree.History(request.Path)}, nil
+		return HistoryView{Revision: c.SettingsRevision(), Changes: c.system.tree.History(request.Path)}, nil
 	case protocol.ReadStatus:
 		return c.statusView(), nil
 	case protocol.ReadEngines:
@@ -154,7 +154,7 @@
 	}
 	view := SettingsView{
 		Revision: tree.Revision(), Path: path, Exists: exists, Version: node.Version,
-		Operator: node.Operator, Own: node.Fields, Effective: tree.Effective(path),
+		Operator: node.Operator, Own: node.Fields, Effective: tree.EffectiveFields(path),
 	}
 	for _, child := range paths {
 		if child != path {
@@ -166,7 +166,7 @@
 
 func (c *Core) statusView() StatusView {
 	view := StatusView{
-		Revision: c.Revision(), DirectoryVersion: c.system.directory.Version, Leader: c.leaderName(c.host.Groups[0]),
+		Revision: c.SettingsRevision(), DirectoryVersion: c.system.directory.Version, Leader: c.leaderName(c.host.Groups[0]),
 	}
 	for _, member := range c.options.Members {
 		view.Daemons = append(view.Daemons, c.memberView(member))
@@ -181,7 +181,7 @@
 	for _, group := range c.host.Groups {
 		view.Groups = append(view.Groups, GroupView{
 			Group: uint32(group.ID), Leader: c.leaderName(group), Term: group.Node.Term(),
-			Committed: group.Node.Commit(), Replicas: group.Node.Configuration().Replicas,
+			Committed: group.Node.CommitIndex(), Replicas: group.Node.Configuration().Replicas,
 		})
 	}
 	return view
@@ -191,7 +191,7 @@
 	view := DaemonView{Name: member.Name, Role: "control", Zone: member.Zone, Address: member.Address}
 	if member.Name == c.options.Name {
 		view.Alive = true
-		view.Revision = c.Revision()
+		view.Revision = c.SettingsRevision()
 		return view
 	}
 	view.Alive = c.nowMs-c.lastReceivedMs[member.Name] < suspectTimeoutMs
--- a/internal/control/reports.go
+++ b/internal/control/reports.go
@@ -57,7 +57,7 @@
 
 // nextList returns the next list for the leader, including the engines of older lists whose
 // receipt is overdue.
-func (r *engineReports) nextList(nowMs int64) *protocol.EngineList {
+func (r *engineReports) nextList(nowMs int64) *protocol.EngineLiveness {
 	for len(r.unacknowledged) > 0 && nowMs-r.unacknowledged[0].sentMs > acknowledgeWindowMs {
 		for engine, atMs := range r.unacknowledged[0].reportedMs {
 			r.reportedMs[engine] = max(r.reportedMs[engine], atMs)
@@ -66,7 +66,7 @@
 	}
 	maps.DeleteFunc(r.reportedMs, func(_ string, atMs int64) bool { return nowMs-atMs > reportExpiryMs })
 	r.lastNumber++
-	list := &protocol.EngineList{Number: r.lastNumber, Heard: slices.Sorted(maps.Keys(r.reportedMs))}
+	list := &protocol.EngineLiveness{BatchNumber: r.lastNumber, ReportedEngines: slices.Sorted(maps.Keys(r.reportedMs))}
 	r.unacknowledged = append(r.unacknowledged, reportList{number: r.lastNumber, sentMs: nowMs, reportedMs: r.reportedMs})
 	r.reportedMs = map[string]int64{}
 	return list
@@ -101,9 +101,9 @@
 
 // engineList returns the engine list of a presence message to another process: on the leader the
 // receipt for that process's lists, on other processes the next list if the receiver is the leader.
-func (c *Core) engineList(member string) *protocol.EngineList {
+func (c *Core) engineList(member string) *protocol.EngineLiveness {
 	if c.fleetTracker != nil {
-		return &protocol.EngineList{Received: c.engineReports.receivedNumbers[member]}
+		return &protocol.EngineLiveness{AcknowledgedBatch: c.engineReports.receivedNumbers[member]}
 	}
 	if member != c.engineReports.leader {
 		return nil
@@ -112,19 +112,19 @@
 }
 
 // handleEngineList handles the engine list in a presence message of another process.
-func (c *Core) handleEngineList(from string, list *protocol.EngineList) {
+func (c *Core) handleEngineList(from string, list *protocol.EngineLiveness) {
 	if list == nil {
 		return
 	}
 	if c.fleetTracker == nil {
-		c.engineReports.handleReceipt(from, list.Received)
+		c.engineReports.handleReceipt(from, list.AcknowledgedBatch)
 		return
 	}
-	if list.Number == 0 {
+	if list.BatchNumber == 0 {
 		return
 	}
-	c.engineReports.receivedNumbers[from] = list.Number
-	for _, engine := range list.Heard {
+	c.engineReports.receivedNumbers[from] = list.BatchNumber
+	for _, engine := range list.ReportedEngines {
 		c.fleetTracker.RecordEngineAlive(engine, c.nowMs)
 	}
 }
--- a/internal/control/reports_test.go
+++ b/internal/control/reports_test.go
@@ -13,13 +13,13 @@
 
 // reportTo sends an engine's report to a process; onReply gets the failure, nil for none.
 func (c *testCluster) reportTo(member *testMember, engine membership.ServingEngine, onReply func(failure *result.Error)) {
-	member.ask(&protocol.FleetOrder{Report: &engine}, func(reply any) { onReply(reply.(*protocol.FleetOrderReply).Error) })
+	member.ask(&protocol.FleetRequest{Report: &engine}, func(reply any) { onReply(reply.(*protocol.FleetReply).Error) })
 }
 
 // leader returns the reachable process that leads the settings group, nil if there is none.
 func (c *testCluster) leader() *testMember {
 	for _, member := range c.members {
-		if member.core.Leads(0) && member.core.fleetTracker != nil && !member.partitioned && !member.paused {
+		if member.core.IsLeader(0) && member.core.fleetTracker != nil && !member.partitioned && !member.paused {
 			return member
 		}
 	}
--- a/internal/control/requests.go
+++ b/internal/control/requests.go
@@ -19,7 +19,7 @@
 		c.handleLedgerRequest(id, typed)
 	case *protocol.SyncRequest:
 		c.handleSyncRequest(id, typed)
-	case *protocol.ReleasedRequest:
+	case *protocol.EndedProgramsRequest:
 		c.handleReleasedRequest(id, typed)
 	case *protocol.PermitRequest:
 		c.handlePermitRequest(id, typed)
@@ -27,7 +27,7 @@
 		c.handleSettingsRequest(id, typed)
 	case *protocol.ReadRequest:
 		c.handleReadRequest(id, typed)
-	case *protocol.FleetOrder:
+	case *protocol.FleetRequest:
 		c.handleFleetOrder(id, typed)
 	case *protocol.FleetSync:
 		c.handleFleetSync(id, typed)
@@ -89,25 +89,25 @@
 		}
 		return records, err
 	}
-	if reply.Turn <= request.KnownTurn+1 {
+	if reply.Turn <= request.CachedTurn+1 {
 		return nil, nil
 	}
-	return c.host.Records(group, name, request.KnownTurn)
+	return c.host.Records(group, name, request.CachedTurn)
 }
 
-func (c *Core) handleReleasedRequest(id RequestID, request *protocol.ReleasedRequest) {
+func (c *Core) handleReleasedRequest(id RequestID, request *protocol.EndedProgramsRequest) {
 	group, leader, failure := c.ledGroup(request.Group)
 	if failure != nil {
-		c.transport.Reply(id, &protocol.ReleasedReply{Error: failure, Leader: leader})
+		c.transport.Reply(id, &protocol.EndedProgramsReply{Error: failure, Leader: leader})
 		return
 	}
 	c.host.LinearizableRead(group, func(failure *result.Error) {
 		if failure != nil {
-			c.transport.Reply(id, &protocol.ReleasedReply{Error: failure})
+			c.transport.Reply(id, &protocol.EndedProgramsReply{Error: failure})
 			return
 		}
 		ledger := group.StateMachine.(*ledgerStateMachine).ledger
-		c.transport.Reply(id, &protocol.ReleasedReply{Released: ledger.EndedOrUnknown(request.Programs)})
+		c.transport.Reply(id, &protocol.EndedProgramsReply{EndedOrUnknown: ledger.EndedOrUnknown(request.Programs)})
 	})
 }
 
@@ -118,8 +118,8 @@
 		return
 	}
 	if request.Validate {
-		winner, failure := c.system.tree.Check(request.Change)
-		c.transport.Reply(id, &protocol.SettingsReply{Reply: settings.Reply{Error: failure, Winner: winner, Revision: c.Revision()}})
+		winner, failure := c.system.tree.Validate(request.Change)
+		c.transport.Reply(id, &protocol.SettingsReply{Reply: settings.Reply{Error: failure, Winner: winner, Revision: c.SettingsRevision()}})
 		return
 	}
 	request.Change.AtMs = c.nowMs
@@ -149,7 +149,7 @@
 		c.transport.Reply(id, &protocol.PermitReply{Granted: true})
 		return
 	}
-	fields := c.system.tree.Effective("/pools/" + request.Pool)
+	fields := c.system.tree.EffectiveFields("/pools/" + request.Pool)
 	engines := 0
 	for _, engine := range c.system.directory.Engines {
 		if engine.Pool == request.Pool && !engine.Leaving {
@@ -157,8 +157,8 @@
 		}
 	}
 	granted := c.permits.Grant(request.Engine, request.Pool, reconcile.Limits{
-		Engines: engines, Ready: c.schedulerTracker.ReadyEngines(request.Pool, c.nowMs),
-		Floor: int(*fields.ReadyFloor), Concurrent: int(*fields.ConcurrentLoads),
+		PoolSize: engines, ReadyEngines: c.schedulerTracker.ReadyEngines(request.Pool, c.nowMs),
+		ReadyFloor: int(*fields.ReadyFloor), MaxConcurrentLoads: int(*fields.ConcurrentLoads),
 	}, c.nowMs)
 	c.transport.Reply(id, &protocol.PermitReply{Granted: granted})
 }
@@ -177,7 +177,7 @@
 		return
 	}
 	c.schedulerTracker.RecordHeartbeat(request.Heartbeat, c.nowMs)
-	if request.Fresh {
+	if request.ConfirmNow {
 		c.host.LinearizableRead(group, func(failure *result.Error) {
 			if failure != nil {
 				c.transport.Reply(id, &protocol.SyncReply{Error: failure})
@@ -191,22 +191,22 @@
 		c.transport.Reply(id, c.syncReply(request))
 		return
 	}
-	c.pendingSyncs = append(c.pendingSyncs, pendingSync{id: id, request: request, deadlineMs: c.nowMs + request.HoldMs})
+	c.pendingSyncs = append(c.pendingSyncs, pendingSync{id: id, request: request, deadlineMs: c.nowMs + request.LongPollMs})
 }
 
 func (c *Core) hasChanges(request *protocol.SyncRequest) bool {
 	directory := c.system.directory
-	return c.system.tree.Revision() > request.Revision || directory.Roster().ChangeVersion() > request.Directory ||
-		directory.OwnedEnginesVersion(request.Heartbeat.Scheduler.Name) > request.Directory
+	return c.system.tree.Revision() > request.Revision || directory.Roster().ChangeVersion() > request.DirectoryVersion ||
+		directory.OwnedEnginesVersion(request.Heartbeat.Scheduler.Name) > request.DirectoryVersion
 }
 
 func (c *Core) syncReply(request *protocol.SyncRequest) *protocol.SyncReply {
 	reply := &protocol.SyncReply{Feed: protocol.NewFeed(c.system.tree, request.Revision)}
 	directory := c.system.directory
-	reply.Feed.Roster = directory.Roster().DeltaSince(request.Directory)
+	reply.Feed.Roster = directory.Roster().DeltaSince(request.DirectoryVersion)
 	reply.Feed.Groups = uint32(c.options.LedgerGroups)
 	name := request.Heartbeat.Scheduler.Name
-	if directory.OwnedEnginesVersion(name) > request.Directory {
+	if directory.OwnedEnginesVersion(name) > request.DirectoryVersion {
 		reply.EnginesChanged = true
 		reply.Engines = directory.OwnedBy(name)
 	}
--- a/internal/control/restart_bench_test.go
+++ b/internal/control/restart_bench_test.go
@@ -37,9 +37,9 @@
 			flush(b, core)
 		}
 	}
-	request(&protocol.FleetOrder{Routing: table})
+	request(&protocol.FleetRequest{Routing: table})
 	for number := range benchEngines {
-		request(&protocol.FleetOrder{Report: &membership.ServingEngine{ID: fmt.Sprintf("i-%010d", number), Backend: "b", Address: fmt.Sprintf("10.1.64.%d:8364", number), Zone: "zone", Slots: 6, Sequence: 1}})
+		request(&protocol.FleetRequest{Report: &membership.ServingEngine{ID: fmt.Sprintf("i-%010d", number), Backend: "b", Address: fmt.Sprintf("10.1.64.%d:8364", number), Zone: "zone", Slots: 6, Sequence: 1}})
 	}
 	flush(b, core)
 	gateway := func(number int, ready bool) *membership.Gateway {
@@ -47,12 +47,12 @@
 	}
 	for b.Loop() {
 		for number := range benchGateways {
-			request(&protocol.FleetSync{Gateway: gateway(number, false), WithRouting: true, HoldMs: 700, Fresh: true})
+			request(&protocol.FleetSync{Gateway: gateway(number, false), WithRouting: true, LongPollMs: 700, ConfirmNow: true})
 		}
 		flush(b, core)
 		version := core.Fleet().Version()
 		for number := range benchGateways {
-			request(&protocol.FleetSync{Gateway: gateway(number, true), WithRouting: true, HoldMs: 700, Version: version, Generation: 4})
+			request(&protocol.FleetSync{Gateway: gateway(number, true), WithRouting: true, LongPollMs: 700, FleetVersion: version, RoutingGeneration: 4})
 		}
 		flush(b, core)
 		now += 800
--- a/internal/control/servingengines.go
+++ b/internal/control/servingengines.go
@@ -10,11 +10,11 @@
 	// InFlight is the number of requests that all gateways have in flight at the engine, and
 	// HeldTokens the KV cache tokens reserved for them, both as means since the gateways' last
 	// reports.
-	InFlight   float64 `json:"in_flight"`
-	HeldTokens float64 `json:"held_tokens"`
-	// Slowness is the engine's slowdown: its time per token relative to the usual engine of its
+	InFlight              float64 `json:"in_flight"`
+	ReservedKVCacheTokens float64 `json:"held_tokens"`
+	// Slowdown is the engine's slowdown: its time per token relative to the usual engine of its
 	// backend, 0 if its streams have given no recent samples.
-	Slowness float64 `json:"slowness,omitempty"`
+	Slowdown float64 `json:"slowness,omitempty"`
 	// Advertised says that the engine is announced to gateways.
 	Advertised bool `json:"advertised"`
 	// AvoidReason says why gateways send the engine no new work; empty if they do.
@@ -66,7 +66,7 @@
 	}
 	view.InFlight = c.loadAggregator.InFlight(view.ID, c.nowMs)
 	for _, usage := range c.loadAggregator.Usages([]string{view.ID}, c.nowMs) {
-		view.HeldTokens = float64(usage.ReservedKVCacheTokens)
-		view.Slowness = usage.Pace.Mean()
+		view.ReservedKVCacheTokens = float64(usage.ReservedKVCacheTokens)
+		view.Slowdown = usage.Pace.Mean()
 	}
 }
--- a/internal/control/servingengines_test.go
+++ b/internal/control/servingengines_test.go
@@ -28,8 +28,8 @@
 			views[view.ID] = view
 		}
 		So(views["quick"].InFlight, ShouldEqual, 4)
-		So(views["quick"].HeldTokens, ShouldEqual, 1400)
-		So(views["quick"].Slowness, ShouldAlmostEqual, 0.6, 0.001)
+		So(views["quick"].ReservedKVCacheTokens, ShouldEqual, 1400)
+		So(views["quick"].Slowdown, ShouldAlmostEqual, 0.6, 0.001)
 		So(views["quick"].AvoidReason, ShouldBeEmpty)
 		So(views["leaving"].AvoidReason, ShouldEqual, avoidReasonDraining)
 		So(views["broken"].AvoidReason, ShouldEqual, avoidReasonFailing)
--- a/internal/control/shares.go
+++ b/internal/control/shares.go
@@ -34,7 +34,7 @@
 // does not lead the settings group.
 type SharesView struct {
 	Process  string          `json:"process"`
-	Leads    bool            `json:"leads"`
+	IsLeader bool            `json:"leads"`
 	Backends []BackendShares `json:"backends"`
 }
 
@@ -44,7 +44,7 @@
 	if c.usageAggregator == nil {
 		return view
 	}
-	view.Leads = true
+	view.IsLeader = true
 	engines, slots := map[string]int{}, map[string]int{}
 	for _, engine := range c.system.fleet.Engines() {
 		if !engine.Draining {
--- a/internal/control/terms_test.go
+++ b/internal/control/terms_test.go
@@ -82,7 +82,7 @@
 func (s *scriptedControl) becomeLeader() {
 	s.sendFromPeer(peerB, consensus.Message{Kind: consensus.MessageTimeoutNow, Term: s.node().Term()})
 	s.sendFromPeer(peerC, consensus.Message{Kind: consensus.MessageVoteResponse, Term: s.node().Term()})
-	if !s.core.Leads(0) {
+	if !s.core.IsLeader(0) {
 		s.t.Fatal("the process does not lead the settings group")
 	}
 }
@@ -128,7 +128,7 @@
 }
 
 func confirmationRequest(gateway string, holdMs int64) *protocol.FleetSync {
-	return &protocol.FleetSync{Gateway: &membership.Gateway{Name: gateway, IsReady: true}, Prove: true, HoldMs: holdMs}
+	return &protocol.FleetSync{Gateway: &membership.Gateway{Name: gateway, IsReady: true}, ConfirmLeadership: true, LongPollMs: holdMs}
 }
 
 // TestHeartbeatsOverTerms checks a leader that was frozen, lost the leadership and regained it
@@ -158,13 +158,13 @@
 		s.confirm()
 		So(s.fleetReply(afterTerm), ShouldNotBeNil)
 		So(s.fleetReply(afterTerm).Error, ShouldBeNil)
-		So(s.fleetReply(afterTerm).Confirmed, ShouldBeTrue)
+		So(s.fleetReply(afterTerm).IsConfirmed, ShouldBeTrue)
 	})
 	Convey("held heartbeats are refused with the end of the term", t, func() {
 		s := newLeader()
 		held := s.ask(confirmationRequest("g1", 700))
 		s.confirm()
-		unconfirmed := s.ask(&protocol.FleetSync{Gateway: &membership.Gateway{Name: "g2", IsReady: true}, Version: s.core.system.fleet.Version(), HoldMs: 700})
+		unconfirmed := s.ask(&protocol.FleetSync{Gateway: &membership.Gateway{Name: "g2", IsReady: true}, FleetVersion: s.core.system.fleet.Version(), LongPollMs: 700})
 		flush(t, s.core)
 		So(s.fleetReply(held), ShouldBeNil)
 		So(s.fleetReply(unconfirmed), ShouldBeNil)
@@ -224,7 +224,7 @@
 		t.Fatal("no plan is pending")
 	}
 	s.loseLeadership()
-	s.overwriteLog(s.node().Commit())
+	s.overwriteLog(s.node().CommitIndex())
 	s.becomeLeader()
 	sendHeartbeat("g5")
 	s.confirm()
--- a/internal/control/web.go
+++ b/internal/control/web.go
@@ -141,7 +141,7 @@
 	if address == "" || member == d.core.options.Name {
 		return nil
 	}
-	if d.caller.CallWithin(context.Background(), timeout, address, kind, request, target) != nil {
+	if d.caller.CallWithTimeout(context.Background(), timeout, address, kind, request, target) != nil {
 		return nil
 	}
 	return target
@@ -254,7 +254,7 @@
 // pollPlatform reads the platform's list of instances while this process leads the
 // settings group.
 func (d *Daemon) pollPlatform(ctx context.Context) error {
-	if d.process.Platform == "" {
+	if d.process.PlatformAddress == "" {
 		return nil
 	}
 	ticker := time.NewTicker(platformPollInterval)
@@ -266,7 +266,7 @@
 		case <-ticker.C:
 		}
 		isLeader := make(chan bool, 1)
-		d.loop.Post(func() { isLeader <- d.core.Leads(0) })
+		d.loop.Post(func() { isLeader <- d.core.IsLeader(0) })
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
@@ -275,7 +275,7 @@
 				continue
 			}
 		}
-		_, body, err := fasthttp.GetTimeout(nil, "http://"+d.process.Platform+"/v1/instances", platformTimeout)
+		_, body, err := fasthttp.GetTimeout(nil, "http://"+d.process.PlatformAddress+"/v1/instances", platformTimeout)
 		var instances []membership.Instance
 		unusable := 0
 		if err == nil {
--- a/internal/daemon/caller.go
+++ b/internal/daemon/caller.go
@@ -9,11 +9,11 @@
 	"github.com/ochrebay/ochrebay/internal/protocol"
 )
 
-// ErrNoAnswer means that a process did not answer in time or ended the connection.
-var ErrNoAnswer = errors.New("daemon: no answer")
+// ErrNoResponse means that a process did not answer in time or ended the connection.
+var ErrNoResponse = errors.New("daemon: no answer")
 
-// Caller keeps one connection to each process that this one asks.
-type Caller struct {
+// Client keeps one connection to each process that this one asks.
+type Client struct {
 	mutex       sync.Mutex
 	connections map[string]*callee
 	closed      bool
@@ -26,12 +26,12 @@
 	err        error
 }
 
-// NewCaller returns a caller without connections.
-func NewCaller() *Caller { return &Caller{connections: map[string]*callee{}} }
+// NewClient returns a caller without connections.
+func NewClient() *Client { return &Client{connections: map[string]*callee{}} }
 
 // connect returns the connection to an address; callers that come while it is made
 // wait for the same one.
-func (c *Caller) connect(ctx context.Context, address string) (*protocol.Connection, error) {
+func (c *Client) connect(ctx context.Context, address string) (*protocol.Connection, error) {
 	c.mutex.Lock()
 	known := c.connections[address]
 	if known == nil && !c.closed {
@@ -41,7 +41,7 @@
 	}
 	c.mutex.Unlock()
 	if known == nil {
-		return nil, ErrNoAnswer
+		return nil, ErrNoResponse
 	}
 	select {
 	case <-known.done:
@@ -51,7 +51,7 @@
 	}
 }
 
-func (c *Caller) dial(address string, made *callee) {
+func (c *Client) dial(address string, made *callee) {
 	made.connection, made.err = protocol.Dial(address, dialTimeout, 0)
 	if made.err != nil {
 		c.forget(address, made)
@@ -62,7 +62,7 @@
 	made.connection.OnClose(func() { c.forget(address, made) })
 }
 
-func (c *Caller) forget(address string, made *callee) {
+func (c *Client) forget(address string, made *callee) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.connections[address] == made {
@@ -70,8 +70,8 @@
 	}
 }
 
-// Drop closes the connection to an address, so that the next call makes a new one.
-func (c *Caller) Drop(address string) {
+// Disconnect closes the connection to an address, so that the next call makes a new one.
+func (c *Client) Disconnect(address string) {
 	c.mutex.Lock()
 	known := c.connections[address]
 	delete(c.connections, address)
@@ -88,7 +88,7 @@
 }
 
 // Call sends a request and decodes its one answer into reply.
-func (c *Caller) Call(ctx context.Context, address string, kind protocol.Kind, request, reply any) error {
+func (c *Client) Call(ctx context.Context, address string, kind protocol.Kind, request, reply any) error {
 	connection, err := c.connect(ctx, address)
 	if err != nil {
 		return err
@@ -103,7 +103,7 @@
 	select {
 	case frame := <-answers:
 		if frame.Kind == protocol.KindClosed {
-			return ErrNoAnswer
+			return ErrNoResponse
 		}
 		return protocol.Decode(frame.Body, reply)
 	case <-ctx.Done():
@@ -111,22 +111,22 @@
 	}
 }
 
-// CallWithin is Call with a bound on its time; a process that kept silent all that time
+// CallWithTimeout is Call with a bound on its time; a process that kept silent all that time
 // loses its connection, since it may be dark. One that answers others is only slow: to end
 // its connection would end their calls too.
-func (c *Caller) CallWithin(ctx context.Context, within time.Duration, address string, kind protocol.Kind, request, reply any) error {
+func (c *Client) CallWithTimeout(ctx context.Context, within time.Duration, address string, kind protocol.Kind, request, reply any) error {
 	bounded, cancel := context.WithTimeout(ctx, within)
 	defer cancel()
 	began := time.Now()
 	err := c.Call(bounded, address, kind, request, reply)
 	if err != nil && bounded.Err() != nil && ctx.Err() == nil && !c.heardSince(address, began) {
-		c.Drop(address)
+		c.Disconnect(address)
 	}
 	return err
 }
 
 // heardSince reports whether a process has sent anything since a time.
-func (c *Caller) heardSince(address string, since time.Time) bool {
+func (c *Client) heardSince(address string, since time.Time) bool {
 	c.mutex.Lock()
 	known := c.connections[address]
 	c.mutex.Unlock()
@@ -135,14 +135,14 @@
 	}
 	select {
 	case <-known.done:
-		return known.connection != nil && known.connection.HeardSince(since)
+		return known.connection != nil && known.connection.ReceivedSince(since)
 	default:
 		return false
 	}
 }
 
 // Close ends all connections.
-func (c *Caller) Close() {
+func (c *Client) Close() {
 	c.mutex.Lock()
 	c.closed = true
 	addresses := make([]string, 0, len(c.connections))
@@ -151,6 +151,6 @@
 	}
 	c.mutex.Unlock()
 	for _, address := range addresses {
-		c.Drop(address)
+		c.Disconnect(address)
 	}
 }
--- a/internal/daemon/follower.go
+++ b/internal/daemon/follower.go
@@ -45,28 +45,28 @@
 type Follower struct {
 	// Seeds are the inner addresses of control processes to ask first.
 	Seeds []string
-	// Report fills in what the process says of itself.
-	Report func(request *protocol.FleetSync)
+	// FillReport fills in what the process says of itself.
+	FillReport func(request *protocol.FleetSync)
 	// WithRouting asks for the routing table too.
 	WithRouting bool
-	// OnNews takes a new view or table. Invariant: nothing is handed on before a quorum has
+	// OnUpdate takes a new view or table. Invariant: nothing is handed on before a quorum has
 	// confirmed news since the process started.
-	OnNews func(view *membership.FleetView, table *routing.Table)
-	// OnLoads takes what all gateways together have seen of engines, and those at which
+	OnUpdate func(view *membership.FleetView, table *routing.Table)
+	// OnEngineLoads takes what all gateways together have seen of engines, and those at which
 	// requests of several of them fail; nil where nobody asks.
-	OnLoads func(loads []scheduling.EngineLoad, failing []string)
-	// OnUsages takes what all gateways together know of the engines' use; nil where nobody asks.
-	OnUsages func(usages []scheduling.EngineUsage)
-	// OnLate takes what all gateways together have seen of streams; nil where nobody asks.
-	OnLate func(shares []scheduling.StreamLateness)
-	// OnUses takes what all gateways' tenants together use of back ends; nil where nobody asks.
-	OnUses func(uses []admission.BackendUsage)
-	Logger log.Logger
+	OnEngineLoads func(loads []scheduling.EngineLoad, failing []string)
+	// OnEngineUsages takes what all gateways together know of the engines' use; nil where nobody asks.
+	OnEngineUsages func(usages []scheduling.EngineUsage)
+	// OnStreamLateness takes what all gateways together have seen of streams; nil where nobody asks.
+	OnStreamLateness func(shares []scheduling.StreamLateness)
+	// OnBackendUsages takes what all gateways' tenants together use of back ends; nil where nobody asks.
+	OnBackendUsages func(uses []admission.BackendUsage)
+	Logger          log.Logger
 
 	// proved is the latest proof.
 	proved atomic.Pointer[proof]
 
-	caller *Caller
+	caller *Client
 	mutex  sync.Mutex
 	search leaderSearch
 	// told is the digest of the control processes that the leader last named.
@@ -92,7 +92,7 @@
 
 // NewFollower returns a follower that has heard nothing.
 func NewFollower(seeds []string, logger log.Logger) *Follower {
-	follower := &Follower{Seeds: seeds, Logger: logger, caller: NewCaller(), search: leaderSearch{controls: slices.Clone(seeds)}, poke: make(chan struct{}, 1)}
+	follower := &Follower{Seeds: seeds, Logger: logger, caller: NewClient(), search: leaderSearch{controls: slices.Clone(seeds)}, poke: make(chan struct{}, 1)}
 	follower.proved.Store(&proof{next: make(chan struct{})})
 	return follower
 }
@@ -109,8 +109,8 @@
 	}
 }
 
-// Poke makes the follower report again at once.
-func (f *Follower) Poke() {
+// SyncNow makes the follower report again at once.
+func (f *Follower) SyncNow() {
 	select {
 	case f.poke <- struct{}{}:
 	default:
@@ -174,7 +174,7 @@
 	request := f.request()
 	within := syncTimeout
 	if !f.proven(target) {
-		request.HoldMs = 0
+		request.LongPollMs = 0
 		within = searchTimeout
 	}
 	bounded, cancel := context.WithTimeout(ctx, within)
@@ -186,7 +186,7 @@
 	case err != nil && bounded.Err() == context.Canceled && ctx.Err() == nil:
 		return true
 	case err != nil:
-		f.caller.Drop(target)
+		f.caller.Disconnect(target)
 		f.failed(target, bounded.Err() != nil && time.Since(asked) < within+pausedFrom)
 		return false
 	case reply.Error != nil:
@@ -195,17 +195,17 @@
 	}
 	f.take(target, &reply)
 	f.noteProof(asked, &reply)
-	if f.OnLate != nil && len(reply.Late) > 0 {
-		f.OnLate(reply.Late)
+	if f.OnStreamLateness != nil && len(reply.StreamLateness) > 0 {
+		f.OnStreamLateness(reply.StreamLateness)
 	}
-	if f.OnUses != nil && reply.Uses != nil {
-		f.OnUses(reply.Uses.Value)
+	if f.OnBackendUsages != nil && reply.BackendUsages != nil {
+		f.OnBackendUsages(reply.BackendUsages.Value)
 	}
-	if f.OnLoads != nil && reply.Loads != nil {
+	if f.OnEngineLoads != nil && reply.EngineLoads != nil {
 		f.loadsAt = time.Now()
-		f.OnLoads(reply.Loads.Value, reply.Failing)
-		if f.OnUsages != nil && reply.Usages != nil {
-			f.OnUsages(reply.Usages.Value)
+		f.OnEngineLoads(reply.EngineLoads.Value, reply.FailingEngines)
+		if f.OnEngineUsages != nil && reply.EngineUsages != nil {
+			f.OnEngineUsages(reply.EngineUsages.Value)
 		}
 	}
 	return true
@@ -215,7 +215,7 @@
 // question left. Invariant: it runs after the table that came with the answer is in force,
 // and a difference that did not fit proves nothing.
 func (f *Follower) noteProof(asked time.Time, reply *protocol.FleetSyncReply) {
-	if !reply.Confirmed || !f.WithRouting {
+	if !reply.IsConfirmed || !f.WithRouting {
 		return
 	}
 	f.mutex.Lock()
@@ -231,13 +231,13 @@
 	close(previous.next)
 }
 
-// NextProof returns a channel that is closed once a proof has come after the latest.
-func (f *Follower) NextProof() <-chan struct{} { return f.proved.Load().next }
+// NextConfirmation returns a channel that is closed once a proof has come after the latest.
+func (f *Follower) NextConfirmation() <-chan struct{} { return f.proved.Load().next }
 
-// ProofAge returns how long ago the table held was surely the newest that was acknowledged;
+// ConfirmationAge returns how long ago the table held was surely the newest that was acknowledged;
 // false where that was never so. It goes by the steady clock from before the question, so
 // that neither the way nor a pause of this process makes a proof look younger.
-func (f *Follower) ProofAge() (time.Duration, bool) {
+func (f *Follower) ConfirmationAge() (time.Duration, bool) {
 	asked := f.proved.Load().askedAt
 	if asked.IsZero() {
 		return 0, false
@@ -255,20 +255,20 @@
 
 func (f *Follower) request() *protocol.FleetSync {
 	f.mutex.Lock()
-	request := &protocol.FleetSync{HoldMs: syncHold.Milliseconds(), WithRouting: f.WithRouting, Fresh: !f.confirmed, Controls: f.told}
-	request.WithLoads = f.OnLoads != nil && time.Since(f.loadsAt) >= loadsEvery
+	request := &protocol.FleetSync{LongPollMs: syncHold.Milliseconds(), WithRouting: f.WithRouting, ConfirmNow: !f.confirmed, ControlsDigest: f.told}
+	request.WithLoads = f.OnEngineLoads != nil && time.Since(f.loadsAt) >= loadsEvery
 	if f.view != nil {
-		request.Version = f.view.Version
+		request.FleetVersion = f.view.Version
 	}
 	if f.table != nil {
-		request.Generation = f.table.Generation
-		request.Prove = f.table.RequiresKey
+		request.RoutingGeneration = f.table.Generation
+		request.ConfirmLeadership = f.table.RequiresKey
 	}
-	if age, known := f.ProofAge(); request.Prove && (!known || age > proofDue) {
-		request.HoldMs = 0
+	if age, known := f.ConfirmationAge(); request.ConfirmLeadership && (!known || age > proofDue) {
+		request.LongPollMs = 0
 	}
 	f.mutex.Unlock()
-	f.Report(request)
+	f.FillReport(request)
 	return request
 }
 
@@ -291,9 +291,9 @@
 	}
 	f.answering = target
 	f.search.found(target)
-	if len(reply.Controls) > 0 {
-		f.told = protocol.ControlsDigest(reply.Controls)
-		f.search.controls = slices.Clone(reply.Controls)
+	if len(reply.ControlAddresses) > 0 {
+		f.told = protocol.ControlsDigest(reply.ControlAddresses)
+		f.search.controls = slices.Clone(reply.ControlAddresses)
 		for _, seed := range f.Seeds {
 			if !slices.Contains(f.search.controls, seed) {
 				f.search.controls = append(f.search.controls, seed)
@@ -311,13 +311,13 @@
 		f.table, news = reply.Routing.Value.Apply(f.table)
 		changed = changed || news
 	}
-	if reply.Confirmed && !f.confirmed {
+	if reply.IsConfirmed && !f.confirmed {
 		f.confirmed = true
 		changed = true
 	}
 	view, table, confirmed := f.view, f.table, f.confirmed
 	f.mutex.Unlock()
 	if changed && confirmed {
-		f.OnNews(view, table)
+		f.OnUpdate(view, table)
 	}
 }
--- a/internal/daemon/follower_test.go
+++ b/internal/daemon/follower_test.go
@@ -21,12 +21,12 @@
 func TestFollowerAsksForLoads(t *testing.T) {
 	Convey("a follower", t, func() {
 		follower := NewFollower(nil, log.NewNopLogger())
-		follower.Report = func(*protocol.FleetSync) {}
+		follower.FillReport = func(*protocol.FleetSync) {}
 		Convey("that wants no loads never asks", func() {
 			So(follower.request().WithLoads, ShouldBeFalse)
 		})
 		Convey("that wants them asks at first, and again once the last ones are old", func() {
-			follower.OnLoads = func([]scheduling.EngineLoad, []string) {}
+			follower.OnEngineLoads = func([]scheduling.EngineLoad, []string) {}
 			So(follower.request().WithLoads, ShouldBeTrue)
 			follower.loadsAt = time.Now().Add(time.Hour)
 			So(follower.request().WithLoads, ShouldBeFalse)
@@ -42,18 +42,18 @@
 	Convey("a follower whose leader is lost", t, func() {
 		var lines bytes.Buffer
 		follower := NewFollower(nil, log.NewLogfmtLogger(&lines))
-		follower.OnNews = func(*membership.FleetView, *routing.Table) {}
+		follower.OnUpdate = func(*membership.FleetView, *routing.Table) {}
 		count := func(message, leader string) int {
 			return strings.Count(lines.String(), "msg=\"control leader "+message+"\" leader="+leader)
 		}
-		follower.take("a:1", &protocol.FleetSyncReply{Confirmed: true})
-		follower.take("a:1", &protocol.FleetSyncReply{Confirmed: true})
+		follower.take("a:1", &protocol.FleetSyncReply{IsConfirmed: true})
+		follower.take("a:1", &protocol.FleetSyncReply{IsConfirmed: true})
 		follower.failed("a:1", true)
 		So(count("found", "a:1"), ShouldEqual, 1)
 		So(count("lost", "a:1"), ShouldEqual, 1)
 		Convey("finds the next by a hint", func() {
 			So(follower.redirected(&protocol.FleetSyncReply{Error: result.New(result.NotLeader, "not the leader"), Leader: "b:1"}), ShouldBeTrue)
-			follower.take("b:1", &protocol.FleetSyncReply{Confirmed: true})
+			follower.take("b:1", &protocol.FleetSyncReply{IsConfirmed: true})
 			So(count("found", "b:1"), ShouldEqual, 1)
 		})
 		Convey("tells of no loss where a process named by a hint never answered", func() {
--- a/internal/daemon/group.go
+++ b/internal/daemon/group.go
@@ -7,9 +7,9 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Group runs the tasks of a process until one of them fails or the process is to
+// TaskGroup runs the tasks of a process until one of them fails or the process is to
 // stop, which drains first.
-type Group struct {
+type TaskGroup struct {
 	// Context ends when a task has failed or the drain is over.
 	Context context.Context
 
@@ -17,21 +17,21 @@
 	stop  context.CancelFunc
 }
 
-// NewGroup returns a group without tasks.
-func NewGroup() *Group {
+// NewTaskGroup returns a group without tasks.
+func NewTaskGroup() *TaskGroup {
 	running, stop := context.WithCancel(context.Background())
 	tasks, ctx := errgroup.WithContext(running)
-	return &Group{Context: ctx, tasks: tasks, stop: stop}
+	return &TaskGroup{Context: ctx, tasks: tasks, stop: stop}
 }
 
 // Go starts a task; it ends when its context does.
-func (g *Group) Go(task func(ctx context.Context) error) {
+func (g *TaskGroup) Go(task func(ctx context.Context) error) {
 	g.tasks.Go(func() error { return task(g.Context) })
 }
 
 // Wait drains once ctx ends, stops the tasks and returns the first error that is not
 // the stop itself.
-func (g *Group) Wait(ctx context.Context, drain func(ctx context.Context)) error {
+func (g *TaskGroup) Wait(ctx context.Context, drain func(ctx context.Context)) error {
 	g.tasks.Go(func() error {
 		select {
 		case <-ctx.Done():
--- a/internal/daemon/links_test.go
+++ b/internal/daemon/links_test.go
@@ -86,12 +86,12 @@
 		})
 		So(err, ShouldBeNil)
 		defer server.Close()
-		caller := NewCaller()
+		caller := NewClient()
 		defer caller.Close()
 		var reply protocol.TurnReply
-		request := &protocol.TurnRequest{Find: "a"}
-		So(caller.CallWithin(t.Context(), 50*time.Millisecond, server.Address(), protocol.KindTurn, request, &reply), ShouldNotBeNil)
-		So(caller.CallWithin(t.Context(), patience, server.Address(), protocol.KindTurn, request, &reply), ShouldBeNil)
+		request := &protocol.TurnRequest{HistoryOf: "a"}
+		So(caller.CallWithTimeout(t.Context(), 50*time.Millisecond, server.Address(), protocol.KindTurn, request, &reply), ShouldNotBeNil)
+		So(caller.CallWithTimeout(t.Context(), patience, server.Address(), protocol.KindTurn, request, &reply), ShouldBeNil)
 		So(reply.Leader, ShouldEqual, "x")
 	})
 }
--- a/internal/daemon/loop.go
+++ b/internal/daemon/loop.go
@@ -19,11 +19,11 @@
 	queuedBytes = 8 << 20
 )
 
-// Loop is the one goroutine that owns a core: it carries out what is posted to it,
+// EventLoop is the one goroutine that owns a core: it carries out what is posted to it,
 // ticks, and flushes after each batch of events, so that one sync serves them all.
-type Loop struct {
-	// Every is the time between ticks.
-	Every time.Duration
+type EventLoop struct {
+	// TickInterval is the time between ticks.
+	TickInterval time.Duration
 	// Tick advances the core's clock.
 	Tick func()
 	// Flush carries out what the core has ready; an error ends the loop.
@@ -35,17 +35,17 @@
 	room   *semaphore.Weighted
 }
 
-// NewLoop returns a loop that is not running yet.
-func NewLoop(every time.Duration) *Loop {
-	return &Loop{Every: every, events: make(chan func(), queuedEvents), room: semaphore.NewWeighted(queuedBytes)}
+// NewEventLoop returns a loop that is not running yet.
+func NewEventLoop(every time.Duration) *EventLoop {
+	return &EventLoop{TickInterval: every, events: make(chan func(), queuedEvents), room: semaphore.NewWeighted(queuedBytes)}
 }
 
 // Post hands an event to the loop; it blocks while the queue is full.
-func (l *Loop) Post(event func()) { l.events <- event }
+func (l *EventLoop) Post(event func()) { l.events <- event }
 
 // PostMessage hands a message of the given size to the loop; it blocks while the queue
 // is full, by number or by size.
-func (l *Loop) PostMessage(size int, event func()) {
+func (l *EventLoop) PostMessage(size int, event func()) {
 	weight := int64(min(size, queuedBytes))
 	if err := l.room.Acquire(context.Background(), weight); err != nil {
 		return // The context never ends.
@@ -57,8 +57,8 @@
 }
 
 // Run carries out events until ctx ends or a flush fails.
-func (l *Loop) Run(ctx context.Context) error {
-	ticker := time.NewTicker(l.Every)
+func (l *EventLoop) Run(ctx context.Context) error {
+	ticker := time.NewTicker(l.TickInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -78,7 +78,7 @@
 }
 
 // takeWaiting takes the events that have gathered meanwhile.
-func (l *Loop) takeWaiting() {
+func (l *EventLoop) takeWaiting() {
 	for range eventsPerFlush {
 		select {
 		case event := <-l.events:
--- a/internal/daemon/loop_test.go
+++ b/internal/daemon/loop_test.go
@@ -10,7 +10,7 @@
 
 func TestLoop(t *testing.T) {
 	Convey("messages wait with their senders while the loop is held up, and all are carried out in the end", t, func() {
-		loop := NewLoop(time.Hour)
+		loop := NewEventLoop(time.Hour)
 		loop.Tick = func() {}
 		loop.Publish = func() {}
 		loop.Flush = func() error { return nil }
--- a/internal/daemon/replies.go
+++ b/internal/daemon/replies.go
@@ -1,14 +1,14 @@
 package daemon
 
-// Replies routes what a core answers to whoever asked. The loop that owns the core alone
+// PendingReplies routes what a core answers to whoever asked. The loop that owns the core alone
 // uses it.
-type Replies[ID ~uint64, Reply any] struct {
+type PendingReplies[ID ~uint64, Reply any] struct {
 	last    ID
 	waiting map[ID]func(Reply)
 }
 
-// Expect returns the number of a new request, whose answer goes to reply.
-func (r *Replies[ID, Reply]) Expect(reply func(Reply)) ID {
+// Register returns the number of a new request, whose answer goes to reply.
+func (r *PendingReplies[ID, Reply]) Register(reply func(Reply)) ID {
 	if r.waiting == nil {
 		r.waiting = map[ID]func(Reply){}
 	}
@@ -17,9 +17,9 @@
 	return r.last
 }
 
-// Take hands an answer to whoever expects it. Invariant: a request is answered once; what
+// Deliver hands an answer to whoever expects it. Invariant: a request is answered once; what
 // comes after that goes nowhere.
-func (r *Replies[ID, Reply]) Take(request ID, answer Reply) {
+func (r *PendingReplies[ID, Reply]) Deliver(request ID, answer Reply) {
 	reply, expected := r.waiting[request]
 	if !expected {
 		return
--- a/internal/emulator/answer.go
+++ b/internal/emulator/answer.go
@@ -23,11 +23,11 @@
 
 // Prompt is a conversation prepared for the model.
 type Prompt struct {
-	Segments     []Segment
-	Digest       uint64
-	OutputTokens int64
-	Answer       string
-	AnswerChain  uint64
+	Segments           []Segment
+	Digest             uint64
+	OutputTokens       int64
+	Response           string
+	DigestWithResponse uint64
 }
 
 // NewPrompt prepares messages; the answer depends on them alone, so that any
@@ -36,7 +36,7 @@
 	prompt := Prompt{OutputTokens: defaultOutput}
 	for _, message := range messages {
 		prompt.Digest = program.ChainDigest(prompt.Digest, message)
-		prompt.Segments = append(prompt.Segments, Segment{Chain: prompt.Digest, Tokens: engine.CountTokens(message.Content)})
+		prompt.Segments = append(prompt.Segments, Segment{PrefixDigest: prompt.Digest, Tokens: engine.CountTokens(message.Content)})
 	}
 	if len(messages) > 0 {
 		found := outputDirective.FindStringSubmatch(messages[len(messages)-1].Content)
@@ -48,14 +48,14 @@
 		prompt.OutputTokens = min(prompt.OutputTokens, maxTokens)
 	}
 	prompt.OutputTokens = max(prompt.OutputTokens, minimumOutput)
-	prompt.Answer = AnswerText(prompt.Digest, len(messages), prompt.OutputTokens)
-	prompt.AnswerChain = program.ChainDigest(prompt.Digest, program.Message{Role: answerSystemText, Content: prompt.Answer})
+	prompt.Response = ResponseText(prompt.Digest, len(messages), prompt.OutputTokens)
+	prompt.DigestWithResponse = program.ChainDigest(prompt.Digest, program.Message{Role: answerSystemText, Content: prompt.Response})
 	return prompt
 }
 
-// AnswerText is the answer of an engine that saw a conversation of the given
+// ResponseText is the answer of an engine that saw a conversation of the given
 // digest and length; it is exactly outputTokens long.
-func AnswerText(digest uint64, messages int, outputTokens int64) string {
+func ResponseText(digest uint64, messages int, outputTokens int64) string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "saw %016x of %04d ", digest, messages)
 	state := digest
--- a/internal/emulator/engine.go
+++ b/internal/emulator/engine.go
@@ -66,14 +66,14 @@
 func NewEngine(process config.Process, logger log.Logger) *Engine {
 	stand := &Engine{
 		process: process, logger: logger, started: time.Now(),
-		model:   NewModel(Slowed(HardwareNamed(process.Emulator.Hardware), process.Emulator.Slowness)),
+		model:   NewModel(WithSlowdown(HardwareByName(process.Emulator.Hardware), process.Emulator.Slowdown)),
 		streams: map[string]*stream{}, wake: make(chan struct{}, 1), served: map[string]int{},
 	}
 	stand.monitor = telemetry.NewMonitor(stand.serving)
-	stand.monitor.Gauge("emulated_held_tokens", "KV memory held, tokens.", func() float64 {
+	stand.monitor.RegisterGauge("emulated_held_tokens", "KV memory held, tokens.", func() float64 {
 		stand.mutex.Lock()
 		defer stand.mutex.Unlock()
-		return float64(stand.model.Hardware().MemoryTokens - stand.model.FreeTokens())
+		return float64(stand.model.Hardware().KVCacheCapacityTokens - stand.model.FreeKVCacheTokens())
 	})
 	return stand
 }
@@ -129,7 +129,7 @@
 	for {
 		e.mutex.Lock()
 		e.advance()
-		next, busy := e.model.NextUs()
+		next, busy := e.model.StepEndUs()
 		wait := time.Hour
 		if busy {
 			wait = time.Duration(float64(next-e.nowUs())/e.process.Emulator.TimeScale) * time.Microsecond
@@ -151,9 +151,9 @@
 		if !ok {
 			continue
 		}
-		piece := streamPiece{text: pieceOf(open.prompt.Answer, open.sent, progress.Generated)}
-		open.sent = progress.Generated
-		if progress.Done {
+		piece := streamPiece{text: pieceOf(open.prompt.Response, open.sent, progress.GeneratedTokens)}
+		open.sent = progress.GeneratedTokens
+		if progress.IsDone {
 			piece.last = usageOf(progress)
 			delete(e.streams, progress.ID)
 		}
@@ -170,9 +170,9 @@
 
 func usageOf(progress Progress) *engine.Usage {
 	return &engine.Usage{
-		PromptTokens: progress.PromptTokens, CompletionTokens: progress.Generated,
-		TotalTokens: progress.PromptTokens + progress.Generated,
-		Details:     engine.PromptDetails{CachedTokens: progress.CachedTokens},
+		PromptTokens: progress.PromptTokens, CompletionTokens: progress.GeneratedTokens,
+		TotalTokens:         progress.PromptTokens + progress.GeneratedTokens,
+		PromptTokensDetails: engine.PromptTokensDetails{CachedTokens: progress.CachedTokens},
 	}
 }
 
@@ -243,14 +243,14 @@
 	id := fmt.Sprintf("%s-%d", e.process.Name, e.nextID)
 	open := &stream{prompt: prompt, pieces: make(chan streamPiece, streamQueue), created: time.Now().Unix()}
 	e.served[request.RequestID]++
-	if e.process.Emulator.Instant {
-		open.pieces <- streamPiece{text: prompt.Answer, last: &engine.Usage{CompletionTokens: prompt.OutputTokens}}
+	if e.process.Emulator.RespondsInstantly {
+		open.pieces <- streamPiece{text: prompt.Response, last: &engine.Usage{CompletionTokens: prompt.OutputTokens}}
 		return id, open, nil
 	}
 	e.streams[id] = open
 	e.model.Submit(Job{
 		ID: id, Program: request.User, Priority: request.Priority, Segments: prompt.Segments,
-		OutputTokens: prompt.OutputTokens, AnswerChain: prompt.AnswerChain,
+		OutputTokens: prompt.OutputTokens, DigestWithResponse: prompt.DigestWithResponse,
 	}, e.nowUs())
 	select {
 	case e.wake <- struct{}{}:
@@ -290,20 +290,20 @@
 func (e *Engine) serveState(ctx *fasthttp.RequestCtx) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	lag := time.Duration(float64(e.process.Emulator.LagMs)/e.process.Emulator.TimeScale) * time.Millisecond
+	lag := time.Duration(float64(e.process.Emulator.ReportDelayMs)/e.process.Emulator.TimeScale) * time.Millisecond
 	if time.Since(e.reportedAt) > lag {
-		running, waiting := e.model.Counts()
+		running, waiting := e.model.JobCounts()
 		e.reported = engine.State{
 			Name: e.process.Name, Ready: e.target.Model != "" && !e.loading, Loading: e.loading, Target: e.target,
-			Fence: e.fence, Running: running, Waiting: waiting, Held: e.model.Held(),
-			Hardware: e.model.Hardware(), FreeTokens: e.model.FreeTokens(),
+			Fence: e.fence, Running: running, Waiting: waiting, CachedPrograms: e.model.CachedPrograms(),
+			Hardware: e.model.Hardware(), FreeKVCacheTokens: e.model.FreeKVCacheTokens(),
 		}
 		e.reportedAt = time.Now()
 	}
 	reported := e.reported
 	if string(ctx.QueryArgs().Peek("held")) == "false" {
-		reported.Held = nil
-		reported.HeldOmitted = true
+		reported.CachedPrograms = nil
+		reported.CachedProgramsOmitted = true
 	}
 	writeJSON(ctx, reported)
 }
@@ -343,17 +343,17 @@
 	e.mutex.Lock()
 	e.target = target
 	e.loading = false
-	e.model.Clear()
+	e.model.ClearCache()
 	e.reportedAt = time.Time{}
 	e.mutex.Unlock()
 	telemetry.Info(e.logger, "serving", "model", target.Model, "adapter", target.Adapter, "version", target.Version)
 }
 
 func (e *Engine) fetchWeights(target reconcile.Target) error {
-	if e.process.Emulator.Weights == "" {
+	if e.process.Emulator.WeightStoreAddress == "" {
 		return nil
 	}
-	address := fmt.Sprintf("http://%s/v1/weights/%s?version=%s&bytes=%d", e.process.Emulator.Weights, target.Model, target.Version, e.model.Hardware().WeightBytes)
+	address := fmt.Sprintf("http://%s/v1/weights/%s?version=%s&bytes=%d", e.process.Emulator.WeightStoreAddress, target.Model, target.Version, e.model.Hardware().WeightBytes)
 	status, body, err := fasthttp.GetTimeout(nil, address, weightsTimeout)
 	if err != nil {
 		return err
@@ -375,7 +375,7 @@
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	for _, name := range request.Programs {
-		e.model.Release(name)
+		e.model.ReleaseProgram(name)
 	}
 	e.reportedAt = time.Time{}
 	writeJSON(ctx, map[string]int{"released": len(request.Programs)})
@@ -388,9 +388,9 @@
 	writeJSON(ctx, e.served)
 }
 
-// SawOf returns the first words of the answer to a conversation, by which a
+// ResponsePrefix returns the first words of the answer to a conversation, by which a
 // caller checks what the engine saw.
-func SawOf(messages []program.Message) string {
+func ResponsePrefix(messages []program.Message) string {
 	var digest uint64
 	for _, message := range messages {
 		digest = program.ChainDigest(digest, message)
--- a/internal/emulator/hardware_test.go
+++ b/internal/emulator/hardware_test.go
@@ -9,11 +9,11 @@
 func TestSlowed(t *testing.T) {
 	Convey("a job takes as many times longer as the engine is slower", t, func() {
 		took := func(slowness float64) int64 {
-			model := NewModel(Slowed(HardwareNamed("new"), slowness))
-			model.Submit(Job{ID: "a", Segments: []Segment{{Chain: 1, Tokens: 5_000}}, OutputTokens: 50, AnswerChain: 2}, 0)
+			model := NewModel(WithSlowdown(HardwareByName("new"), slowness))
+			model.Submit(Job{ID: "a", Segments: []Segment{{PrefixDigest: 1, Tokens: 5_000}}, OutputTokens: 50, DigestWithResponse: 2}, 0)
 			for nowUs := int64(0); ; nowUs += 100 {
 				for _, step := range model.Advance(nowUs) {
-					if step.Done {
+					if step.IsDone {
 						return nowUs
 					}
 				}
--- a/internal/emulator/hollow.go
+++ b/internal/emulator/hollow.go
@@ -26,26 +26,26 @@
 	hollowSlots = 6
 )
 
-// HollowFleet plays the control traffic of a large fleet against real control processes: engines
+// EmulatedFleet plays the control traffic of a large fleet against real control processes: engines
 // that report, and gateways that follow the fleet, in one process and without requests.
-type HollowFleet struct {
-	// Controls are the control processes' addresses for engines, Seeds their inner addresses.
-	Controls []string
-	Seeds    []string
-	Engines  int
-	Gateways int
-	Zones    int
-	// Known is how many engines each gateway is to be told of, 0 where any number will do that
+type EmulatedFleet struct {
+	// ControlAddresses are the control processes' addresses for engines, Seeds their inner addresses.
+	ControlAddresses []string
+	SeedAddresses    []string
+	EngineCount      int
+	GatewayCount     int
+	ZoneCount        int
+	// EnginesPerGateway is how many engines each gateway is to be told of, 0 where any number will do that
 	// all of them have.
-	Known int
-	// Heartbeat is the time between two reports of an engine, Steady how long the fleet is
+	EnginesPerGateway int
+	// HeartbeatInterval is the time between two reports of an engine, Steady how long the fleet is
 	// watched once it is complete.
-	Heartbeat time.Duration
-	Steady    time.Duration
-	// Report carries an engine's report to a control process.
-	Report func(ctx context.Context, control string, engine membership.ServingEngine) error
-	Out    io.Writer
-	Logger log.Logger
+	HeartbeatInterval time.Duration
+	SteadyDuration    time.Duration
+	// SendReport carries an engine's report to a control process.
+	SendReport func(ctx context.Context, control string, engine membership.ServingEngine) error
+	Out        io.Writer
+	Logger     log.Logger
 
 	reports  atomic.Int64
 	failed   atomic.Int64
@@ -58,14 +58,14 @@
 // Run registers the engines, has the gateways follow, watches for a while, drains one
 // advertised engine, and prints what each step took. It returns an error where a step did
 // not come about before ctx ended.
-func (h *HollowFleet) Run(ctx context.Context) error {
+func (h *EmulatedFleet) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
-	group := daemon.NewGroup()
-	h.views = make([]atomic.Pointer[membership.FleetView], h.Gateways)
-	for number := range h.Engines {
+	group := daemon.NewTaskGroup()
+	h.views = make([]atomic.Pointer[membership.FleetView], h.GatewayCount)
+	for number := range h.EngineCount {
 		group.Go(func(ctx context.Context) error { return h.engine(ctx, number) })
 	}
-	for number := range h.Gateways {
+	for number := range h.GatewayCount {
 		group.Go(h.gateway(number).Run)
 	}
 	ended := make(chan error, 1)
@@ -76,8 +76,8 @@
 	return err
 }
 
-func (h *HollowFleet) steps(ctx context.Context) error {
-	if err := h.await(ctx, "engines registered", func() bool { return h.registered() == h.Engines }); err != nil {
+func (h *EmulatedFleet) steps(ctx context.Context) error {
+	if err := h.await(ctx, "engines registered", func() bool { return h.registered() == h.EngineCount }); err != nil {
 		return err
 	}
 	if err := h.await(ctx, "every gateway follows", h.followed); err != nil {
@@ -90,7 +90,7 @@
 }
 
 // await waits until a step has come about and prints how long that took.
-func (h *HollowFleet) await(ctx context.Context, step string, done func() bool) error {
+func (h *EmulatedFleet) await(ctx context.Context, step string, done func() bool) error {
 	began := time.Now()
 	failedBefore := h.failed.Load()
 	for !done() {
@@ -105,17 +105,17 @@
 }
 
 // watch prints what a fleet costs in which nothing happens.
-func (h *HollowFleet) watch(ctx context.Context) {
+func (h *EmulatedFleet) watch(ctx context.Context) {
 	reports, failed, answers := h.reports.Load(), h.failed.Load(), h.answers.Load()
 	select {
 	case <-ctx.Done():
-	case <-time.After(h.Steady):
+	case <-time.After(h.SteadyDuration):
 	}
-	fmt.Fprintf(h.Out, "%-40s %8s  reports %d, not acknowledged %d, answers with news %d, engines known to a gateway %d\n", "nothing happens", h.Steady,
+	fmt.Fprintf(h.Out, "%-40s %8s  reports %d, not acknowledged %d, answers with news %d, engines known to a gateway %d\n", "nothing happens", h.SteadyDuration,
 		h.reports.Load()-reports, h.failed.Load()-failed, h.answers.Load()-answers, len(h.views[0].Load().Engines))
 }
 
-func (h *HollowFleet) registered() int {
+func (h *EmulatedFleet) registered() int {
 	count := 0
 	h.reported.Range(func(any, any) bool {
 		count++
@@ -126,8 +126,8 @@
 
 // followed reports whether every gateway knows as many engines as it should, or where that is
 // not said, as any other.
-func (h *HollowFleet) followed() bool {
-	known := h.Known
+func (h *EmulatedFleet) followed() bool {
+	known := h.EnginesPerGateway
 	for number := range h.views {
 		view := h.views[number].Load()
 		if view == nil || len(view.Engines) == 0 {
@@ -143,14 +143,14 @@
 	return true
 }
 
-func (h *HollowFleet) anyAdvertised() string {
+func (h *EmulatedFleet) anyAdvertised() string {
 	for id := range h.views[0].Load().Engines {
 		return id
 	}
 	return ""
 }
 
-func (h *HollowFleet) advertised(engine string) bool {
+func (h *EmulatedFleet) advertised(engine string) bool {
 	for number := range h.views {
 		if _, known := h.views[number].Load().Engines[engine]; known {
 			return true
@@ -159,21 +159,21 @@
 	return false
 }
 
-func (h *HollowFleet) zone(number int) string { return fmt.Sprint("zone-", number%h.Zones) }
+func (h *EmulatedFleet) zone(number int) string { return fmt.Sprint("zone-", number%h.ZoneCount) }
 
 // engine reports one engine until ctx ends.
-func (h *HollowFleet) engine(ctx context.Context, number int) error {
+func (h *EmulatedFleet) engine(ctx context.Context, number int) error {
 	engine := membership.ServingEngine{
 		ID: fmt.Sprintf("engine-%06d", number), Backend: "hollow", Zone: h.zone(number), Slots: hollowSlots,
 		Address: fmt.Sprintf("127.%d.%d.%d:9", 100+number>>16, number>>8&0xff, number&0xff),
 	}
 	// Engines start together and report evenly from then on.
-	pause := rand.N(h.Heartbeat)
+	pause := rand.N(h.HeartbeatInterval)
 	for ctx.Err() == nil {
 		engine.Sequence++
 		_, engine.Draining = h.draining.Load(engine.ID)
 		h.reports.Add(1)
-		if err := h.Report(ctx, h.Controls[rand.IntN(len(h.Controls))], engine); err != nil {
+		if err := h.SendReport(ctx, h.ControlAddresses[rand.IntN(len(h.ControlAddresses))], engine); err != nil {
 			h.failed.Add(1)
 			pause = hollowRetry
 		} else {
@@ -185,29 +185,29 @@
 			case <-time.After(min(hollowRetry, pause-waited)):
 			}
 		}
-		pause = h.Heartbeat
+		pause = h.HeartbeatInterval
 	}
 	return ctx.Err()
 }
 
 // drainTold reports whether an engine has said all that it has to.
-func (h *HollowFleet) drainTold(engine membership.ServingEngine) bool {
+func (h *EmulatedFleet) drainTold(engine membership.ServingEngine) bool {
 	_, draining := h.draining.Load(engine.ID)
 	return draining == engine.Draining
 }
 
 // gateway returns the link to control of one gateway that has no callers.
-func (h *HollowFleet) gateway(number int) *daemon.Follower {
-	follower := daemon.NewFollower(h.Seeds, h.Logger)
+func (h *EmulatedFleet) gateway(number int) *daemon.Follower {
+	follower := daemon.NewFollower(h.SeedAddresses, h.Logger)
 	follower.WithRouting = true
-	follower.OnLoads = func([]scheduling.EngineLoad, []string) {}
-	follower.Report = func(request *protocol.FleetSync) {
+	follower.OnEngineLoads = func([]scheduling.EngineLoad, []string) {}
+	follower.FillReport = func(request *protocol.FleetSync) {
 		request.Gateway = &membership.Gateway{
 			Name: fmt.Sprintf("hollow-%04d", number), Zone: h.zone(number), Region: "hollow",
 			Address: fmt.Sprintf("127.99.%d.%d:9", number>>8, number&0xff), IsReady: true,
 		}
 	}
-	follower.OnNews = func(view *membership.FleetView, _ *routing.Table) {
+	follower.OnUpdate = func(view *membership.FleetView, _ *routing.Table) {
 		h.answers.Add(1)
 		h.views[number].Store(view)
 	}
--- a/internal/emulator/model.go
+++ b/internal/emulator/model.go
@@ -10,8 +10,8 @@
 // Segment is a stretch of a prompt that is cached whole: one message. Chain
 // identifies the prompt up to and with the segment.
 type Segment struct {
-	Chain  uint64
-	Tokens int64
+	PrefixDigest uint64
+	Tokens       int64
 }
 
 // Job is one call as the engine model sees it.
@@ -23,16 +23,16 @@
 	Segments []Segment
 	// OutputTokens is how long the answer will be; no scheduler sees it.
 	OutputTokens int64
-	// AnswerChain identifies the prompt with the answer appended.
-	AnswerChain uint64
+	// DigestWithResponse identifies the prompt with the answer appended.
+	DigestWithResponse uint64
 }
 
 // Progress is what a job has reached at the end of a step.
 type Progress struct {
 	ID string
-	// Generated counts the answer's tokens so far.
-	Generated int64
-	Done      bool
+	// GeneratedTokens counts the answer's tokens so far.
+	GeneratedTokens int64
+	IsDone          bool
 	// CachedTokens is how much of the prompt was in the cache at the start.
 	CachedTokens int64
 	PromptTokens int64
@@ -83,15 +83,15 @@
 // Hardware returns what the engine runs on.
 func (m *Model) Hardware() engine.Hardware { return m.hardware }
 
-// Counts returns how many jobs run and wait.
-func (m *Model) Counts() (running, waiting int) { return len(m.running), len(m.waiting) }
+// JobCounts returns how many jobs run and wait.
+func (m *Model) JobCounts() (running, waiting int) { return len(m.running), len(m.waiting) }
 
-// FreeTokens returns the KV memory that nothing holds.
-func (m *Model) FreeTokens() int64 { return m.hardware.MemoryTokens - m.used() }
+// FreeKVCacheTokens returns the KV memory that nothing holds.
+func (m *Model) FreeKVCacheTokens() int64 { return m.hardware.KVCacheCapacityTokens - m.used() }
 
-// Held returns the programs whose cache is held, with their tokens, in ascending
+// CachedPrograms returns the programs whose cache is held, with their tokens, in ascending
 // order of name.
-func (m *Model) Held() []engine.HeldProgram { return m.cache.held() }
+func (m *Model) CachedPrograms() []engine.CachedProgram { return m.cache.held() }
 
 // Submit queues a job.
 func (m *Model) Submit(job Job, nowUs int64) {
@@ -119,18 +119,18 @@
 	m.waiting = slices.DeleteFunc(m.waiting, matches)
 }
 
-// Release drops the cache of a program that no job of it uses.
-func (m *Model) Release(program string) {
+// ReleaseProgram drops the cache of a program that no job of it uses.
+func (m *Model) ReleaseProgram(program string) {
 	m.cache.release(program)
 }
 
-// Clear drops the whole cache, as a load of another model does.
-func (m *Model) Clear() {
+// ClearCache drops the whole cache, as a load of another model does.
+func (m *Model) ClearCache() {
 	m.cache = newPrefixCache()
 }
 
-// NextUs returns when the present step ends; false where the engine is idle.
-func (m *Model) NextUs() (int64, bool) {
+// StepEndUs returns when the present step ends; false where the engine is idle.
+func (m *Model) StepEndUs() (int64, bool) {
 	return m.stepEnd, m.inStep
 }
 
@@ -160,7 +160,7 @@
 		return
 	}
 	clear(m.chunk)
-	budget := m.hardware.ChunkTokens
+	budget := m.hardware.MaxPrefillTokensPerStep
 	prefill := int64(0)
 	context := int64(0)
 	for _, sequence := range m.running {
@@ -174,7 +174,7 @@
 		}
 		context += sequence.prompt + sequence.generated
 	}
-	micros := m.hardware.StepMicros + int64(len(m.running))*m.hardware.SequenceMicros +
+	micros := m.hardware.BaseStepMicros + int64(len(m.running))*m.hardware.StepMicrosPerSequence +
 		context*m.hardware.ContextNanosPerToken/1000 + prefill*1_000_000/m.hardware.PrefillTokensPerSecond
 	m.BusyMicros += micros
 	m.PrefilledTokens += prefill
@@ -209,14 +209,14 @@
 	}
 	cached := m.cache.match(next.job.Segments)
 	need := next.prompt - cached + next.job.OutputTokens
-	if need > m.hardware.MemoryTokens {
+	if need > m.hardware.KVCacheCapacityTokens {
 		// A job that can never fit runs alone with all the memory.
 		return len(m.running) == 0
 	}
 	m.cache.pin(next.job.Segments)
-	free := m.cache.evict(need - m.FreeTokens())
+	free := m.cache.evict(need - m.FreeKVCacheTokens())
 	m.cache.unpin(next.job.Segments)
-	return free || m.FreeTokens() >= need
+	return free || m.FreeKVCacheTokens() >= need
 }
 
 func (m *Model) preemptFor(next *sequence) bool {
@@ -273,7 +273,7 @@
 		}
 		done := sequence.generated >= sequence.job.OutputTokens
 		progress = append(progress, Progress{
-			ID: sequence.job.ID, Generated: sequence.generated, Done: done,
+			ID: sequence.job.ID, GeneratedTokens: sequence.generated, IsDone: done,
 			CachedTokens: sequence.everCached, PromptTokens: sequence.prompt,
 		})
 		if !done {
@@ -289,9 +289,9 @@
 // finish leaves the prompt and the answer in the cache.
 func (m *Model) finish(done *sequence) {
 	m.cache.unpin(done.job.Segments)
-	segments := append(slices.Clone(done.job.Segments), Segment{Chain: done.job.AnswerChain, Tokens: done.job.OutputTokens})
+	segments := append(slices.Clone(done.job.Segments), Segment{PrefixDigest: done.job.DigestWithResponse, Tokens: done.job.OutputTokens})
 	m.cache.insert(done.job.Program, segments)
-	m.cache.evict(m.cache.tokens - m.hardware.MemoryTokens)
+	m.cache.evict(m.cache.tokens - m.hardware.KVCacheCapacityTokens)
 }
 
 // prefixCache is a tree of segments, evicted leaf first, least recent first.
@@ -319,13 +319,13 @@
 func (c *prefixCache) match(segments []Segment) int64 {
 	var tokens int64
 	for _, segment := range segments {
-		if _, ok := c.nodes[segment.Chain]; !ok {
+		if _, ok := c.nodes[segment.PrefixDigest]; !ok {
 			break
 		}
 		tokens += segment.Tokens
 	}
 	// The last token is always computed, to have something to sample from.
-	if len(segments) > 0 && tokens > 0 && c.nodes[segments[len(segments)-1].Chain] != nil {
+	if len(segments) > 0 && tokens > 0 && c.nodes[segments[len(segments)-1].PrefixDigest] != nil {
 		tokens--
 	}
 	return tokens
@@ -337,7 +337,7 @@
 func (c *prefixCache) count(segments []Segment, by int) {
 	c.clock++
 	for _, segment := range segments {
-		node, ok := c.nodes[segment.Chain]
+		node, ok := c.nodes[segment.PrefixDigest]
 		if !ok {
 			return
 		}
@@ -350,17 +350,17 @@
 	c.clock++
 	parent := uint64(0)
 	for _, segment := range segments {
-		node, ok := c.nodes[segment.Chain]
+		node, ok := c.nodes[segment.PrefixDigest]
 		if !ok {
-			node = &cacheNode{chain: segment.Chain, parent: parent, tokens: segment.Tokens, program: program}
-			c.nodes[segment.Chain] = node
+			node = &cacheNode{chain: segment.PrefixDigest, parent: parent, tokens: segment.Tokens, program: program}
+			c.nodes[segment.PrefixDigest] = node
 			c.tokens += segment.Tokens
 			if above, ok := c.nodes[parent]; ok {
 				above.children++
 			}
 		}
 		node.used = c.clock
-		parent = segment.Chain
+		parent = segment.PrefixDigest
 	}
 }
 
@@ -418,15 +418,15 @@
 	}
 }
 
-func (c *prefixCache) held() []engine.HeldProgram {
+func (c *prefixCache) held() []engine.CachedProgram {
 	tokens := map[string]int64{}
 	for _, node := range c.nodes {
 		tokens[node.program] += node.tokens
 	}
-	list := make([]engine.HeldProgram, 0, len(tokens))
+	list := make([]engine.CachedProgram, 0, len(tokens))
 	for program, count := range tokens {
-		list = append(list, engine.HeldProgram{Program: program, Tokens: count})
+		list = append(list, engine.CachedProgram{Program: program, Tokens: count})
 	}
-	slices.SortFunc(list, func(a, b engine.HeldProgram) int { return strings.Compare(a.Program, b.Program) })
+	slices.SortFunc(list, func(a, b engine.CachedProgram) int { return strings.Compare(a.Program, b.Program) })
 	return list
 }
--- a/internal/emulator/platform.go
+++ b/internal/emulator/platform.go
@@ -16,9 +16,9 @@
 	"github.com/ochrebay/ochrebay/internal/telemetry"
 )
 
-// Weights is the stand-in for the rate-limited weight store. It hands out slots:
+// WeightStore is the stand-in for the rate-limited weight store. It hands out slots:
 // each load waits until all loads before it have had the store's rate.
-type Weights struct {
+type WeightStore struct {
 	process config.Process
 	logger  log.Logger
 	monitor *telemetry.Monitor
@@ -30,17 +30,17 @@
 	WaitMs int64 `json:"wait_ms"`
 }
 
-// NewWeights returns an idle weight store.
-func NewWeights(process config.Process, logger log.Logger) *Weights {
-	return &Weights{process: process, logger: logger, monitor: telemetry.NewMonitor(func() bool { return true })}
+// NewWeightStore returns an idle weight store.
+func NewWeightStore(process config.Process, logger log.Logger) *WeightStore {
+	return &WeightStore{process: process, logger: logger, monitor: telemetry.NewMonitor(func() bool { return true })}
 }
 
 // Run serves until ctx ends.
-func (w *Weights) Run(ctx context.Context) error {
+func (w *WeightStore) Run(ctx context.Context) error {
 	return serveHTTP(ctx, w.process, w.logger, w.serve)
 }
 
-func (w *Weights) serve(ctx *fasthttp.RequestCtx) {
+func (w *WeightStore) serve(ctx *fasthttp.RequestCtx) {
 	if w.monitor.Serve(ctx) {
 		return
 	}
@@ -59,9 +59,9 @@
 	writeJSON(ctx, weightSlot{WaitMs: time.Until(w.freeAt).Milliseconds()})
 }
 
-// Tools is the stand-in for tool services: a call answers after a pause, or
+// ToolServices is the stand-in for tool services: a call answers after a pause, or
 // never.
-type Tools struct {
+type ToolServices struct {
 	process config.Process
 	logger  log.Logger
 	monitor *telemetry.Monitor
@@ -69,9 +69,9 @@
 
 // ToolRequest asks for a tool; the caller says how long the real one would take.
 type ToolRequest struct {
-	PauseMs  int64  `json:"pause_ms"`
-	Hang     bool   `json:"hang"`
-	Argument string `json:"argument"`
+	DurationMs int64  `json:"pause_ms"`
+	Hangs      bool   `json:"hang"`
+	Argument   string `json:"argument"`
 }
 
 // ToolReply is what a tool found.
@@ -80,17 +80,17 @@
 	Result string `json:"result"`
 }
 
-// NewTools returns the tool services.
-func NewTools(process config.Process, logger log.Logger) *Tools {
-	return &Tools{process: process, logger: logger, monitor: telemetry.NewMonitor(func() bool { return true })}
+// NewToolServices returns the tool services.
+func NewToolServices(process config.Process, logger log.Logger) *ToolServices {
+	return &ToolServices{process: process, logger: logger, monitor: telemetry.NewMonitor(func() bool { return true })}
 }
 
 // Run serves until ctx ends.
-func (t *Tools) Run(ctx context.Context) error {
+func (t *ToolServices) Run(ctx context.Context) error {
 	return serveHTTP(ctx, t.process, t.logger, t.serve)
 }
 
-func (t *Tools) serve(ctx *fasthttp.RequestCtx) {
+func (t *ToolServices) serve(ctx *fasthttp.RequestCtx) {
 	if t.monitor.Serve(ctx) {
 		return
 	}
@@ -100,8 +100,8 @@
 		writeError(ctx, result.New(result.MalformedRequest, "POST /v1/tools/NAME takes a tool request"))
 		return
 	}
-	pause := time.Duration(float64(request.PauseMs)/t.process.Emulator.TimeScale) * time.Millisecond
-	if request.Hang {
+	pause := time.Duration(float64(request.DurationMs)/t.process.Emulator.TimeScale) * time.Millisecond
+	if request.Hangs {
 		pause = time.Hour
 	}
 	select {
@@ -194,7 +194,7 @@
 }
 
 func (p *Platform) showChanges() {
-	lag := time.Duration(p.process.Emulator.LagMs) * time.Millisecond
+	lag := time.Duration(p.process.Emulator.ReportDelayMs) * time.Millisecond
 	for len(p.changed) > 0 && time.Since(p.changed[0].at) >= lag {
 		p.shown = p.changed[0].list
 		p.changed = p.changed[1:]
--- a/internal/engine/api.go
+++ b/internal/engine/api.go
@@ -64,17 +64,17 @@
 	FinishReason *string          `json:"finish_reason"`
 }
 
-// PromptDetails tells how much of a prompt was cached.
-type PromptDetails struct {
+// PromptTokensDetails tells how much of a prompt was cached.
+type PromptTokensDetails struct {
 	CachedTokens int64 `json:"cached_tokens"`
 }
 
 // Usage counts tokens in the OpenAI shape.
 type Usage struct {
-	PromptTokens     int64         `json:"prompt_tokens"`
-	CompletionTokens int64         `json:"completion_tokens"`
-	TotalTokens      int64         `json:"total_tokens"`
-	Details          PromptDetails `json:"prompt_tokens_details"`
+	PromptTokens        int64               `json:"prompt_tokens"`
+	CompletionTokens    int64               `json:"completion_tokens"`
+	TotalTokens         int64               `json:"total_tokens"`
+	PromptTokensDetails PromptTokensDetails `json:"prompt_tokens_details"`
 }
 
 // Chunk is one event of a stream, or the whole answer.
@@ -87,27 +87,27 @@
 	Usage   *Usage   `json:"usage,omitempty"`
 }
 
-// HeldProgram is a program whose KV cache an engine holds.
-type HeldProgram struct {
+// CachedProgram is a program whose KV cache an engine holds.
+type CachedProgram struct {
 	Program string `json:"program"`
 	Tokens  int64  `json:"tokens"`
 }
 
 // State is an engine's report about itself; it lags.
 type State struct {
-	Name    string           `json:"name"`
-	Ready   bool             `json:"ready"`
-	Loading bool             `json:"loading"`
-	Target  reconcile.Target `json:"target"`
-	Fence   reconcile.Fence  `json:"fence"`
-	Running int              `json:"running"`
-	Waiting int              `json:"waiting"`
-	Held    []HeldProgram    `json:"held,omitempty"`
-	// HeldOmitted says that the list of held programs was not asked for.
-	HeldOmitted bool     `json:"held_omitted,omitempty"`
-	Hardware    Hardware `json:"hardware"`
-	// FreeTokens is the KV memory that nothing holds.
-	FreeTokens int64 `json:"free_tokens"`
+	Name           string           `json:"name"`
+	Ready          bool             `json:"ready"`
+	Loading        bool             `json:"loading"`
+	Target         reconcile.Target `json:"target"`
+	Fence          reconcile.Fence  `json:"fence"`
+	Running        int              `json:"running"`
+	Waiting        int              `json:"waiting"`
+	CachedPrograms []CachedProgram  `json:"held,omitempty"`
+	// CachedProgramsOmitted says that the list of held programs was not asked for.
+	CachedProgramsOmitted bool     `json:"held_omitted,omitempty"`
+	Hardware              Hardware `json:"hardware"`
+	// FreeKVCacheTokens is the KV memory that nothing holds.
+	FreeKVCacheTokens int64 `json:"free_tokens"`
 }
 
 // Order tells an engine what to serve. An engine refuses an order whose fence is
@@ -128,16 +128,16 @@
 	Name string `json:"name"`
 	// PrefillTokensPerSecond is the rate at which prompt tokens are read.
 	PrefillTokensPerSecond int64 `json:"prefill_tokens_per_second"`
-	// StepMicros is the time of one decoding step for the weights alone.
-	StepMicros int64 `json:"step_micros"`
-	// SequenceMicros is added to a step for each sequence in it.
-	SequenceMicros int64 `json:"sequence_micros"`
+	// BaseStepMicros is the time of one decoding step for the weights alone.
+	BaseStepMicros int64 `json:"step_micros"`
+	// StepMicrosPerSequence is added to a step for each sequence in it.
+	StepMicrosPerSequence int64 `json:"sequence_micros"`
 	// ContextNanosPerToken is added for each token of context read in a step.
 	ContextNanosPerToken int64 `json:"context_nanos_per_token"`
-	// MemoryTokens is how many tokens of KV cache fit.
-	MemoryTokens int64 `json:"memory_tokens"`
-	// ChunkTokens bounds the prompt tokens read in one step.
-	ChunkTokens int64 `json:"chunk_tokens"`
+	// KVCacheCapacityTokens is how many tokens of KV cache fit.
+	KVCacheCapacityTokens int64 `json:"memory_tokens"`
+	// MaxPrefillTokensPerStep bounds the prompt tokens read in one step.
+	MaxPrefillTokensPerStep int64 `json:"chunk_tokens"`
 	// MaxSequences bounds the sequences in one step.
 	MaxSequences int `json:"max_sequences"`
 	// WeightBytes is what a load of a model fetches.
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -42,34 +42,34 @@
 	}}}
 }
 
-// Outcome is how a completion ended.
-type Outcome struct {
+// CompletionOutcome is how a completion ended.
+type CompletionOutcome struct {
 	Usage program.Usage
-	// Started is false only where the engine can't have started the call.
-	Started bool
+	// MayHaveStarted is false only where the engine can't have started the call.
+	MayHaveStarted bool
 	// Err is nil for a whole answer.
 	Err error
 }
 
 // Complete runs one call; piece gets the answer's parts in order. Cancelling ctx
 // closes the stream.
-func (c *Client) Complete(ctx context.Context, address string, request CompletionRequest, piece func(text string)) Outcome {
+func (c *Client) Complete(ctx context.Context, address string, request CompletionRequest, piece func(text string)) CompletionOutcome {
 	request.Stream = true
 	body, err := json.Marshal(request)
 	if err != nil {
-		return Outcome{Err: err}
+		return CompletionOutcome{Err: err}
 	}
 	response, err := c.post(ctx, address, PathCompletions, body)
 	if err != nil {
-		return Outcome{Started: !neverConnected(err), Err: err}
+		return CompletionOutcome{MayHaveStarted: !neverConnected(err), Err: err}
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
 		failure := readError(response)
-		return Outcome{Started: failure.Outcome != result.NotRun, Err: failure}
+		return CompletionOutcome{MayHaveStarted: failure.Outcome != result.NotRun, Err: failure}
 	}
 	usage, err := readStream(response.Body, piece)
-	return Outcome{Usage: usage, Started: true, Err: err}
+	return CompletionOutcome{Usage: usage, MayHaveStarted: true, Err: err}
 }
 
 func (c *Client) post(ctx context.Context, address, path string, body []byte) (*http.Response, error) {
@@ -120,7 +120,7 @@
 		}
 		if chunk.Usage != nil {
 			usage = program.Usage{
-				PromptTokens: chunk.Usage.PromptTokens, CachedTokens: chunk.Usage.Details.CachedTokens,
+				PromptTokens: chunk.Usage.PromptTokens, CachedTokens: chunk.Usage.PromptTokensDetails.CachedTokens,
 				CompletionTokens: chunk.Usage.CompletionTokens,
 			}
 		}
@@ -159,13 +159,13 @@
 	return state, json.Unmarshal(raw, &state)
 }
 
-// Order gives an engine a fenced order.
-func (c *Client) Order(ctx context.Context, address string, order Order) error {
+// SendOrder gives an engine a fenced order.
+func (c *Client) SendOrder(ctx context.Context, address string, order Order) error {
 	return c.small(ctx, address, PathOrders, order)
 }
 
-// Release tells an engine to drop programs.
-func (c *Client) Release(ctx context.Context, address string, programs []string) error {
+// ReleasePrograms tells an engine to drop programs.
+func (c *Client) ReleasePrograms(ctx context.Context, address string, programs []string) error {
 	return c.small(ctx, address, PathRelease, ReleaseRequest{Programs: programs})
 }
 
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -17,43 +17,43 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Base is the name of the variant that others are compared with.
-const Base = "base"
+// Baseline is the name of the variant that others are compared with.
+const Baseline = "base"
 
 // columns is how many a line of a table has.
 const columns = 8
 
-// Day is what a play is paired by.
-type Day struct {
+// Scenario is what a play is paired by.
+type Scenario struct {
 	Site string
 	Name string
 	Seed string
 }
 
-// Play is one day played with one variant.
-type Play struct {
-	Variant string
-	Day     Day
+// Run is one day played with one variant.
+type Run struct {
+	Variant  string
+	Scenario Scenario
 	// Score and Worth are the day's, TokensRead the thousands of prompt tokens that
 	// engines read.
-	Score      float64
-	Worth      float64
-	TokensRead float64
-	// Broken names the rules that were broken, "-" for none.
-	Broken string
+	Score             float64
+	Worth             float64
+	PrefillKilotokens float64
+	// ViolatedRules names the rules that were broken, "-" for none.
+	ViolatedRules string
 }
 
-// Read reads a table: one play a line, columns split by tabs.
-func Read(reader io.Reader) ([]Play, error) {
-	var plays []Play
+// ReadRuns reads a table: one play a line, columns split by tabs.
+func ReadRuns(reader io.Reader) ([]Run, error) {
+	var plays []Run
 	scanner := bufio.NewScanner(reader)
 	for line := 1; scanner.Scan(); line++ {
 		fields := strings.Split(scanner.Text(), "\t")
 		if len(fields) != columns {
 			return nil, errorx.IllegalFormat.New("line %d has %d columns, not %d", line, len(fields), columns)
 		}
-		play := Play{Variant: fields[0], Day: Day{fields[1], fields[2], fields[3]}, Broken: fields[7]}
-		for position, value := range []*float64{&play.Score, &play.Worth, &play.TokensRead} {
+		play := Run{Variant: fields[0], Scenario: Scenario{fields[1], fields[2], fields[3]}, ViolatedRules: fields[7]}
+		for position, value := range []*float64{&play.Score, &play.Worth, &play.PrefillKilotokens} {
 			parsed, err := strconv.ParseFloat(fields[4+position], 64)
 			if err != nil {
 				return nil, errorx.IllegalFormat.New("line %d, column %d: %q is no number", line, 5+position, fields[4+position])
@@ -72,28 +72,28 @@
 	Pairs   int
 	// Worth and Score are mean differences to the base, and WorthInterval half the
 	// width of the 95% interval of the first, infinite for a single pair.
-	Worth         float64
-	WorthInterval float64
-	Score         float64
-	// TokensRead is the mean ratio of tokens read to the base's.
-	TokensRead float64
-	// Broken counts the plays with a broken rule.
-	Broken int
+	Worth                    float64
+	WorthConfidenceHalfWidth float64
+	Score                    float64
+	// PrefillTokenRatio is the mean ratio of tokens read to the base's.
+	PrefillTokenRatio float64
+	// RunsWithViolations counts the plays with a broken rule.
+	RunsWithViolations int
 }
 
 // Compare pairs the plays of each variant with the base's, site by site.
-func Compare(plays []Play) []Difference {
-	base := map[Day]Play{}
+func Compare(plays []Run) []Difference {
+	base := map[Scenario]Run{}
 	for _, play := range plays {
-		if play.Variant == Base {
-			base[play.Day] = play
+		if play.Variant == Baseline {
+			base[play.Scenario] = play
 		}
 	}
 	type row struct{ variant, site string }
-	paired := map[row][]Play{}
+	paired := map[row][]Run{}
 	for _, play := range plays {
-		if _, known := base[play.Day]; known && play.Variant != Base {
-			key := row{play.Variant, play.Day.Site}
+		if _, known := base[play.Scenario]; known && play.Variant != Baseline {
+			key := row{play.Variant, play.Scenario.Site}
 			paired[key] = append(paired[key], play)
 		}
 	}
@@ -107,26 +107,26 @@
 	return differences
 }
 
-func difference(variant, site string, plays []Play, base map[Day]Play) Difference {
+func difference(variant, site string, plays []Run, base map[Scenario]Run) Difference {
 	var worth, score, read []float64
-	result := Difference{Variant: variant, Site: site, Pairs: len(plays), WorthInterval: math.Inf(1)}
+	result := Difference{Variant: variant, Site: site, Pairs: len(plays), WorthConfidenceHalfWidth: math.Inf(1)}
 	for _, play := range plays {
-		other := base[play.Day]
+		other := base[play.Scenario]
 		worth = append(worth, play.Worth-other.Worth)
 		score = append(score, play.Score-other.Score)
-		if other.TokensRead > 0 {
-			read = append(read, play.TokensRead/other.TokensRead)
+		if other.PrefillKilotokens > 0 {
+			read = append(read, play.PrefillKilotokens/other.PrefillKilotokens)
 		}
-		if play.Broken != "-" {
-			result.Broken++
+		if play.ViolatedRules != "-" {
+			result.RunsWithViolations++
 		}
 	}
 	result.Worth = stat.Mean(worth, nil)
 	result.Score = stat.Mean(score, nil)
-	result.TokensRead = stat.Mean(read, nil)
+	result.PrefillTokenRatio = stat.Mean(read, nil)
 	if len(worth) > 1 {
 		student := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(len(worth) - 1)}
-		result.WorthInterval = student.Quantile(0.975) * stat.StdErr(stat.StdDev(worth, nil), float64(len(worth)))
+		result.WorthConfidenceHalfWidth = student.Quantile(0.975) * stat.StdErr(stat.StdDev(worth, nil), float64(len(worth)))
 	}
 	return result
 }
@@ -138,7 +138,7 @@
 	}
 	for _, row := range differences {
 		_, err := fmt.Fprintf(writer, "| %s | %s | %d | %+.3f | ±%.3f | %+.3f | x%.2f | %d |\n",
-			row.Site, row.Variant, row.Pairs, row.Worth, row.WorthInterval, row.Score, row.TokensRead, row.Broken)
+			row.Site, row.Variant, row.Pairs, row.Worth, row.WorthConfidenceHalfWidth, row.Score, row.PrefillTokenRatio, row.RunsWithViolations)
 		if err != nil {
 			return err
 		}
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -17,7 +17,7 @@
 
 func TestCompare(t *testing.T) {
 	Convey("variants are compared with the base, pair by pair", t, func() {
-		plays, err := Read(strings.NewReader(table))
+		plays, err := ReadRuns(strings.NewReader(table))
 		So(err, ShouldBeNil)
 		differences := Compare(plays)
 		So(differences, ShouldHaveLength, 2)
@@ -26,20 +26,20 @@
 		So(home.Pairs, ShouldEqual, 2)
 		So(home.Worth, ShouldAlmostEqual, -0.3, 1e-9)
 		So(home.Score, ShouldAlmostEqual, -0.6, 1e-9)
-		So(home.TokensRead, ShouldAlmostEqual, 2.5, 1e-9)
-		So(home.Broken, ShouldEqual, 1)
+		So(home.PrefillTokenRatio, ShouldAlmostEqual, 2.5, 1e-9)
+		So(home.RunsWithViolations, ShouldEqual, 1)
 		// Two differences of -0.4 and -0.2: t(0.975, 1) = 12.706, standard error 0.1.
-		So(home.WorthInterval, ShouldAlmostEqual, 1.2706, 1e-3)
+		So(home.WorthConfidenceHalfWidth, ShouldAlmostEqual, 1.2706, 1e-3)
 		So(rank.Pairs, ShouldEqual, 1)
-		So(math.IsInf(rank.WorthInterval, 1), ShouldBeTrue)
+		So(math.IsInf(rank.WorthConfidenceHalfWidth, 1), ShouldBeTrue)
 		var written strings.Builder
 		So(WriteTable(&written, differences), ShouldBeNil)
 		So(written.String(), ShouldContainSubstring, "| s | home | 2 | -0.300 | ±1.271 | -0.600 | x2.50 | 1 |")
 	})
 	Convey("a table with a fault is refused with its line", t, func() {
-		_, err := Read(strings.NewReader(table + "a\tb\n"))
+		_, err := ReadRuns(strings.NewReader(table + "a\tb\n"))
 		So(err.Error(), ShouldContainSubstring, "line 7")
-		_, err = Read(strings.NewReader(strings.Replace(table, "0.900", "much", 1)))
+		_, err = ReadRuns(strings.NewReader(strings.Replace(table, "0.900", "much", 1)))
 		So(err.Error(), ShouldContainSubstring, `"much"`)
 	})
 }
--- a/internal/gateway/admission_test.go
+++ b/internal/gateway/admission_test.go
@@ -15,7 +15,7 @@
 func newOverloadedFixture(t *testing.T, first bool) *gatewayFixture {
 	fixture := newGatewayFixture(t, streamingEngine(1, "", false))
 	fixture.ledger.setResponse(func(request *protocol.TurnRequest) *protocol.TurnReply {
-		return &protocol.TurnReply{First: first && request.Reserve != nil}
+		return &protocol.TurnReply{IsFirstTurn: first && request.Reserve != nil}
 	})
 	engines := fixture.gateway.engines
 	controller := getOrCreate(engines.admissionControllers, "b")
--- a/internal/gateway/calllog.go
+++ b/internal/gateway/calllog.go
@@ -30,7 +30,7 @@
 	keyValues = append(keyValues, "status", response.status, "events", response.events, "took", elapsed.Round(100*time.Microsecond).String())
 	d.metrics.recordRequest(c, failure)
 	if failure == nil {
-		telemetry.Calm(d.logger, id, "served", keyValues...)
+		telemetry.InfoSampled(d.logger, id, "served", keyValues...)
 		return
 	}
 	keyValues = append(keyValues, "code", int(failure.Code), "outcome", string(failure.Outcome), "err", failure.Error())
--- a/internal/gateway/chains.go
+++ b/internal/gateway/chains.go
@@ -47,10 +47,10 @@
 // if it holds the full history. The content is copied because several turns may continue from the
 // same one.
 func (h cachedHistory) extend(reply *protocol.TurnReply) []byte {
-	if !reply.Continued {
-		return reply.Chain
+	if !reply.IsContinuation {
+		return reply.History
 	}
-	return append(append(make([]byte, 0, len(h.content)+len(reply.Chain)), h.content...), reply.Chain...)
+	return append(append(make([]byte, 0, len(h.content)+len(reply.History)), h.content...), reply.History...)
 }
 
 // get returns the history up to a turn. If that is not cached, it returns the history up to the
--- a/internal/gateway/daemon.go
+++ b/internal/gateway/daemon.go
@@ -99,14 +99,14 @@
 	d.ledgers = newLedgerClient(process.Zone, d.metrics.historyReads, process.Policy.Disable)
 	d.follower = daemon.NewFollower(process.Cluster.Seeds, logger)
 	d.follower.WithRouting = true
-	d.follower.Report = d.fillHeartbeat
-	d.follower.OnNews = d.applyUpdate
-	d.confirmationAge = d.follower.ProofAge
-	d.nextConfirmation = d.follower.NextProof
-	d.follower.OnLoads = d.applySharedLoads
-	d.follower.OnUsages = func(usages []scheduling.EngineUsage) { d.engines.applySharedUsages(usages, clock.NowMs()) }
-	d.follower.OnLate = func(lateness []scheduling.StreamLateness) { d.engines.applySharedLateness(lateness, clock.NowMs()) }
-	d.follower.OnUses = func(usages []admission.BackendUsage) { d.engines.applySharedTenantUsage(usages, clock.NowMs()) }
+	d.follower.FillReport = d.fillHeartbeat
+	d.follower.OnUpdate = d.applyUpdate
+	d.confirmationAge = d.follower.ConfirmationAge
+	d.nextConfirmation = d.follower.NextConfirmation
+	d.follower.OnEngineLoads = d.applySharedLoads
+	d.follower.OnEngineUsages = func(usages []scheduling.EngineUsage) { d.engines.applySharedUsages(usages, clock.NowMs()) }
+	d.follower.OnStreamLateness = func(lateness []scheduling.StreamLateness) { d.engines.applySharedLateness(lateness, clock.NowMs()) }
+	d.follower.OnBackendUsages = func(usages []admission.BackendUsage) { d.engines.applySharedTenantUsage(usages, clock.NowMs()) }
 	return d
 }
 
@@ -136,11 +136,11 @@
 		request.Gateway.Capacity = d.process.Limits.CPUShare
 		request.Gateway.OverloadLevel = d.overloadLevel()
 	}
-	request.Loads = d.engines.collectLoads(clock.NowMs())
-	request.Usages = d.engines.collectUsages(clock.NowMs())
-	request.Failing = d.engines.failingEngines(clock.NowMs())
-	request.Late = d.engines.collectStreamLateness(clock.NowMs())
-	request.Uses = d.engines.collectTenantUsage(clock.NowMs())
+	request.EngineLoads = d.engines.collectLoads(clock.NowMs())
+	request.EngineUsages = d.engines.collectUsages(clock.NowMs())
+	request.FailingEngines = d.engines.failingEngines(clock.NowMs())
+	request.StreamLateness = d.engines.collectStreamLateness(clock.NowMs())
+	request.BackendUsages = d.engines.collectTenantUsage(clock.NowMs())
 }
 
 // applySharedLoads applies the engine loads aggregated over all gateways, and logs the engines that
@@ -177,7 +177,7 @@
 	}
 	d.view.Store(nextView)
 	if previousView == nil {
-		d.follower.Poke()
+		d.follower.SyncNow()
 	}
 }
 
@@ -194,7 +194,7 @@
 		MaxHeaderBytes: d.process.Limits.HeaderBytes, ErrorLog: stdlog.New(io.Discard, "", 0),
 	}
 	telemetry.Info(d.logger, "listening", "callers", listener.Addr().String())
-	tasks := daemon.NewGroup()
+	tasks := daemon.NewTaskGroup()
 	tasks.Go(d.follower.Run)
 	tasks.Go(func(ctx context.Context) error {
 		return daemon.ServeFrontends(ctx, append(d.Frontends, d.monitoringFrontend()))
@@ -238,10 +238,10 @@
 // bounded by the platform's grace period.
 func (d *Daemon) drain(ctx context.Context) {
 	d.draining.Store(true)
-	d.follower.Poke()
+	d.follower.SyncNow()
 	telemetry.Info(d.logger, "draining", "in_flight", d.inFlight.Load())
 	startedAt := time.Now()
-	latestEnd := startedAt.Add(d.process.Limits.Grace())
+	latestEnd := startedAt.Add(d.process.Limits.DrainTimeout())
 	for time.Now().Before(latestEnd) && ctx.Err() == nil {
 		time.Sleep(drainPollInterval)
 		isQuiet := clock.NowMs()-d.lastRequestMs.Load() > drainQuietPeriod.Milliseconds()
--- a/internal/gateway/engines.go
+++ b/internal/gateway/engines.go
@@ -47,7 +47,7 @@
 	return &engineRegistry{
 		byBackend: map[string][]membership.ServingEngine{}, health: map[string]*scheduling.EngineHealth{}, incarnations: map[string]int64{},
 		latencyModels: map[string]*scheduling.LatencyModel{}, admissionControllers: map[string]*scheduling.AdmissionController{}, zone: zone, disabled: policy.Disable,
-		fairSharesEnabled: policy.FairShares && !policy.Disable.Has(scheduling.MechanismFairShares),
+		fairSharesEnabled: policy.EnforcesFairShares && !policy.Disable.Has(scheduling.MechanismFairShares),
 		usageMeter:        admission.NewUsageMeter(clock.NowMs()), slotsByBackend: map[string]int{},
 		zoneCosts: scheduling.ZoneCosts{CrossZonePenaltyMs: policy.CrossZonePenaltyMs},
 	}
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -54,7 +54,7 @@
 		if protocol.Decode(frame.Body, request) != nil {
 			return
 		}
-		if request.Probe {
+		if request.ProbeLeader {
 			// The fake ledger leads every group.
 			_ = connection.Reply(frame.Call, protocol.KindResponse, &protocol.TurnReply{}, true)
 			return
@@ -240,18 +240,18 @@
 			fixture.ledger.setResponse(func(request *protocol.TurnRequest) *protocol.TurnReply {
 				switch {
 				case request.Reserve != nil && request.Zone == "near":
-					return &protocol.TurnReply{Older: []string{"t1", "t2"}, Chain: []byte("three ")}
-				case len(request.Contents) == 2:
-					return &protocol.TurnReply{Chain: []byte("ONE TWO ")}
+					return &protocol.TurnReply{OlderTurns: []string{"t1", "t2"}, History: []byte("three ")}
+				case len(request.ContentsOf) == 2:
+					return &protocol.TurnReply{History: []byte("ONE TWO ")}
 				}
 				return &protocol.TurnReply{}
 			})
 			localReplica := newFakeLedger(t)
 			localReplica.setResponse(func(request *protocol.TurnRequest) *protocol.TurnReply {
-				if !hasTurns || len(request.Contents) != 2 {
+				if !hasTurns || len(request.ContentsOf) != 2 {
 					return &protocol.TurnReply{Error: result.New(result.NotLeader, "not here")}
 				}
-				return &protocol.TurnReply{Chain: []byte("one two ")}
+				return &protocol.TurnReply{History: []byte("one two ")}
 			})
 			fleet := *fixture.gateway.view.Load().fleet
 			fleet.Ledgers = map[string]membership.LedgerHost{localReplica.server.Address(): {Member: localReplica.server.Address(), Zone: "near"}}
@@ -282,7 +282,7 @@
 	})
 }
 
-func TestStreamsAreTakenUp(t *testing.T) {
+func TestStreamsAreResumed(t *testing.T) {
 	Convey("a broken stream resumes at another engine with each event once and the header of the first engine", t, func() {
 		var lastEventIDs []string
 		fixture := newGatewayFixture(t, func(w http.ResponseWriter, r *http.Request) {
