--- a/internal/gateway/ledgers.go
+++ b/internal/gateway/ledgers.go
@@ -34,7 +34,7 @@
 
 // ledgerClient finds the leader of each ledger group and sends requests to it.
 type ledgerClient struct {
-	caller *daemon.Caller
+	caller *daemon.Client
 	zone   string
 	// historyReads counts the reads of older turns by source.
 	historyReads *prometheus.CounterVec
@@ -46,7 +46,7 @@
 }
 
 func newLedgerClient(zone string, historyReads *prometheus.CounterVec, disabled scheduling.DisabledMechanisms) *ledgerClient {
-	l := &ledgerClient{caller: daemon.NewCaller(), zone: zone, historyReads: historyReads, disabled: disabled}
+	l := &ledgerClient{caller: daemon.NewClient(), zone: zone, historyReads: historyReads, disabled: disabled}
 	l.leaders = newLeaderCache(l.members, l.probe)
 	return l
 }
@@ -80,14 +80,14 @@
 // probe implements leaderProbe with a call to the member.
 func (l *ledgerClient) probe(ctx context.Context, member string, group uint32) (leads bool, hint string) {
 	reply := &protocol.TurnReply{}
-	err := l.caller.CallWithin(ctx, leaderProbeTimeout, member, protocol.KindTurn, &protocol.TurnRequest{Group: group, Probe: true}, reply)
+	err := l.caller.CallWithTimeout(ctx, leaderProbeTimeout, member, protocol.KindTurn, &protocol.TurnRequest{Group: group, ProbeLeader: true}, reply)
 	return err == nil && reply.Error == nil, reply.Leader
 }
 
 // callLeader sends a request to the leader of its group, and repeats it until it is answered or ctx
 // ends. Repeating is safe because the ledger identifies a turn by its request id.
 func (l *ledgerClient) callLeader(ctx context.Context, request *protocol.TurnRequest) *protocol.TurnReply {
-	request.WithinMs = ledgerCallTimeout.Milliseconds()
+	request.TimeoutMs = ledgerCallTimeout.Milliseconds()
 	lastError := result.New(result.LedgerUnreachable, "group %d: no leader found", request.Group)
 	for attempt := 0; ctx.Err() == nil; attempt++ {
 		leader := l.leaders.find(ctx, request.Group)
@@ -95,7 +95,7 @@
 			break
 		}
 		reply := &protocol.TurnReply{}
-		err := l.caller.CallWithin(ctx, ledgerCallTimeout, leader, protocol.KindTurn, request, reply)
+		err := l.caller.CallWithTimeout(ctx, ledgerCallTimeout, leader, protocol.KindTurn, request, reply)
 		switch {
 		case err != nil:
 			lastError = result.New(result.LedgerUnreachable, "group %d: %s: %v", request.Group, leader, err)
@@ -143,8 +143,8 @@
 	if !isPlaced {
 		return &protocol.TurnReply{Error: result.New(result.LedgerUnreachable, "no ledger group is placed")}
 	}
-	reply := l.callLeader(ctx, &protocol.TurnRequest{Group: group, Reserve: reserve, Known: cachedTurn, Zone: l.zone})
-	if reply.Error == nil && len(reply.Older) > 0 {
+	reply := l.callLeader(ctx, &protocol.TurnRequest{Group: group, Reserve: reserve, CachedTurn: cachedTurn, Zone: l.zone})
+	if reply.Error == nil && len(reply.OlderTurns) > 0 {
 		l.prependOlderTurns(ctx, group, reply)
 	}
 	return reply
@@ -154,20 +154,20 @@
 // reads them from a replica in this zone, which avoids traffic between zones, or else from the
 // leader.
 func (l *ledgerClient) prependOlderTurns(ctx context.Context, group uint32, reply *protocol.TurnReply) {
-	request := &protocol.TurnRequest{Group: group, Contents: reply.Older}
+	request := &protocol.TurnRequest{Group: group, ContentsOf: reply.OlderTurns}
 	older := &protocol.TurnReply{}
 	source := sourceLocal
 	replica := ""
 	if !l.disabled.Has(scheduling.MechanismZoneLocalReads) {
 		replica = l.localReplica(group)
 	}
-	if replica == "" || l.caller.CallWithin(ctx, localReadTimeout, replica, protocol.KindTurn, request, older) != nil || older.Error != nil {
+	if replica == "" || l.caller.CallWithTimeout(ctx, localReadTimeout, replica, protocol.KindTurn, request, older) != nil || older.Error != nil {
 		source = sourceLeader
 		older = l.callLeader(ctx, request)
 	}
 	l.historyReads.WithLabelValues(source).Inc()
 	reply.Error = older.Error
-	reply.Chain = append(older.Chain, reply.Chain...)
+	reply.History = append(older.History, reply.History...)
 }
 
 // localReplica returns a member of a group in this zone, "" if there is none.
@@ -198,7 +198,7 @@
 			continue
 		}
 		requested++
-		go func() { replies <- l.callLeader(ctx, &protocol.TurnRequest{Group: group, Find: turn}) }()
+		go func() { replies <- l.callLeader(ctx, &protocol.TurnRequest{Group: group, HistoryOf: turn}) }()
 	}
 	notFound := &protocol.TurnReply{Error: result.New(result.UnknownTurn, "no ledger group has turn %s", turn)}
 	for range requested {
@@ -237,7 +237,7 @@
 		return result.New(result.LedgerUnreachable, "group %d: no leader found", group)
 	}
 	reply := &protocol.TurnReply{}
-	if err := l.caller.CallWithin(ctx, ledgerCallTimeout, leader, protocol.KindTurn, &protocol.TurnRequest{Group: group, Quota: request}, reply); err != nil {
+	if err := l.caller.CallWithTimeout(ctx, ledgerCallTimeout, leader, protocol.KindTurn, &protocol.TurnRequest{Group: group, Quota: request}, reply); err != nil {
 		return result.New(result.LedgerUnreachable, "group %d: %s: %v", group, leader, err)
 	}
 	return reply.Error
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -26,51 +26,51 @@
 
 // newMetrics registers the metrics of a gateway.
 func newMetrics(monitor *telemetry.Monitor, d *Daemon) *metrics {
-	monitor.Gauge("gateway_in_flight", "Requests under way.", func() float64 { return float64(d.inFlight.Load()) })
-	monitor.Gauge("gateway_engine_connections_opened", "Connections made to engines since the start.", func() float64 { return float64(d.pool.ConnectionsOpened.Load()) })
-	monitor.Gauge("gateway_engine_connections_reused", "Requests sent on kept connections since the start.", func() float64 { return float64(d.pool.ConnectionsReused.Load()) })
-	monitor.Gauge("routing_generation", "Generation of the routing table in force.", func() float64 {
+	monitor.RegisterGauge("gateway_in_flight", "Requests under way.", func() float64 { return float64(d.inFlight.Load()) })
+	monitor.RegisterGauge("gateway_engine_connections_opened", "Connections made to engines since the start.", func() float64 { return float64(d.pool.ConnectionsOpened.Load()) })
+	monitor.RegisterGauge("gateway_engine_connections_reused", "Requests sent on kept connections since the start.", func() float64 { return float64(d.pool.ConnectionsReused.Load()) })
+	monitor.RegisterGauge("routing_generation", "Generation of the routing table in force.", func() float64 {
 		if current := d.view.Load(); current != nil {
 			return float64(current.routes.Table.Generation)
 		}
 		return 0
 	})
-	monitor.Gauge("gateway_proof_age_seconds", "How long ago the routing table was surely in force; -1 for never.", func() float64 {
+	monitor.RegisterGauge("gateway_proof_age_seconds", "How long ago the routing table was surely in force; -1 for never.", func() float64 {
 		if age, isConfirmed := d.confirmationAge(); isConfirmed {
 			return age.Seconds()
 		}
 		return -1
 	})
-	monitor.Gauge("gateway_waiting", "Requests that wait for room at engines.", func() float64 {
+	monitor.RegisterGauge("gateway_waiting", "Requests that wait for room at engines.", func() float64 {
 		_, waitingCount := d.waitQueues.admissionErrors()
 		return float64(waitingCount)
 	})
-	monitor.Gauge("gateway_rejected_wrongly", "Requests rejected for want of room that came in time for them after all, since the start.", func() float64 {
+	monitor.RegisterGauge("gateway_rejected_wrongly", "Requests rejected for want of room that came in time for them after all, since the start.", func() float64 {
 		errors, _ := d.waitQueues.admissionErrors()
 		return float64(errors.FalseRejections)
 	})
-	monitor.Gauge("gateway_held_in_vain", "Requests that waited for room and got none, since the start.", func() float64 {
+	monitor.RegisterGauge("gateway_held_in_vain", "Requests that waited for room and got none, since the start.", func() float64 {
 		errors, _ := d.waitQueues.admissionErrors()
 		return float64(errors.FutileWaits)
 	})
-	monitor.Gauge("gateway_held_in_vain_seconds", "How long they waited in all.", func() float64 {
+	monitor.RegisterGauge("gateway_held_in_vain_seconds", "How long they waited in all.", func() float64 {
 		errors, _ := d.waitQueues.admissionErrors()
 		return (time.Duration(errors.FutileWaitMs) * time.Millisecond).Seconds()
 	})
-	monitor.Gauge("gateway_processor_use", "Part of the share of a core that is used.", func() float64 {
+	monitor.RegisterGauge("gateway_processor_use", "Part of the share of a core that is used.", func() float64 {
 		return math.Float64frombits(d.processorLoad.utilizationBits.Load())
 	})
-	monitor.Gauge("gateway_engine_slowness_spread", "Slowest over quickest engine of the back end where they differ most, by what streams have shown; 1 where they are alike.", func() float64 { return d.engines.slowdownSpread() })
+	monitor.RegisterGauge("gateway_engine_slowness_spread", "Slowest over quickest engine of the back end where they differ most, by what streams have shown; 1 where they are alike.", func() float64 { return d.engines.slowdownSpread() })
 	return &metrics{
-		requests:     monitor.Latencies("gateway_request_seconds", "Time of requests from their head to the end of the answer.", "kind", "outcome"),
-		failures:     monitor.Counters("gateway_failures_total", "Requests that no engine answered, by result code.", "code"),
-		attempts:     monitor.Counters("gateway_attempts_total", "Sends to engines, by how they ended.", "outcome"),
-		turnOpen:     monitor.Latencies("gateway_turn_open_seconds", "Time until the ledger had opened a turn."),
-		turnRetain:   monitor.Latencies("gateway_turn_keep_seconds", "Time until the ledger had kept a turn."),
-		firstEvent:   monitor.Latencies("gateway_first_event_seconds", "Time from the send to an engine to its first event."),
-		historyReads: monitor.Counters("gateway_histories_total", "Reads of the older turns of a chain, by the replica that answered.", "source"),
-		sessionMoves: monitor.Counters("gateway_sessions_moved_total", "Turns that went to another engine than the one that holds what their session has read, by why.", "reason"),
-		quotaWait:    monitor.Latencies("gateway_quota_seconds", "Time until the owner of a tenant's limit had answered.", "outcome"),
+		requests:     monitor.RegisterLatencyHistogram("gateway_request_seconds", "Time of requests from their head to the end of the answer.", "kind", "outcome"),
+		failures:     monitor.RegisterCounter("gateway_failures_total", "Requests that no engine answered, by result code.", "code"),
+		attempts:     monitor.RegisterCounter("gateway_attempts_total", "Sends to engines, by how they ended.", "outcome"),
+		turnOpen:     monitor.RegisterLatencyHistogram("gateway_turn_open_seconds", "Time until the ledger had opened a turn."),
+		turnRetain:   monitor.RegisterLatencyHistogram("gateway_turn_keep_seconds", "Time until the ledger had kept a turn."),
+		firstEvent:   monitor.RegisterLatencyHistogram("gateway_first_event_seconds", "Time from the send to an engine to its first event."),
+		historyReads: monitor.RegisterCounter("gateway_histories_total", "Reads of the older turns of a chain, by the replica that answered.", "source"),
+		sessionMoves: monitor.RegisterCounter("gateway_sessions_moved_total", "Turns that went to another engine than the one that holds what their session has read, by why.", "reason"),
+		quotaWait:    monitor.RegisterLatencyHistogram("gateway_quota_seconds", "Time until the owner of a tenant's limit had answered.", "outcome"),
 	}
 }
 
--- a/internal/gateway/pause_test.go
+++ b/internal/gateway/pause_test.go
@@ -15,10 +15,10 @@
 	s.gateway.stalls.lastTickMs.Store(clock.NowMs() - pause.Milliseconds())
 }
 
-// TestThawedGateway checks that a gateway on a machine that froze for seconds serves the requests
+// TestGatewayAfterStall checks that a gateway on a machine that froze for seconds serves the requests
 // that arrived in the meantime once control confirms its routing table, and that a gateway which is
 // merely disconnected from control rejects requests without a wait.
-func TestThawedGateway(t *testing.T) {
+func TestGatewayAfterStall(t *testing.T) {
 	serve := func(fixture *tenantFixture, id string) int {
 		response, _, err := fixture.send("/safe/", id, "Ochrebay-Key", testKey)
 		So(err, ShouldBeNil)
--- a/internal/gateway/priority_test.go
+++ b/internal/gateway/priority_test.go
@@ -7,10 +7,10 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// TestLateProgramKeepsItsRank checks that a turn's priority at the engine does not depend on whether
+// TestLateProgramKeepsItsPriority checks that a turn's priority at the engine does not depend on whether
 // its program can still finish in time. In an overload, engines serve the lowest priority only after
 // its callers have given up, so demoting late programs would starve them.
-func TestLateProgramKeepsItsRank(t *testing.T) {
+func TestLateProgramKeepsItsPriority(t *testing.T) {
 	Convey("a turn's priority does not change after the finish time of its program", t, func() {
 		seen := ""
 		fixture := newGatewayFixture(t, func(w http.ResponseWriter, r *http.Request) {
--- a/internal/gateway/quotas.go
+++ b/internal/gateway/quotas.go
@@ -130,7 +130,7 @@
 		if ctx.Err() != nil {
 			return &protocol.TurnReply{Error: result.New(result.Cancelled, "the caller disconnected while its request waited for the tenant's rate limit")}
 		}
-		if reply.Error != nil || reply.Queued == nil {
+		if reply.Error != nil || reply.QueuePosition == nil {
 			return reply
 		}
 		c.quotaQueued = true
--- a/internal/gateway/quotas_test.go
+++ b/internal/gateway/quotas_test.go
@@ -19,7 +19,7 @@
 		fixture.ledger.setResponse(func(request *protocol.TurnRequest) *protocol.TurnReply {
 			requests = append(requests, *request.Quota)
 			if len(requests) < 3 {
-				return &protocol.TurnReply{Queued: &quota.QueuePosition{Ahead: 1}}
+				return &protocol.TurnReply{QueuePosition: &quota.QueuePosition{Ahead: 1}}
 			}
 			return &protocol.TurnReply{Grant: &quota.Grant{}}
 		})
@@ -45,7 +45,7 @@
 			default:
 			}
 			time.Sleep(time.Millisecond)
-			return &protocol.TurnReply{Queued: &quota.QueuePosition{}}
+			return &protocol.TurnReply{QueuePosition: &quota.QueuePosition{}}
 		})
 		ctx, cancel := context.WithCancel(context.Background())
 		request, err := http.NewRequestWithContext(ctx, http.MethodPost, fixture.server.URL+"/safe/", http.NoBody)
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -83,7 +83,7 @@
 			return found.Error
 		}
 		c.historyInOtherGroup = true
-		c.history = found.Chain
+		c.history = found.History
 		reserve.PreviousRequest = ""
 		reply = d.ledgers.reserve(ledgerContext, reserve, "")
 	}
@@ -93,12 +93,12 @@
 		c.turnReserved = c.tokenBudget > 0 && reply.Error.Code == result.LedgerUnreachable
 		return reply.Error
 	}
-	c.affineEngine = reply.Engine
+	c.affineEngine = reply.AffineEngine
 	if !c.historyInOtherGroup && reserve.PreviousRequest != "" {
 		c.history = cached.extend(reply)
 	}
 	c.turnReserved = c.tokenBudget > 0
-	c.programInProgress = !reply.First || c.previousTurn != ""
+	c.programInProgress = !reply.IsFirstTurn || c.previousTurn != ""
 	if !c.programInProgress {
 		return d.admitProgram(c)
 	}
--- a/internal/gateway/shares_test.go
+++ b/internal/gateway/shares_test.go
@@ -26,7 +26,7 @@
 		if request.Quota != nil {
 			return &protocol.TurnReply{Grant: &quota.Grant{}}
 		}
-		return &protocol.TurnReply{First: request.Reserve != nil}
+		return &protocol.TurnReply{IsFirstTurn: request.Reserve != nil}
 	})
 	view := *fixture.gateway.view.Load()
 	table := *view.routes.Table
--- a/internal/gateway/tries_test.go
+++ b/internal/gateway/tries_test.go
@@ -20,7 +20,7 @@
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-func TestWaitingForRoom(t *testing.T) {
+func TestWaitingForCapacity(t *testing.T) {
 	Convey("a call that no engine has capacity for runs once there is some", t, func() {
 		var refusals atomic.Int64
 		fixture := newGatewayFixture(t, func(w http.ResponseWriter, r *http.Request) {
@@ -82,7 +82,7 @@
 	}
 }
 
-func TestEnginesThatAreSilent(t *testing.T) {
+func TestResponseTimeouts(t *testing.T) {
 	release := make(chan struct{})
 	defer close(release)
 	unresponsive := func(_ http.ResponseWriter, r *http.Request) {
--- a/internal/gateway/waiting.go
+++ b/internal/gateway/waiting.go
@@ -125,11 +125,11 @@
 
 // admissionErrors returns the sums of the admission errors and of the waiting calls over all back
 // ends.
-func (q *waitQueues) admissionErrors() (total waiting.AdmissionErrors, waitingCount int) {
+func (q *waitQueues) admissionErrors() (total waiting.Misjudgments, waitingCount int) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	for _, waiters := range q.byBackend {
-		errors := waiters.queue.AdmissionErrors()
+		errors := waiters.queue.Misjudgments()
 		total.FalseRejections += errors.FalseRejections
 		total.FutileWaits += errors.FutileWaits
 		total.FutileWaitMs += errors.FutileWaitMs
--- a/internal/ledger/bench_test.go
+++ b/internal/ledger/bench_test.go
@@ -73,14 +73,14 @@
 }
 
 // askLeader asks the hosts in turn until the group's leader answers.
-func askLeader(b *testing.B, caller *daemon.Caller, members []string, leader map[uint32]string, request *protocol.TurnRequest) {
+func askLeader(b *testing.B, caller *daemon.Client, members []string, leader map[uint32]string, request *protocol.TurnRequest) {
 	for try := 0; ; try++ {
 		target := leader[request.Group]
 		if target == "" {
 			target = members[try%len(members)]
 		}
 		reply := &protocol.TurnReply{}
-		err := caller.CallWithin(context.Background(), time.Second, target, protocol.KindTurn, request, reply)
+		err := caller.CallWithTimeout(context.Background(), time.Second, target, protocol.KindTurn, request, reply)
 		if err == nil && reply.Error == nil {
 			leader[request.Group] = target
 			return
@@ -97,7 +97,7 @@
 // its processor time is that of all of them.
 func BenchmarkTurn(b *testing.B) {
 	members := benchCluster(b)
-	caller := daemon.NewCaller()
+	caller := daemon.NewClient()
 	defer caller.Close()
 	leader := map[uint32]string{}
 	turn := 0
@@ -112,7 +112,7 @@
 		settle := &program.Settle{Program: programID, Request: id, UsedTokens: 200, Session: "s", Engine: "i-1"}
 		go func() {
 			reply := &protocol.TurnReply{}
-			_ = caller.CallWithin(context.Background(), time.Second, leader[group], protocol.KindTurn, &protocol.TurnRequest{Group: group, Settle: settle}, reply)
+			_ = caller.CallWithTimeout(context.Background(), time.Second, leader[group], protocol.KindTurn, &protocol.TurnRequest{Group: group, Settle: settle}, reply)
 		}()
 		time.Sleep(5 * time.Millisecond)
 	}
--- a/internal/ledger/cluster_test.go
+++ b/internal/ledger/cluster_test.go
@@ -27,7 +27,7 @@
 // memoryDisk is a disk whose writes are atomic and last.
 type memoryDisk struct {
 	replica  consensus.ReplicaID
-	restored map[storage.GroupID]*consensus.Restored
+	restored map[storage.GroupID]*consensus.PersistedState
 	records  map[storage.GroupID]map[string][]byte
 	staged   map[storage.GroupID]map[string][]byte
 	notes    map[string][]byte
@@ -35,17 +35,17 @@
 
 func newMemoryDisk(replica consensus.ReplicaID) *memoryDisk {
 	return &memoryDisk{
-		replica: replica, restored: map[storage.GroupID]*consensus.Restored{},
+		replica: replica, restored: map[storage.GroupID]*consensus.PersistedState{},
 		records: map[storage.GroupID]map[string][]byte{}, staged: map[storage.GroupID]map[string][]byte{}, notes: map[string][]byte{},
 	}
 }
 
-func (d *memoryDisk) Replica() consensus.ReplicaID         { return d.replica }
-func (d *memoryDisk) Note(name string, value []byte) error { d.notes[name] = value; return nil }
-func (d *memoryDisk) NoteOf(name string) ([]byte, error)   { return d.notes[name], nil }
-func (d *memoryDisk) group(id storage.GroupID) *consensus.Restored {
+func (d *memoryDisk) Replica() consensus.ReplicaID                { return d.replica }
+func (d *memoryDisk) PutMetadata(name string, value []byte) error { d.notes[name] = value; return nil }
+func (d *memoryDisk) GetMetadata(name string) ([]byte, error)     { return d.notes[name], nil }
+func (d *memoryDisk) group(id storage.GroupID) *consensus.PersistedState {
 	if d.restored[id] == nil {
-		d.restored[id] = &consensus.Restored{}
+		d.restored[id] = &consensus.PersistedState{}
 		d.records[id] = map[string][]byte{}
 		d.staged[id] = map[string][]byte{}
 	}
@@ -90,9 +90,9 @@
 	}
 }
 
-func (d *memoryDisk) Load(id storage.GroupID) (consensus.Restored, error) {
+func (d *memoryDisk) Load(id storage.GroupID) (consensus.PersistedState, error) {
 	group := d.group(id)
-	return consensus.Restored{HardState: group.HardState, Snapshot: group.Snapshot, Entries: slices.Clone(group.Entries)}, nil
+	return consensus.PersistedState{HardState: group.HardState, Snapshot: group.Snapshot, Entries: slices.Clone(group.Entries)}, nil
 }
 
 func (d *memoryDisk) Records(id storage.GroupID, name string, _ uint64) ([]storage.Record, error) {
@@ -190,7 +190,7 @@
 	view, _ = view.ApplyDelta(news)
 	for _, node := range c.nodes {
 		if node.core != nil {
-			if err := node.core.Follow(view, c.nowMs); err != nil {
+			if err := node.core.ApplyView(view, c.nowMs); err != nil {
 				c.t.Fatal(err)
 			}
 		}
@@ -233,7 +233,7 @@
 			if other.core == nil || other.cut || protocol.Decode(raw, &decoded) != nil {
 				return
 			}
-			other.core.Peer(decoded, n.cluster.nowMs)
+			other.core.HandlePeerBatch(decoded, n.cluster.nowMs)
 		}})
 	}
 }
@@ -269,7 +269,7 @@
 func (n *node) ask(request *protocol.TurnRequest, answer func(*protocol.TurnReply)) {
 	n.next++
 	n.replies[n.next] = answer
-	n.core.Request(n.next, request, n.cluster.nowMs)
+	n.core.HandleRequest(n.next, request, n.cluster.nowMs)
 }
 
 // run lets time pass.
@@ -360,9 +360,9 @@
 		got, answered := "", false
 		c.until("an answer about "+request, func() bool {
 			if leader := c.leader(); leader != nil {
-				leader.ask(&protocol.TurnRequest{Group: 1, Find: request}, func(reply *protocol.TurnReply) {
+				leader.ask(&protocol.TurnRequest{Group: 1, HistoryOf: request}, func(reply *protocol.TurnReply) {
 					if reply.Error == nil || reply.Error.Code == result.UnknownTurn {
-						got, answered = string(reply.Chain), true
+						got, answered = string(reply.History), true
 					}
 				})
 				c.run(100)
--- a/internal/ledger/compat_test.go
+++ b/internal/ledger/compat_test.go
@@ -8,7 +8,7 @@
 
 // TestEarlierReleases holds what this package sends and stores against earlier releases.
 func TestEarlierReleases(t *testing.T) {
-	compat.Hold(t, map[string]any{
+	compat.CheckTypes(t, map[string]any{
 		"groupSnapshot": &groupSnapshot{}, "placementNoted": &placementNoted{},
 	})
 }
--- a/internal/ledger/core.go
+++ b/internal/ledger/core.go
@@ -24,9 +24,9 @@
 // Storage is the disk as the core sees it.
 type Storage interface {
 	replication.Storage
-	// Note keeps a small value by name, and NoteOf returns it, nil where there is none.
-	Note(name string, value []byte) error
-	NoteOf(name string) ([]byte, error)
+	// PutMetadata keeps a small value by name, and NoteOf returns it, nil where there is none.
+	PutMetadata(name string, value []byte) error
+	GetMetadata(name string) ([]byte, error)
 }
 
 // placementNote is the name under which the last view of the fleet is kept.
@@ -98,7 +98,7 @@
 	return Options{
 		Member: member, Name: name, Zone: zone, TickMs: defaultTickMs,
 		Replication: replication.Options{
-			Name: member, StartTicks: startTicks, ElectionTicks: electionTicks, HeartbeatTicks: heartbeatTicks,
+			Name: member, InitialElectionTicks: startTicks, ElectionTicks: electionTicks, HeartbeatTicks: heartbeatTicks,
 			MaxAppendBytes: maxAppendBytes, MaxInflight: maxInflight, ProposalTimeoutMs: proposalWaitMs,
 			CompactAfterEntries: compactEntries, CompactAfterBytes: compactBytes,
 		},
@@ -162,8 +162,8 @@
 // Host returns the replicas for reading.
 func (c *Core) Host() *replication.Host { return c.host }
 
-// Turns returns the state of a hosted group for reading, nil where it is not hosted.
-func (c *Core) Turns(id storage.GroupID) *stateMachine {
+// StateMachine returns the state of a hosted group for reading, nil where it is not hosted.
+func (c *Core) StateMachine(id storage.GroupID) *stateMachine {
 	group := c.host.FindGroup(id)
 	if group == nil {
 		return nil
@@ -192,7 +192,7 @@
 // Restore hosts the groups that the disk remembers, so that a fleet which starts
 // again as a whole does not wait for control first.
 func (c *Core) Restore(nowMs int64) error {
-	raw, err := c.storage.NoteOf(placementNote)
+	raw, err := c.storage.GetMetadata(placementNote)
 	if err != nil || raw == nil {
 		return err
 	}
@@ -206,16 +206,16 @@
 	return c.hostView(view, nowMs)
 }
 
-// Follow takes a new view of the fleet, remembers what matters of it and hosts the
+// ApplyView takes a new view of the fleet, remembers what matters of it and hosts the
 // groups placed here.
-func (c *Core) Follow(view *membership.FleetView, nowMs int64) error {
+func (c *Core) ApplyView(view *membership.FleetView, nowMs int64) error {
 	noted := notePlacement(view)
 	raw, err := protocol.Encode(&noted)
 	if err != nil {
 		return err
 	}
 	if !bytes.Equal(raw, c.noted) {
-		if err := c.storage.Note(placementNote, raw); err != nil {
+		if err := c.storage.PutMetadata(placementNote, raw); err != nil {
 			return err
 		}
 		c.noted = raw
@@ -250,8 +250,8 @@
 	return err
 }
 
-// Peer takes a batch of consensus messages from another ledger host.
-func (c *Core) Peer(batch protocol.PeerBatch, nowMs int64) {
+// HandlePeerBatch takes a batch of consensus messages from another ledger host.
+func (c *Core) HandlePeerBatch(batch protocol.PeerBatch, nowMs int64) {
 	c.setNow(nowMs)
 	c.host.Step(batch)
 }
@@ -298,7 +298,7 @@
 	led := membership.GroupReport{Group: uint32(group.ID), Term: group.Node.Term(), IsStable: true}
 	for _, replica := range group.Node.Configuration().Replicas {
 		led.Members = append(led.Members, replica.Member)
-		led.IsStable = led.IsStable && !replica.Learner
+		led.IsStable = led.IsStable && !replica.IsLearner
 	}
 	return led
 }
@@ -311,8 +311,8 @@
 	}
 }
 
-// Drained reports whether this process leads nothing any more.
-func (c *Core) Drained() bool {
+// IsDrained reports whether this process leads nothing any more.
+func (c *Core) IsDrained() bool {
 	return !slices.ContainsFunc(c.host.Groups, (*replication.Group).IsLeader)
 }
 
@@ -322,7 +322,7 @@
 		return
 	}
 	for _, replica := range group.Node.Configuration().Replicas {
-		candidate := replica.ID != group.Node.ID() && eligible(replica.Member) && group.Node.RecentlyActive(replica.ID)
+		candidate := replica.ID != group.Node.ID() && eligible(replica.Member) && group.Node.IsRecentlyActive(replica.ID)
 		if candidate && group.Node.TransferLeadership(replica.ID) {
 			return
 		}
--- a/internal/ledger/daemon.go
+++ b/internal/ledger/daemon.go
@@ -48,7 +48,7 @@
 	monitor  *telemetry.Monitor
 	store    *storage.Store
 	core     *Core
-	loop     *daemon.Loop
+	loop     *daemon.EventLoop
 	links    *daemon.Links
 	follower *daemon.Follower
 	status   atomic.Pointer[status]
@@ -56,7 +56,7 @@
 	expired atomic.Int64
 
 	// The loop alone uses these.
-	replies daemon.Replies[RequestID, *protocol.TurnReply]
+	replies daemon.PendingReplies[RequestID, *protocol.TurnReply]
 	led     map[uint32]uint64
 }
 
@@ -72,23 +72,23 @@
 	}
 	options := DefaultOptions(process.Listen.Address, process.Name, process.Zone)
 	options.QuotaWindowMs = process.Limits.QuotaWindow().Milliseconds()
-	options.QuotaTolerance = quota.Tolerance{Overage: process.Limits.QuotaOverage, Slack: process.Limits.QuotaSlack}
+	options.QuotaTolerance = quota.Tolerance{OverageFraction: process.Limits.QuotaOverage, SlackRequests: process.Limits.QuotaSlack}
 	d.core = NewCore(options, store, d, clock.NowMs())
 	if err := d.core.Restore(clock.NowMs()); err != nil {
 		_ = store.Close()
 		return nil, errorx.Decorate(err, "restoring the placement")
 	}
 	d.links = daemon.NewLinks(func(member string) string { return member }, func(string) time.Duration { return 0 })
-	d.loop = daemon.NewLoop(time.Duration(options.TickMs) * time.Millisecond)
+	d.loop = daemon.NewEventLoop(time.Duration(options.TickMs) * time.Millisecond)
 	d.loop.Tick = func() { d.core.Tick(clock.NowMs()) }
 	d.loop.Flush = d.core.Flush
 	d.loop.Publish = d.publish
 	d.follower = daemon.NewFollower(process.Cluster.Seeds, logger)
-	d.follower.Report = func(request *protocol.FleetSync) {
+	d.follower.FillReport = func(request *protocol.FleetSync) {
 		report := d.status.Load().report
 		request.Ledger = &report
 	}
-	d.follower.OnNews = d.follow
+	d.follower.OnUpdate = d.follow
 	d.publish()
 	d.monitor = telemetry.NewMonitor(func() bool { return len(d.status.Load().report.LedGroups)+d.status.Load().hosted > 0 })
 	d.registerMetrics()
@@ -96,23 +96,23 @@
 }
 
 func (d *Daemon) registerMetrics() {
-	d.monitor.Gauge("ledger_groups_hosted", "Ledger groups with a replica here.", func() float64 { return float64(d.status.Load().hosted) })
-	d.monitor.Gauge("ledger_groups_led", "Ledger groups led here.", func() float64 { return float64(len(d.status.Load().report.LedGroups)) })
-	d.monitor.Gauge("ledger_groups_voting", "Ledger groups whose quorum counts the replica here.", func() float64 { return float64(d.status.Load().voting) })
-	d.monitor.Gauge("ledger_requests_expired", "Requests dropped since the start: they waited longer than their senders.", func() float64 { return float64(d.expired.Load()) })
-	d.monitor.Gauge("ledger_turns_kept", "Turns kept in the groups hosted here.", func() float64 { return float64(d.status.Load().turns) })
-	d.monitor.Gauge("ledger_entries_applied", "Log entries applied over all groups.", func() float64 { return float64(d.status.Load().applied) })
-	d.monitor.Gauge("ledger_quota_granted", "Requests of tenants granted since the start.", func() float64 { return float64(d.core.QuotasGranted()) })
-	d.monitor.Gauge("ledger_quota_denied", "Requests of tenants denied since the start: their limit was used up.", func() float64 { return float64(d.core.QuotasDenied()) })
-	d.monitor.Gauge("ledger_quota_waiting", "Requests of programs under way that wait for room in their tenant's limit.", func() float64 { return float64(d.status.Load().waiting) })
-	d.monitor.JSON("/v1/tenants", d.tenants)
-	d.monitor.Gauge("store_syncs", "Synced writes to the data folder.", func() float64 { return float64(d.status.Load().synced) })
+	d.monitor.RegisterGauge("ledger_groups_hosted", "Ledger groups with a replica here.", func() float64 { return float64(d.status.Load().hosted) })
+	d.monitor.RegisterGauge("ledger_groups_led", "Ledger groups led here.", func() float64 { return float64(len(d.status.Load().report.LedGroups)) })
+	d.monitor.RegisterGauge("ledger_groups_voting", "Ledger groups whose quorum counts the replica here.", func() float64 { return float64(d.status.Load().voting) })
+	d.monitor.RegisterGauge("ledger_requests_expired", "Requests dropped since the start: they waited longer than their senders.", func() float64 { return float64(d.expired.Load()) })
+	d.monitor.RegisterGauge("ledger_turns_kept", "Turns kept in the groups hosted here.", func() float64 { return float64(d.status.Load().turns) })
+	d.monitor.RegisterGauge("ledger_entries_applied", "Log entries applied over all groups.", func() float64 { return float64(d.status.Load().applied) })
+	d.monitor.RegisterGauge("ledger_quota_granted", "Requests of tenants granted since the start.", func() float64 { return float64(d.core.GrantedRequestCount()) })
+	d.monitor.RegisterGauge("ledger_quota_denied", "Requests of tenants denied since the start: their limit was used up.", func() float64 { return float64(d.core.DeniedRequestCount()) })
+	d.monitor.RegisterGauge("ledger_quota_waiting", "Requests of programs under way that wait for room in their tenant's limit.", func() float64 { return float64(d.status.Load().waiting) })
+	d.monitor.RegisterView("/v1/tenants", d.tenants)
+	d.monitor.RegisterGauge("store_syncs", "Synced writes to the data folder.", func() float64 { return float64(d.status.Load().synced) })
 }
 
 // tenants tells an operator of the tenants whose limits are owned here.
 func (d *Daemon) tenants() any {
 	views := make(chan []quota.TenantUsage, 1)
-	d.loop.Post(func() { views <- d.core.Tenants() })
+	d.loop.Post(func() { views <- d.core.TenantUsage() })
 	return TenantsView{Process: d.process.Name, Tenants: <-views}
 }
 
@@ -131,7 +131,7 @@
 		return
 	}
 	d.loop.Post(func() {
-		if err := d.core.Follow(view, clock.NowMs()); err != nil {
+		if err := d.core.ApplyView(view, clock.NowMs()); err != nil {
 			telemetry.Warn(d.logger, "placement not followed", "version", view.Version, "err", err)
 		}
 	})
@@ -146,7 +146,7 @@
 	}
 	defer server.Close()
 	telemetry.Info(d.logger, "listening", "address", server.Address(), "replica", uint64(d.store.Replica()))
-	tasks := daemon.NewGroup()
+	tasks := daemon.NewTaskGroup()
 	tasks.Go(d.loop.Run)
 	tasks.Go(d.follower.Run)
 	tasks.Go(func(ctx context.Context) error {
@@ -171,13 +171,13 @@
 // publish makes the snapshot for other goroutines and logs changes of leadership.
 func (d *Daemon) publish() {
 	current := &status{
-		leaders: map[uint32]string{}, report: d.core.Report(), drained: d.core.Drained(), hosted: len(d.core.host.Groups), synced: d.core.host.SyncedWrites,
-		waiting: d.core.QuotasWaiting(),
+		leaders: map[uint32]string{}, report: d.core.Report(), drained: d.core.IsDrained(), hosted: len(d.core.host.Groups), synced: d.core.host.SyncedWrites,
+		waiting: d.core.WaitingRequestCount(),
 	}
 	for _, group := range d.core.host.Groups {
 		current.leaders[uint32(group.ID)] = group.LeaderMember()
-		current.turns += group.StateMachine.(*stateMachine).turns.Len()
-		current.applied += group.Node.Applied()
+		current.turns += group.StateMachine.(*stateMachine).turns.TurnCount()
+		current.applied += group.Node.AppliedIndex()
 		if group.Node.Configuration().IsVoter(group.Node.ID()) {
 			current.voting++
 		}
@@ -195,7 +195,7 @@
 
 // Send is the core's outlet to other ledger hosts.
 func (d *Daemon) Send(member string, batch protocol.PeerBatch) {
-	if batch.Bulk() {
+	if batch.IsBulk() {
 		d.links.SendBulk(member, protocol.KindPeer, batch)
 		return
 	}
@@ -204,7 +204,9 @@
 
 // Reply is the core's outlet to whoever asked. The reply is encoded before it
 // returns, since it may share memory with the core's state.
-func (d *Daemon) Reply(request RequestID, reply *protocol.TurnReply) { d.replies.Take(request, reply) }
+func (d *Daemon) Reply(request RequestID, reply *protocol.TurnReply) {
+	d.replies.Deliver(request, reply)
+}
 
 // handle takes a frame from another process.
 func (d *Daemon) handle(connection *protocol.Connection, frame protocol.Frame) {
@@ -212,7 +214,7 @@
 	case protocol.KindPeer:
 		var batch protocol.PeerBatch
 		if protocol.Decode(frame.Body, &batch) == nil {
-			d.loop.PostMessage(len(frame.Body), func() { d.core.Peer(batch, clock.NowMs()) })
+			d.loop.PostMessage(len(frame.Body), func() { d.core.HandlePeerBatch(batch, clock.NowMs()) })
 			return
 		}
 	case protocol.KindTurn:
@@ -229,13 +231,13 @@
 // else to the loop. Invariant: a request that waited longer than its sender does is
 // dropped, since the sender asks again: work for nobody must not add to an overload.
 func (d *Daemon) takeRequest(connection *protocol.Connection, frame protocol.Frame, request *protocol.TurnRequest) {
-	if request.Probe {
+	if request.ProbeLeader {
 		_ = connection.Reply(frame.Call, protocol.KindResponse, d.probed(request.Group), true)
 		return
 	}
 	arrived := time.Now()
 	d.loop.PostMessage(len(frame.Body), func() {
-		if request.WithinMs > 0 && time.Since(arrived).Milliseconds() > request.WithinMs {
+		if request.TimeoutMs > 0 && time.Since(arrived).Milliseconds() > request.TimeoutMs {
 			d.expired.Add(1)
 			return
 		}
@@ -254,11 +256,11 @@
 
 func (d *Daemon) request(connection *protocol.Connection, call uint64, request *protocol.TurnRequest) {
 	began := time.Now()
-	id := d.replies.Expect(func(reply *protocol.TurnReply) {
+	id := d.replies.Register(func(reply *protocol.TurnReply) {
 		_ = connection.Reply(call, protocol.KindResponse, reply, true)
 		d.logTurn(request, reply, time.Since(began))
 	})
-	d.core.Request(id, request, clock.NowMs())
+	d.core.HandleRequest(id, request, clock.NowMs())
 }
 
 // logTurn writes the one line that says what became of a gateway's request.
@@ -267,14 +269,14 @@
 		// The gateway's own line tells of a denial, and of a grant how long it took.
 		return
 	}
-	id := request.Find
+	id := request.HistoryOf
 	keyValues := []any{"group", request.Group, "took", took.Round(100 * time.Microsecond).String()}
 	message := "turn looked for"
 	switch {
 	case request.Reserve != nil:
 		id, message = request.Reserve.Request, "turn opened"
 		keyValues = append(keyValues, "program", request.Reserve.Program, "budget", request.Reserve.BudgetTokens, "most", request.Reserve.MaxTokens,
-			"previous", request.Reserve.PreviousRequest, "home", reply.Engine)
+			"previous", request.Reserve.PreviousRequest, "home", reply.AffineEngine)
 	case request.Settle != nil:
 		id, message = request.Settle.Request, "turn settled"
 		keyValues = append(keyValues, "program", request.Settle.Program, "used", request.Settle.UsedTokens, "keep", request.Settle.Retain)
@@ -283,13 +285,13 @@
 		message = "quota asked for"
 		keyValues = append(keyValues, "tenant", request.Quota.Tenant)
 	}
-	if len(request.Contents) > 0 {
-		id, message = request.Contents[len(request.Contents)-1], "contents read"
-		keyValues = append(keyValues, "turns", len(request.Contents), "bytes", len(reply.Chain))
+	if len(request.ContentsOf) > 0 {
+		id, message = request.ContentsOf[len(request.ContentsOf)-1], "contents read"
+		keyValues = append(keyValues, "turns", len(request.ContentsOf), "bytes", len(reply.History))
 	}
 	keyValues = append(keyValues, "request", id)
 	if reply.Error == nil {
-		telemetry.Calm(d.logger, id, message, keyValues...)
+		telemetry.InfoSampled(d.logger, id, message, keyValues...)
 		return
 	}
 	keyValues = append(keyValues, "leader", reply.Leader, "code", int(reply.Error.Code), "err", reply.Error.Error())
--- a/internal/ledger/handover_test.go
+++ b/internal/ledger/handover_test.go
@@ -94,7 +94,7 @@
 	}
 	for _, replica := range leader.core.host.FindGroup(1).Node.Configuration().Replicas {
 		absent := replica.Member == c.nodes[5].host.Member || replica.Member == c.nodes[6].host.Member
-		if absent && !replica.Learner {
+		if absent && !replica.IsLearner {
 			t.Fatalf("%s votes and was never heard", replica.Member)
 		}
 	}
--- a/internal/ledger/load_test.go
+++ b/internal/ledger/load_test.go
@@ -125,31 +125,31 @@
 		return answer
 	}
 	reserve := func(zone, known string) *protocol.TurnReply {
-		return ask(leader, &protocol.TurnRequest{Group: 1, Zone: zone, Known: known, Reserve: &program.Reserve{Program: "p", Request: "next", PreviousRequest: last}})
+		return ask(leader, &protocol.TurnRequest{Group: 1, Zone: zone, CachedTurn: known, Reserve: &program.Reserve{Program: "p", Request: "next", PreviousRequest: last}})
 	}
 	for _, host := range c.nodes[:3] {
 		reply := reserve(host.host.Zone, "")
 		if host == leader {
-			if string(reply.Chain) != c.kept[last] || len(reply.Older) > 0 {
-				t.Fatalf("in the leader's zone: chain %q, older %v", reply.Chain, reply.Older)
+			if string(reply.History) != c.kept[last] || len(reply.OlderTurns) > 0 {
+				t.Fatalf("in the leader's zone: chain %q, older %v", reply.History, reply.OlderTurns)
 			}
 			continue
 		}
-		older := ask(host, &protocol.TurnRequest{Group: 1, Contents: reply.Older})
-		if older.Error != nil || string(older.Chain)+string(reply.Chain) != c.kept[last] {
-			t.Fatalf("in zone %s: %q and %q, %v", host.host.Zone, older.Chain, reply.Chain, older.Error)
+		older := ask(host, &protocol.TurnRequest{Group: 1, ContentsOf: reply.OlderTurns})
+		if older.Error != nil || string(older.History)+string(reply.History) != c.kept[last] {
+			t.Fatalf("in zone %s: %q and %q, %v", host.host.Zone, older.History, reply.History, older.Error)
 		}
 		known := reserve(host.host.Zone, "1")
-		if !known.Continued || !slices.Equal(known.Older, []string{"2", "3"}) {
-			t.Fatalf("going on from turn 1: continued %v, older %v", known.Continued, known.Older)
+		if !known.IsContinuation || !slices.Equal(known.OlderTurns, []string{"2", "3"}) {
+			t.Fatalf("going on from turn 1: continued %v, older %v", known.IsContinuation, known.OlderTurns)
 		}
-		unheard := ask(host, &protocol.TurnRequest{Group: 1, Contents: []string{"0", "not applied here"}})
+		unheard := ask(host, &protocol.TurnRequest{Group: 1, ContentsOf: []string{"0", "not applied here"}})
 		if unheard.Error == nil || unheard.Error.Code != result.NotLeader || unheard.Leader != leader.host.Member {
 			t.Fatalf("a turn that is not here: %v, sent on to %q", unheard.Error, unheard.Leader)
 		}
 	}
-	if reply := reserve("a zone without a replica", ""); string(reply.Chain) != c.kept[last] {
-		t.Fatalf("elsewhere: chain %q, older %v", reply.Chain, reply.Older)
+	if reply := reserve("a zone without a replica", ""); string(reply.History) != c.kept[last] {
+		t.Fatalf("elsewhere: chain %q, older %v", reply.History, reply.OlderTurns)
 	}
 }
 
--- a/internal/ledger/quotaqueue_test.go
+++ b/internal/ledger/quotaqueue_test.go
@@ -57,7 +57,7 @@
 		if group := host.core.host.FindGroup(1); group == nil || !group.IsLeader() {
 			continue
 		}
-		host.ask(&protocol.TurnRequest{Group: 1, WithinMs: queueAskAgainMs, Quota: &ask}, func(reply *protocol.TurnReply) {
+		host.ask(&protocol.TurnRequest{Group: 1, TimeoutMs: queueAskAgainMs, Quota: &ask}, func(reply *protocol.TurnReply) {
 			q.take(call, reply)
 		})
 	}
@@ -75,7 +75,7 @@
 			}
 		}
 		delete(q.open, call.ask.Ticket)
-	case reply.Queued != nil:
+	case reply.QueuePosition != nil:
 		q.places++
 		call.queued = true
 		call.askedMs = q.cluster.nowMs - queueAskAgainMs
--- a/internal/ledger/quotas.go
+++ b/internal/ledger/quotas.go
@@ -63,7 +63,7 @@
 		c.outlet.Reply(id, &protocol.TurnReply{})
 		return
 	}
-	next := waitingAsk{id: id, ask: ask, untilMs: c.nowMs + request.WithinMs}
+	next := waitingAsk{id: id, ask: ask, untilMs: c.nowMs + request.TimeoutMs}
 	if waiting := owner.waiting[ask.Tenant]; len(waiting) > 0 {
 		owner.waiting[ask.Tenant] = append(waiting, next)
 		return
@@ -87,7 +87,7 @@
 		}
 		c.dropQuota(group.ID)
 	}
-	if group.Node.TermAt(group.Node.Applied()) != term {
+	if group.Node.TermAt(group.Node.AppliedIndex()) != term {
 		return nil, result.New(result.NoQuorum, "group %d: what was granted before term %d is not known yet", group.ID, term)
 	}
 	created := &quotaOwner{
@@ -133,7 +133,7 @@
 // same ticket has lost its asker.
 func (c *Core) holdQuota(owner *quotaOwner, next waitingAsk) {
 	if earlier, known := owner.held[next.ask.Ticket]; known {
-		c.outlet.Reply(earlier.id, &protocol.TurnReply{Queued: &quota.QueuePosition{}})
+		c.outlet.Reply(earlier.id, &protocol.TurnReply{QueuePosition: &quota.QueuePosition{}})
 	}
 	next.untilMs -= answerMarginMs
 	owner.held[next.ask.Ticket] = next
@@ -176,7 +176,7 @@
 			continue
 		}
 		delete(owner.held, ticket)
-		c.outlet.Reply(next.id, &protocol.TurnReply{Queued: &quota.QueuePosition{}})
+		c.outlet.Reply(next.id, &protocol.TurnReply{QueuePosition: &quota.QueuePosition{}})
 	}
 }
 
@@ -257,14 +257,14 @@
 	delete(c.quotas, id)
 }
 
-// QuotasGranted counts the requests that were granted since the start; any goroutine may ask.
-func (c *Core) QuotasGranted() int64 { return c.quotasGranted.Load() }
+// GrantedRequestCount counts the requests that were granted since the start; any goroutine may ask.
+func (c *Core) GrantedRequestCount() int64 { return c.quotasGranted.Load() }
 
-// QuotasDenied counts the requests that were denied since the start; any goroutine may ask.
-func (c *Core) QuotasDenied() int64 { return c.quotasDenied.Load() }
+// DeniedRequestCount counts the requests that were denied since the start; any goroutine may ask.
+func (c *Core) DeniedRequestCount() int64 { return c.quotasDenied.Load() }
 
-// Tenants tells of the tenants whose limits are owned here.
-func (c *Core) Tenants() []quota.TenantUsage {
+// TenantUsage tells of the tenants whose limits are owned here.
+func (c *Core) TenantUsage() []quota.TenantUsage {
 	var views []quota.TenantUsage
 	for _, owner := range c.quotas {
 		views = append(views, owner.owner.Usage(c.nowMs)...)
@@ -272,8 +272,8 @@
 	return views
 }
 
-// QuotasWaiting is how many requests wait for room in their tenant's limit.
-func (c *Core) QuotasWaiting() int {
+// WaitingRequestCount is how many requests wait for room in their tenant's limit.
+func (c *Core) WaitingRequestCount() int {
 	waiting := 0
 	for _, owner := range c.quotas {
 		waiting += len(owner.held)
--- a/internal/ledger/quotas_test.go
+++ b/internal/ledger/quotas_test.go
@@ -28,7 +28,7 @@
 		if group := host.core.host.FindGroup(1); group == nil || !group.IsLeader() {
 			continue
 		}
-		request := &protocol.TurnRequest{Group: 1, WithinMs: 450, Quota: &quota.Request{Tenant: "t", Program: program, Limit: q.limit}}
+		request := &protocol.TurnRequest{Group: 1, TimeoutMs: 450, Quota: &quota.Request{Tenant: "t", Program: program, Limit: q.limit}}
 		host.ask(request, func(reply *protocol.TurnReply) {
 			switch {
 			case reply.Error == nil:
--- a/internal/ledger/reconcile.go
+++ b/internal/ledger/reconcile.go
@@ -59,7 +59,7 @@
 		return
 	}
 	for _, replica := range group.Node.Configuration().Replicas {
-		if replica.Member == preferred && group.Node.RecentlyActive(replica.ID) && group.Node.TransferLeadership(replica.ID) {
+		if replica.Member == preferred && group.Node.IsRecentlyActive(replica.ID) && group.Node.TransferLeadership(replica.ID) {
 			c.lastBalanceMs = nowMs
 		}
 	}
@@ -127,7 +127,7 @@
 	for _, member := range members {
 		id, known := current[member]
 		if _, present := configuration.Find(id); known && !present && !hasMember(configuration, member) {
-			return configuration.With(consensus.Replica{ID: id, Member: member, Learner: true}), true
+			return configuration.With(consensus.Replica{ID: id, Member: member, IsLearner: true}), true
 		}
 	}
 	ready, found := caughtUpLearner(node, members)
@@ -137,7 +137,7 @@
 		if extra, dead := extraReplica(node, members, false); dead && len(configuration.Voters()) > 1 {
 			return configuration.Without(extra), true
 		}
-		ready.Learner = false
+		ready.IsLearner = false
 		return configuration.With(ready), true
 	}
 	if allVote(configuration, members, current) {
@@ -157,7 +157,7 @@
 func lostDisk(node *consensus.Node, members []string, current map[string]consensus.ReplicaID) (consensus.ReplicaID, bool) {
 	for _, replica := range node.Configuration().Replicas {
 		id, known := current[replica.Member]
-		if known && id != replica.ID && !node.RecentlyActive(replica.ID) && slices.Contains(members, replica.Member) {
+		if known && id != replica.ID && !node.IsRecentlyActive(replica.ID) && slices.Contains(members, replica.Member) {
 			return replica.ID, true
 		}
 	}
@@ -166,7 +166,7 @@
 
 func caughtUpLearner(node *consensus.Node, members []string) (consensus.Replica, bool) {
 	for _, replica := range node.Configuration().Replicas {
-		if replica.Learner && slices.Contains(members, replica.Member) && node.CaughtUp(replica.ID, caughtUpLag) {
+		if replica.IsLearner && slices.Contains(members, replica.Member) && node.IsCaughtUp(replica.ID, caughtUpLag) {
 			return replica, true
 		}
 	}
@@ -178,7 +178,7 @@
 func extraReplica(node *consensus.Node, members []string, active bool) (consensus.ReplicaID, bool) {
 	for _, replica := range node.Configuration().Replicas {
 		extra := !slices.Contains(members, replica.Member) && replica.ID != node.ID()
-		if extra && (active || !node.RecentlyActive(replica.ID)) {
+		if extra && (active || !node.IsRecentlyActive(replica.ID)) {
 			return replica.ID, true
 		}
 	}
--- a/internal/ledger/requests.go
+++ b/internal/ledger/requests.go
@@ -19,13 +19,13 @@
 	settle *program.Settle
 }
 
-// Request takes one request of a gateway; the reply comes through the outlet, now
+// HandleRequest takes one request of a gateway; the reply comes through the outlet, now
 // or later.
-func (c *Core) Request(id RequestID, request *protocol.TurnRequest, nowMs int64) {
+func (c *Core) HandleRequest(id RequestID, request *protocol.TurnRequest, nowMs int64) {
 	c.setNow(nowMs)
 	group := c.host.FindGroup(storage.GroupID(request.Group))
-	if group != nil && len(request.Contents) > 0 {
-		c.outlet.Reply(id, c.contents(group, request.Contents))
+	if group != nil && len(request.ContentsOf) > 0 {
+		c.outlet.Reply(id, c.contents(group, request.ContentsOf))
 		return
 	}
 	if group == nil || !group.IsLeader() || c.draining {
@@ -45,8 +45,8 @@
 		c.settles[group.ID] = append(c.settles[group.ID], waitingSettle{id, request.Settle})
 	case request.Settle != nil:
 		c.propose(id, group, program.TurnCommand{Settle: request.Settle}, nil)
-	case request.Find != "":
-		c.find(id, group, request.Find)
+	case request.HistoryOf != "":
+		c.find(id, group, request.HistoryOf)
 	default:
 		c.outlet.Reply(id, &protocol.TurnReply{Error: result.New(result.MalformedRequest, "empty request")})
 	}
@@ -60,7 +60,7 @@
 		if previous == "" {
 			return &protocol.TurnReply{}
 		}
-		return c.chain(group, previous, request.Known, request.Zone)
+		return c.chain(group, previous, request.CachedTurn, request.Zone)
 	}
 	if request.Reserve.BudgetTokens <= 0 {
 		c.host.LinearizableRead(group, func(failure *result.Error) {
@@ -107,15 +107,15 @@
 		switch typed := applied.(type) {
 		case program.TurnReply:
 			answer.Error = typed.Error
-			answer.Engine = typed.Engine
-			answer.First = typed.IsFirstTurn
+			answer.AffineEngine = typed.Engine
+			answer.IsFirstTurn = typed.IsFirstTurn
 		case *result.Error:
 			answer.Error = typed
 		}
 		if answer.Error == nil && reply != nil {
-			engine, first := answer.Engine, answer.First
+			engine, first := answer.AffineEngine, answer.IsFirstTurn
 			answer = reply()
-			answer.Engine, answer.First = engine, first
+			answer.AffineEngine, answer.IsFirstTurn = engine, first
 		}
 		c.outlet.Reply(id, answer)
 	})
@@ -147,14 +147,14 @@
 	line := group.StateMachine.(*stateMachine).turns.Chain(last)
 	if place := slices.Index(line, known); place >= 0 {
 		line = line[place+1:]
-		reply.Continued = true
+		reply.IsContinuation = true
 	}
 	if len(line) > 1 && c.replicaElsewhere(group, zone) {
-		reply.Older = line[:len(line)-1]
+		reply.OlderTurns = line[:len(line)-1]
 		line = line[len(line)-1:]
 	}
 	joined := c.contents(group, line)
-	reply.Chain, reply.Error = joined.Chain, joined.Error
+	reply.History, reply.Error = joined.History, joined.Error
 	return reply
 }
 
@@ -165,7 +165,7 @@
 		return false
 	}
 	return slices.ContainsFunc(group.Node.Configuration().Replicas, func(replica consensus.Replica) bool {
-		return !replica.Learner && c.view.Ledgers[replica.Member].Zone == zone
+		return !replica.IsLearner && c.view.Ledgers[replica.Member].Zone == zone
 	})
 }
 
@@ -182,7 +182,7 @@
 		if err != nil || len(records) != 1 {
 			return &protocol.TurnReply{Error: result.New(result.Internal, "turn %s has %d records: %v", request, len(records), err)}
 		}
-		reply.Chain = append(reply.Chain, records[0]...)
+		reply.History = append(reply.History, records[0]...)
 	}
 	return reply
 }
--- a/internal/ledger/state.go
+++ b/internal/ledger/state.go
@@ -24,8 +24,8 @@
 	return &stateMachine{turns: turns, quotas: quota.NewState(options.QuotaWindowMs)}
 }
 
-// Turns returns the turns for reading.
-func (m *stateMachine) Turns() *program.TurnLedger { return m.turns }
+// TurnLedger returns the turns for reading.
+func (m *stateMachine) TurnLedger() *program.TurnLedger { return m.turns }
 
 // Apply carries out an entry.
 func (m *stateMachine) Apply(_ uint64, data []byte) (any, []storage.Record) {
--- a/internal/logreport/logreport.go
+++ b/internal/logreport/logreport.go
@@ -20,9 +20,9 @@
 
 // Request is one request as its last line tells it.
 type Request struct {
-	At    time.Time
-	Route string
-	Took  time.Duration
+	At       time.Time
+	Route    string
+	Duration time.Duration
 	// Outcome is Served, or what the line of a failure says: not_run, ran, unknown.
 	Outcome string
 	// Code is the result code of a failure, 0 for none.
@@ -36,8 +36,8 @@
 	Dropped int
 }
 
-// Add takes one line by its keys; lines that end no request are passed over.
-func (r *Report) Add(keys map[string]string) {
+// AddLine takes one line by its keys; lines that end no request are passed over.
+func (r *Report) AddLine(keys map[string]string) {
 	switch keys["msg"] {
 	case "log lines dropped":
 		count, _ := strconv.Atoi(keys["count"])
@@ -52,7 +52,7 @@
 		return
 	}
 	request := Request{At: at, Route: keys["route"], Outcome: Served}
-	request.Took, _ = time.ParseDuration(keys["took"])
+	request.Duration, _ = time.ParseDuration(keys["took"])
 	if keys["msg"] == messageFailed {
 		request.Outcome = keys["outcome"]
 		request.Code, _ = strconv.Atoi(keys["code"])
@@ -63,40 +63,40 @@
 // Len returns how many requests were gathered.
 func (r *Report) Len() int { return len(r.requests) }
 
-// Second is one second of the report.
-type Second struct {
+// SecondStats is one second of the report.
+type SecondStats struct {
 	// Offset counts from the first request's second.
 	Offset int
 	// Outcomes counts the requests that ended in this second by outcome.
 	Outcomes map[string]int
-	// Middle and Late are the 50th and 99th percentile of the served requests' times,
+	// P50 and Late are the 50th and 99th percentile of the served requests' times,
 	// zero where none was served.
-	Middle time.Duration
-	Late   time.Duration
+	P50 time.Duration
+	P99 time.Duration
 }
 
 // Seconds returns every second from the first request to the last.
-func (r *Report) Seconds() []Second {
+func (r *Report) Seconds() []SecondStats {
 	if len(r.requests) == 0 {
 		return nil
 	}
 	first := slices.MinFunc(r.requests, func(a, b Request) int { return a.At.Compare(b.At) }).At.Truncate(time.Second)
 	last := slices.MaxFunc(r.requests, func(a, b Request) int { return a.At.Compare(b.At) }).At
-	seconds := make([]Second, int(last.Sub(first).Seconds())+1)
+	seconds := make([]SecondStats, int(last.Sub(first).Seconds())+1)
 	times := make([][]time.Duration, len(seconds))
 	for position := range seconds {
-		seconds[position] = Second{Offset: position, Outcomes: map[string]int{}}
+		seconds[position] = SecondStats{Offset: position, Outcomes: map[string]int{}}
 	}
 	for _, request := range r.requests {
 		position := int(request.At.Sub(first).Seconds())
 		seconds[position].Outcomes[request.Outcome]++
 		if request.Outcome == Served {
-			times[position] = append(times[position], request.Took)
+			times[position] = append(times[position], request.Duration)
 		}
 	}
 	for position := range seconds {
-		seconds[position].Middle = percentile(times[position], 50)
-		seconds[position].Late = percentile(times[position], 99)
+		seconds[position].P50 = percentile(times[position], 50)
+		seconds[position].P99 = percentile(times[position], 99)
 	}
 	return seconds
 }
@@ -106,8 +106,8 @@
 	Name   string
 	Count  int
 	Served int
-	Middle time.Duration
-	Late   time.Duration
+	P50    time.Duration
+	P99    time.Duration
 }
 
 // Routes returns a row for each route, the busiest first.
@@ -138,11 +138,11 @@
 		if request.Outcome == Served {
 			rows[name].Served++
 		}
-		times[name] = append(times[name], request.Took)
+		times[name] = append(times[name], request.Duration)
 	}
 	sorted := make([]Row, 0, len(rows))
 	for name, row := range rows {
-		row.Middle, row.Late = percentile(times[name], 50), percentile(times[name], 99)
+		row.P50, row.P99 = percentile(times[name], 50), percentile(times[name], 99)
 		sorted = append(sorted, *row)
 	}
 	slices.SortFunc(sorted, func(a, b Row) int {
--- a/internal/logreport/logreport_test.go
+++ b/internal/logreport/logreport_test.go
@@ -13,7 +13,7 @@
 	for position := 0; position+1 < len(pairs); position += 2 {
 		keys[pairs[position]] = pairs[position+1]
 	}
-	report.Add(keys)
+	report.AddLine(keys)
 }
 
 func TestReport(t *testing.T) {
@@ -31,15 +31,15 @@
 		seconds := report.Seconds()
 		So(len(seconds), ShouldEqual, 3)
 		So(seconds[0].Outcomes, ShouldResemble, map[string]int{"served": 2})
-		So(seconds[0].Middle, ShouldEqual, 10*time.Millisecond)
-		So(seconds[0].Late, ShouldEqual, 30*time.Millisecond)
+		So(seconds[0].P50, ShouldEqual, 10*time.Millisecond)
+		So(seconds[0].P99, ShouldEqual, 30*time.Millisecond)
 		So(seconds[1].Outcomes, ShouldBeEmpty)
 		So(seconds[2].Outcomes, ShouldResemble, map[string]int{"served": 1, "not_run": 1})
 		So(report.Routes(), ShouldResemble, []Row{
-			{Name: "a", Count: 3, Served: 2, Middle: 10 * time.Millisecond, Late: 30 * time.Millisecond},
-			{Name: "b", Count: 1, Served: 1, Middle: 1500 * time.Millisecond, Late: 1500 * time.Millisecond},
+			{Name: "a", Count: 3, Served: 2, P50: 10 * time.Millisecond, P99: 30 * time.Millisecond},
+			{Name: "b", Count: 1, Served: 1, P50: 1500 * time.Millisecond, P99: 1500 * time.Millisecond},
 		})
-		So(report.Failures(), ShouldResemble, []Row{{Name: "1309 not_run", Count: 1, Middle: 5 * time.Millisecond, Late: 5 * time.Millisecond}})
+		So(report.Failures(), ShouldResemble, []Row{{Name: "1309 not_run", Count: 1, P50: 5 * time.Millisecond, P99: 5 * time.Millisecond}})
 		Convey("and one page with two plots that needs nothing beside it", func() {
 			var written strings.Builder
 			So(report.WriteHTML(&written), ShouldBeNil)
--- a/internal/logreport/page.go
+++ b/internal/logreport/page.go
@@ -35,9 +35,9 @@
 <h2>Outcomes a second</h2>{{.Outcomes}}
 <h2>Time of served requests, ms</h2>{{.Times}}
 <h2>Routes</h2>
-<table><tr><th>route<th>requests<th>served<th>p50<th>p99</tr>{{range .Routes}}<tr><td>{{.Name}}<td>{{.Count}}<td>{{.Served}}<td>{{.Middle}}<td>{{.Late}}</tr>{{end}}</table>
+<table><tr><th>route<th>requests<th>served<th>p50<th>p99</tr>{{range .Routes}}<tr><td>{{.Name}}<td>{{.Count}}<td>{{.Served}}<td>{{.P50}}<td>{{.P99}}</tr>{{end}}</table>
 <h2>Failures by result code</h2>
-<table><tr><th>code, outcome<th>requests<th>p50<th>p99</tr>{{range .Failures}}<tr><td>{{.Name}}<td>{{.Count}}<td>{{.Middle}}<td>{{.Late}}</tr>{{end}}</table>
+<table><tr><th>code, outcome<th>requests<th>p50<th>p99</tr>{{range .Failures}}<tr><td>{{.Name}}<td>{{.Count}}<td>{{.P50}}<td>{{.P99}}</tr>{{end}}</table>
 <p>docs/RESULT-CODES.md says what a code means, <code>ochrebay trace ID FILE...</code> what became of one request.</p>
 `))
 
@@ -57,7 +57,7 @@
 	})
 }
 
-func drawOutcomes(seconds []Second) (template.HTML, error) {
+func drawOutcomes(seconds []SecondStats) (template.HTML, error) {
 	names := map[string]bool{}
 	for _, second := range seconds {
 		for name := range second.Outcomes {
@@ -69,19 +69,19 @@
 		if !names[name] {
 			continue
 		}
-		lines = append(lines, name, points(seconds, func(second Second) float64 { return float64(second.Outcomes[name]) }))
+		lines = append(lines, name, points(seconds, func(second SecondStats) float64 { return float64(second.Outcomes[name]) }))
 	}
 	return draw("requests a second", lines)
 }
 
-func drawTimes(seconds []Second) (template.HTML, error) {
+func drawTimes(seconds []SecondStats) (template.HTML, error) {
 	return draw("ms", []any{
-		"p50", points(seconds, func(second Second) float64 { return second.Middle.Seconds() * millisecondsPerSecond }),
-		"p99", points(seconds, func(second Second) float64 { return second.Late.Seconds() * millisecondsPerSecond }),
+		"p50", points(seconds, func(second SecondStats) float64 { return second.P50.Seconds() * millisecondsPerSecond }),
+		"p99", points(seconds, func(second SecondStats) float64 { return second.P99.Seconds() * millisecondsPerSecond }),
 	})
 }
 
-func points(seconds []Second, value func(second Second) float64) plotter.XYs {
+func points(seconds []SecondStats, value func(second SecondStats) float64) plotter.XYs {
 	line := make(plotter.XYs, len(seconds))
 	for position, second := range seconds {
 		line[position].X = float64(second.Offset)
--- a/internal/membership/fleet_tracker.go
+++ b/internal/membership/fleet_tracker.go
@@ -24,8 +24,8 @@
 	// immediately, so a gateway that does not poll again is frozen or disconnected.
 	// GatewaySmallDeltaRepollTimeoutMs is the same after a reply with a small delta, which
 	// takes almost no time to apply.
-	GatewayRepollTimeoutMs           int64
-	GatewaySmallDeltaRepollTimeoutMs int64
+	GatewayRepollTimeoutMs            int64
+	GatewaySmallUpdateRepollTimeoutMs int64
 	// LedgerRetentionMs is the time without a report after which a ledger host that holds no
 	// replicas is removed. It is added again when it reports.
 	LedgerRetentionMs int64
@@ -130,7 +130,7 @@
 	}
 	switch {
 	case latest.isAnswered && latest.isSmallDelta:
-		return nowMs-latest.sinceMs > t.options.GatewaySmallDeltaRepollTimeoutMs
+		return nowMs-latest.sinceMs > t.options.GatewaySmallUpdateRepollTimeoutMs
 	case latest.isAnswered:
 		return nowMs-latest.sinceMs > t.options.GatewayRepollTimeoutMs
 	}
--- a/internal/membership/heat_test.go
+++ b/internal/membership/heat_test.go
@@ -8,10 +8,10 @@
 
 const heartbeatMs = 250
 
-// TestHeatSettles checks that the level of a gateway whose demand is proportional to its
+// TestOverloadLevelSettles checks that the level of a gateway whose demand is proportional to its
 // capacity factor settles and does not oscillate, for any constant demand up to eight times
 // its processor.
-func TestHeatSettles(t *testing.T) {
+func TestOverloadLevelSettles(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		demand := rapid.Float64Range(0, 8).Draw(t, "demand")
 		var tracker OverloadTracker
@@ -32,10 +32,10 @@
 	})
 }
 
-// TestHeatReturns checks that a burst overloads a gateway within about a second, that the
+// TestOverloadLevelRecovers checks that a burst overloads a gateway within about a second, that the
 // level returns to 0 some seconds later, and that a single heartbeat at full utilization has
 // no effect.
-func TestHeatReturns(t *testing.T) {
+func TestOverloadLevelRecovers(t *testing.T) {
 	var tracker OverloadTracker
 	nowMs := int64(heartbeatMs)
 	observe := func(utilization float64, forMs int64) (level uint8) {
--- a/internal/membership/lookups_test.go
+++ b/internal/membership/lookups_test.go
@@ -60,10 +60,10 @@
 	})
 }
 
-// TestLookUpsWhileADirectoryIsDark checks that callers look up less often while another
+// TestLookupTTLWhilePeerIsSilent checks that callers look up less often while another
 // process that they may ask first does not respond, and as often as before once it responds
 // again.
-func TestLookUpsWhileADirectoryIsDark(t *testing.T) {
+func TestLookupTTLWhilePeerIsSilent(t *testing.T) {
 	var lookupTTL LookupTTL
 	lookUpRepeatedly := func(peerSilent bool, fromMs int64) (ttl int64) {
 		for nowMs := fromMs; nowMs < fromMs+3*lookupWindowMs; nowMs += minTTLMs {
--- a/internal/membership/owners_return_test.go
+++ b/internal/membership/owners_return_test.go
@@ -2,11 +2,11 @@
 
 import "testing"
 
-// TestOwnersThatReturnHearOfTheirEngines guards against a returning scheduler that never
+// TestReturningOwnersReceiveTheirEngines guards against a returning scheduler that never
 // receives its engines. All schedulers of a directory are removed at once, as after a freeze
 // of the leader, so that no scheduler is left to take over their engines. A scheduler that
 // starts again has no state and must receive the list of its engines.
-func TestOwnersThatReturnHearOfTheirEngines(t *testing.T) {
+func TestReturningOwnersReceiveTheirEngines(t *testing.T) {
 	directory := NewDirectory()
 	scheduler := Scheduler{Name: "s", Zone: "z", Incarnation: 1}
 	directory.Apply(Update{Schedulers: []Scheduler{scheduler}, Engines: []Engine{{Name: "e", Zone: "z", Pool: "p", Owner: "s"}}})
--- a/internal/membership/spread_test.go
+++ b/internal/membership/spread_test.go
@@ -70,10 +70,10 @@
 	})
 }
 
-// TestHotZoneOverflows checks that the load that a zone's gateways cannot take goes to other
+// TestOverloadedZoneOverflows checks that the load that a zone's gateways cannot take goes to other
 // zones of the region and to no other region. The load is callers of other zones that have
 // moved to this one.
-func TestHotZoneOverflows(t *testing.T) {
+func TestOverloadedZoneOverflows(t *testing.T) {
 	const callers = 5000
 	remoteShare := func(gateways []Gateway) float64 {
 		share := 0.0
@@ -110,8 +110,8 @@
 	})
 }
 
-// TestSpreadHolds checks the properties of every selection, for arbitrary gateways.
-func TestSpreadHolds(t *testing.T) {
+// TestGatewaySelectionProperties checks the properties of every selection, for arbitrary gateways.
+func TestGatewaySelectionProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		capacities := rapid.SliceOfN(rapid.SampledFrom([]float64{0, 0.144, 0.192, 0.48, 1}), 1, 120).Draw(t, "capacities")
 		gateways := testGateways("a", capacities...)
@@ -188,8 +188,8 @@
 	})
 }
 
-// BenchmarkNamed measures a lookup among the gateways of a large zone.
-func BenchmarkNamed(b *testing.B) {
+// BenchmarkSelect measures a lookup among the gateways of a large zone.
+func BenchmarkSelect(b *testing.B) {
 	for _, size := range []int{26, 300, 1000} {
 		selector := NewGatewaySelector(testGateways("a", append(repeatCapacity(0.144, size-size/4), repeatCapacity(0.48, size/4)...)...))
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
--- a/internal/program/close.go
+++ b/internal/program/close.go
@@ -9,7 +9,7 @@
 		return nil, false
 	}
 	// Invariant: only the latest attempt of a turn can close it.
-	return header, header.Open.Fence == fence || l.DisableFence
+	return header, header.Open.Fence == fence || l.DisableFencing
 }
 
 // replyIfClosed returns the reply to a commit or abort that has already been applied.
--- a/internal/program/compat_test.go
+++ b/internal/program/compat_test.go
@@ -9,7 +9,7 @@
 // TestEarlierReleases checks the encodings that this package sends and stores against earlier
 // releases.
 func TestEarlierReleases(t *testing.T) {
-	compat.Hold(t, map[string]any{
+	compat.CheckTypes(t, map[string]any{
 		"headers": &[]*Header{}, "turnsSnapshot": &turnLedgerSnapshot{}, "Command": &Command{}, "TurnCommand": &TurnCommand{}, "TurnRecord": &TurnRecord{},
 	})
 }
--- a/internal/program/ledger.go
+++ b/internal/program/ledger.go
@@ -80,10 +80,10 @@
 type Ledger struct {
 	programs map[string]*Header
 
-	// DisableFence accepts the result of any attempt. DisableBudget accepts calls beyond the
+	// DisableFencing accepts the result of any attempt. DisableBudget accepts calls beyond the
 	// budget. Both serve runs that show the effect of the mechanism.
-	DisableFence  bool
-	DisableBudget bool
+	DisableFencing bool
+	DisableBudget  bool
 	// DisableAtMostOnce allows a call that is not repeatable to run again.
 	DisableAtMostOnce bool
 	// DisableTurnOrder opens a turn while another one is open.
--- a/internal/program/turns.go
+++ b/internal/program/turns.go
@@ -161,8 +161,8 @@
 	return &TurnLedger{budgets: map[string]*budget{}, turns: map[string]*retainedTurn{}}
 }
 
-// Len returns the number of retained turns.
-func (t *TurnLedger) Len() int { return len(t.turns) }
+// TurnCount returns the number of retained turns.
+func (t *TurnLedger) TurnCount() int { return len(t.turns) }
 
 // BudgetCount returns the number of budgets.
 func (t *TurnLedger) BudgetCount() int { return len(t.budgets) }
--- a/internal/protocol/compat_test.go
+++ b/internal/protocol/compat_test.go
@@ -8,18 +8,18 @@
 
 // TestEarlierReleases holds what this package sends and stores against earlier releases.
 func TestEarlierReleases(t *testing.T) {
-	compat.Hold(t, map[string]any{
+	compat.CheckTypes(t, map[string]any{
 		"PeerBatch": &PeerBatch{}, "Hello": &Hello{},
 		"LedgerRequest": &LedgerRequest{}, "LedgerReply": &LedgerReply{},
 		"SyncRequest": &SyncRequest{}, "SyncReply": &SyncReply{},
-		"ReleasedRequest": &ReleasedRequest{}, "ReleasedReply": &ReleasedReply{},
+		"ReleasedRequest": &EndedProgramsRequest{}, "ReleasedReply": &EndedProgramsReply{},
 		"PermitRequest": &PermitRequest{}, "PermitReply": &PermitReply{},
 		"SettingsRequest": &SettingsRequest{}, "SettingsReply": &SettingsReply{},
 		"ReadRequest": &ReadRequest{}, "ReadReply": &ReadReply{},
-		"FleetOrder": &FleetOrder{}, "FleetOrderReply": &FleetOrderReply{},
+		"FleetOrder": &FleetRequest{}, "FleetOrderReply": &FleetReply{},
 		"FleetSync": &FleetSync{}, "FleetSyncReply": &FleetSyncReply{},
 		"TurnRequest": &TurnRequest{}, "TurnReply": &TurnReply{},
-		"CallRequest": &CallRequest{}, "Piece": &Piece{}, "Answer": &Answer{}, "Cancel": &Cancel{},
+		"CallRequest": &CallRequest{}, "Piece": &CallChunk{}, "Answer": &CallReply{}, "Cancel": &Cancel{},
 		"FollowRequest": &FollowRequest{}, "FollowReply": &FollowReply{},
 		"ProgramRequest": &ProgramRequest{}, "ProgramReply": &ProgramReply{},
 	})
@@ -30,8 +30,8 @@
 func TestFramesOfEarlierReleases(t *testing.T) {
 	var raw []byte
 	for _, kind := range []Kind{
-		KindClosed, KindPeer, KindHello, KindLedger, KindSync, KindReleased, KindPermit, KindSettings, KindRead,
-		KindFleetOrder, KindFleetSync, KindTurn, KindCall, KindPiece, KindAnswer, KindCancel, KindFollow, KindProgram,
+		KindClosed, KindPeer, KindHello, KindLedger, KindSync, KindEndedPrograms, KindPermit, KindSettings, KindRead,
+		KindFleetRequest, KindFleetSync, KindTurn, KindCall, KindCallChunk, KindCallReply, KindCancel, KindFollow, KindProgram,
 		KindEnd, KindResponse,
 	} {
 		raw = AppendFrame(raw, Frame{Call: 300 + uint64(kind), Kind: kind, Last: kind%2 == 0, Body: []byte("body")})
@@ -39,5 +39,5 @@
 	for _, topic := range []ReadTopic{ReadSettings, ReadHistory, ReadStatus, ReadEngines, ReadPrograms, ReadProgram, ReadTree} {
 		raw = append(raw, byte(topic))
 	}
-	compat.HoldBytes(t, "frames", raw)
+	compat.CheckBytes(t, "frames", raw)
 }
--- a/internal/protocol/feed.go
+++ b/internal/protocol/feed.go
@@ -9,7 +9,7 @@
 // NewFeed returns what a follower at a revision lacks of a tree.
 func NewFeed(tree *settings.Tree, revision uint64) Feed {
 	var feed Feed
-	changes, ok := tree.Since(revision)
+	changes, ok := tree.ChangesSince(revision)
 	if ok {
 		feed.Changes = slices.Clone(changes)
 		return feed
@@ -31,8 +31,8 @@
 		}
 	}
 	for _, accepted := range f.Changes {
-		tree.Follow(accepted)
+		tree.ApplyAccepted(accepted)
 	}
-	tree.Trim()
+	tree.TrimChanges()
 	return tree
 }
--- a/internal/protocol/fuzz_test.go
+++ b/internal/protocol/fuzz_test.go
@@ -8,10 +8,10 @@
 
 func messages() []any {
 	return []any{
-		&PeerBatch{}, &Hello{}, &LedgerRequest{}, &LedgerReply{}, &SyncRequest{}, &SyncReply{}, &ReleasedRequest{}, &ReleasedReply{},
+		&PeerBatch{}, &Hello{}, &LedgerRequest{}, &LedgerReply{}, &SyncRequest{}, &SyncReply{}, &EndedProgramsRequest{}, &EndedProgramsReply{},
 		&PermitRequest{}, &PermitReply{}, &SettingsRequest{}, &SettingsReply{}, &ReadRequest{}, &ReadReply{}, &CallRequest{},
-		&Piece{}, &Answer{}, &Cancel{}, &FollowRequest{}, &FollowReply{}, &ProgramRequest{}, &ProgramReply{},
-		&FleetOrder{}, &FleetOrderReply{}, &FleetSync{}, &FleetSyncReply{}, &TurnRequest{}, &TurnReply{},
+		&CallChunk{}, &CallReply{}, &Cancel{}, &FollowRequest{}, &FollowReply{}, &ProgramRequest{}, &ProgramReply{},
+		&FleetRequest{}, &FleetReply{}, &FleetSync{}, &FleetSyncReply{}, &TurnRequest{}, &TurnReply{},
 	}
 }
 
--- a/internal/protocol/kinds.go
+++ b/internal/protocol/kinds.go
@@ -8,16 +8,16 @@
 		return &LedgerRequest{}
 	case KindSync:
 		return &SyncRequest{}
-	case KindReleased:
-		return &ReleasedRequest{}
+	case KindEndedPrograms:
+		return &EndedProgramsRequest{}
 	case KindPermit:
 		return &PermitRequest{}
 	case KindSettings:
 		return &SettingsRequest{}
 	case KindRead:
 		return &ReadRequest{}
-	case KindFleetOrder:
-		return &FleetOrder{}
+	case KindFleetRequest:
+		return &FleetRequest{}
 	case KindFleetSync:
 		return &FleetSync{}
 	case KindTurn:
@@ -33,16 +33,16 @@
 		return &LedgerReply{}
 	case KindSync:
 		return &SyncReply{}
-	case KindReleased:
-		return &ReleasedReply{}
+	case KindEndedPrograms:
+		return &EndedProgramsReply{}
 	case KindPermit:
 		return &PermitReply{}
 	case KindSettings:
 		return &SettingsReply{}
 	case KindRead:
 		return &ReadReply{}
-	case KindFleetOrder:
-		return &FleetOrderReply{}
+	case KindFleetRequest:
+		return &FleetReply{}
 	case KindFleetSync:
 		return &FleetSyncReply{}
 	case KindTurn:
--- a/internal/protocol/messages.go
+++ b/internal/protocol/messages.go
@@ -17,27 +17,27 @@
 	// its connection ends.
 	KindClosed Kind = 0
 
-	KindPeer     Kind = 1
-	KindHello    Kind = 2
-	KindLedger   Kind = 3
-	KindSync     Kind = 4
-	KindReleased Kind = 5
-	KindPermit   Kind = 6
-	KindSettings Kind = 7
-	KindRead     Kind = 8
-
-	KindFleetOrder Kind = 9
-	KindFleetSync  Kind = 10
-	KindTurn       Kind = 11
-
-	KindCall     Kind = 20
-	KindPiece    Kind = 21
-	KindAnswer   Kind = 22
-	KindCancel   Kind = 23
-	KindFollow   Kind = 24
-	KindProgram  Kind = 25
-	KindEnd      Kind = 26
-	KindResponse Kind = 40
+	KindPeer          Kind = 1
+	KindHello         Kind = 2
+	KindLedger        Kind = 3
+	KindSync          Kind = 4
+	KindEndedPrograms Kind = 5
+	KindPermit        Kind = 6
+	KindSettings      Kind = 7
+	KindRead          Kind = 8
+
+	KindFleetRequest Kind = 9
+	KindFleetSync    Kind = 10
+	KindTurn         Kind = 11
+
+	KindCall      Kind = 20
+	KindCallChunk Kind = 21
+	KindCallReply Kind = 22
+	KindCancel    Kind = 23
+	KindFollow    Kind = 24
+	KindProgram   Kind = 25
+	KindEnd       Kind = 26
+	KindResponse  Kind = 40
 )
 
 // PeerMessage is one consensus message of one group, or a part of a snapshot.
@@ -58,9 +58,9 @@
 	SnapshotTerm uint64 `msgpack:"l,omitempty"`
 	// Number counts the parts from 0; of an answer it is the part wanted next.
 	Number int `msgpack:"n"`
-	// Last marks the last part, Answer an answer.
-	Last   bool `msgpack:"e,omitempty"`
-	Answer bool `msgpack:"a,omitempty"`
+	// IsLast marks the last part, Answer an answer.
+	IsLast            bool `msgpack:"e,omitempty"`
+	IsAcknowledgement bool `msgpack:"a,omitempty"`
 	// Records is the encoded list of records.
 	Records []byte `msgpack:"r,omitempty"`
 }
@@ -71,25 +71,25 @@
 	// Revision is the settings revision in force at the sender.
 	Revision uint64        `msgpack:"r,omitempty"`
 	Messages []PeerMessage `msgpack:"m,omitempty"`
-	// Engines goes between control processes with the messages that they send in any case.
-	Engines *EngineList `msgpack:"e,omitempty"`
-	// Incarnations says that the sender's replicas know incarnations of engines.
-	Incarnations bool `msgpack:"i,omitempty"`
+	// EngineLiveness goes between control processes with the messages that they send in any case.
+	EngineLiveness *EngineLiveness `msgpack:"e,omitempty"`
+	// SupportsIncarnations says that the sender's replicas know incarnations of engines.
+	SupportsIncarnations bool `msgpack:"i,omitempty"`
 }
 
-// EngineList tells the leader of the settings group which engines have reported to the
+// EngineLiveness tells the leader of the settings group which engines have reported to the
 // sender, and the sender that it has come.
-type EngineList struct {
-	// Number counts the sender's lists, 0 for a message that holds none, and Heard are the
+type EngineLiveness struct {
+	// BatchNumber counts the sender's lists, 0 for a message that holds none, and Heard are the
 	// ids of the engines that have reported since the list before.
-	Number uint64   `msgpack:"n,omitempty"`
-	Heard  []string `msgpack:"h,omitempty"`
-	// Received is the number of the receiver's newest list that the leader has.
-	Received uint64 `msgpack:"r,omitempty"`
+	BatchNumber     uint64   `msgpack:"n,omitempty"`
+	ReportedEngines []string `msgpack:"h,omitempty"`
+	// AcknowledgedBatch is the number of the receiver's newest list that the leader has.
+	AcknowledgedBatch uint64 `msgpack:"r,omitempty"`
 }
 
-// Bulk reports whether a batch holds parts of snapshots alone, which may be late.
-func (b *PeerBatch) Bulk() bool {
+// IsBulk reports whether a batch holds parts of snapshots alone, which may be late.
+func (b *PeerBatch) IsBulk() bool {
 	for position := range b.Messages {
 		if b.Messages[position].Part == nil {
 			return false
@@ -103,21 +103,21 @@
 type Hello struct {
 	From    string              `msgpack:"f"`
 	Replica consensus.ReplicaID `msgpack:"r"`
-	// Formed says that the sender's disk has been part of a cluster.
-	Formed    bool                    `msgpack:"b"`
-	Bootstrap consensus.Configuration `msgpack:"c"`
-	// Joining says that not every group counts the sender's replica as a voter.
-	Joining bool `msgpack:"j,omitempty"`
-	// Forwarded says that another process than the one named sent it on.
-	Forwarded bool `msgpack:"w,omitempty"`
+	// HasClusterState says that the sender's disk has been part of a cluster.
+	HasClusterState bool                    `msgpack:"b"`
+	Bootstrap       consensus.Configuration `msgpack:"c"`
+	// IsJoining says that not every group counts the sender's replica as a voter.
+	IsJoining bool `msgpack:"j,omitempty"`
+	// IsForwarded says that another process than the one named sent it on.
+	IsForwarded bool `msgpack:"w,omitempty"`
 }
 
 // LedgerRequest proposes a command to a ledger group.
 type LedgerRequest struct {
 	Group   uint32          `msgpack:"g"`
 	Command program.Command `msgpack:"c"`
-	// KnownTurn bounds the records returned with a grant.
-	KnownTurn uint64 `msgpack:"k,omitempty"`
+	// CachedTurn bounds the records returned with a grant.
+	CachedTurn uint64 `msgpack:"k,omitempty"`
 }
 
 // LedgerReply answers a LedgerRequest, from the group's leader or with the code
@@ -133,12 +133,12 @@
 // SyncRequest is a scheduler's heartbeat; the reply is held until there is
 // something newer than Revision and Directory, or until HoldMs have passed.
 type SyncRequest struct {
-	Heartbeat membership.Heartbeat `msgpack:"h"`
-	Revision  uint64               `msgpack:"r"`
-	Directory uint64               `msgpack:"d"`
-	HoldMs    int64                `msgpack:"w"`
-	// Fresh asks that the reply be confirmed by a quorum: a daemon's first sync.
-	Fresh bool `msgpack:"f,omitempty"`
+	Heartbeat        membership.Heartbeat `msgpack:"h"`
+	Revision         uint64               `msgpack:"r"`
+	DirectoryVersion uint64               `msgpack:"d"`
+	LongPollMs       int64                `msgpack:"w"`
+	// ConfirmNow asks that the reply be confirmed by a quorum: a daemon's first sync.
+	ConfirmNow bool `msgpack:"f,omitempty"`
 }
 
 // SyncReply carries settings and directory to a scheduler.
@@ -155,25 +155,25 @@
 type Feed struct {
 	// Snapshot is a whole tree (settings.Tree.FollowerState), where the changes
 	// since the follower's revision are no longer kept.
-	Snapshot []byte              `msgpack:"s,omitempty"`
-	Changes  []settings.Accepted `msgpack:"c,omitempty"`
+	Snapshot []byte                    `msgpack:"s,omitempty"`
+	Changes  []settings.AcceptedChange `msgpack:"c,omitempty"`
 	// Roster tells of schedulers that came, changed or went.
 	Roster membership.RosterDelta `msgpack:"d"`
 	// Groups is the number of ledger groups.
 	Groups uint32 `msgpack:"g"`
 }
 
-// ReleasedRequest asks a ledger group which programs have ended.
-type ReleasedRequest struct {
+// EndedProgramsRequest asks a ledger group which programs have ended.
+type EndedProgramsRequest struct {
 	Group    uint32   `msgpack:"g"`
 	Programs []string `msgpack:"p"`
 }
 
-// ReleasedReply answers a ReleasedRequest.
-type ReleasedReply struct {
-	Error    *result.Error `msgpack:"e,omitempty"`
-	Leader   string        `msgpack:"l,omitempty"`
-	Released []string      `msgpack:"r,omitempty"`
+// EndedProgramsReply answers a ReleasedRequest.
+type EndedProgramsReply struct {
+	Error          *result.Error `msgpack:"e,omitempty"`
+	Leader         string        `msgpack:"l,omitempty"`
+	EndedOrUnknown []string      `msgpack:"r,omitempty"`
 }
 
 // PermitRequest asks the leader of the settings group for leave to take one
@@ -239,43 +239,43 @@
 
 // CallRequest is one call of a program, from sidecar to scheduler.
 type CallRequest struct {
-	Program   string            `msgpack:"p"`
-	Create    bool              `msgpack:"c,omitempty"`
-	Tenant    string            `msgpack:"t,omitempty"`
-	Service   string            `msgpack:"s"`
-	Thread    string            `msgpack:"h,omitempty"`
-	Parent    string            `msgpack:"a,omitempty"`
-	Request   string            `msgpack:"r"`
-	Once      bool              `msgpack:"o,omitempty"`
-	End       bool              `msgpack:"e,omitempty"`
-	Messages  []program.Message `msgpack:"m"`
-	MaxTokens int64             `msgpack:"x,omitempty"`
-	// Budget lowers the service token budget when the program is created.
-	Budget int64 `msgpack:"b,omitempty"`
-	// DeadlineMs is the time left, milliseconds.
-	DeadlineMs int64 `msgpack:"d"`
-	// Offset is how many bytes of the answer the sidecar has already.
-	Offset int `msgpack:"f,omitempty"`
+	Program      string            `msgpack:"p"`
+	Create       bool              `msgpack:"c,omitempty"`
+	Tenant       string            `msgpack:"t,omitempty"`
+	Service      string            `msgpack:"s"`
+	Thread       string            `msgpack:"h,omitempty"`
+	ParentThread string            `msgpack:"a,omitempty"`
+	Request      string            `msgpack:"r"`
+	AtMostOnce   bool              `msgpack:"o,omitempty"`
+	EndsProgram  bool              `msgpack:"e,omitempty"`
+	Messages     []program.Message `msgpack:"m"`
+	MaxTokens    int64             `msgpack:"x,omitempty"`
+	// BudgetTokens lowers the service token budget when the program is created.
+	BudgetTokens int64 `msgpack:"b,omitempty"`
+	// TimeoutMs is the time left, milliseconds.
+	TimeoutMs int64 `msgpack:"d"`
+	// ResumeOffset is how many bytes of the answer the sidecar has already.
+	ResumeOffset int `msgpack:"f,omitempty"`
 	// Attempt numbers the sidecar's sends of this request, from 0.
 	Attempt int `msgpack:"n,omitempty"`
 }
 
-// Piece is a part of an answer; Offset is its first byte's place in the answer.
-type Piece struct {
+// CallChunk is a part of an answer; Offset is its first byte's place in the answer.
+type CallChunk struct {
 	Offset int    `msgpack:"o"`
 	Text   string `msgpack:"t"`
 }
 
-// Answer is the final message of a call.
-type Answer struct {
-	Error   *result.Error `msgpack:"e,omitempty"`
-	Content string        `msgpack:"c,omitempty"`
-	Usage   program.Usage `msgpack:"u"`
-	Turn    uint64        `msgpack:"t,omitempty"`
-	Engine  string        `msgpack:"g,omitempty"`
-	Ended   bool          `msgpack:"d,omitempty"`
-	// Remaining is the program's budget after the call, tokens.
-	Remaining int64 `msgpack:"r,omitempty"`
+// CallReply is the final message of a call.
+type CallReply struct {
+	Error        *result.Error `msgpack:"e,omitempty"`
+	Content      string        `msgpack:"c,omitempty"`
+	Usage        program.Usage `msgpack:"u"`
+	Turn         uint64        `msgpack:"t,omitempty"`
+	Engine       string        `msgpack:"g,omitempty"`
+	ProgramEnded bool          `msgpack:"d,omitempty"`
+	// RemainingTokens is the program's budget after the call, tokens.
+	RemainingTokens int64 `msgpack:"r,omitempty"`
 }
 
 // Cancel tells a scheduler that the caller of a request has gone.
@@ -287,10 +287,10 @@
 // FollowRequest is a sidecar's heartbeat to its scheduler; like a SyncRequest
 // it is held until there is news.
 type FollowRequest struct {
-	Sidecar   string `msgpack:"s"`
-	Revision  uint64 `msgpack:"r"`
-	Directory uint64 `msgpack:"d"`
-	HoldMs    int64  `msgpack:"w"`
+	Sidecar          string `msgpack:"s"`
+	Revision         uint64 `msgpack:"r"`
+	DirectoryVersion uint64 `msgpack:"d"`
+	LongPollMs       int64  `msgpack:"w"`
 }
 
 // FollowReply answers a FollowRequest.
--- a/internal/protocol/transport.go
+++ b/internal/protocol/transport.go
@@ -97,8 +97,8 @@
 // Closed is closed when the connection has ended.
 func (c *Connection) Closed() <-chan struct{} { return c.done }
 
-// HeardSince reports whether a frame was received at or after a time.
-func (c *Connection) HeardSince(since time.Time) bool { return c.heard.Load() >= since.UnixNano() }
+// ReceivedSince reports whether a frame was received at or after a time.
+func (c *Connection) ReceivedSince(since time.Time) bool { return c.heard.Load() >= since.UnixNano() }
 
 // OnClose runs hook once when the connection ends, at once if it has.
 func (c *Connection) OnClose(hook func()) {
--- a/internal/quota/closedloop_test.go
+++ b/internal/quota/closedloop_test.go
@@ -349,7 +349,7 @@
 func runClosedLoop(seed uint64, mode loopMode) []*loopTenant {
 	tolerance := Tolerance{}
 	if mode == loopTolerant {
-		tolerance = Tolerance{Overage: 0.1, Slack: 20}
+		tolerance = Tolerance{OverageFraction: 0.1, SlackRequests: 20}
 	}
 	l := &closedLoop{
 		seed: seed, owner: NewOwnerWithAdmission(NewState(loopWindowMs), 0, admission.NewProgramKinds(), tolerance), usesTickets: mode >= loopPerProgram,
--- a/internal/quota/compat_test.go
+++ b/internal/quota/compat_test.go
@@ -9,7 +9,7 @@
 // TestEarlierReleases checks that the encodings of this package are compatible with earlier
 // releases.
 func TestEarlierReleases(t *testing.T) {
-	compat.Hold(t, map[string]any{
+	compat.CheckTypes(t, map[string]any{
 		"stateSnapshot": &stateSnapshot{},
 	})
 }
--- a/internal/quota/owner.go
+++ b/internal/quota/owner.go
@@ -38,7 +38,7 @@
 	QueuePosition QueuePosition
 	// ProgramAdmission is set if a new program was denied: the admission decision with the
 	// figures behind it.
-	ProgramAdmission *admission.AdmissionDecision
+	ProgramAdmission *admission.Decision
 }
 
 const (
--- a/internal/quota/queue.go
+++ b/internal/quota/queue.go
@@ -277,7 +277,7 @@
 
 // nextNewProgramRetryAtMs returns when a denied new program should be retried. Programs denied
 // together retry one after another, at the rate at which programs can be admitted.
-func (t *tenantQuota) nextNewProgramRetryAtMs(decision admission.AdmissionDecision, nowMs int64) int64 {
+func (t *tenantQuota) nextNewProgramRetryAtMs(decision admission.Decision, nowMs int64) int64 {
 	next := max(t.lastNewProgramRetryAtMs, nowMs) + max(decision.AdmissionIntervalMs, 1)
 	t.lastNewProgramRetryAtMs = min(next, nowMs+t.granted.lengthMs)
 	return t.lastNewProgramRetryAtMs
--- a/internal/quota/queue_test.go
+++ b/internal/quota/queue_test.go
@@ -100,7 +100,7 @@
 			Generation: 1, RatePerSecond: float64(rapid.IntRange(1, 40).Draw(t, "rate")), Burst: float64(rapid.IntRange(0, 20).Draw(t, "burst")),
 		}}}
 		if rapid.Bool().Draw(t, "tolerant") {
-			m.tolerance = Tolerance{Overage: 0.1, Slack: 20}
+			m.tolerance = Tolerance{OverageFraction: 0.1, SlackRequests: 20}
 		}
 		for range testHosts {
 			m.hosts = append(m.hosts, testHost{
@@ -407,7 +407,7 @@
 		So(owner.tenants["t"].queue, ShouldBeEmpty)
 	})
 	Convey("only programs in progress use the tolerance", t, func() {
-		owner := NewOwnerWithAdmission(NewState(testWindowMs), 0, admission.NewProgramKinds(), Tolerance{Overage: 0.2, Slack: 4})
+		owner := NewOwnerWithAdmission(NewState(testWindowMs), 0, admission.NewProgramKinds(), Tolerance{OverageFraction: 0.2, SlackRequests: 4})
 		owner.RequestGrant(Request{Tenant: "t", Limit: limit}, 0)
 		owner.AddReservation(Reservation{Tenant: "t", Count: 100, Limit: limit, NowMs: 0})
 		granted := 0
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -41,8 +41,8 @@
 // and uses the tolerance to let programs in progress continue, while new programs are held to
 // the limit itself.
 type Tolerance struct {
-	Overage float64
-	Slack   float64
+	OverageFraction float64
+	SlackRequests   float64
 }
 
 // extraRequests returns the number of requests that programs in progress may use above a limit.
@@ -50,7 +50,7 @@
 	if allowed <= 0 {
 		return 0
 	}
-	return int64(usableToleranceFraction * (float64(allowed)*t.Overage + t.Slack))
+	return int64(usableToleranceFraction * (float64(allowed)*t.OverageFraction + t.SlackRequests))
 }
 
 // Request asks the owner for a grant to run one request of a tenant.
--- a/internal/reconcile/permits.go
+++ b/internal/reconcile/permits.go
@@ -4,8 +4,8 @@
 // ready engines while loads go on.
 package reconcile
 
-// PermitMs is how long a permit lasts unless it is renewed or given back.
-const PermitMs = 120_000
+// PermitLifetimeMs is how long a permit lasts unless it is renewed or given back.
+const PermitLifetimeMs = 120_000
 
 type permit struct {
 	pool    string
@@ -19,9 +19,9 @@
 	granted map[string]permit
 }
 
-// PermitHoldMs is how long a new leader waits before its first grant, so that
+// InitialGrantDelayMs is how long a new leader waits before its first grant, so that
 // engines which load under an earlier leader's permits report themselves first.
-const PermitHoldMs = 2_000
+const InitialGrantDelayMs = 2_000
 
 // NewPermits returns the permits of a leader that began to lead at nowMs.
 func NewPermits(nowMs int64) *Permits {
@@ -30,12 +30,12 @@
 
 // Limits bound the grants for one pool.
 type Limits struct {
-	// Engines is the pool's size, and Ready how many of them report ready.
-	Engines int
-	Ready   int
-	// Floor is the setting ready_floor, and Concurrent concurrent_loads.
-	Floor      int
-	Concurrent int
+	// PoolSize is the pool's size, and Ready how many of them report ready.
+	PoolSize     int
+	ReadyEngines int
+	// ReadyFloor is the setting ready_floor, and Concurrent concurrent_loads.
+	ReadyFloor         int
+	MaxConcurrentLoads int
 }
 
 // Grant decides whether an engine may stop serving to load. Invariant: the
@@ -44,17 +44,17 @@
 func (p *Permits) Grant(engine, pool string, limits Limits, nowMs int64) bool {
 	p.expire(nowMs)
 	if current, ok := p.granted[engine]; ok {
-		p.granted[engine] = permit{current.pool, nowMs + PermitMs}
+		p.granted[engine] = permit{current.pool, nowMs + PermitLifetimeMs}
 		return true
 	}
-	if nowMs-p.startMs < PermitHoldMs || len(p.granted) >= limits.Concurrent {
+	if nowMs-p.startMs < InitialGrantDelayMs || len(p.granted) >= limits.MaxConcurrentLoads {
 		return false
 	}
-	floor := max(0, min(limits.Floor, limits.Engines-1))
-	if limits.Ready-p.inPool(pool)-1 < floor {
+	floor := max(0, min(limits.ReadyFloor, limits.PoolSize-1))
+	if limits.ReadyEngines-p.inPool(pool)-1 < floor {
 		return false
 	}
-	p.granted[engine] = permit{pool, nowMs + PermitMs}
+	p.granted[engine] = permit{pool, nowMs + PermitLifetimeMs}
 	return true
 }
 
--- a/internal/reconcile/planner.go
+++ b/internal/reconcile/planner.go
@@ -23,19 +23,19 @@
 	Role    string `json:"role"`
 }
 
-// Observed is what the planner knows of one engine.
-type Observed struct {
-	Name     string
-	Pool     string
-	Current  Target
-	Loading  bool
-	Leaving  bool
-	InFlight int
-	Fence    Fence
-	// Permit says that the engine holds a permit; Draining that it takes no new
+// ObservedEngine is what the planner knows of one engine.
+type ObservedEngine struct {
+	Name      string
+	Pool      string
+	Current   Target
+	IsLoading bool
+	IsLeaving bool
+	InFlight  int
+	Fence     Fence
+	// HasPermit says that the engine holds a permit; Draining that it takes no new
 	// work already.
-	Permit   bool
-	Draining bool
+	HasPermit  bool
+	IsDraining bool
 }
 
 // StepKind is what to do next with an engine.
@@ -55,21 +55,21 @@
 	StepRelease
 )
 
-// Plan returns the next step that brings an engine to its target.
-func Plan(observed Observed, target Target) StepKind {
-	if observed.Current == target && !observed.Loading {
-		if observed.Permit || observed.Draining {
+// NextStep returns the next step that brings an engine to its target.
+func NextStep(observed ObservedEngine, target Target) StepKind {
+	if observed.Current == target && !observed.IsLoading {
+		if observed.HasPermit || observed.IsDraining {
 			return StepRelease
 		}
 		return StepNone
 	}
-	if observed.Loading || observed.Leaving {
+	if observed.IsLoading || observed.IsLeaving {
 		return StepNone
 	}
-	if !observed.Permit {
+	if !observed.HasPermit {
 		return StepPermit
 	}
-	if !observed.Draining {
+	if !observed.IsDraining {
 		return StepDrain
 	}
 	if observed.InFlight > 0 {
--- a/internal/reconcile/reconcile_test.go
+++ b/internal/reconcile/reconcile_test.go
@@ -13,7 +13,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		engines := rapid.IntRange(1, 8).Draw(t, "engines")
 		floor := rapid.IntRange(0, 9).Draw(t, "floor")
-		limits := Limits{Engines: engines, Floor: floor, Concurrent: rapid.IntRange(1, 4).Draw(t, "concurrent")}
+		limits := Limits{PoolSize: engines, ReadyFloor: floor, MaxConcurrentLoads: rapid.IntRange(1, 4).Draw(t, "concurrent")}
 		permits := NewPermits(0)
 		loading := map[int]bool{}
 		nowMs := int64(0)
@@ -27,19 +27,19 @@
 				continue
 			}
 			// Reports lag: an engine that holds a permit may still be counted as ready.
-			limits.Ready = engines - rapid.IntRange(0, len(loading)).Draw(t, "seen loading")
+			limits.ReadyEngines = engines - rapid.IntRange(0, len(loading)).Draw(t, "seen loading")
 			if !permits.Grant(name, "p", limits, nowMs) {
 				continue
 			}
-			if nowMs < PermitHoldMs {
+			if nowMs < InitialGrantDelayMs {
 				t.Fatalf("a grant %d ms after the leader began", nowMs)
 			}
 			loading[number] = true
 			if ready := engines - len(loading); ready < min(floor, engines-1) {
 				t.Fatalf("%d of %d engines ready, the floor is %d", ready, engines, floor)
 			}
-			if len(loading) > limits.Concurrent {
-				t.Fatalf("%d load at once, %d may", len(loading), limits.Concurrent)
+			if len(loading) > limits.MaxConcurrentLoads {
+				t.Fatalf("%d load at once, %d may", len(loading), limits.MaxConcurrentLoads)
 			}
 		}
 	})
@@ -50,20 +50,20 @@
 func TestPlanOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		target := Target{Model: "m", Version: "2"}
-		observed := Observed{
-			Current: Target{Model: "m", Version: rapid.SampledFrom([]string{"1", "2"}).Draw(t, "version")},
-			Loading: rapid.Bool().Draw(t, "loading"), Leaving: rapid.Bool().Draw(t, "leaving"),
-			InFlight: rapid.IntRange(0, 2).Draw(t, "in flight"), Permit: rapid.Bool().Draw(t, "permit"), Draining: rapid.Bool().Draw(t, "draining"),
+		observed := ObservedEngine{
+			Current:   Target{Model: "m", Version: rapid.SampledFrom([]string{"1", "2"}).Draw(t, "version")},
+			IsLoading: rapid.Bool().Draw(t, "loading"), IsLeaving: rapid.Bool().Draw(t, "leaving"),
+			InFlight: rapid.IntRange(0, 2).Draw(t, "in flight"), HasPermit: rapid.Bool().Draw(t, "permit"), IsDraining: rapid.Bool().Draw(t, "draining"),
 		}
-		step := Plan(observed, target)
-		serves := observed.Current == target && !observed.Loading
-		ready := observed.Permit && observed.Draining && observed.InFlight == 0 && !observed.Loading && !observed.Leaving
+		step := NextStep(observed, target)
+		serves := observed.Current == target && !observed.IsLoading
+		ready := observed.HasPermit && observed.IsDraining && observed.InFlight == 0 && !observed.IsLoading && !observed.IsLeaving
 		switch {
 		case step == StepOrder && (serves || !ready):
 			t.Fatalf("ordered: %+v", observed)
 		case serves && step != StepNone && step != StepRelease:
 			t.Fatalf("disturbed though it serves its target: %+v: %d", observed, step)
-		case serves && (observed.Permit || observed.Draining) && step != StepRelease:
+		case serves && (observed.HasPermit || observed.IsDraining) && step != StepRelease:
 			t.Fatalf("kept out: %+v", observed)
 		}
 	})
--- a/internal/replication/expiry.go
+++ b/internal/replication/expiry.go
@@ -45,7 +45,7 @@
 		pending := group.proposals[index]
 		// An entry that is committed at the index but not applied yet decides the outcome once it
 		// is applied.
-		outcomePending := index > group.Node.Applied() && index <= group.Node.Commit()
+		outcomePending := index > group.Node.AppliedIndex() && index <= group.Node.CommitIndex()
 		if !outcomePending && group.Node.TermAt(index) != pending.term {
 			overwritten = append(overwritten, pending)
 			delete(group.proposals, index)
--- a/internal/replication/group.go
+++ b/internal/replication/group.go
@@ -225,7 +225,7 @@
 		return err
 	}
 	write.Records = group.takeUnflushed()
-	index := group.Node.Applied()
+	index := group.Node.AppliedIndex()
 	write.Snapshot = &consensus.Snapshot{
 		Index: index, Term: group.Node.TermAt(index), Configuration: group.Node.ConfigurationAt(index), Data: data,
 	}
@@ -235,7 +235,7 @@
 		// arrives.
 		entries, size = entries*transferRetentionFactor, size*transferRetentionFactor
 	}
-	group.Node.Compact(group.Node.KeepFrom(index, entries, size))
+	group.Node.Compact(group.Node.CompactionIndex(index, entries, size))
 	return nil
 }
 
@@ -262,7 +262,7 @@
 		h.queuePart(group, reply)
 	}
 	group.partReplies = nil
-	for _, entry := range ready.Committed {
+	for _, entry := range ready.CommittedEntries {
 		h.applyEntry(group, entry)
 	}
 	group.Node.Advance(ready)
@@ -274,11 +274,11 @@
 			group.reads[state.Context] = pending
 		}
 	}
-	for _, context := range ready.LostReads {
+	for _, context := range ready.AbortedReads {
 		h.failRead(group, context)
 	}
 	h.completeReads(group)
-	for _, to := range ready.SnapshotsWanted {
+	for _, to := range ready.SnapshotTargets {
 		if err := h.startTransfer(group, to); err != nil {
 			return err
 		}
@@ -316,7 +316,7 @@
 func (h *Host) completeReads(group *Group) {
 	for _, id := range SortedKeys(group.reads) {
 		pending := group.reads[id]
-		if pending.hasIndex && group.Node.Applied() >= pending.index {
+		if pending.hasIndex && group.Node.AppliedIndex() >= pending.index {
 			delete(group.reads, id)
 			pending.done(nil)
 		}
--- a/internal/replication/host.go
+++ b/internal/replication/host.go
@@ -12,7 +12,7 @@
 type Storage interface {
 	Replica() consensus.ReplicaID
 	Write(writes []storage.GroupWrite) error
-	Load(group storage.GroupID) (consensus.Restored, error)
+	Load(group storage.GroupID) (consensus.PersistedState, error)
 	Records(group storage.GroupID, program string, after uint64) ([]storage.Record, error)
 	RecordsAfter(group storage.GroupID, after storage.RecordKey, maxBytes int) (records []storage.Record, more bool, err error)
 }
@@ -20,13 +20,13 @@
 // Options configures a Host. Times are in milliseconds.
 type Options struct {
 	// Name is the member name of this process in the configurations of the groups.
-	Name           string
-	ElectionTicks  int
-	HeartbeatTicks int
-	StartTicks     int
-	QuiesceTicks   int
-	MaxAppendBytes int
-	MaxInflight    int
+	Name                 string
+	ElectionTicks        int
+	HeartbeatTicks       int
+	InitialElectionTicks int
+	QuiesceTicks         int
+	MaxAppendBytes       int
+	MaxInflight          int
 	// ProposalTimeoutMs is how long a proposal or a read may wait for a quorum.
 	ProposalTimeoutMs int64
 	// CompactAfterEntries and CompactAfterBytes are the numbers of applied entries and bytes
@@ -80,9 +80,9 @@
 	node := consensus.NewNode(consensus.Options{
 		ID: h.storage.Replica(), Seed: uint64(id)*1_000_003 + 17,
 		ElectionTicks: h.options.ElectionTicks, HeartbeatTicks: h.options.HeartbeatTicks,
-		StartTicks: h.options.StartTicks, QuiesceTicks: h.options.QuiesceTicks, MaxAppendBytes: h.options.MaxAppendBytes, MaxInflight: h.options.MaxInflight,
+		InitialElectionTicks: h.options.InitialElectionTicks, QuiesceTicks: h.options.QuiesceTicks, MaxAppendBytes: h.options.MaxAppendBytes, MaxInflight: h.options.MaxInflight,
 		DisablePreVote: h.options.DisablePreVote, DisableCheckQuorum: h.options.DisableCheckQuorum,
-		DisableReadConfirm: h.options.DisableReadConfirm,
+		DisableReadConfirmation: h.options.DisableReadConfirm,
 	}, restored)
 	group := &Group{
 		ID: id, Node: node, StateMachine: state, proposals: map[uint64]pendingProposal{}, reads: map[uint64]pendingRead{},
--- a/internal/replication/terms_test.go
+++ b/internal/replication/terms_test.go
@@ -51,7 +51,9 @@
 
 func (emptyDisk) Write([]storage.GroupWrite) error { return nil }
 
-func (emptyDisk) Load(storage.GroupID) (consensus.Restored, error) { return consensus.Restored{}, nil }
+func (emptyDisk) Load(storage.GroupID) (consensus.PersistedState, error) {
+	return consensus.PersistedState{}, nil
+}
 
 func (emptyDisk) Records(storage.GroupID, string, uint64) ([]storage.Record, error) { return nil, nil }
 
@@ -246,10 +248,10 @@
 	})
 }
 
-// TestEachWaitingIsAnsweredOnce checks that every pending read and proposal is answered exactly
+// TestEachPendingRequestIsAnsweredOnce checks that every pending read and proposal is answered exactly
 // once, at the latest after its timeout, for any sequence of leaderships won and lost between
 // checks of the timers.
-func TestEachWaitingIsAnsweredOnce(t *testing.T) {
+func TestEachPendingRequestIsAnsweredOnce(t *testing.T) {
 	rapid.Check(t, func(run *rapid.T) {
 		voter := newTestVoter(t)
 		voter.becomeLeader()
@@ -272,8 +274,8 @@
 				voter.propose("x", func(any) { done() })
 			case step <= 5 && isLeader:
 				voter.stepDown()
-				if step == 5 && voter.group.Node.LastIndex() > voter.group.Node.Commit() {
-					voter.overwriteAfter(voter.group.Node.Commit())
+				if step == 5 && voter.group.Node.LastIndex() > voter.group.Node.CommitIndex() {
+					voter.overwriteAfter(voter.group.Node.CommitIndex())
 				}
 			case step <= 5 && !isLeader:
 				voter.becomeLeader()
--- a/internal/replication/transfer.go
+++ b/internal/replication/transfer.go
@@ -82,7 +82,7 @@
 	if err != nil {
 		return err
 	}
-	index := group.Node.Applied()
+	index := group.Node.AppliedIndex()
 	transfer := &outgoingTransfer{state: state, snapshot: consensus.Snapshot{
 		Index: index, Term: group.Node.TermAt(index), Configuration: group.Node.ConfigurationAt(index),
 	}}
@@ -110,7 +110,7 @@
 	}
 	h.queuePart(group, &protocol.SnapshotPart{
 		From: group.Node.ID(), To: to, Term: group.Node.Term(), Index: transfer.snapshot.Index, SnapshotTerm: transfer.snapshot.Term,
-		Number: transfer.partNumber, Last: !more, Records: data,
+		Number: transfer.partNumber, IsLast: !more, Records: data,
 	})
 	return nil
 }
@@ -140,7 +140,7 @@
 
 // stepPart processes a part of a snapshot, or the reply to a part.
 func (h *Host) stepPart(group *Group, part *protocol.SnapshotPart) error {
-	if part.Answer {
+	if part.IsAcknowledgement {
 		return h.handlePartReply(group, part)
 	}
 	h.receivePart(group, part)
@@ -180,7 +180,7 @@
 	if part.Term < group.Node.Term() {
 		return
 	}
-	if part.Index <= group.Node.Commit() {
+	if part.Index <= group.Node.CommitIndex() {
 		// The leader does not know how far this replica has got; the snapshot itself lets it find
 		// out.
 		group.partReplies = append(group.partReplies, h.newPartReply(group, part.From, part.Term, part.Index, partsNotNeeded))
@@ -200,13 +200,13 @@
 		}
 		group.stagedRecords = append(group.stagedRecords, records...)
 		incoming.nextPart++
-		incoming.complete = part.Last
+		incoming.complete = part.IsLast
 	}
 	group.partReplies = append(group.partReplies, h.newPartReply(group, part.From, part.Term, part.Index, incoming.nextPart))
 }
 
 func (h *Host) newPartReply(group *Group, to consensus.ReplicaID, term, index uint64, wantedPart int) *protocol.SnapshotPart {
-	return &protocol.SnapshotPart{From: group.Node.ID(), To: to, Term: term, Index: index, Number: wantedPart, Answer: true}
+	return &protocol.SnapshotPart{From: group.Node.ID(), To: to, Term: term, Index: index, Number: wantedPart, IsAcknowledgement: true}
 }
 
 // canInstall reports whether a snapshot can be passed to the consensus node: all its records are
@@ -217,7 +217,7 @@
 	if message.Snapshot == nil || msgpack.Unmarshal(message.Snapshot.Data, &state) != nil {
 		return false
 	}
-	if state.Parts == 0 || message.Snapshot.Index <= group.Node.Commit() || group.incomingTransfer.covers(message.Snapshot, state.Parts) {
+	if state.Parts == 0 || message.Snapshot.Index <= group.Node.CommitIndex() || group.incomingTransfer.covers(message.Snapshot, state.Parts) {
 		return true
 	}
 	group.incomingTransfer = nil
@@ -253,7 +253,7 @@
 	for _, to := range SortedKeys(group.outgoingTransfers) {
 		transfer := group.outgoingTransfers[to]
 		_, isMember := group.Node.Configuration().Find(to)
-		if !group.IsLeader() || !isMember || group.Node.Match(to) >= transfer.snapshot.Index {
+		if !group.IsLeader() || !isMember || group.Node.MatchIndex(to) >= transfer.snapshot.Index {
 			delete(group.outgoingTransfers, to)
 			continue
 		}
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -27,7 +27,7 @@
 	})
 }
 
-func TestTimes(t *testing.T) {
+func TestLatencyHistogram(t *testing.T) {
 	Convey("with a mean latency of 30 ms, as at 500 requests a second on 24 engines", t, func() {
 		histogram := &LatencyHistogram{}
 		random := rand.New(rand.NewPCG(1, 1))
--- a/internal/scheduler/calls.go
+++ b/internal/scheduler/calls.go
@@ -78,7 +78,7 @@
 	local := c.local(request.Program)
 	incoming := &call{
 		local: local, request: request, sinks: []SinkID{sink}, arrivedMs: nowMs,
-		deadlineMs: nowMs + request.DeadlineMs,
+		deadlineMs: nowMs + request.TimeoutMs,
 		digest:     program.ContentDigest(request.Service, request.Thread, request.Messages),
 	}
 	c.sinks[sink] = incoming
@@ -123,7 +123,7 @@
 	existing.sinks = append(existing.sinks, sink)
 	c.sinks[sink] = existing
 	if existing.sent != "" {
-		c.outlet.Reply(sink, protocol.KindPiece, &protocol.Piece{Offset: 0, Text: existing.sent}, false)
+		c.outlet.Reply(sink, protocol.KindCallChunk, &protocol.CallChunk{Offset: 0, Text: existing.sent}, false)
 	}
 }
 
@@ -135,7 +135,7 @@
 	if !c.synced || !c.listed {
 		return result.New(result.NoScheduler, "%s is not in the directory yet", c.options.Name)
 	}
-	if request.DeadlineMs <= 0 {
+	if request.TimeoutMs <= 0 {
 		return result.New(result.DeadlinePassed, "the deadline was past on arrival")
 	}
 	if _, ok := c.tree.Get("/services/" + request.Service); !ok {
@@ -143,7 +143,7 @@
 	}
 	fields := c.fields("/services/" + request.Service)
 	probe := &scheduling.Call{
-		Pool: *fields.Pool, Rank: int(*fields.Rank), ArrivedMs: c.nowMs, DeadlineMs: c.nowMs + request.DeadlineMs,
+		Pool: *fields.Pool, Priority: int(*fields.Priority), ArrivedMs: c.nowMs, DeadlineMs: c.nowMs + request.TimeoutMs,
 		PromptTokens: engine.CountMessages(request.Messages), OutputTokens: expectedOutput(request, *fields.MaxOutputTokens),
 	}
 	if c.isUnserved(probe.Pool) {
@@ -153,7 +153,7 @@
 		return refusal
 	}
 	tenant := c.fields("/tenants/" + tenantName(request.Tenant))
-	limits := scheduling.TenantLimits{MaxInFlight: *tenant.TenantInFlight, TokensPerSecond: *tenant.TokensPerSecond}
+	limits := scheduling.TenantLimits{MaxInFlight: *tenant.TenantMaxInFlight, TokensPerSecond: *tenant.TokensPerSecond}
 	return c.tenants.Acquire(request.Tenant, limits, probe.PromptTokens+probe.OutputTokens, len(c.roster.List()), c.nowMs)
 }
 
@@ -199,22 +199,22 @@
 	current.nonce = c.nonceBase + c.nextCall
 	begin := &program.Begin{
 		Program: request.Program, Tenant: request.Tenant, Service: request.Service,
-		Thread: request.Thread, Parent: request.Parent, Request: request.Request, Create: request.Create,
+		Thread: request.Thread, Parent: request.ParentThread, Request: request.Request, Create: request.Create,
 		Limits: program.Limits{
-			BudgetTokens: *fields.BudgetTokens, MaxTurns: *fields.MaxTurns, WallTimeMs: *fields.WallMs, IdleTimeoutMs: *fields.IdleMs,
+			BudgetTokens: *fields.BudgetTokens, MaxTurns: *fields.MaxTurns, WallTimeMs: *fields.WallTimeMs, IdleTimeoutMs: *fields.IdleTimeoutMs,
 		},
-		Digest: current.digest, AtMostOnce: request.Once, NewTokens: current.newTokens, MaxTokens: current.maxTokens,
+		Digest: current.digest, AtMostOnce: request.AtMostOnce, NewTokens: current.newTokens, MaxTokens: current.maxTokens,
 		Scheduler: c.options.Name, TakeOver: current.takeOver, RetryOf: current.retryOf, LostTokens: current.lost,
 		Nonce: current.nonce, Incarnation: c.options.Start, TimeoutMs: max(0, current.deadlineMs-c.nowMs),
 	}
-	if request.Budget > 0 {
-		begin.Limits.BudgetTokens = min(begin.Limits.BudgetTokens, request.Budget)
+	if request.BudgetTokens > 0 {
+		begin.Limits.BudgetTokens = min(begin.Limits.BudgetTokens, request.BudgetTokens)
 	}
 	if program.IncludesHistory(request.Messages) {
 		begin.PrefixDigests = program.PrefixDigests(request.Messages)
 	}
 	message := &protocol.LedgerRequest{
-		Group: c.groupOf(request.Program), Command: program.Command{Begin: begin}, KnownTurn: current.local.knownTurn,
+		Group: c.groupOf(request.Program), Command: program.Command{Begin: begin}, CachedTurn: current.local.knownTurn,
 	}
 	patience := max(1, current.deadlineMs-c.nowMs)
 	c.askControl(message.Group, protocol.KindLedger, message, patience, func(reply any) { c.begun(current, reply) })
@@ -297,9 +297,9 @@
 		c.endCall(current, result.New(record.Code, "request %s was answered so before", record.Request))
 		return
 	}
-	c.endWith(current, &protocol.Answer{
+	c.endWith(current, &protocol.CallReply{
 		Content: record.Answer.Content, Usage: record.Usage, Turn: record.Turn, Engine: record.Engine,
-		Ended: reply.Reply.Ended, Remaining: reply.Reply.RemainingTokens,
+		ProgramEnded: reply.Reply.Ended, RemainingTokens: reply.Reply.RemainingTokens,
 	})
 }
 
@@ -330,7 +330,7 @@
 		excluded = current.schedule.ExcludedEngines
 	}
 	current.schedule = &scheduling.Call{
-		ID: c.nextCall, Program: request.Program, Pool: *fields.Pool, Rank: int(*fields.Rank),
+		ID: c.nextCall, Program: request.Program, Pool: *fields.Pool, Priority: int(*fields.Priority),
 		AttainedServiceMs: local.attainedMs, ArrivedMs: current.arrivedMs, DeadlineMs: current.deadlineMs,
 		PromptTokens: engine.CountMessages(current.prompt),
 		OutputTokens: expectedOutput(request, *fields.MaxOutputTokens),
--- a/internal/scheduler/control.go
+++ b/internal/scheduler/control.go
@@ -88,7 +88,7 @@
 		return typed.Reply.Error, typed.Leader
 	case *protocol.SyncReply:
 		return typed.Error, typed.Leader
-	case *protocol.ReleasedReply:
+	case *protocol.EndedProgramsReply:
 		return typed.Error, typed.Leader
 	case *protocol.PermitReply:
 		return typed.Error, typed.Leader
@@ -136,8 +136,8 @@
 	}
 	c.syncing = true
 	message := &protocol.SyncRequest{
-		Heartbeat: c.heartbeatReport(), Revision: c.tree.Revision(), Directory: c.roster.Version(),
-		HoldMs: c.options.SyncHoldMs, Fresh: !c.synced,
+		Heartbeat: c.heartbeatReport(), Revision: c.tree.Revision(), DirectoryVersion: c.roster.Version(),
+		LongPollMs: c.options.SyncHoldMs, ConfirmNow: !c.synced,
 	}
 	c.askControl(0, protocol.KindSync, message, 2*controlTimeoutMs, func(reply any) {
 		c.syncing = false
@@ -196,7 +196,7 @@
 	c.nowMs = nowMs
 	c.follows[request.Sidecar] = &follower{
 		revision: request.Revision, heardMs: nowMs, sink: sink, request: request,
-		untilMs: nowMs + request.HoldMs, isWaiting: true,
+		untilMs: nowMs + request.LongPollMs, isWaiting: true,
 	}
 	c.tickFollows()
 	c.reportSidecars()
@@ -220,7 +220,7 @@
 
 // reportNow sends a heartbeat beside the one that control holds.
 func (c *Core) reportNow() {
-	message := &protocol.SyncRequest{Heartbeat: c.heartbeatReport(), Revision: c.tree.Revision(), Directory: c.roster.Version()}
+	message := &protocol.SyncRequest{Heartbeat: c.heartbeatReport(), Revision: c.tree.Revision(), DirectoryVersion: c.roster.Version()}
 	c.askControl(0, protocol.KindSync, message, controlTimeoutMs, func(any) {})
 }
 
@@ -234,7 +234,7 @@
 			}
 			continue
 		}
-		news := c.tree.Revision() > known.request.Revision || c.roster.ChangeVersion() > known.request.Directory
+		news := c.tree.Revision() > known.request.Revision || c.roster.ChangeVersion() > known.request.DirectoryVersion
 		if !c.synced || (!news && c.nowMs < known.untilMs && !c.draining) {
 			continue
 		}
@@ -250,7 +250,7 @@
 	if c.options.DisableRevision && c.tree.Revision() != request.Revision {
 		feed.Snapshot, _ = c.tree.FollowerState()
 	}
-	feed.Roster = c.roster.DeltaSince(request.Directory)
+	feed.Roster = c.roster.DeltaSince(request.DirectoryVersion)
 	feed.Groups = c.groups
 	return feed
 }
--- a/internal/scheduler/core.go
+++ b/internal/scheduler/core.go
@@ -297,7 +297,7 @@
 	if known, ok := c.effective[path]; ok {
 		return known
 	}
-	fields := c.tree.Effective(path)
+	fields := c.tree.EffectiveFields(path)
 	c.effective[path] = fields
 	return fields
 }
@@ -349,5 +349,5 @@
 }
 
 func (c *Core) finish(sink SinkID, failure *result.Error) {
-	c.outlet.Reply(sink, protocol.KindAnswer, &protocol.Answer{Error: failure}, true)
+	c.outlet.Reply(sink, protocol.KindCallReply, &protocol.CallReply{Error: failure}, true)
 }
--- a/internal/scheduler/daemon.go
+++ b/internal/scheduler/daemon.go
@@ -81,7 +81,7 @@
 
 func (d *Daemon) registerMetrics() {
 	gauge := func(name, help string, value func(*Stats) float64) {
-		d.monitor.Gauge(name, help, func() float64 { return value(d.stats.Load()) })
+		d.monitor.RegisterGauge(name, help, func() float64 { return value(d.stats.Load()) })
 	}
 	gauge("settings_revision", "Settings revision in force.", func(s *Stats) float64 { return float64(s.Revision) })
 	gauge("engines_owned", "Engines of this cell.", func(s *Stats) float64 { return float64(s.Engines) })
@@ -122,7 +122,7 @@
 	d.core = NewCore(options, d, clock.NowMs())
 	telemetry.Info(d.logger, "listening", "address", server.Address(), "http", listener.Addr().String())
 
-	tasks := daemon.NewGroup()
+	tasks := daemon.NewTaskGroup()
 	d.running = tasks.Context
 	tasks.Go(d.loop)
 	tasks.Go(d.pollEngines)
@@ -265,7 +265,7 @@
 	if !ok {
 		return
 	}
-	if answer, isAnswer := message.(*protocol.Answer); isAnswer && answer.Error != nil {
+	if answer, isAnswer := message.(*protocol.CallReply); isAnswer && answer.Error != nil {
 		telemetry.Info(d.logger, "call ended", "code", int(answer.Error.Code), "err", answer.Error)
 	}
 	if target.connection.Reply(target.call, kind, message, last) != nil {
@@ -319,7 +319,7 @@
 		d.mutex.Unlock()
 		if outcome.Err != nil && ctx.Err() == nil {
 			telemetry.Warn(d.logger, "run failed", "engine", run.Engine.Name, "program", run.Request.User,
-				"request", run.Request.RequestID, "started", outcome.Started, "err", outcome.Err)
+				"request", run.Request.RequestID, "started", outcome.MayHaveStarted, "err", outcome.Err)
 		}
 		d.post(func(core *Core, nowMs int64) { core.Ended(run.Attempt, outcome, nowMs) })
 	}()
@@ -340,7 +340,7 @@
 	telemetry.Info(d.logger, "engine ordered", "engine", target.Name, "model", order.Target.Model,
 		"version", order.Target.Version, "epoch", order.Fence.Epoch, "revision", order.Fence.Revision)
 	go func() {
-		if err := d.engines.Order(d.running, target.Address, order); err != nil && result.CodeOf(err) != result.Internal {
+		if err := d.engines.SendOrder(d.running, target.Address, order); err != nil && result.CodeOf(err) != result.Internal {
 			telemetry.Warn(d.logger, "order refused", "engine", target.Name, "err", err)
 		}
 	}()
@@ -349,7 +349,7 @@
 // Release tells an engine to drop programs.
 func (d *Daemon) Release(target membership.Engine, programs []string) {
 	telemetry.Debug(d.logger, "programs released", "engine", target.Name, "count", len(programs))
-	go func() { _ = d.engines.Release(d.running, target.Address, programs) }()
+	go func() { _ = d.engines.ReleasePrograms(d.running, target.Address, programs) }()
 }
 
 // pollEngines asks each engine of the cell for its state.
--- a/internal/scheduler/engines.go
+++ b/internal/scheduler/engines.go
@@ -53,10 +53,10 @@
 	owned.schedule.Ready = owned.known && !silent && owned.state.Ready && owned.state.Target.Model == target.Model
 	leaving := owned.info.Leaving && !c.options.DisableLeavingStop
 	owned.schedule.Closed = leaving || owned.draining
-	owned.schedule.Slots = int(*c.fields("/pools/" + owned.info.Pool).EngineConcurrent)
+	owned.schedule.Slots = int(*c.fields("/pools/" + owned.info.Pool).EngineConcurrency)
 	owned.schedule.PrefillTokensPerSecond = hardware.PrefillTokensPerSecond
-	owned.schedule.StepMicros = hardware.StepMicros
-	owned.schedule.StepMicrosPerSequence = hardware.SequenceMicros
+	owned.schedule.StepMicros = hardware.BaseStepMicros
+	owned.schedule.StepMicrosPerSequence = hardware.StepMicrosPerSequence
 }
 
 // EngineReport takes an engine's state; ok is false where it didn't answer.
@@ -71,8 +71,8 @@
 	}
 	owned.known = true
 	owned.heardMs = nowMs
-	if state.HeldOmitted {
-		state.Held = owned.state.Held
+	if state.CachedProgramsOmitted {
+		state.CachedPrograms = owned.state.CachedPrograms
 		owned.state = state
 	} else {
 		owned.state = state
@@ -86,7 +86,7 @@
 // it reports. Reports lag, so only programs that had no call lately change.
 func (c *Core) correctWarm(owned *ownedEngine) {
 	held := map[string]int64{}
-	for _, item := range owned.state.Held {
+	for _, item := range owned.state.CachedPrograms {
 		held[item.Program] = item.Tokens
 	}
 	for id, local := range c.programs {
@@ -176,13 +176,13 @@
 	if !owned.known || target.Model == "" || c.nowMs-owned.heardMs > engineSilenceMs {
 		return
 	}
-	observed := reconcile.Observed{
-		Name: owned.info.Name, Pool: owned.info.Pool, Current: owned.state.Target, Loading: owned.state.Loading,
-		Leaving: owned.info.Leaving, InFlight: owned.schedule.InFlight,
+	observed := reconcile.ObservedEngine{
+		Name: owned.info.Name, Pool: owned.info.Pool, Current: owned.state.Target, IsLoading: owned.state.Loading,
+		IsLeaving: owned.info.Leaving, InFlight: owned.schedule.InFlight,
 		// An engine that serves nothing lowers no floor, so it needs no permit.
-		Permit: owned.permit || owned.state.Target.Model == "", Draining: owned.draining || !owned.state.Ready,
+		HasPermit: owned.permit || owned.state.Target.Model == "", IsDraining: owned.draining || !owned.state.Ready,
 	}
-	switch reconcile.Plan(observed, target) {
+	switch reconcile.NextStep(observed, target) {
 	case reconcile.StepPermit:
 		c.askPermit(owned)
 	case reconcile.StepDrain:
@@ -235,7 +235,7 @@
 func (c *Core) audit() {
 	byGroup := map[uint32]map[string]bool{}
 	for _, owned := range c.engines {
-		for _, item := range owned.state.Held {
+		for _, item := range owned.state.CachedPrograms {
 			if local, ok := c.programs[item.Program]; ok && local.active != nil {
 				continue
 			}
@@ -250,10 +250,10 @@
 		if len(byGroup[group]) == 0 {
 			continue
 		}
-		request := &protocol.ReleasedRequest{Group: group, Programs: sortedNames(byGroup[group])}
-		c.askControl(group, protocol.KindReleased, request, controlTimeoutMs, func(reply any) {
-			if typed, ok := reply.(*protocol.ReleasedReply); ok && typed.Error == nil {
-				c.release(typed.Released)
+		request := &protocol.EndedProgramsRequest{Group: group, Programs: sortedNames(byGroup[group])}
+		c.askControl(group, protocol.KindEndedPrograms, request, controlTimeoutMs, func(reply any) {
+			if typed, ok := reply.(*protocol.EndedProgramsReply); ok && typed.Error == nil {
+				c.release(typed.EndedOrUnknown)
 			}
 		})
 	}
@@ -274,7 +274,7 @@
 	for _, name := range sortedNames(c.engines) {
 		owned := c.engines[name]
 		var here []string
-		for _, item := range owned.state.Held {
+		for _, item := range owned.state.CachedPrograms {
 			if gone[item.Program] {
 				here = append(here, item.Program)
 			}
@@ -282,7 +282,7 @@
 		if len(here) > 0 {
 			c.counters.Released += uint64(len(here))
 			c.outlet.Release(owned.info, here)
-			owned.state.Held = slices.DeleteFunc(slices.Clone(owned.state.Held), func(item engine.HeldProgram) bool { return gone[item.Program] })
+			owned.state.CachedPrograms = slices.DeleteFunc(slices.Clone(owned.state.CachedPrograms), func(item engine.CachedProgram) bool { return gone[item.Program] })
 		}
 	}
 }
--- a/internal/scheduler/runs.go
+++ b/internal/scheduler/runs.go
@@ -44,7 +44,7 @@
 		Attempt: current.attempt, Engine: owned.info,
 		Request: engine.CompletionRequest{
 			Model: c.target(owned.info.Pool).Model, Messages: current.prompt, MaxTokens: current.maxTokens, Stream: true,
-			Priority: current.schedule.Rank, User: current.request.Program, RequestID: current.request.Request,
+			Priority: current.schedule.Priority, User: current.request.Program, RequestID: current.request.Request,
 		},
 	})
 }
@@ -68,10 +68,10 @@
 		c.abortCall(current, result.New(result.EngineFailed, "the answer differs from what an earlier engine had sent"), false, c.usedTokens(current))
 		return
 	}
-	fresh := &protocol.Piece{Offset: len(current.sent), Text: answer[len(current.sent):]}
+	fresh := &protocol.CallChunk{Offset: len(current.sent), Text: answer[len(current.sent):]}
 	current.sent = answer
 	for _, sink := range current.sinks {
-		c.outlet.Reply(sink, protocol.KindPiece, fresh, false)
+		c.outlet.Reply(sink, protocol.KindCallChunk, fresh, false)
 	}
 }
 
@@ -98,7 +98,7 @@
 }
 
 // Ended takes the outcome of a run.
-func (c *Core) Ended(attempt AttemptID, outcome engine.Outcome, nowMs int64) {
+func (c *Core) Ended(attempt AttemptID, outcome engine.CompletionOutcome, nowMs int64) {
 	c.nowMs = nowMs
 	current, ok := c.attempts[attempt]
 	if !ok {
@@ -115,11 +115,11 @@
 }
 
 // attemptFailed decides what becomes of a call whose engine failed.
-func (c *Core) attemptFailed(current *call, outcome engine.Outcome) {
+func (c *Core) attemptFailed(current *call, outcome engine.CompletionOutcome) {
 	delete(current.local.warm, current.engine)
 	current.schedule.ExcludedEngines[current.engine] = true
 	c.counters.Retried++
-	if !outcome.Started {
+	if !outcome.MayHaveStarted {
 		// The engine did not start the call: the same attempt goes elsewhere.
 		if owned, ok := c.engines[current.engine]; ok {
 			owned.schedule.Ready = false
@@ -130,7 +130,7 @@
 	}
 	current.ran = true
 	limit := *c.fields("/services/" + current.request.Service).RetryAttempts
-	once := current.request.Once && !c.options.DisableAtMostOnce
+	once := current.request.AtMostOnce && !c.options.DisableAtMostOnce
 	if once || current.retries >= limit {
 		failure := result.New(result.EngineFailed, "engine %s: %v", current.engine, outcome.Err)
 		if once {
@@ -163,7 +163,7 @@
 	commit := &program.Commit{
 		Program: request.Program, Fence: current.fence, Messages: current.newOnes,
 		Answer: program.Message{Role: "assistant", Content: content},
-		Usage:  usage, NewTokens: current.newTokens, Engine: current.engine, EndsProgram: request.End,
+		Usage:  usage, NewTokens: current.newTokens, Engine: current.engine, EndsProgram: request.EndsProgram,
 	}
 	message := &protocol.LedgerRequest{Group: c.groupOf(request.Program), Command: program.Command{Commit: commit}}
 	c.askControl(message.Group, protocol.KindLedger, message, commitPatienceMs, func(reply any) {
@@ -190,9 +190,9 @@
 	}
 	local.warm[current.engine] = engine.CountMessages(current.prompt) + commit.Usage.CompletionTokens
 	c.counters.Answered++
-	c.endWith(current, &protocol.Answer{
+	c.endWith(current, &protocol.CallReply{
 		Content: commit.Answer.Content, Usage: commit.Usage, Turn: typed.Reply.Turn, Engine: current.engine,
-		Ended: typed.Reply.Ended, Remaining: typed.Reply.RemainingTokens,
+		ProgramEnded: typed.Reply.Ended, RemainingTokens: typed.Reply.RemainingTokens,
 	})
 	if typed.Reply.Ended {
 		c.releaseNow(local)
@@ -223,7 +223,7 @@
 		failure = failure.WithOutcome(result.NotRun)
 	}
 	request := current.request
-	c.answer(current, &protocol.Answer{Error: failure})
+	c.answer(current, &protocol.CallReply{Error: failure})
 	c.abort(request.Program, current.fence, failure.Code, notRun, tokens, func() { c.leave(current) })
 }
 
@@ -235,16 +235,16 @@
 
 // endCall answers a call with an error.
 func (c *Core) endCall(current *call, failure *result.Error) {
-	c.endWith(current, &protocol.Answer{Error: failure})
+	c.endWith(current, &protocol.CallReply{Error: failure})
 }
 
-func (c *Core) endWith(current *call, answer *protocol.Answer) {
+func (c *Core) endWith(current *call, answer *protocol.CallReply) {
 	c.answer(current, answer)
 	c.leave(current)
 }
 
 // answer sends the final message of a call to all who wait for it.
-func (c *Core) answer(current *call, answer *protocol.Answer) {
+func (c *Core) answer(current *call, answer *protocol.CallReply) {
 	if current.ended {
 		return
 	}
@@ -256,7 +256,7 @@
 	c.tenants.Release(current.request.Tenant)
 	for _, sink := range current.sinks {
 		delete(c.sinks, sink)
-		c.outlet.Reply(sink, protocol.KindAnswer, answer, true)
+		c.outlet.Reply(sink, protocol.KindCallReply, answer, true)
 	}
 }
 
@@ -334,7 +334,7 @@
 		}
 	}
 	current := local.active
-	if current == nil || current.request.Request != cancel.Request || current.request.Once {
+	if current == nil || current.request.Request != cancel.Request || current.request.AtMostOnce {
 		return
 	}
 	c.giveUp(current, failure)
@@ -378,7 +378,7 @@
 			continue
 		}
 		c.stopAttempt(current)
-		c.attemptFailed(current, engine.Outcome{Started: true, Err: errEngineSilent})
+		c.attemptFailed(current, engine.CompletionOutcome{MayHaveStarted: true, Err: errEngineSilent})
 	}
 }
 
@@ -388,7 +388,7 @@
 func (c *Core) tickDeadlines() {
 	for _, attempt := range sortedIDs(c.attempts) {
 		current := c.attempts[attempt]
-		if c.nowMs >= current.deadlineMs && !current.request.Once {
+		if c.nowMs >= current.deadlineMs && !current.request.AtMostOnce {
 			c.giveUp(current, result.New(result.DeadlinePassed, "the deadline passed while the call ran").WithOutcome(result.Ran))
 		}
 	}
--- a/internal/scheduling/admission.go
+++ b/internal/scheduling/admission.go
@@ -132,9 +132,9 @@
 
 // lateFraction returns the recent fraction of streams that started late.
 func (a *AdmissionController) lateFraction(nowMs int64) float64 {
-	lateness := a.ownLateness.At(nowMs)
+	lateness := a.ownLateness.DecayedTo(nowMs)
 	if a.sharedMs > 0 && nowMs-a.sharedMs <= loadLifetimeMs {
-		lateness = a.sharedLateness.At(nowMs)
+		lateness = a.sharedLateness.DecayedTo(nowMs)
 	}
 	return lateness.Sum / (lateness.Weight + priorOnTimeStreams)
 }
--- a/internal/scheduling/choice.go
+++ b/internal/scheduling/choice.go
@@ -242,7 +242,7 @@
 	events := m.expectedEvents(input.NowMs, input.MaxEvents)
 	usualMs := m.usualStreamMs(input.NowMs, events)
 	inFlight := candidate.Health.EstimatedInFlight(input.NowMs)
-	meanOthers, _ := m.otherRequests.At(input.NowMs).mean()
+	meanOthers, _ := m.otherRequests.DecayedTo(input.NowMs).mean()
 	meanOthers = min(meanOthers, input.meanInFlight)
 	tokenMs := m.prefillTokenMs()
 	if input.Disabled.Has(MechanismPrefillCost) {
--- a/internal/scheduling/closedloop_speed_test.go
+++ b/internal/scheduling/closedloop_speed_test.go
@@ -65,14 +65,14 @@
 		}
 		for number, model := range l.models {
 			hardware := model.Hardware()
-			running, waiting := model.Counts()
+			running, waiting := model.JobCounts()
 			inFlight := float64(running + waiting)
 			uncached := promptTokens - sharedPrefixTokens
 			if number == turn.program.affineEngine {
 				uncached = turn.program.inputTokens
 			}
 			prefillMs := float64(uncached) / float64(hardware.PrefillTokensPerSecond) * 1000
-			stepMs := (float64(hardware.StepMicros) + float64(hardware.SequenceMicros)*(inFlight+1)) / 1000
+			stepMs := (float64(hardware.BaseStepMicros) + float64(hardware.StepMicrosPerSequence)*(inFlight+1)) / 1000
 			turnMs := prefillMs*(1+inFlight) + outputTokens*stepMs
 			turnMs *= 1 + max(inFlight+1-float64(l.slots), 0)/float64(l.slots)
 			if cost := l.slowdowns[number] * turnMs; cost < bestMs {
--- a/internal/scheduling/closedloop_test.go
+++ b/internal/scheduling/closedloop_test.go
@@ -182,7 +182,7 @@
 		program.turnsLeft, program.inputTokens = 11, 514
 	}
 	shared := uint64(1 + l.random.IntN(sharedPrefixes))
-	program.history = []emulator.Segment{{Chain: shared, Tokens: sharedPrefixTokens}}
+	program.history = []emulator.Segment{{PrefixDigest: shared, Tokens: sharedPrefixTokens}}
 	return program
 }
 
@@ -200,7 +200,7 @@
 
 func (l *loop) sendTurn(program *loopProgram, nowMs int64) {
 	chain := uint64(program.id)<<16 + uint64(program.turnsLeft)<<1
-	program.history = append(program.history, emulator.Segment{Chain: chain, Tokens: program.inputTokens})
+	program.history = append(program.history, emulator.Segment{PrefixDigest: chain, Tokens: program.inputTokens})
 	gateway := l.gateways[l.random.IntN(loopGateways)]
 	turn := &loopTurn{program: program, gateway: gateway, sentMs: nowMs, slots: l.slots}
 	turn.engine = l.policy(gateway, turn, nowMs)
@@ -212,7 +212,7 @@
 	id := fmt.Sprint(program.id, "-", program.turnsLeft)
 	l.inFlight[id] = turn
 	l.models[turn.engine].Submit(emulator.Job{
-		ID: id, Program: fmt.Sprint(program.id), Segments: slices.Clone(program.history), OutputTokens: outputTokens, AnswerChain: chain + 1,
+		ID: id, Program: fmt.Sprint(program.id), Segments: slices.Clone(program.history), OutputTokens: outputTokens, DigestWithResponse: chain + 1,
 	}, int64(l.clocks[turn.engine]))
 }
 
@@ -222,7 +222,7 @@
 		turn := l.inFlight[step.ID]
 		health := turn.gateway.health[number]
 		switch {
-		case step.Generated == 1:
+		case step.GeneratedTokens == 1:
 			latencyMs := float64(nowMs - turn.sentMs)
 			second := turn.sentMs / 1000
 			l.firstEventMs[second] = append(l.firstEventMs[second], latencyMs)
@@ -234,7 +234,7 @@
 			turn.program.late = turn.program.late || latencyMs > firstEventTargetMs
 			turn.gateway.meanWaitMs[number] += 0.1 * (latencyMs - turn.gateway.meanWaitMs[number])
 			turn.lastEventMs = nowMs
-		case step.Generated%tokensPerEvent == 0:
+		case step.GeneratedTokens%tokensPerEvent == 0:
 			gap := float64(nowMs - turn.lastEventMs)
 			turn.gateway.model.ObserveEventGap(health, nowMs, gap)
 			turn.gateway.meanGapMs[number] += 0.015 * (gap - turn.gateway.meanGapMs[number])
@@ -244,7 +244,7 @@
 			turn.gaps++
 			turn.lastEventMs = nowMs
 		}
-		if step.Done {
+		if step.IsDone {
 			l.endTurn(step.ID, turn, number, nowMs)
 		}
 	}
@@ -264,7 +264,7 @@
 	turn.gateway.inFlight[number]--
 	program := turn.program
 	last := program.history[len(program.history)-1]
-	program.history = append(program.history, emulator.Segment{Chain: last.Chain + 1, Tokens: outputTokens})
+	program.history = append(program.history, emulator.Segment{PrefixDigest: last.PrefixDigest + 1, Tokens: outputTokens})
 	program.affineEngine = number
 	if program.turnsLeft--; program.turnsLeft > 0 {
 		at := nowMs + thinkMs
@@ -330,9 +330,9 @@
 	return func(gateway *loopGateway, turn *loopTurn, nowMs int64) int {
 		input := scheduling.SelectionInput{IsStream: true, Zone: zoneName(gateway.zone), MaxEvents: 2 * outputTokens / tokensPerEvent, ShuffleSeed: random.Uint64(), NowMs: nowMs, Disabled: disabled}
 		for number, segment := range turn.program.history {
-			part := scheduling.PromptPart{ID: fmt.Sprint(segment.Chain), Tokens: segment.Tokens}
+			part := scheduling.PromptPart{ID: fmt.Sprint(segment.PrefixDigest), Tokens: segment.Tokens}
 			if number == 0 {
-				part.ID = fmt.Sprint("shared-", segment.Chain)
+				part.ID = fmt.Sprint("shared-", segment.PrefixDigest)
 			}
 			input.Prompt = append(input.Prompt, part)
 		}
@@ -381,13 +381,13 @@
 
 // slowPrefill are engines with a slow prefill.
 var slowPrefill = engine.Hardware{
-	PrefillTokensPerSecond: 37_900, StepMicros: 4_630, SequenceMicros: 153, ContextNanosPerToken: 3, MemoryTokens: 211_000,
-	ChunkTokens: 2_048, MaxSequences: loopSlots,
+	PrefillTokensPerSecond: 37_900, BaseStepMicros: 4_630, StepMicrosPerSequence: 153, ContextNanosPerToken: 3, KVCacheCapacityTokens: 211_000,
+	MaxPrefillTokensPerStep: 2_048, MaxSequences: loopSlots,
 }
 
 func TestClosedLoop(t *testing.T) {
 	halfKVCache := slowPrefill
-	halfKVCache.MemoryTokens /= 2
+	halfKVCache.KVCacheCapacityTokens /= 2
 	fastPrefill := slowPrefill
 	fastPrefill.PrefillTokensPerSecond *= 5
 	fastPrefill.MaxSequences = 16
--- a/internal/scheduling/evidence.go
+++ b/internal/scheduling/evidence.go
@@ -49,8 +49,8 @@
 	m.AtMs = max(m.AtMs, nowMs)
 }
 
-// At returns the mean decayed to nowMs.
-func (m DecayedMean) At(nowMs int64) DecayedMean {
+// DecayedTo returns the mean decayed to nowMs.
+func (m DecayedMean) DecayedTo(nowMs int64) DecayedMean {
 	m.decayTo(nowMs)
 	return m
 }
--- a/internal/scheduling/fairshare_test.go
+++ b/internal/scheduling/fairshare_test.go
@@ -31,8 +31,8 @@
 
 // fairHardware is an engine that serves eight requests at once and prefills fast.
 var fairHardware = engine.Hardware{
-	PrefillTokensPerSecond: 99_300, StepMicros: 6_000, SequenceMicros: 900, ContextNanosPerToken: 3, MemoryTokens: 64_000,
-	ChunkTokens: 2_048, MaxSequences: fairSlots,
+	PrefillTokensPerSecond: 99_300, BaseStepMicros: 6_000, StepMicrosPerSequence: 900, ContextNanosPerToken: 3, KVCacheCapacityTokens: 64_000,
+	MaxPrefillTokensPerStep: 2_048, MaxSequences: fairSlots,
 }
 
 // fairLoop is the closed loop with tenants.
@@ -105,7 +105,7 @@
 	if f.random.IntN(4) == 0 {
 		program.turnsLeft = 11
 	}
-	program.history = []emulator.Segment{{Chain: uint64(1 + f.random.IntN(sharedPrefixes)), Tokens: 512}}
+	program.history = []emulator.Segment{{PrefixDigest: uint64(1 + f.random.IntN(sharedPrefixes)), Tokens: 512}}
 	f.tenantOf[program.id] = tenant
 	number := f.random.IntN(loopGateways)
 	if !f.admitTenant(number, program, tenant, nowMs) {
@@ -138,7 +138,7 @@
 		return admitted
 	}
 	_, admitted := gateway.controller.Admit(concurrency-status.Excess/loopEngines, 0, 1, sample)
-	if !admitted && status.Known {
+	if !admitted && status.HasRecentUsage {
 		f.falseRejections++
 	}
 	return admitted
--- a/internal/scheduling/health.go
+++ b/internal/scheduling/health.go
@@ -140,7 +140,7 @@
 // engines, from the samples of this gateway and of all gateways.
 func (h *EngineHealth) LatencyRatio(nowMs int64) float64 {
 	merged := h.ownRatios
-	merged.Merge(nowMs, h.sharedRatios.At(nowMs))
+	merged.Merge(nowMs, h.sharedRatios.DecayedTo(nowMs))
 	return merged.ShrunkMean(1)
 }
 
--- a/internal/scheduling/load.go
+++ b/internal/scheduling/load.go
@@ -56,7 +56,7 @@
 
 // weightedSum returns the sums of the mean, decayed to nowMs.
 func (m DecayedMean) weightedSum(nowMs int64) WeightedSum {
-	decayed := m.At(nowMs)
+	decayed := m.DecayedTo(nowMs)
 	return WeightedSum{Sum: float32(decayed.Sum), Weight: float32(decayed.Weight)}
 }
 
@@ -150,7 +150,7 @@
 		mean.Merge(nowMs, report.Streams.decayedMean(nowMs))
 	}
 	for backend, known := range a.lateness {
-		if known.At(nowMs).Weight < minWeight {
+		if known.DecayedTo(nowMs).Weight < minWeight {
 			delete(a.lateness, backend)
 		}
 	}
--- a/internal/scheduling/pool.go
+++ b/internal/scheduling/pool.go
@@ -105,7 +105,7 @@
 // ObserveResponse learns from the latency of a complete response to a kind of request.
 func (m *LatencyModel) ObserveResponse(health *EngineHealth, nowMs int64, kind string, latencyMs float64) {
 	mean := entryForKind(&m.responseMs, kind)
-	usualMs, known := mean.At(nowMs).mean()
+	usualMs, known := mean.DecayedTo(nowMs).mean()
 	if !known {
 		usualMs = latencyMs
 	}
@@ -121,15 +121,15 @@
 	if !known {
 		return 0
 	}
-	latencyMs, _ := mean.At(nowMs).mean()
+	latencyMs, _ := mean.DecayedTo(nowMs).mean()
 	return latencyMs
 }
 
 // usualStreamMs returns how long a stream takes beyond the prefill at an average engine under the
 // usual load.
 func (m *LatencyModel) usualStreamMs(nowMs int64, events float64) float64 {
-	waitMs, _ := m.waitMs.At(nowMs).mean()
-	gapMs, _ := m.gapMs.At(nowMs).mean()
+	waitMs, _ := m.waitMs.DecayedTo(nowMs).mean()
+	gapMs, _ := m.gapMs.DecayedTo(nowMs).mean()
 	return waitMs + events*gapMs
 }
 
@@ -146,7 +146,7 @@
 // prefills of other requests. It then shows what a prefilled token costs all requests, but not how
 // much sooner a fast engine would have prefilled it.
 func (m *LatencyModel) unloadedTokenMs(nowMs int64) float64 {
-	if minimum, known := m.minTokenMs.At(nowMs).mean(); known {
+	if minimum, known := m.minTokenMs.DecayedTo(nowMs).mean(); known {
 		return min(m.prefillTokenMs(), minimum)
 	}
 	return m.prefillTokenMs()
@@ -154,7 +154,7 @@
 
 // expectedEvents returns the expected number of events of a stream, at most maxEvents.
 func (m *LatencyModel) expectedEvents(nowMs int64, maxEvents int64) float64 {
-	if mean, known := m.streamEvents.At(nowMs).mean(); known {
+	if mean, known := m.streamEvents.DecayedTo(nowMs).mean(); known {
 		return min(mean, float64(maxEvents))
 	}
 	return float64(maxEvents) / 2
--- a/internal/scheduling/pool_test.go
+++ b/internal/scheduling/pool_test.go
@@ -16,9 +16,9 @@
 		for range 20 {
 			mean.Add(1000, 200, 1)
 		}
-		So(mean.At(1000).ShrunkMean(30), ShouldBeGreaterThan, 150)
-		So(mean.At(1000+10*defaultHalfLifeMs).ShrunkMean(30), ShouldBeLessThan, 35)
-		_, known := mean.At(1000 + 20*defaultHalfLifeMs).mean()
+		So(mean.DecayedTo(1000).ShrunkMean(30), ShouldBeGreaterThan, 150)
+		So(mean.DecayedTo(1000+10*defaultHalfLifeMs).ShrunkMean(30), ShouldBeLessThan, 35)
+		_, known := mean.DecayedTo(1000 + 20*defaultHalfLifeMs).mean()
 		So(known, ShouldBeFalse)
 	})
 	Convey("the samples of several observers add up, and a clock that steps backwards has no effect", t, func() {
--- a/internal/scheduling/scheduling.go
+++ b/internal/scheduling/scheduling.go
@@ -37,8 +37,8 @@
 	ID      uint64
 	Program string
 	Pool    string
-	// Rank is the rank of the service; lower is more urgent.
-	Rank int
+	// Priority is the rank of the service; lower is more urgent.
+	Priority int
 	// AttainedServiceMs is the engine time that the program has used so far.
 	AttainedServiceMs int64
 	ArrivedMs         int64
@@ -64,7 +64,7 @@
 	// finish for a call to wait for it instead of moving to an engine with a free slot.
 	MoveFactor float64
 
-	IgnoreRank            bool
+	IgnorePriority        bool
 	IgnoreAttainedService bool
 	IgnorePrefix          bool
 	IgnoreDeadline        bool
@@ -171,13 +171,13 @@
 
 // effectiveRank returns the rank of a call, improved by its waiting time.
 func (c *CellScheduler) effectiveRank(call *Call, nowMs int64) int {
-	if c.Policy.IgnoreRank {
+	if c.Policy.IgnorePriority {
 		return 0
 	}
 	if c.Policy.AgeingMs <= 0 {
-		return call.Rank
+		return call.Priority
 	}
-	return call.Rank - int((nowMs-call.ArrivedMs)/c.Policy.AgeingMs)
+	return call.Priority - int((nowMs-call.ArrivedMs)/c.Policy.AgeingMs)
 }
 
 // deadlineError returns an error if the deadline of a call has passed.
--- a/internal/scheduling/scheduling_test.go
+++ b/internal/scheduling/scheduling_test.go
@@ -22,7 +22,7 @@
 	for id := range rapid.IntRange(0, 20).Draw(t, "calls") {
 		call := &Call{
 			ID: uint64(id), Program: fmt.Sprint("c", id), Pool: rapid.SampledFrom([]string{"p", "q"}).Draw(t, "pool"),
-			Rank: rapid.IntRange(0, 9).Draw(t, "rank"), ArrivedMs: rapid.Int64Range(0, 50_000).Draw(t, "arrived"),
+			Priority: rapid.IntRange(0, 9).Draw(t, "rank"), ArrivedMs: rapid.Int64Range(0, 50_000).Draw(t, "arrived"),
 			DeadlineMs: rapid.Int64Range(0, 120_000).Draw(t, "deadline"), AttainedServiceMs: rapid.Int64Range(0, 9000).Draw(t, "attained"),
 			PromptTokens: 1000, OutputTokens: 100, CachedTokens: map[string]int64{}, ExcludedEngines: map[string]bool{},
 		}
@@ -82,13 +82,13 @@
 		scheduler := &CellScheduler{Policy: DefaultPolicy()}
 		engine := &Engine{Name: "e", Pool: "p", Ready: true, Slots: 1, PrefillTokensPerSecond: 10_000, StepMicros: 5000}
 		scheduler.Engines = []*Engine{engine}
-		low := &Call{ID: 1, Program: "low", Pool: "p", Rank: 9, PromptTokens: 100, OutputTokens: 10}
+		low := &Call{ID: 1, Program: "low", Pool: "p", Priority: 9, PromptTokens: 100, OutputTokens: 10}
 		scheduler.Waiting = append(scheduler.Waiting, low)
 		startedMs := int64(-1)
 		id := uint64(2)
 		for nowMs := int64(0); startedMs < 0 && nowMs < 300_000; nowMs += 500 {
 			id++
-			scheduler.Waiting = append(scheduler.Waiting, &Call{ID: id, Program: fmt.Sprint(id), Pool: "p", Rank: 0, ArrivedMs: nowMs, PromptTokens: 100, OutputTokens: 10})
+			scheduler.Waiting = append(scheduler.Waiting, &Call{ID: id, Program: fmt.Sprint(id), Pool: "p", Priority: 0, ArrivedMs: nowMs, PromptTokens: 100, OutputTokens: 10})
 			for _, dispatch := range scheduler.Decide(nowMs).Dispatches {
 				if dispatch.Call == low {
 					startedMs = nowMs
@@ -144,7 +144,7 @@
 		scheduler.Engines = append(scheduler.Engines, &Engine{Name: fmt.Sprint("e", number), Pool: "p", Ready: true, Slots: 16, InFlight: 16, PrefillTokensPerSecond: 10_000, StepMicros: 5000})
 	}
 	for id := range 2000 {
-		scheduler.Waiting = append(scheduler.Waiting, &Call{ID: uint64(id), Program: fmt.Sprint(id), Pool: "p", Rank: id % 5, ArrivedMs: int64(id), PromptTokens: 2000, OutputTokens: 100})
+		scheduler.Waiting = append(scheduler.Waiting, &Call{ID: uint64(id), Program: fmt.Sprint(id), Pool: "p", Priority: id % 5, ArrivedMs: int64(id), PromptTokens: 2000, OutputTokens: 100})
 	}
 	b.ReportAllocs()
 	for b.Loop() {
@@ -164,8 +164,8 @@
 		{Name: "idle", Pool: "p", Ready: true, Slots: 1},
 	}}
 	scheduler.Waiting = []*Call{
-		{ID: 1, Pool: "p", Rank: 0, ExcludedEngines: map[string]bool{"idle": true}},
-		{ID: 2, Pool: "p", Rank: 1},
+		{ID: 1, Pool: "p", Priority: 0, ExcludedEngines: map[string]bool{"idle": true}},
+		{ID: 2, Pool: "p", Priority: 1},
 	}
 	decision := scheduler.Decide(0)
 	if len(decision.Dispatches) != 1 || decision.Dispatches[0].Call.ID != 2 {
--- a/internal/scheduling/speed.go
+++ b/internal/scheduling/speed.go
@@ -57,7 +57,7 @@
 	}
 	baseline := &m.pace.minGapMs[min(gaps, maxGapCountClass)]
 	baseline.HalfLifeMs = baselineHalfLifeMs
-	expected, known := baseline.At(nowMs).mean()
+	expected, known := baseline.DecayedTo(nowMs).mean()
 	if !known {
 		expected = minGapMs / health.Slowdown()
 	}
@@ -95,7 +95,7 @@
 		return
 	}
 	m.pace.updatedMs, m.pace.updatedEngines = nowMs, len(candidates)
-	relativeVariance, known := m.pace.relativeVariance.At(nowMs).mean()
+	relativeVariance, known := m.pace.relativeVariance.DecayedTo(nowMs).mean()
 	sum, total := float64(anchorWeight), float64(anchorWeight)
 	for index := range candidates {
 		health := candidates[index].Health
@@ -148,9 +148,9 @@
 
 // paceMean returns the mean of all samples and their weight, or 1 and 0 if there are none.
 func (h *EngineHealth) paceMean(nowMs int64) (mean, weight float64) {
-	merged := h.pace.shared.At(nowMs)
+	merged := h.pace.shared.DecayedTo(nowMs)
 	merged.HalfLifeMs = paceHalfLifeMs
-	merged.Merge(nowMs, h.pace.own.At(nowMs))
+	merged.Merge(nowMs, h.pace.own.DecayedTo(nowMs))
 	if mean, known := merged.mean(); known {
 		return mean, merged.Weight
 	}
--- a/internal/settings/fields.go
+++ b/internal/settings/fields.go
@@ -17,12 +17,12 @@
 type Fields struct {
 	// Services: nodes /services/NAME.
 	Pool            *string `json:"pool,omitempty" yaml:"pool" msgpack:"a,omitempty"`
-	Rank            *int64  `json:"rank,omitempty" yaml:"rank" msgpack:"b,omitempty" min:"0" max:"9"`
+	Priority        *int64  `json:"rank,omitempty" yaml:"rank" msgpack:"b,omitempty" min:"0" max:"9"`
 	BudgetTokens    *int64  `json:"budget_tokens,omitempty" yaml:"budget_tokens" msgpack:"c,omitempty" min:"1" max:"1000000000"`
 	MaxTurns        *int64  `json:"max_turns,omitempty" yaml:"max_turns" msgpack:"d,omitempty" min:"1" max:"100000"`
 	MaxOutputTokens *int64  `json:"max_output_tokens,omitempty" yaml:"max_output_tokens" msgpack:"e,omitempty" min:"1" max:"1000000"`
-	WallMs          *int64  `json:"wall_ms,omitempty" yaml:"wall_ms" msgpack:"f,omitempty" min:"1000" max:"2592000000"`
-	IdleMs          *int64  `json:"idle_ms,omitempty" yaml:"idle_ms" msgpack:"g,omitempty" min:"1000" max:"2592000000"`
+	WallTimeMs      *int64  `json:"wall_ms,omitempty" yaml:"wall_ms" msgpack:"f,omitempty" min:"1000" max:"2592000000"`
+	IdleTimeoutMs   *int64  `json:"idle_ms,omitempty" yaml:"idle_ms" msgpack:"g,omitempty" min:"1000" max:"2592000000"`
 	DeadlineMs      *int64  `json:"deadline_ms,omitempty" yaml:"deadline_ms" msgpack:"h,omitempty" min:"10" max:"86400000"`
 
 	// Pools: nodes /pools/NAME.
@@ -33,17 +33,17 @@
 	ReadyFloor *int64  `json:"ready_floor,omitempty" yaml:"ready_floor" msgpack:"m,omitempty" min:"0" max:"100000"`
 
 	// Tenants: nodes /tenants/NAME.
-	TenantInFlight  *int64 `json:"tenant_in_flight,omitempty" yaml:"tenant_in_flight" msgpack:"n,omitempty" min:"0" max:"1000000"`
-	TokensPerSecond *int64 `json:"tokens_per_second,omitempty" yaml:"tokens_per_second" msgpack:"o,omitempty" min:"0" max:"1000000000"`
+	TenantMaxInFlight *int64 `json:"tenant_in_flight,omitempty" yaml:"tenant_in_flight" msgpack:"n,omitempty" min:"0" max:"1000000"`
+	TokensPerSecond   *int64 `json:"tokens_per_second,omitempty" yaml:"tokens_per_second" msgpack:"o,omitempty" min:"0" max:"1000000000"`
 
 	// The fleet: node /.
-	QueueLimit       *int64 `json:"queue_limit,omitempty" yaml:"queue_limit" msgpack:"p,omitempty" min:"1" max:"1000000"`
-	AgeingMs         *int64 `json:"ageing_ms,omitempty" yaml:"ageing_ms" msgpack:"q,omitempty" min:"100" max:"3600000"`
-	RetryAttempts    *int64 `json:"retry_attempts,omitempty" yaml:"retry_attempts" msgpack:"r,omitempty" min:"0" max:"10"`
-	RetainMs         *int64 `json:"retain_ms,omitempty" yaml:"retain_ms" msgpack:"s,omitempty" min:"1000" max:"2592000000"`
-	ConcurrentLoads  *int64 `json:"concurrent_loads,omitempty" yaml:"concurrent_loads" msgpack:"t,omitempty" min:"1" max:"1000"`
-	MaxBodyBytes     *int64 `json:"max_body_bytes,omitempty" yaml:"max_body_bytes" msgpack:"u,omitempty" min:"1024" max:"67108864"`
-	EngineConcurrent *int64 `json:"engine_concurrent,omitempty" yaml:"engine_concurrent" msgpack:"v,omitempty" min:"1" max:"4096"`
+	QueueLimit        *int64 `json:"queue_limit,omitempty" yaml:"queue_limit" msgpack:"p,omitempty" min:"1" max:"1000000"`
+	AgeingMs          *int64 `json:"ageing_ms,omitempty" yaml:"ageing_ms" msgpack:"q,omitempty" min:"100" max:"3600000"`
+	RetryAttempts     *int64 `json:"retry_attempts,omitempty" yaml:"retry_attempts" msgpack:"r,omitempty" min:"0" max:"10"`
+	RetentionMs       *int64 `json:"retain_ms,omitempty" yaml:"retain_ms" msgpack:"s,omitempty" min:"1000" max:"2592000000"`
+	ConcurrentLoads   *int64 `json:"concurrent_loads,omitempty" yaml:"concurrent_loads" msgpack:"t,omitempty" min:"1" max:"1000"`
+	MaxBodyBytes      *int64 `json:"max_body_bytes,omitempty" yaml:"max_body_bytes" msgpack:"u,omitempty" min:"1024" max:"67108864"`
+	EngineConcurrency *int64 `json:"engine_concurrent,omitempty" yaml:"engine_concurrent" msgpack:"v,omitempty" min:"1" max:"4096"`
 }
 
 func pointer[T any](value T) *T { return &value }
@@ -51,26 +51,26 @@
 // Defaults are in force where no node sets a field.
 func Defaults() Fields {
 	return Fields{
-		Rank:             pointer(int64(5)),
-		BudgetTokens:     pointer(int64(600_000)),
-		MaxTurns:         pointer(int64(220)),
-		MaxOutputTokens:  pointer(int64(256)),
-		WallMs:           pointer(int64(3_600_000)),
-		IdleMs:           pointer(int64(900_000)),
-		DeadlineMs:       pointer(int64(120_000)),
-		Adapter:          pointer(""),
-		Version:          pointer("1"),
-		Role:             pointer("serve"),
-		ReadyFloor:       pointer(int64(1)),
-		TenantInFlight:   pointer(int64(0)),
-		TokensPerSecond:  pointer(int64(0)),
-		QueueLimit:       pointer(int64(2000)),
-		AgeingMs:         pointer(int64(10_000)),
-		RetryAttempts:    pointer(int64(2)),
-		RetainMs:         pointer(int64(3_600_000)),
-		ConcurrentLoads:  pointer(int64(1)),
-		MaxBodyBytes:     pointer(int64(8 << 20)),
-		EngineConcurrent: pointer(int64(16)),
+		Priority:          pointer(int64(5)),
+		BudgetTokens:      pointer(int64(600_000)),
+		MaxTurns:          pointer(int64(220)),
+		MaxOutputTokens:   pointer(int64(256)),
+		WallTimeMs:        pointer(int64(3_600_000)),
+		IdleTimeoutMs:     pointer(int64(900_000)),
+		DeadlineMs:        pointer(int64(120_000)),
+		Adapter:           pointer(""),
+		Version:           pointer("1"),
+		Role:              pointer("serve"),
+		ReadyFloor:        pointer(int64(1)),
+		TenantMaxInFlight: pointer(int64(0)),
+		TokensPerSecond:   pointer(int64(0)),
+		QueueLimit:        pointer(int64(2000)),
+		AgeingMs:          pointer(int64(10_000)),
+		RetryAttempts:     pointer(int64(2)),
+		RetentionMs:       pointer(int64(3_600_000)),
+		ConcurrentLoads:   pointer(int64(1)),
+		MaxBodyBytes:      pointer(int64(8 << 20)),
+		EngineConcurrency: pointer(int64(16)),
 	}
 }
 
--- a/internal/settings/fuzz_test.go
+++ b/internal/settings/fuzz_test.go
@@ -21,7 +21,7 @@
 			}
 			return
 		}
-		if err := tree.Effective(path).check(); err != nil {
+		if err := tree.EffectiveFields(path).check(); err != nil {
 			t.Fatalf("taken out of range: %v", err)
 		}
 		data, err := tree.Snapshot()
--- a/internal/settings/tree.go
+++ b/internal/settings/tree.go
@@ -52,8 +52,8 @@
 	return xxhash.Sum64(raw)
 }
 
-// Accepted is a change with the revision at which it came into force.
-type Accepted struct {
+// AcceptedChange is a change with the revision at which it came into force.
+type AcceptedChange struct {
 	Revision uint64 `json:"revision" msgpack:"r"`
 	Change   Change `json:"change" msgpack:"c"`
 }
@@ -86,7 +86,7 @@
 type state struct {
 	Revision  uint64
 	Nodes     map[string]*Node
-	Changes   []Accepted
+	Changes   []AcceptedChange
 	Operators map[string][]numbered
 	// Routing is the table in force, nil before the first.
 	Routing *routing.Table
@@ -162,15 +162,15 @@
 }
 
 func (t *Tree) apply(change Change) Reply {
-	if winner, err := t.Check(change); err != nil {
+	if winner, err := t.Validate(change); err != nil {
 		return Reply{Error: err, Revision: t.state.Revision, Winner: winner}
 	}
 	t.state.Revision++
 	for _, node := range change.Nodes {
 		t.put(node, change.Operator)
 	}
-	t.Changes = append(t.Changes, Accepted{Revision: t.state.Revision, Change: change})
-	t.Trim()
+	t.Changes = append(t.Changes, AcceptedChange{Revision: t.state.Revision, Change: change})
+	t.TrimChanges()
 	return Reply{Revision: t.state.Revision}
 }
 
@@ -198,9 +198,9 @@
 	t.Nodes[change.Path] = &Node{Path: change.Path, Version: t.state.Revision, Operator: operator, Fields: change.Fields}
 }
 
-// Follow applies an accepted change as a follower of the tree does; it reports
+// ApplyAccepted applies an accepted change as a follower of the tree does; it reports
 // false where the change doesn't come right after the revision in force.
-func (t *Tree) Follow(accepted Accepted) bool {
+func (t *Tree) ApplyAccepted(accepted AcceptedChange) bool {
 	if accepted.Revision != t.state.Revision+1 {
 		return false
 	}
@@ -212,16 +212,16 @@
 	return true
 }
 
-// Trim bounds the changes that a follower keeps for its own followers.
-func (t *Tree) Trim() {
+// TrimChanges bounds the changes that a follower keeps for its own followers.
+func (t *Tree) TrimChanges() {
 	if len(t.Changes) > keptChanges {
 		t.Changes = slices.Clone(t.Changes[len(t.Changes)-keptChanges/2:])
 	}
 }
 
-// Since returns the accepted changes after a revision; false where the oldest
+// ChangesSince returns the accepted changes after a revision; false where the oldest
 // of them is no longer kept, so that the follower needs a snapshot.
-func (t *Tree) Since(revision uint64) ([]Accepted, bool) {
+func (t *Tree) ChangesSince(revision uint64) ([]AcceptedChange, bool) {
 	if revision > t.state.Revision {
 		return nil, false
 	}
@@ -234,8 +234,8 @@
 
 // History returns the kept changes that touched a path, newest last; "/" and
 // "" give all.
-func (t *Tree) History(path string) []Accepted {
-	var found []Accepted
+func (t *Tree) History(path string) []AcceptedChange {
+	var found []AcceptedChange
 	for _, accepted := range t.Changes {
 		for _, node := range accepted.Change.Nodes {
 			if path == "" || path == "/" || node.Path == path {
@@ -272,9 +272,9 @@
 	return prefix == "/" || path == prefix || strings.HasPrefix(path, prefix+"/")
 }
 
-// Effective returns the node's fields with all that it inherits. A path that
+// EffectiveFields returns the node's fields with all that it inherits. A path that
 // has no node of its own inherits everything.
-func (t *Tree) Effective(path string) Fields {
+func (t *Tree) EffectiveFields(path string) Fields {
 	return effective(t.lookup, path)
 }
 
@@ -312,9 +312,9 @@
 
 var pathPattern = regexp.MustCompile(`^/([A-Za-z0-9_.-]+(/[A-Za-z0-9_.-]+)*)?$`)
 
-// Check validates a change against the tree as a whole and changes nothing. It
+// Validate validates a change against the tree as a whole and changes nothing. It
 // returns the node that won where a version is older than the tree's.
-func (t *Tree) Check(change Change) (*Node, *result.Error) {
+func (t *Tree) Validate(change Change) (*Node, *result.Error) {
 	if change.Operator == "" || len(change.Nodes) == 0 || len(change.Nodes) > maxNodesPerChange {
 		return nil, result.New(result.SettingsInvalid, "a change needs an operator and 1 to %d nodes", maxNodesPerChange)
 	}
@@ -420,11 +420,11 @@
 // snapshot is the encoded form of a tree, in an order that is the same on every
 // replica.
 type snapshot struct {
-	Revision  uint64          `msgpack:"r"`
-	Nodes     []*Node         `msgpack:"n"`
-	Changes   []Accepted      `msgpack:"c"`
-	Operators []operatorState `msgpack:"o"`
-	Routing   *routing.Table  `msgpack:"t,omitempty"`
+	Revision  uint64           `msgpack:"r"`
+	Nodes     []*Node          `msgpack:"n"`
+	Changes   []AcceptedChange `msgpack:"c"`
+	Operators []operatorState  `msgpack:"o"`
+	Routing   *routing.Table   `msgpack:"t,omitempty"`
 }
 
 type operatorState struct {
--- a/internal/settings/tree_test.go
+++ b/internal/settings/tree_test.go
@@ -14,22 +14,22 @@
 	tree := NewTree()
 	tree.Apply(Change{Operator: "setup", Number: 1, Nodes: []NodeChange{
 		{Path: "/pools/agents", Fields: Fields{Model: pointer("m")}},
-		{Path: "/services/triage", Fields: Fields{Pool: pointer("agents"), Rank: pointer(int64(2))}},
+		{Path: "/services/triage", Fields: Fields{Pool: pointer("agents"), Priority: pointer(int64(2))}},
 	}})
 	return tree
 }
 
 func setRank(operator string, number, version uint64, path string, rank int64) Change {
-	return Change{Operator: operator, Number: number, Nodes: []NodeChange{{Path: path, Version: version, Fields: Fields{Rank: &rank, Pool: pointer("agents")}}}}
+	return Change{Operator: operator, Number: number, Nodes: []NodeChange{{Path: path, Version: version, Fields: Fields{Priority: &rank, Pool: pointer("agents")}}}}
 }
 
 func TestTree(t *testing.T) {
 	Convey("a child inherits what it doesn't set", t, func() {
 		tree := base()
-		So(*tree.Effective("/services/triage/night").Rank, ShouldEqual, 2)
-		So(*tree.Effective("/services/other").Rank, ShouldEqual, 5)
+		So(*tree.EffectiveFields("/services/triage/night").Priority, ShouldEqual, 2)
+		So(*tree.EffectiveFields("/services/other").Priority, ShouldEqual, 5)
 		So(tree.Apply(Change{Operator: "a", Number: 1, Nodes: []NodeChange{{Path: "/", Fields: Fields{MaxTurns: pointer(int64(9))}}}}).Error, ShouldBeNil)
-		So(*tree.Effective("/services/triage").MaxTurns, ShouldEqual, 9)
+		So(*tree.EffectiveFields("/services/triage").MaxTurns, ShouldEqual, 9)
 	})
 	Convey("a resent change gets the first answer, and another under its number a conflict", t, func() {
 		tree := base()
@@ -52,7 +52,7 @@
 			{Operator: "a", Number: 1, Nodes: []NodeChange{{Path: "/services/x", Fields: Fields{Pool: pointer("nowhere")}}}},
 			{Operator: "a", Number: 2, Nodes: []NodeChange{{Path: "/pools/agents", Version: 1, Delete: true}}},
 			{Operator: "a", Number: 3, Nodes: []NodeChange{{Path: "/pools/b"}}},
-			{Operator: "a", Number: 4, Nodes: []NodeChange{{Path: "/services/triage", Version: 1, Fields: Fields{Rank: pointer(int64(99))}}}},
+			{Operator: "a", Number: 4, Nodes: []NodeChange{{Path: "/services/triage", Version: 1, Fields: Fields{Priority: pointer(int64(99))}}}},
 			{Operator: "a", Number: 5, Nodes: []NodeChange{{Path: "no slash"}}},
 			{Operator: "a", Number: 6},
 			{Operator: "a", Number: 7, Nodes: []NodeChange{{Path: "/", Delete: true}}},
@@ -69,11 +69,11 @@
 	Convey("a follower takes each change once, in order, and nothing older", t, func() {
 		tree := base()
 		follower := NewTree()
-		changes, ok := tree.Since(0)
+		changes, ok := tree.ChangesSince(0)
 		So(ok, ShouldBeTrue)
-		So(follower.Follow(changes[0]), ShouldBeTrue)
-		So(follower.Follow(changes[0]), ShouldBeFalse)
-		So(*follower.Effective("/services/triage").Rank, ShouldEqual, 2)
+		So(follower.ApplyAccepted(changes[0]), ShouldBeTrue)
+		So(follower.ApplyAccepted(changes[0]), ShouldBeFalse)
+		So(*follower.EffectiveFields("/services/triage").Priority, ShouldEqual, 2)
 	})
 }
 
@@ -110,12 +110,12 @@
 				t.Fatalf("%s was answered with revision %d, in force is %d", key, reply.Revision, effects[key])
 			}
 		}
-		changes, ok := tree.Since(0)
+		changes, ok := tree.ChangesSince(0)
 		if !ok {
 			t.Fatal("changes are missing")
 		}
 		for _, accepted := range changes {
-			if !follower.Follow(accepted) {
+			if !follower.ApplyAccepted(accepted) {
 				t.Fatal("follower refused a change in order")
 			}
 		}
--- a/internal/sidecar/core.go
+++ b/internal/sidecar/core.go
@@ -32,7 +32,7 @@
 	Notify(address string, kind protocol.Kind, message any)
 	// Deliver hands the next part of an answer to the caller, Finish the end.
 	Deliver(caller CallerID, text string)
-	Finish(caller CallerID, answer *protocol.Answer)
+	Finish(caller CallerID, answer *protocol.CallReply)
 }
 
 // Options configure a Core.
@@ -161,14 +161,14 @@
 	c.nowMs = nowMs
 	c.stats.Calls++
 	if c.draining {
-		c.outlet.Finish(id, &protocol.Answer{Error: result.New(result.Draining, "%s is stopping", c.options.Name)})
+		c.outlet.Finish(id, &protocol.CallReply{Error: result.New(result.Draining, "%s is stopping", c.options.Name)})
 		return
 	}
-	if request.DeadlineMs <= 0 {
-		c.outlet.Finish(id, &protocol.Answer{Error: result.New(result.DeadlinePassed, "the deadline was past on arrival")})
+	if request.TimeoutMs <= 0 {
+		c.outlet.Finish(id, &protocol.CallReply{Error: result.New(result.DeadlinePassed, "the deadline was past on arrival")})
 		return
 	}
-	incoming := &call{id: id, request: request, deadlineMs: nowMs + request.DeadlineMs, avoid: map[string]bool{}}
+	incoming := &call{id: id, request: request, deadlineMs: nowMs + request.TimeoutMs, avoid: map[string]bool{}}
 	c.calls[id] = incoming
 	c.send(incoming)
 }
@@ -182,9 +182,9 @@
 		return
 	}
 	request := *current.request
-	request.DeadlineMs = current.deadlineMs - c.nowMs
+	request.TimeoutMs = current.deadlineMs - c.nowMs
 	request.Attempt = current.attempts
-	request.Offset = current.received.Len()
+	request.ResumeOffset = current.received.Len()
 	current.attempts++
 	current.nextMs = 0
 	c.nextSend++
@@ -225,7 +225,7 @@
 }
 
 // Piece takes a part of an answer from a scheduler.
-func (c *Core) Piece(id SendID, piece *protocol.Piece, nowMs int64) {
+func (c *Core) Piece(id SendID, piece *protocol.CallChunk, nowMs int64) {
 	c.nowMs = nowMs
 	sent, ok := c.sends[id]
 	if !ok || sent.call == nil {
@@ -239,7 +239,7 @@
 	}
 	fresh, ok := assemble(current.received.String(), piece)
 	if !ok {
-		c.finish(current, &protocol.Answer{Error: result.New(result.EngineFailed, "the answer changed while it was sent again")})
+		c.finish(current, &protocol.CallReply{Error: result.New(result.EngineFailed, "the answer changed while it was sent again")})
 		return
 	}
 	if fresh != "" {
@@ -251,7 +251,7 @@
 // assemble returns what a piece adds to the text received; false where the piece
 // contradicts it or leaves a gap. Invariant: the caller gets every byte of the
 // answer once, in order.
-func assemble(received string, piece *protocol.Piece) (string, bool) {
+func assemble(received string, piece *protocol.CallChunk) (string, bool) {
 	if piece.Offset > len(received) {
 		return "", false
 	}
@@ -266,7 +266,7 @@
 }
 
 // Answer takes the final message of a call.
-func (c *Core) Answer(id SendID, answer *protocol.Answer, nowMs int64) {
+func (c *Core) Answer(id SendID, answer *protocol.CallReply, nowMs int64) {
 	c.nowMs = nowMs
 	sent, ok := c.sends[id]
 	if !ok || sent.call == nil {
@@ -279,9 +279,9 @@
 		c.failed(current, sent.name, answer.Error)
 		return
 	}
-	rest, ok := assemble(current.received.String(), &protocol.Piece{Text: answer.Content})
+	rest, ok := assemble(current.received.String(), &protocol.CallChunk{Text: answer.Content})
 	if !ok && !c.options.DisableAssembly {
-		c.finish(current, &protocol.Answer{Error: result.New(result.EngineFailed, "the answer differs from what was streamed")})
+		c.finish(current, &protocol.CallReply{Error: result.New(result.EngineFailed, "the answer differs from what was streamed")})
 		return
 	}
 	if rest != "" {
@@ -315,7 +315,7 @@
 		c.retryLater(current)
 		return
 	}
-	c.finish(current, &protocol.Answer{Error: failure})
+	c.finish(current, &protocol.CallReply{Error: failure})
 }
 
 // Lost takes the end of a connection: the scheduler may have sent the call to an
@@ -348,7 +348,7 @@
 	outOfTime := c.nowMs+pause >= current.deadlineMs || current.attempts >= maxAttempts
 	first := current.attempts <= 1
 	if outOfTime || (c.retries < 1 && !first) {
-		c.finish(current, &protocol.Answer{Error: current.last})
+		c.finish(current, &protocol.CallReply{Error: current.last})
 		return
 	}
 	if !first {
@@ -365,7 +365,7 @@
 
 // finish gives the final answer. Invariant: "not run" is said only where no send
 // of this call may have run.
-func (c *Core) finish(current *call, answer *protocol.Answer) {
+func (c *Core) finish(current *call, answer *protocol.CallReply) {
 	if current.sent != nil {
 		delete(c.sends, current.sent.id)
 	}
@@ -405,7 +405,7 @@
 		case current.nextMs != 0 && nowMs >= current.nextMs:
 			c.send(current)
 		case nowMs >= current.deadlineMs+deadlineGraceMs:
-			c.finish(current, &protocol.Answer{Error: c.overdue(current)})
+			c.finish(current, &protocol.CallReply{Error: c.overdue(current)})
 		}
 	}
 }
--- a/internal/sidecar/daemon.go
+++ b/internal/sidecar/daemon.go
@@ -31,7 +31,7 @@
 // delivery is one thing for a caller: a part of the answer, or its end.
 type delivery struct {
 	text   string
-	answer *protocol.Answer
+	answer *protocol.CallReply
 }
 
 // Daemon runs a Core over HTTP towards callers and TCP towards schedulers.
@@ -75,7 +75,7 @@
 	daemon.view.Store(&view{})
 	daemon.monitor = telemetry.NewMonitor(func() bool { return daemon.view.Load().ready })
 	gauge := func(name, help string, value func(*Stats) float64) {
-		daemon.monitor.Gauge(name, help, func() float64 { return value(daemon.stats.Load()) })
+		daemon.monitor.RegisterGauge(name, help, func() float64 { return value(daemon.stats.Load()) })
 	}
 	gauge("settings_revision", "Settings revision in force.", func(s *Stats) float64 { return float64(s.Revision) })
 	gauge("caller_calls", "Calls taken since the start.", func(s *Stats) float64 { return float64(s.Calls) })
@@ -97,7 +97,7 @@
 		CloseOnShutdown: true, ErrorHandler: serveTransportError,
 	}
 	telemetry.Info(d.logger, "listening", "http", listener.Addr().String())
-	tasks := daemon.NewGroup()
+	tasks := daemon.NewTaskGroup()
 	d.running = tasks.Context
 	go func() { _ = web.Serve(listener) }()
 	tasks.Go(d.loop)
@@ -154,7 +154,7 @@
 		for _, name := range tree.Children("/services") {
 			current.services[name] = true
 		}
-		current.bodyLimit = *tree.Effective("/").MaxBodyBytes
+		current.bodyLimit = *tree.EffectiveFields("/").MaxBodyBytes
 		telemetry.Info(d.logger, "settings in force", "revision", tree.Revision())
 	}
 	d.view.Store(current)
@@ -228,13 +228,13 @@
 // handle takes a frame from a scheduler.
 func (d *Daemon) handle(id SendID, frame protocol.Frame) {
 	switch frame.Kind {
-	case protocol.KindPiece:
-		var piece protocol.Piece
+	case protocol.KindCallChunk:
+		var piece protocol.CallChunk
 		if protocol.Decode(frame.Body, &piece) == nil {
 			d.post(func(core *Core, nowMs int64) { core.Piece(id, &piece, nowMs) })
 		}
-	case protocol.KindAnswer:
-		var answer protocol.Answer
+	case protocol.KindCallReply:
+		var answer protocol.CallReply
 		if protocol.Decode(frame.Body, &answer) == nil {
 			d.post(func(core *Core, nowMs int64) { core.Answer(id, &answer, nowMs) })
 			return
@@ -257,7 +257,7 @@
 }
 
 // Finish hands over the end of a call.
-func (d *Daemon) Finish(caller CallerID, answer *protocol.Answer) {
+func (d *Daemon) Finish(caller CallerID, answer *protocol.CallReply) {
 	d.toCaller(caller, delivery{answer: answer})
 	d.mutex.Lock()
 	delete(d.callers, caller)
--- a/internal/sidecar/follow.go
+++ b/internal/sidecar/follow.go
@@ -24,7 +24,7 @@
 	c.followedAt = c.nowMs
 	c.sends[c.nextSend] = &send{id: c.nextSend, address: target.Address, name: target.Name, follow: true}
 	c.outlet.Send(target.Address, c.nextSend, protocol.KindFollow, &protocol.FollowRequest{
-		Sidecar: c.options.Name, Revision: c.tree.Revision(), Directory: c.roster.Version(), HoldMs: c.options.FollowHoldMs,
+		Sidecar: c.options.Name, Revision: c.tree.Revision(), DirectoryVersion: c.roster.Version(), LongPollMs: c.options.FollowHoldMs,
 	})
 }
 
--- a/internal/sidecar/web.go
+++ b/internal/sidecar/web.go
@@ -104,15 +104,15 @@
 	ctx.SetBody(raw)
 }
 
-func setAnswerHeaders(ctx *fasthttp.RequestCtx, answer *protocol.Answer) {
+func setAnswerHeaders(ctx *fasthttp.RequestCtx, answer *protocol.CallReply) {
 	ctx.Response.Header.Set(HeaderTurn, strconv.FormatUint(answer.Turn, 10))
-	ctx.Response.Header.Set(HeaderBudgetLeft, strconv.FormatInt(answer.Remaining, 10))
+	ctx.Response.Header.Set(HeaderBudgetLeft, strconv.FormatInt(answer.RemainingTokens, 10))
 	ctx.Response.Header.Set(HeaderEngine, answer.Engine)
 }
 
 func finishReason(reason string) *string { return &reason }
 
-func (d *Daemon) logEnd(request *protocol.CallRequest, answer *protocol.Answer) {
+func (d *Daemon) logEnd(request *protocol.CallRequest, answer *protocol.CallReply) {
 	keyValues := []any{"program", request.Program, "request", request.Request, "turn", answer.Turn}
 	if answer.Error != nil {
 		keyValues = append(keyValues, "code", int(answer.Error.Code), "outcome", string(answer.Error.Outcome), "err", answer.Error.Message)
@@ -121,7 +121,7 @@
 }
 
 // collect waits for a whole answer.
-func collect(deliveries <-chan delivery) (*protocol.Answer, string) {
+func collect(deliveries <-chan delivery) (*protocol.CallReply, string) {
 	var text strings.Builder
 	for next := range deliveries {
 		if next.answer != nil {
@@ -129,16 +129,16 @@
 		}
 		text.WriteString(next.text)
 	}
-	return &protocol.Answer{Error: result.New(result.Cancelled, "the caller did not read the answer")}, ""
+	return &protocol.CallReply{Error: result.New(result.Cancelled, "the caller did not read the answer")}, ""
 }
 
-func newChunk(object string, request *protocol.CallRequest, answer *protocol.Answer) engine.Chunk {
+func newChunk(object string, request *protocol.CallRequest, answer *protocol.CallReply) engine.Chunk {
 	chunk := engine.Chunk{ID: request.Request, Object: object, Created: time.Now().Unix(), Model: request.Service}
 	if answer != nil {
 		chunk.Usage = &engine.Usage{
 			PromptTokens: answer.Usage.PromptTokens, CompletionTokens: answer.Usage.CompletionTokens,
-			TotalTokens: answer.Usage.PromptTokens + answer.Usage.CompletionTokens,
-			Details:     engine.PromptDetails{CachedTokens: answer.Usage.CachedTokens},
+			TotalTokens:         answer.Usage.PromptTokens + answer.Usage.CompletionTokens,
+			PromptTokensDetails: engine.PromptTokensDetails{CachedTokens: answer.Usage.CachedTokens},
 		}
 	}
 	return chunk
@@ -149,7 +149,7 @@
 func (d *Daemon) serveStream(ctx *fasthttp.RequestCtx, caller CallerID, request *protocol.CallRequest, deliveries <-chan delivery) {
 	first, ok := <-deliveries
 	if !ok {
-		first.answer = &protocol.Answer{Error: result.New(result.Cancelled, "the caller did not read the answer")}
+		first.answer = &protocol.CallReply{Error: result.New(result.Cancelled, "the caller did not read the answer")}
 	}
 	if first.answer != nil && first.answer.Error != nil {
 		d.logEnd(request, first.answer)
@@ -189,7 +189,7 @@
 }
 
 // writeEnd closes a stream: the last chunk with usage, or the error, and [DONE].
-func writeEnd(writer *bufio.Writer, request *protocol.CallRequest, answer *protocol.Answer) {
+func writeEnd(writer *bufio.Writer, request *protocol.CallRequest, answer *protocol.CallReply) {
 	if answer.Error != nil {
 		_ = writeEvent(writer, result.Body{Error: result.From(answer.Error)})
 	} else {
@@ -275,7 +275,7 @@
 	}{
 		{HeaderProgram, &request.Program},
 		{HeaderThread, &request.Thread},
-		{HeaderParentThread, &request.Parent},
+		{HeaderParentThread, &request.ParentThread},
 		{HeaderRequest, &request.Request},
 		{HeaderTenant, &request.Tenant},
 	}
@@ -292,16 +292,16 @@
 	if failure != nil {
 		return nil, failure
 	}
-	request.DeadlineMs = deadline
-	if request.Budget, failure = integer(ctx, HeaderBudget, 0, 1<<40); failure != nil {
+	request.TimeoutMs = deadline
+	if request.BudgetTokens, failure = integer(ctx, HeaderBudget, 0, 1<<40); failure != nil {
 		return nil, failure
 	}
 	repeatable, failure := boolean(ctx, HeaderRepeatable, true)
 	if failure != nil {
 		return nil, failure
 	}
-	request.Once = !repeatable
-	if request.End, failure = boolean(ctx, HeaderEnd, false); failure != nil {
+	request.AtMostOnce = !repeatable
+	if request.EndsProgram, failure = boolean(ctx, HeaderEnd, false); failure != nil {
 		return nil, failure
 	}
 	identify(request, sidecar)
--- a/internal/simulation/callers.go
+++ b/internal/simulation/callers.go
@@ -27,7 +27,7 @@
 type caller struct {
 	*process
 	number  int
-	service workload.ServiceShape
+	service workload.ServiceWorkload
 	program string
 	budget  int64
 	steps   []callerStep
@@ -128,10 +128,10 @@
 			}
 		}
 		step.resend = odd && w.chance(0.2)
-		step.crossed = odd && !c.service.Once && count > 1 && w.chance(0.15)
+		step.crossed = odd && !c.service.AtMostOnce && count > 1 && w.chance(0.15)
 		step.vanish = odd && w.chance(0.05)
 		steps = append(steps, step)
-		if c.budget == 0 && w.chance(c.service.SubAgent) && position+1 < count {
+		if c.budget == 0 && w.chance(c.service.SubAgentProbability) && position+1 < count {
 			thread := fmt.Sprintf("sub-%d", position)
 			for range w.between(1, 2) {
 				steps = append(steps, callerStep{thread: thread, prompt: w.between(8, 40), output: w.between(8, 16)})
@@ -219,13 +219,13 @@
 	c.lastReq++
 	request := fmt.Sprintf("%s-r%d", c.program, c.lastReq)
 	text := workload.Text(request, step.prompt, step.output)
-	if c.service.Once {
+	if c.service.AtMostOnce {
 		c.world.checks.once[request] = true
 	}
 	return &callerCall{caller: c, thread: thread, last: last, finished: finished, request: &protocol.CallRequest{
 		Program: c.program, Create: !c.created && thread == "", Tenant: "tenant", Service: c.service.Service, Thread: thread,
-		Request: request, Once: c.service.Once, End: last, Messages: []program.Message{{Role: "user", Content: text}},
-		Budget: c.budget, DeadlineMs: callDeadlineMs,
+		Request: request, AtMostOnce: c.service.AtMostOnce, EndsProgram: last, Messages: []program.Message{{Role: "user", Content: text}},
+		BudgetTokens: c.budget, TimeoutMs: callDeadlineMs,
 	}}
 }
 
@@ -313,19 +313,19 @@
 }
 
 // finish is the final answer.
-func (s *callerSend) finish(answer *protocol.Answer) {
+func (s *callerSend) finish(answer *protocol.CallReply) {
 	delete(s.node.pending, s.open)
 	raw := mustEncode(answer)
 	c := s.call.caller
 	c.world.checks.waited(s)
 	c.world.network.send(s.node.process, c.process, 0, "answer", func() {
-		var copied protocol.Answer
+		var copied protocol.CallReply
 		mustDecode(raw, &copied)
 		s.answered(&copied)
 	}, nil)
 }
 
-func (s *callerSend) answered(answer *protocol.Answer) {
+func (s *callerSend) answered(answer *protocol.CallReply) {
 	if s.over {
 		return
 	}
@@ -351,7 +351,7 @@
 	call.fail(failure)
 }
 
-func (call *callerCall) succeed(answer *protocol.Answer) {
+func (call *callerCall) succeed(answer *protocol.CallReply) {
 	if call.done {
 		return
 	}
@@ -435,6 +435,6 @@
 // withAnswer is a history with a request and the answer that any engine gives.
 func withAnswer(history []program.Message, call *callerCall) ([]program.Message, string) {
 	whole := append(append([]program.Message(nil), history...), call.request.Messages...)
-	answer := emulator.NewPrompt(whole, 0).Answer
+	answer := emulator.NewPrompt(whole, 0).Response
 	return append(whole, program.Message{Role: "assistant", Content: answer}), answer
 }
--- a/internal/simulation/checks.go
+++ b/internal/simulation/checks.go
@@ -102,7 +102,7 @@
 func (c *checks) generated(program string, tokens int64) { c.output[program] += tokens }
 
 // answer checks a whole answer as its caller got it.
-func (c *checks) answer(s *callerSend, answer *protocol.Answer) {
+func (c *checks) answer(s *callerSend, answer *protocol.CallReply) {
 	call := s.call
 	owner := call.caller
 	c.world.tell("%s: request %s is answered as turn %d by %s", owner.name, call.request.Request, answer.Turn, answer.Engine)
@@ -259,7 +259,7 @@
 		c.violate(invariantProgress, "not every control process is a voter of every group again")
 	}
 	for _, node := range w.engines {
-		if held := node.model.Held(); node.alive && len(held) > 0 {
+		if held := node.model.CachedPrograms(); node.alive && len(held) > 0 {
 			c.violate(invariantMemory, "%s still holds %d programs, %s among them, long after all have ended", node.name, len(held), held[0].Program)
 		}
 	}
--- a/internal/simulation/controls.go
+++ b/internal/simulation/controls.go
@@ -48,7 +48,7 @@
 
 func (w *world) addControls() {
 	var members []control.Member
-	for number := range w.deployment.Controls {
+	for number := range w.deployment.ControlCount {
 		zone := w.deployment.Zones[number%len(w.deployment.Zones)]
 		members = append(members, control.Member{Name: fmt.Sprintf("control-%d", number+1), Zone: zone, Address: "-"})
 	}
--- a/internal/simulation/disk.go
+++ b/internal/simulation/disk.go
@@ -144,12 +144,12 @@
 }
 
 // Load returns a group's state as of its last write.
-func (d *disk) Load(id storage.GroupID) (consensus.Restored, error) {
+func (d *disk) Load(id storage.GroupID) (consensus.PersistedState, error) {
 	group, ok := d.groups[id]
 	if !ok {
-		return consensus.Restored{}, nil
+		return consensus.PersistedState{}, nil
 	}
-	return consensus.Restored{HardState: group.hard, Snapshot: group.snapshot, Entries: slices.Clone(group.entries)}, nil
+	return consensus.PersistedState{HardState: group.hard, Snapshot: group.snapshot, Entries: slices.Clone(group.entries)}, nil
 }
 
 // Records returns a program's turn records after a turn.
--- a/internal/simulation/engines.go
+++ b/internal/simulation/engines.go
@@ -55,7 +55,7 @@
 }
 
 func (e *engineNode) boot() {
-	e.model = emulator.NewModel(emulator.HardwareNamed(e.hardware))
+	e.model = emulator.NewModel(emulator.HardwareByName(e.hardware))
 	e.target = reconcile.Target{}
 	e.fence = reconcile.Fence{}
 	e.loading = false
@@ -80,14 +80,14 @@
 	e.runs[started.job] = &simulatedRun{run: started, prompt: prompt, program: request.User, request: request.RequestID}
 	e.model.Submit(emulator.Job{
 		ID: started.job, Program: request.User, Priority: request.Priority, Segments: prompt.Segments,
-		OutputTokens: prompt.OutputTokens, AnswerChain: prompt.AnswerChain,
+		OutputTokens: prompt.OutputTokens, DigestWithResponse: prompt.DigestWithResponse,
 	}, w.nowUs)
 	started.openID = open
 	e.wake()
 }
 
 func (e *engineNode) wake() {
-	next, busy := e.model.NextUs()
+	next, busy := e.model.StepEndUs()
 	if !busy || (e.wakeUs != 0 && e.wakeUs <= next && e.wakeUs > e.world.nowUs) {
 		return
 	}
@@ -117,10 +117,10 @@
 	w := e.world
 	run := current.run
 	node := run.scheduler
-	text := current.prompt.Answer[current.sent*tokenBytes : progress.Generated*tokenBytes]
-	w.checks.generated(current.program, progress.Generated-current.sent)
-	current.sent = progress.Generated
-	if progress.Done {
+	text := current.prompt.Response[current.sent*tokenBytes : progress.GeneratedTokens*tokenBytes]
+	w.checks.generated(current.program, progress.GeneratedTokens-current.sent)
+	current.sent = progress.GeneratedTokens
+	if progress.IsDone {
 		delete(e.runs, progress.ID)
 		delete(e.pending, run.openID)
 	}
@@ -128,20 +128,20 @@
 		return
 	}
 	usage := program.Usage{
-		PromptTokens: progress.PromptTokens, CompletionTokens: progress.Generated, CachedTokens: progress.CachedTokens,
+		PromptTokens: progress.PromptTokens, CompletionTokens: progress.GeneratedTokens, CachedTokens: progress.CachedTokens,
 	}
 	w.network.send(e.process, node.process, run.life, "piece", func() {
 		if node.attempts[run.attempt] != run {
 			return
 		}
 		node.core.Piece(run.attempt, text, node.nowMs())
-		if progress.Done {
-			node.ended(run, engine.Outcome{Usage: usage, Started: true})
+		if progress.IsDone {
+			node.ended(run, engine.CompletionOutcome{Usage: usage, MayHaveStarted: true})
 		}
 	}, func() {
 		// A broken connection breaks for both ends.
 		e.cancel(run)
-		w.after(lostNoticeUs, "reset", func() { node.ended(run, engine.Outcome{Started: true, Err: errEngineLost}) })
+		w.after(lostNoticeUs, "reset", func() { node.ended(run, engine.CompletionOutcome{MayHaveStarted: true, Err: errEngineLost}) })
 	})
 }
 
@@ -158,14 +158,14 @@
 // report is the engine's state as it was up to the lag ago, with gaps.
 func (e *engineNode) report() engine.State {
 	if e.world.nowUs-e.reportUs >= e.lagUs {
-		running, waiting := e.model.Counts()
+		running, waiting := e.model.JobCounts()
 		e.reported = engine.State{
 			Name: e.name, Ready: e.target.Model != "" && !e.loading, Loading: e.loading, Target: e.target, Fence: e.fence,
-			Running: running, Waiting: waiting, Hardware: e.model.Hardware(), FreeTokens: e.model.FreeTokens(),
+			Running: running, Waiting: waiting, Hardware: e.model.Hardware(), FreeKVCacheTokens: e.model.FreeKVCacheTokens(),
 		}
-		for _, held := range e.model.Held() {
+		for _, held := range e.model.CachedPrograms() {
 			if e.gaps == 0 || !e.world.chance(e.gaps) {
-				e.reported.Held = append(e.reported.Held, held)
+				e.reported.CachedPrograms = append(e.reported.CachedPrograms, held)
 			}
 		}
 		e.reportUs = e.world.nowUs
@@ -192,14 +192,14 @@
 		if e.alive && e.life == life {
 			e.target = order.Target
 			e.loading = false
-			e.model.Clear()
+			e.model.ClearCache()
 		}
 	})
 }
 
 func (e *engineNode) release(programs []string) {
 	for _, name := range programs {
-		e.model.Release(name)
+		e.model.ReleaseProgram(name)
 	}
 }
 
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -230,7 +230,7 @@
 // leaderOf returns the control process that leads a group, or else the first.
 func (w *world) leaderOf(number int64) *process {
 	for _, node := range w.controls {
-		if node.alive && node.core.Formed() && node.core.Leads(storage.GroupID(number%int64(node.core.GroupCount()))) {
+		if node.alive && node.core.Formed() && node.core.IsLeader(storage.GroupID(number%int64(node.core.GroupCount()))) {
 			return node.process
 		}
 	}
@@ -301,7 +301,7 @@
 		}
 		for group := range node.core.GroupCount() {
 			id := storage.GroupID(group)
-			if !node.core.Leads(id) {
+			if !node.core.IsLeader(id) {
 				continue
 			}
 			leaders[id] = true
--- a/internal/simulation/operators.go
+++ b/internal/simulation/operators.go
@@ -54,14 +54,14 @@
 
 // importSettings brings the deployment's settings in, as scripts/fleet does.
 func (w *world) importSettings(done func()) error {
-	content, err := w.deployment.Change("deployment", 1)
+	content, err := w.deployment.SettingsChange("deployment", 1)
 	if err != nil {
 		return err
 	}
 	idle := int64(8000)
 	for position := range content.Nodes {
-		if content.Nodes[position].Fields.IdleMs != nil || content.Nodes[position].Path == "/" {
-			content.Nodes[position].Fields.IdleMs = &idle
+		if content.Nodes[position].Fields.IdleTimeoutMs != nil || content.Nodes[position].Path == "/" {
+			content.Nodes[position].Fields.IdleTimeoutMs = &idle
 		}
 	}
 	start := &change{operator: w.operators[0], content: content, limit: deploymentTries, done: func(reply *settings.Reply) {
@@ -88,7 +88,7 @@
 	value := w.nextValue()
 	o.number++
 	content := settings.Change{Operator: o.name, Number: o.number, Nodes: []settings.NodeChange{{
-		Path: path, Version: o.versions[path], Fields: settings.Fields{TenantInFlight: &value},
+		Path: path, Version: o.versions[path], Fields: settings.Fields{TenantMaxInFlight: &value},
 	}}}
 	current := &change{operator: o, content: content, path: path, value: value, limit: operatorTries}
 	current.done = func(reply *settings.Reply) {
--- a/internal/simulation/run.go
+++ b/internal/simulation/run.go
@@ -305,12 +305,12 @@
 }
 
 func (w *world) disableControl(options *control.Options) {
-	options.DisableFence = w.isDisabled("fence")
+	options.DisableFencing = w.isDisabled("fence")
 	options.DisableBudget = w.isDisabled("budget")
 	options.DisableAtMostOnce = w.isDisabled("once")
 	options.DisableVersionCheck = w.isDisabled("version")
 	options.DisableCheckQuorum = w.isDisabled("read-confirm")
-	options.DisableReadConfirm = w.isDisabled("read-confirm")
+	options.DisableReadConfirmation = w.isDisabled("read-confirm")
 	options.DisableTurnOrder = w.isDisabled("order")
 }
 
@@ -335,10 +335,10 @@
 
 func (v settingsView) value(path string) int64 {
 	node, ok := v.tree.Get(path)
-	if !ok || node.Fields.TenantInFlight == nil {
+	if !ok || node.Fields.TenantMaxInFlight == nil {
 		return 0
 	}
-	return *node.Fields.TenantInFlight
+	return *node.Fields.TenantMaxInFlight
 }
 
 // Shrink returns the shortest list of failures found that still breaks the same
--- a/internal/simulation/schedulers.go
+++ b/internal/simulation/schedulers.go
@@ -86,8 +86,8 @@
 		n.world.network.send(n.process, target.process, 0, "state", func() {
 			state := target.report()
 			if !held {
-				state.Held = nil
-				state.HeldOmitted = true
+				state.CachedPrograms = nil
+				state.CachedProgramsOmitted = true
 			}
 			n.world.network.send(target.process, n.process, life, "state", func() {
 				n.polling[info.Name] = false
@@ -132,7 +132,7 @@
 		delete(n.sinks, sink)
 		delete(n.pending, route.open)
 	}
-	if answer, ok := message.(*protocol.Answer); ok && answer.Error != nil {
+	if answer, ok := message.(*protocol.CallReply); ok && answer.Error != nil {
 		n.world.tell("%s answers %s: %s", n.name, node.name, answer.Error)
 	}
 	raw := mustEncode(message)
@@ -151,7 +151,7 @@
 	started := &engineRun{attempt: run.Attempt, scheduler: n, life: n.life, engine: target}
 	n.attempts[run.Attempt] = started
 	failed := func(ran bool) func() {
-		return func() { n.ended(started, engine.Outcome{Started: ran, Err: errEngineLost}) }
+		return func() { n.ended(started, engine.CompletionOutcome{MayHaveStarted: ran, Err: errEngineLost}) }
 	}
 	if target == nil {
 		n.world.after(connectRefused, "refused", failed(false))
@@ -161,7 +161,7 @@
 	n.world.network.send(n.process, target.process, 0, "run", func() { target.run(started, request, failed) }, failed(false))
 }
 
-func (n *schedulerNode) ended(run *engineRun, outcome engine.Outcome) {
+func (n *schedulerNode) ended(run *engineRun, outcome engine.CompletionOutcome) {
 	if !n.alive || n.life != run.life || n.attempts[run.attempt] != run {
 		return
 	}
--- a/internal/simulation/sidecars.go
+++ b/internal/simulation/sidecars.go
@@ -89,12 +89,12 @@
 // take is a frame from a scheduler.
 func (n *sidecarNode) take(id sidecar.SendID, kind protocol.Kind, raw []byte) {
 	switch kind {
-	case protocol.KindPiece:
-		var piece protocol.Piece
+	case protocol.KindCallChunk:
+		var piece protocol.CallChunk
 		mustDecode(raw, &piece)
 		n.core.Piece(id, &piece, n.nowMs())
-	case protocol.KindAnswer:
-		var answer protocol.Answer
+	case protocol.KindCallReply:
+		var answer protocol.CallReply
 		mustDecode(raw, &answer)
 		n.core.Answer(id, &answer, n.nowMs())
 	default:
@@ -112,7 +112,7 @@
 }
 
 // Finish ends a caller's request.
-func (n *sidecarNode) Finish(id sidecar.CallerID, answer *protocol.Answer) {
+func (n *sidecarNode) Finish(id sidecar.CallerID, answer *protocol.CallReply) {
 	if send, ok := n.callers[id]; ok {
 		delete(n.callers, id)
 		send.finish(answer)
--- a/internal/storage/compat_test.go
+++ b/internal/storage/compat_test.go
@@ -13,7 +13,7 @@
 
 // TestEarlierReleases holds what this package sends and stores against earlier releases.
 func TestEarlierReleases(t *testing.T) {
-	compat.Hold(t, map[string]any{
+	compat.CheckTypes(t, map[string]any{
 		"journalRecords": &[]journalRecord{}, "Snapshot": &consensus.Snapshot{}, "Configuration": &consensus.Configuration{}, "Record": &Record{},
 	})
 }
@@ -26,7 +26,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	configuration := consensus.Configuration{Replicas: []consensus.Replica{{ID: 3, Member: "a"}, {ID: 4, Member: "b", Learner: true}}}
+	configuration := consensus.Configuration{Replicas: []consensus.Replica{{ID: 3, Member: "a"}, {ID: 4, Member: "b", IsLearner: true}}}
 	hard := consensus.HardState{Term: 5, Vote: 3, Commit: 2}
 	writes := []GroupWrite{{Group: 0, HardState: &hard, Entries: []consensus.Entry{
 		{Term: 4, Index: 1, Kind: consensus.EntryBarrier},
@@ -44,7 +44,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for release, old := range compat.HoldBytes(t, "journal", written) {
+	for release, old := range compat.CheckBytes(t, "journal", written) {
 		folder := t.TempDir()
 		if err := os.WriteFile(filepath.Join(folder, filepath.Base(names[0])), old, fileMode); err != nil {
 			t.Fatal(err)
--- a/internal/storage/storage.go
+++ b/internal/storage/storage.go
@@ -178,8 +178,8 @@
 	})
 }
 
-// Note keeps a small value by name and returns after the sync.
-func (s *Store) Note(name string, value []byte) error {
+// PutMetadata keeps a small value by name and returns after the sync.
+func (s *Store) PutMetadata(name string, value []byte) error {
 	return whileRefused(func() error {
 		return s.database.Update(func(tx *bbolt.Tx) error {
 			notes, err := tx.CreateBucketIfNotExists(notesBucket)
@@ -191,8 +191,8 @@
 	})
 }
 
-// NoteOf returns a value that was kept by name, nil where there is none.
-func (s *Store) NoteOf(name string) ([]byte, error) {
+// GetMetadata returns a value that was kept by name, nil where there is none.
+func (s *Store) GetMetadata(name string) ([]byte, error) {
 	var value []byte
 	err := s.database.View(func(tx *bbolt.Tx) error {
 		if notes := tx.Bucket(notesBucket); notes != nil {
@@ -282,8 +282,8 @@
 }
 
 // Load returns what the disk holds of a group; the snapshot's data included.
-func (s *Store) Load(id GroupID) (consensus.Restored, error) {
-	var restored consensus.Restored
+func (s *Store) Load(id GroupID) (consensus.PersistedState, error) {
+	var restored consensus.PersistedState
 	err := s.database.View(func(tx *bbolt.Tx) error {
 		group := tx.Bucket(groupsBucket).Bucket(groupKey(id))
 		if group == nil {
@@ -296,7 +296,7 @@
 		return msgpack.Unmarshal(raw, &restored.Snapshot)
 	})
 	if err != nil {
-		return consensus.Restored{}, errorx.Decorate(err, "loading group %d", id)
+		return consensus.PersistedState{}, errorx.Decorate(err, "loading group %d", id)
 	}
 	log := s.journal.of(id)
 	restored.HardState = log.hard
@@ -305,7 +305,7 @@
 
 // restoreEntries takes the entries that follow the snapshot. Entries of an older term
 // than its own are of a log that it has replaced.
-func restoreEntries(restored *consensus.Restored, entries []consensus.Entry) error {
+func restoreEntries(restored *consensus.PersistedState, entries []consensus.Entry) error {
 	for _, entry := range entries {
 		if entry.Index <= restored.Snapshot.Index {
 			continue
--- a/internal/telemetry/sink.go
+++ b/internal/telemetry/sink.go
@@ -21,9 +21,9 @@
 	keptOneIn = 8
 )
 
-// Sink writes lines in the background. A caller never waits: where the queue is full
+// LogSink writes lines in the background. A caller never waits: where the queue is full
 // a line is dropped and counted, and the number is written once there is room.
-type Sink struct {
+type LogSink struct {
 	lines   chan []byte
 	flush   chan chan struct{}
 	dropped atomic.Int64
@@ -31,15 +31,15 @@
 	once    sync.Once
 }
 
-// NewSink returns a sink before a writer that may be slow or stuck.
-func NewSink(writer io.Writer) *Sink {
-	sink := &Sink{lines: make(chan []byte, queuedLines), flush: make(chan chan struct{})}
+// NewLogSink returns a sink before a writer that may be slow or stuck.
+func NewLogSink(writer io.Writer) *LogSink {
+	sink := &LogSink{lines: make(chan []byte, queuedLines), flush: make(chan chan struct{})}
 	go sink.run(writer)
 	return sink
 }
 
 // Write queues one line.
-func (s *Sink) Write(line []byte) (int, error) {
+func (s *LogSink) Write(line []byte) (int, error) {
 	select {
 	case s.lines <- bytes.Clone(line):
 	default:
@@ -50,19 +50,19 @@
 
 // Dropped returns how many lines found the queue full, and Thinned how many of calm
 // requests were left out before that.
-func (s *Sink) Dropped() int64 { return s.dropped.Load() }
+func (s *LogSink) Dropped() int64 { return s.dropped.Load() }
 
-// Thinned returns how many lines of calm requests were left out.
-func (s *Sink) Thinned() int64 { return s.thinned.Load() }
+// SampledOut returns how many lines of calm requests were left out.
+func (s *LogSink) SampledOut() int64 { return s.thinned.Load() }
 
 // Flush waits until what is queued has been written; the writer must not be stuck.
-func (s *Sink) Flush() {
+func (s *LogSink) Flush() {
 	done := make(chan struct{})
 	s.flush <- done
 	<-done
 }
 
-func (s *Sink) run(writer io.Writer) {
+func (s *LogSink) run(writer io.Writer) {
 	told := int64(0)
 	var batch []byte
 	for {
@@ -89,7 +89,7 @@
 }
 
 // gather appends the lines that wait already.
-func (s *Sink) gather(batch []byte) []byte {
+func (s *LogSink) gather(batch []byte) []byte {
 	for len(batch) < batchBytes {
 		select {
 		case line := <-s.lines:
@@ -102,7 +102,7 @@
 }
 
 // keeps reports whether the line of a calm request is to be written.
-func (s *Sink) keeps(request string) bool {
+func (s *LogSink) keeps(request string) bool {
 	if len(s.lines) < queuedLines/2 || xxhash.Sum64String(request)%keptOneIn == 0 {
 		return true
 	}
@@ -111,11 +111,11 @@
 }
 
 // processSink is the sink of this process's log, nil before it is made.
-var processSink atomic.Pointer[Sink]
+var processSink atomic.Pointer[LogSink]
 
-// LogTo makes the sink of this process's log.
-func LogTo(writer io.Writer) *Sink {
-	sink := NewSink(writer)
+// SetLogOutput makes the sink of this process's log.
+func SetLogOutput(writer io.Writer) *LogSink {
+	sink := NewLogSink(writer)
 	processSink.Store(sink)
 	return sink
 }
@@ -127,18 +127,18 @@
 	}
 }
 
-// LogLosses returns how many lines of this process's log were dropped and thinned.
-func LogLosses() (dropped, thinned int64) {
+// LostLogLines returns how many lines of this process's log were dropped and thinned.
+func LostLogLines() (dropped, thinned int64) {
 	sink := processSink.Load()
 	if sink == nil {
 		return 0, 0
 	}
-	return sink.Dropped(), sink.Thinned()
+	return sink.Dropped(), sink.SampledOut()
 }
 
-// Calm logs an event of a request that went well. Under load such lines are left out
+// InfoSampled logs an event of a request that went well. Under load such lines are left out
 // first, by the request's id, so that what is kept of a request is whole.
-func Calm(logger log.Logger, request, message string, keyValues ...any) {
+func InfoSampled(logger log.Logger, request, message string, keyValues ...any) {
 	if sink := processSink.Load(); sink != nil && !sink.keeps(request) {
 		return
 	}
--- a/internal/telemetry/sink_test.go
+++ b/internal/telemetry/sink_test.go
@@ -12,7 +12,7 @@
 func TestSink(t *testing.T) {
 	Convey("lines arrive whole and in order", t, func() {
 		var buffer bytes.Buffer
-		sink := NewSink(&buffer)
+		sink := NewLogSink(&buffer)
 		for number := range 1000 {
 			_, _ = sink.Write([]byte(strings.Repeat("x", number%7) + "\n"))
 		}
@@ -23,7 +23,7 @@
 	Convey("a pipe that nobody reads holds nobody up; what was lost is counted and told", t, func() {
 		reader, writer, err := os.Pipe()
 		So(err, ShouldBeNil)
-		sink := NewSink(writer)
+		sink := NewLogSink(writer)
 		line := []byte(strings.Repeat("y", 200) + "\n")
 		for range 3 * queuedLines {
 			_, _ = sink.Write(line)
@@ -36,7 +36,7 @@
 			}
 		}
 		So(kept, ShouldBeBetween, 20, 300)
-		So(sink.Thinned(), ShouldEqual, 800-kept)
+		So(sink.SampledOut(), ShouldEqual, 800-kept)
 		lines := make(chan string, 1)
 		go func() {
 			var all bytes.Buffer
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -66,15 +66,15 @@
 	counter("inner_messages_sent_total", "Messages sent over the inner protocol.", protocol.Traffic.MessagesOut.Load)
 	counter("inner_messages_received_total", "Messages received over the inner protocol.", protocol.Traffic.MessagesIn.Load)
 	counter("inner_messages_dropped_total", "One-way messages that a full queue did not take.", protocol.Traffic.Dropped.Load)
-	counter("log_lines_dropped_total", "Log lines that found the queue full.", func() int64 { dropped, _ := LogLosses(); return dropped })
-	counter("log_lines_thinned_total", "Log lines of calm requests left out under load.", func() int64 { _, thinned := LogLosses(); return thinned })
+	counter("log_lines_dropped_total", "Log lines that found the queue full.", func() int64 { dropped, _ := LostLogLines(); return dropped })
+	counter("log_lines_thinned_total", "Log lines of calm requests left out under load.", func() int64 { _, thinned := LostLogLines(); return thinned })
 	handler := promhttp.HandlerFor(registry, promhttp.HandlerOpts{})
 	return &Monitor{Registry: registry, ready: ready, metrics: fasthttpadaptor.NewFastHTTPHandler(handler), views: map[string]func() any{}}
 }
 
-// JSON has a path answer operators with what view returns; it is called before the first request
+// RegisterView has a path answer operators with what view returns; it is called before the first request
 // is served.
-func (m *Monitor) JSON(path string, view func() any) { m.views[path] = view }
+func (m *Monitor) RegisterView(path string, view func() any) { m.views[path] = view }
 
 // Handler serves the monitor's paths for processes that use net/http.
 func (m *Monitor) Handler() http.Handler {
@@ -100,8 +100,8 @@
 // latencyBuckets are in seconds, from what a hop costs to what callers give up at.
 var latencyBuckets = []float64{.001, .0025, .005, .01, .025, .05, .1, .25, .5, 1, 2.5, 5, 10}
 
-// Latencies registers a histogram of seconds with labels.
-func (m *Monitor) Latencies(name, help string, labels ...string) *prometheus.HistogramVec {
+// RegisterLatencyHistogram registers a histogram of seconds with labels.
+func (m *Monitor) RegisterLatencyHistogram(name, help string, labels ...string) *prometheus.HistogramVec {
 	histogram := prometheus.NewHistogramVec(prometheus.HistogramOpts{
 		Namespace: "ochrebay", Name: name, Help: help, Buckets: latencyBuckets,
 	}, labels)
@@ -109,13 +109,13 @@
 	return histogram
 }
 
-// Gauge registers a metric whose value is read when it is asked for.
-func (m *Monitor) Gauge(name, help string, value func() float64) {
+// RegisterGauge registers a metric whose value is read when it is asked for.
+func (m *Monitor) RegisterGauge(name, help string, value func() float64) {
 	m.Registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: "ochrebay", Name: name, Help: help}, value))
 }
 
-// Counters registers a counter with one label.
-func (m *Monitor) Counters(name, help, label string) *prometheus.CounterVec {
+// RegisterCounter registers a counter with one label.
+func (m *Monitor) RegisterCounter(name, help, label string) *prometheus.CounterVec {
 	counters := prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: "ochrebay", Name: name, Help: help}, []string{label})
 	m.Registry.MustRegister(counters)
 	return counters
--- a/internal/waiting/closedloop_test.go
+++ b/internal/waiting/closedloop_test.go
@@ -134,7 +134,7 @@
 		event.run()
 	}
 	for _, queue := range run.queues {
-		admissionErrors := queue.AdmissionErrors()
+		admissionErrors := queue.Misjudgments()
 		run.result.falseRejections += admissionErrors.FalseRejections
 		run.result.futileWaits += admissionErrors.FutileWaits
 	}
@@ -361,7 +361,7 @@
 	})
 }
 
-func TestReturnsArriveAtTheRateOfRoom(t *testing.T) {
+func TestRetriesAreSpacedAtCompletionRate(t *testing.T) {
 	Convey("a queue with 100 completions a second spaces the retries of 400 callers at that rate, in order of arrival", t, func() {
 		queue := NewQueue(DefaultSettings())
 		nowMs := int64(0)
--- a/internal/waiting/waiting.go
+++ b/internal/waiting/waiting.go
@@ -102,8 +102,8 @@
 	RetryAfterMs int64
 }
 
-// AdmissionErrors counts decisions that proved wrong.
-type AdmissionErrors struct {
+// Misjudgments counts decisions that proved wrong.
+type Misjudgments struct {
 	// FalseRejections counts rejected calls for which capacity would have become free in time.
 	FalseRejections int
 	// FutileWaits counts calls that waited and were not served, and FutileWaitMs is their total
@@ -132,7 +132,7 @@
 	// order.
 	expectedRetriesMs []int64
 	trackedRejections []trackedRejection
-	admissionErrors   AdmissionErrors
+	admissionErrors   Misjudgments
 }
 
 // NewQueue returns an empty queue.
@@ -141,8 +141,8 @@
 // Len returns the number of waiting calls.
 func (q *Queue) Len() int { return len(q.entries) }
 
-// AdmissionErrors returns the decisions that have proved wrong since the start.
-func (q *Queue) AdmissionErrors() AdmissionErrors { return q.admissionErrors }
+// Misjudgments returns the decisions that have proved wrong since the start.
+func (q *Queue) Misjudgments() Misjudgments { return q.admissionErrors }
 
 // MustWait reports whether a call that has not tried any engine yet must queue behind the waiting
 // calls.
--- a/internal/waiting/waiting_test.go
+++ b/internal/waiting/waiting_test.go
@@ -78,9 +78,9 @@
 	})
 }
 
-// TestRateOfNothingIsNoRate checks a back end that had no engine for a minute. Earlier
+// TestNoRateWithoutCompletions checks a back end that had no engine for a minute. Earlier
 // completions give no rate for the present, so a new call must not be rejected because of them.
-func TestRateOfNothingIsNoRate(t *testing.T) {
+func TestNoRateWithoutCompletions(t *testing.T) {
 	queue := NewQueue(DefaultSettings())
 	nowMs := int64(0)
 	for range 20 {
