--- a/internal/workload/client.go
+++ b/internal/workload/client.go
@@ -25,18 +25,18 @@
 
 // Call is one call as a caller makes it.
 type Call struct {
-	Service    string
-	Messages   []program.Message
-	Program    string
-	Thread     string
-	Parent     string
-	Request    string
-	Tenant     string
-	Once       bool
-	End        bool
-	DeadlineMs int64
-	Budget     int64
-	MaxTokens  int64
+	Service      string
+	Messages     []program.Message
+	Program      string
+	Thread       string
+	ParentThread string
+	RequestID    string
+	Tenant       string
+	AtMostOnce   bool
+	EndsProgram  bool
+	TimeoutMs    int64
+	BudgetTokens int64
+	MaxTokens    int64
 }
 
 // Reply is what the caller got.
@@ -45,13 +45,13 @@
 	Content string
 	Usage   engine.Usage
 	Error   *result.Error
-	// FirstToken and Total are times since the call was sent; Gaps are the times
+	// TimeToFirstToken and Total are times since the call was sent; Gaps are the times
 	// between parts of the answer.
-	FirstToken time.Duration
-	Total      time.Duration
-	Gaps       []time.Duration
-	// Cut says that the stream ended without its closing event.
-	Cut bool
+	TimeToFirstToken time.Duration
+	TotalTime        time.Duration
+	ChunkGaps        []time.Duration
+	// IsTruncated says that the stream ended without its closing event.
+	IsTruncated bool
 }
 
 // Client calls one sidecar.
@@ -90,11 +90,11 @@
 	reply := Reply{Program: response.Header.Get(sidecar.HeaderProgram)}
 	if response.StatusCode != http.StatusOK {
 		reply.Error, err = readFailure(response.Body)
-		reply.Total = time.Since(started)
+		reply.TotalTime = time.Since(started)
 		return reply, err
 	}
 	err = reply.read(response.Body, started)
-	reply.Total = time.Since(started)
+	reply.TotalTime = time.Since(started)
 	return reply, err
 }
 
@@ -107,20 +107,20 @@
 	request.Header.Set("Content-Type", "application/json")
 	set(sidecar.HeaderProgram, call.Program)
 	set(sidecar.HeaderThread, call.Thread)
-	set(sidecar.HeaderParentThread, call.Parent)
-	set(sidecar.HeaderRequest, call.Request)
+	set(sidecar.HeaderParentThread, call.ParentThread)
+	set(sidecar.HeaderRequest, call.RequestID)
 	set(sidecar.HeaderTenant, call.Tenant)
-	if call.Once {
+	if call.AtMostOnce {
 		set(sidecar.HeaderRepeatable, "false")
 	}
-	if call.End {
+	if call.EndsProgram {
 		set(sidecar.HeaderEnd, "true")
 	}
-	if call.DeadlineMs > 0 {
-		set(sidecar.HeaderDeadline, strconv.FormatInt(call.DeadlineMs, 10))
+	if call.TimeoutMs > 0 {
+		set(sidecar.HeaderDeadline, strconv.FormatInt(call.TimeoutMs, 10))
 	}
-	if call.Budget > 0 {
-		set(sidecar.HeaderBudget, strconv.FormatInt(call.Budget, 10))
+	if call.BudgetTokens > 0 {
+		set(sidecar.HeaderBudget, strconv.FormatInt(call.BudgetTokens, 10))
 	}
 }
 
@@ -141,14 +141,14 @@
 	scanner.Buffer(make([]byte, 0, 4096), maxEventBytes)
 	var text strings.Builder
 	last := started
-	r.Cut = true
+	r.IsTruncated = true
 	for scanner.Scan() {
 		data, ok := strings.CutPrefix(scanner.Text(), "data: ")
 		if !ok {
 			continue
 		}
 		if data == "[DONE]" {
-			r.Cut = false
+			r.IsTruncated = false
 			break
 		}
 		var event struct {
@@ -169,9 +169,9 @@
 		}
 		now := time.Now()
 		if text.Len() == 0 {
-			r.FirstToken = now.Sub(started)
+			r.TimeToFirstToken = now.Sub(started)
 		} else {
-			r.Gaps = append(r.Gaps, now.Sub(last))
+			r.ChunkGaps = append(r.ChunkGaps, now.Sub(last))
 		}
 		last = now
 		text.WriteString(event.Choices[0].Delta.Content)
@@ -180,8 +180,8 @@
 	return scanner.Err()
 }
 
-// Show reads a program's ledger entry as raw JSON.
-func (c *Client) Show(ctx context.Context, id, tenant string) ([]byte, error) {
+// FetchProgram reads a program's ledger entry as raw JSON.
+func (c *Client) FetchProgram(ctx context.Context, id, tenant string) ([]byte, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+c.address+"/v1/programs/"+id, nil)
 	if err != nil {
 		return nil, err
--- a/internal/workload/closed.go
+++ b/internal/workload/closed.go
@@ -17,8 +17,8 @@
 	"github.com/ochrebay/ochrebay/internal/program"
 )
 
-// PathReport is what a closed loop of callers measured. Times are milliseconds.
-type PathReport struct {
+// OverheadReport is what a closed loop of callers measured. Times are milliseconds.
+type OverheadReport struct {
 	Callers        int     `json:"callers"`
 	Calls          int64   `json:"calls"`
 	Failed         int64   `json:"failed"`
@@ -71,9 +71,9 @@
 	return total, failed
 }
 
-// MeasurePath sends calls through a sidecar and, for comparison, to an engine
+// MeasureOverhead sends calls through a sidecar and, for comparison, to an engine
 // directly. controls are the HTTP addresses of the control processes.
-func (d *Driver) MeasurePath(ctx context.Context, service, model, engineAddress string, controls []string, callers int, length time.Duration) (PathReport, error) {
+func (d *Driver) MeasureOverhead(ctx context.Context, service, model, engineAddress string, controls []string, callers int, length time.Duration) (OverheadReport, error) {
 	message := []program.Message{{Role: "user", Content: Text("path", 30, 8)}}
 	direct := engine.NewClient()
 	directTimes, _ := closedLoop(ctx, callers, length/4, func(int, int) error {
@@ -82,7 +82,7 @@
 	programs := make([]string, callers)
 	before, err := controlCounts(controls)
 	if err != nil {
-		return PathReport{}, err
+		return OverheadReport{}, err
 	}
 	begun := time.Now()
 	times, failed := closedLoop(ctx, callers, length, func(caller, number int) error {
@@ -90,7 +90,7 @@
 			programs[caller] = ""
 		}
 		reply, err := d.Sidecars[caller%len(d.Sidecars)].Do(ctx, Call{
-			Service: service, Program: programs[caller], Messages: message, End: number%turnsPerProgram == turnsPerProgram-1,
+			Service: service, Program: programs[caller], Messages: message, EndsProgram: number%turnsPerProgram == turnsPerProgram-1,
 		})
 		if err != nil {
 			return err
@@ -104,9 +104,9 @@
 	seconds := time.Since(begun).Seconds()
 	after, err := controlCounts(controls)
 	if err != nil {
-		return PathReport{}, err
+		return OverheadReport{}, err
 	}
-	report := PathReport{
+	report := OverheadReport{
 		Callers: callers, Calls: times.TotalCount(), Failed: failed, CallsPerSecond: float64(times.TotalCount()) / seconds,
 		P50: float64(times.ValueAtQuantile(50)) / 1000, P99: float64(times.ValueAtQuantile(99)) / 1000,
 		DirectP50: float64(directTimes.ValueAtQuantile(50)) / 1000, DirectP99: float64(directTimes.ValueAtQuantile(99)) / 1000,
@@ -123,7 +123,7 @@
 }
 
 // Print writes the report.
-func (r PathReport) Print(out io.Writer) {
+func (r OverheadReport) Print(out io.Writer) {
 	_, _ = fmt.Fprintf(out, "%d callers: %d calls, %d failed, %.0f calls/s\n", r.Callers, r.Calls, r.Failed, r.CallsPerSecond)
 	_, _ = fmt.Fprintf(out, "  through ochrebay   p50 %7.3f ms   p99 %7.3f ms\n", r.P50, r.P99)
 	_, _ = fmt.Fprintf(out, "  engine alone       p50 %7.3f ms   p99 %7.3f ms\n", r.DirectP50, r.DirectP99)
--- a/internal/workload/deployment.go
+++ b/internal/workload/deployment.go
@@ -20,16 +20,16 @@
 	// Zones are the halls; the first three hold a control process each.
 	Zones []string `yaml:"zones"`
 	// ZoneDelayMs and ClientDelayMs are one-way delays.
-	ZoneDelayMs      float64        `yaml:"zone_delay_ms"`
-	ClientDelayMs    float64        `yaml:"client_delay_ms"`
-	Controls         int            `yaml:"controls"`
-	LedgerGroups     int            `yaml:"ledger_groups"`
-	Schedulers       []ZoneCount    `yaml:"schedulers"`
-	Sidecars         []ZoneCount    `yaml:"sidecars"`
-	Engines          []EngineCount  `yaml:"engines"`
-	WeightsPerSecond int64          `yaml:"weights_bytes_per_second"`
-	Settings         yaml.MapSlice  `yaml:"settings"`
-	Workload         []ServiceShape `yaml:"workload"`
+	ZoneDelayMs          float64           `yaml:"zone_delay_ms"`
+	ClientDelayMs        float64           `yaml:"client_delay_ms"`
+	ControlCount         int               `yaml:"controls"`
+	LedgerGroups         int               `yaml:"ledger_groups"`
+	Schedulers           []ZoneCount       `yaml:"schedulers"`
+	Sidecars             []ZoneCount       `yaml:"sidecars"`
+	Engines              []EngineGroup     `yaml:"engines"`
+	WeightBytesPerSecond int64             `yaml:"weights_bytes_per_second"`
+	Settings             yaml.MapSlice     `yaml:"settings"`
+	Workload             []ServiceWorkload `yaml:"workload"`
 	// ProgramsPerSecond is the arrival rate at load 1.0.
 	ProgramsPerSecond float64 `yaml:"programs_per_second"`
 }
@@ -40,44 +40,44 @@
 	Count int    `yaml:"count"`
 }
 
-// EngineCount is a number of engines of a pool in a zone.
-type EngineCount struct {
+// EngineGroup is a number of engines of a pool in a zone.
+type EngineGroup struct {
 	Zone     string `yaml:"zone"`
 	Pool     string `yaml:"pool"`
 	Hardware string `yaml:"hardware"`
-	// Slowness is how many times longer than on that hardware things take; 0 is 1.
-	Slowness float64 `yaml:"slowness"`
+	// Slowdown is how many times longer than on that hardware things take; 0 is 1.
+	Slowdown float64 `yaml:"slowness"`
 	Count    int     `yaml:"count"`
-	// Instant engines answer at once, for measuring what ochrebay adds.
-	Instant bool `yaml:"instant"`
+	// IsInstant engines answer at once, for measuring what ochrebay adds.
+	IsInstant bool `yaml:"instant"`
 }
 
-// Range is drawn from log-uniformly.
-type Range struct {
+// LogUniformRange is drawn from log-uniformly.
+type LogUniformRange struct {
 	Low  float64 `yaml:"low"`
 	High float64 `yaml:"high"`
 }
 
-// ServiceShape is what the callers of one service do.
-type ServiceShape struct {
+// ServiceWorkload is what the callers of one service do.
+type ServiceWorkload struct {
 	Service string `yaml:"service"`
-	// Share is the part of programs that are of this service.
-	Share float64 `yaml:"share"`
+	// Weight is the part of programs that are of this service.
+	Weight float64 `yaml:"share"`
 	// Turns is the number of calls of a program.
-	Turns        Range    `yaml:"turns"`
-	FirstPrompt  Range    `yaml:"first_prompt_tokens"`
-	LaterPrompt  Range    `yaml:"later_prompt_tokens"`
-	Output       Range    `yaml:"output_tokens"`
-	PauseMs      Range    `yaml:"pause_ms"`
-	Tools        []string `yaml:"tools"`
-	SubAgent     float64  `yaml:"sub_agent"`
-	SubTurns     Range    `yaml:"sub_turns"`
-	Hang         float64  `yaml:"hang"`
-	Loop         float64  `yaml:"loop"`
-	Once         bool     `yaml:"once"`
-	Burst        int      `yaml:"burst"`
-	DeadlineMs   int64    `yaml:"deadline_ms"`
-	BudgetTokens int64    `yaml:"budget_tokens"`
+	Turns               LogUniformRange `yaml:"turns"`
+	FirstPromptTokens   LogUniformRange `yaml:"first_prompt_tokens"`
+	LaterPromptTokens   LogUniformRange `yaml:"later_prompt_tokens"`
+	OutputTokens        LogUniformRange `yaml:"output_tokens"`
+	ToolDurationMs      LogUniformRange `yaml:"pause_ms"`
+	Tools               []string        `yaml:"tools"`
+	SubAgentProbability float64         `yaml:"sub_agent"`
+	SubAgentTurns       LogUniformRange `yaml:"sub_turns"`
+	HangProbability     float64         `yaml:"hang"`
+	LoopProbability     float64         `yaml:"loop"`
+	AtMostOnce          bool            `yaml:"once"`
+	BurstSize           int             `yaml:"burst"`
+	TimeoutMs           int64           `yaml:"deadline_ms"`
+	BudgetTokens        int64           `yaml:"budget_tokens"`
 }
 
 // LoadDeployment reads a deployment file strictly.
@@ -108,21 +108,21 @@
 			return fmt.Errorf("%s: engines: zone %q is not among zones", file, count.Zone)
 		}
 	}
-	if d.Controls < 1 || len(d.Zones) == 0 || len(d.Schedulers) == 0 || len(d.Sidecars) == 0 {
+	if d.ControlCount < 1 || len(d.Zones) == 0 || len(d.Schedulers) == 0 || len(d.Sidecars) == 0 {
 		return fmt.Errorf("%s: needs zones, controls, schedulers and sidecars", file)
 	}
-	_, err := d.Change("deployment", 1)
+	_, err := d.SettingsChange("deployment", 1)
 	return err
 }
 
-// Change returns the deployment's settings as one change of the tree.
-func (d Deployment) Change(operator string, number uint64) (settings.Change, error) {
-	return ChangeFromYAML(d.Settings, operator, number)
+// SettingsChange returns the deployment's settings as one change of the tree.
+func (d Deployment) SettingsChange(operator string, number uint64) (settings.Change, error) {
+	return SettingsChangeFromYAML(d.Settings, operator, number)
 }
 
-// ChangeFromYAML turns a mapping from paths to fields into one change that sets
+// SettingsChangeFromYAML turns a mapping from paths to fields into one change that sets
 // all of them, whatever their versions.
-func ChangeFromYAML(nodes yaml.MapSlice, operator string, number uint64) (settings.Change, error) {
+func SettingsChangeFromYAML(nodes yaml.MapSlice, operator string, number uint64) (settings.Change, error) {
 	change := settings.Change{Operator: operator, Number: number}
 	for _, item := range nodes {
 		path := fmt.Sprint(item.Key)
--- a/internal/workload/driver.go
+++ b/internal/workload/driver.go
@@ -22,20 +22,20 @@
 // are not repeatable.
 type Driver struct {
 	Sidecars []*Client
-	// Tools is the HTTP address of the tool services; "" sleeps instead.
-	Tools     string
-	TimeScale float64
-	// Print, where set, gets a line for each answer.
-	Print io.Writer
-	// Label makes request ids of this run unlike those of others.
-	Label string
+	// ToolAddress is the HTTP address of the tool services; "" sleeps instead.
+	ToolAddress string
+	TimeScale   float64
+	// ResponseLog, where set, gets a line for each answer.
+	ResponseLog io.Writer
+	// RequestIDPrefix makes request ids of this run unlike those of others.
+	RequestIDPrefix string
 
 	mutex      sync.Mutex
 	violations []string
 }
 
-// Outcome is how one program ended.
-type Outcome struct {
+// ProgramOutcome is how one program ended.
+type ProgramOutcome struct {
 	Program Program
 	ID      string
 	// LatencyMs runs from the first call to the last answer; ToolMs is the part
@@ -43,14 +43,14 @@
 	LatencyMs float64
 	ToolMs    float64
 	Calls     int
-	Resent    int
-	// Cuts counts answers whose stream ended without its closing event.
-	Cuts         int
-	FirstTokens  []time.Duration
-	Gaps         []time.Duration
-	PromptTokens int64
-	CachedTokens int64
-	OutputTokens int64
+	Retries   int
+	// TruncatedStreams counts answers whose stream ended without its closing event.
+	TruncatedStreams  int
+	TimesToFirstToken []time.Duration
+	ChunkGaps         []time.Duration
+	PromptTokens      int64
+	CachedTokens      int64
+	OutputTokens      int64
 	// Err is the final answer that ended the program early.
 	Err *result.Error
 }
@@ -73,7 +73,7 @@
 	driver  *Driver
 	client  *Client
 	program Program
-	outcome *Outcome
+	outcome *ProgramOutcome
 	number  int
 }
 
@@ -91,8 +91,8 @@
 )
 
 // Run runs one program to its end.
-func (d *Driver) Run(ctx context.Context, p Program) Outcome {
-	outcome := &Outcome{Program: p}
+func (d *Driver) Run(ctx context.Context, p Program) ProgramOutcome {
+	outcome := &ProgramOutcome{Program: p}
 	current := &runner{driver: d, client: d.Sidecars[p.ID%len(d.Sidecars)], program: p, outcome: outcome}
 	started := time.Now()
 	main := &conversation{}
@@ -131,8 +131,8 @@
 	message := program.Message{Role: "user", Content: Text(label, step.PromptTokens, step.OutputTokens)}
 	call := Call{
 		Service: r.program.Service, Messages: []program.Message{message}, Program: r.outcome.ID, Thread: thread.thread,
-		Parent: thread.parent, Request: fmt.Sprintf("%s-%d-%d", r.driver.Label, r.program.ID, r.number), Tenant: r.program.Tenant,
-		Once: r.program.Once, End: last, DeadlineMs: r.program.DeadlineMs, Budget: r.program.Budget,
+		ParentThread: thread.parent, RequestID: fmt.Sprintf("%s-%d-%d", r.driver.RequestIDPrefix, r.program.ID, r.number), Tenant: r.program.Tenant,
+		AtMostOnce: r.program.AtMostOnce, EndsProgram: last, TimeoutMs: r.program.TimeoutMs, BudgetTokens: r.program.BudgetTokens,
 	}
 	reply := r.call(ctx, call)
 	r.outcome.Calls++
@@ -145,13 +145,13 @@
 	r.check(thread, reply, label)
 	thread.messages = append(thread.messages, program.Message{Role: "assistant", Content: reply.Content})
 	r.outcome.PromptTokens += reply.Usage.PromptTokens
-	r.outcome.CachedTokens += reply.Usage.Details.CachedTokens
+	r.outcome.CachedTokens += reply.Usage.PromptTokensDetails.CachedTokens
 	r.outcome.OutputTokens += reply.Usage.CompletionTokens
-	r.outcome.FirstTokens = append(r.outcome.FirstTokens, reply.FirstToken)
-	r.outcome.Gaps = append(r.outcome.Gaps, reply.Gaps...)
-	if r.driver.Print != nil {
-		_, _ = fmt.Fprintf(r.driver.Print, "  %-16s %6.1f ms  prompt %d (%d cached)  answer %q\n", label,
-			float64(reply.Total.Microseconds())/1000, reply.Usage.PromptTokens, reply.Usage.Details.CachedTokens, shorten(reply.Content))
+	r.outcome.TimesToFirstToken = append(r.outcome.TimesToFirstToken, reply.TimeToFirstToken)
+	r.outcome.ChunkGaps = append(r.outcome.ChunkGaps, reply.ChunkGaps...)
+	if r.driver.ResponseLog != nil {
+		_, _ = fmt.Fprintf(r.driver.ResponseLog, "  %-16s %6.1f ms  prompt %d (%d cached)  answer %q\n", label,
+			float64(reply.TotalTime.Microseconds())/1000, reply.Usage.PromptTokens, reply.Usage.PromptTokensDetails.CachedTokens, shorten(reply.Content))
 	}
 	return true
 }
@@ -166,13 +166,13 @@
 
 // check holds an answer against the caller's own conversation.
 func (r *runner) check(thread *conversation, reply Reply, label string) {
-	expected := emulator.SawOf(thread.messages)
+	expected := emulator.ResponsePrefix(thread.messages)
 	if !strings.HasPrefix(reply.Content, expected) {
 		r.driver.violation("program %s %s: history: the engine %q, the caller expects %q", r.outcome.ID, label, shorten(reply.Content), expected)
 	}
 	whole := emulator.NewPrompt(thread.messages, 0)
-	if int64(len(reply.Content)) != int64(len(whole.Answer)) || reply.Content != whole.Answer {
-		r.driver.violation("program %s %s: answer: %d bytes instead of %d", r.outcome.ID, label, len(reply.Content), len(whole.Answer))
+	if int64(len(reply.Content)) != int64(len(whole.Response)) || reply.Content != whole.Response {
+		r.driver.violation("program %s %s: answer: %d bytes instead of %d", r.outcome.ID, label, len(reply.Content), len(whole.Response))
 	}
 }
 
@@ -183,17 +183,17 @@
 	for attempt := range resendLimit {
 		var err error
 		reply, err = r.client.Do(ctx, call)
-		if reply.Cut {
-			r.outcome.Cuts++
+		if reply.IsTruncated {
+			r.outcome.TruncatedStreams++
 		}
-		if err != nil || reply.Cut {
+		if err != nil || reply.IsTruncated {
 			reply.Error = result.New(result.NoScheduler, "sidecar not reached: %v", err)
 			reply.Error.RetryAfterMs = 200
 		}
 		if reply.Error == nil || reply.Error.RetryAfterMs == 0 || ctx.Err() != nil || attempt == resendLimit-1 {
 			return reply
 		}
-		r.outcome.Resent++
+		r.outcome.Retries++
 		wait := min(time.Duration(reply.Error.RetryAfterMs)*time.Millisecond, longestWait)
 		select {
 		case <-ctx.Done():
@@ -205,23 +205,23 @@
 
 // pause calls the tool that the program waits for.
 func (r *runner) pause(ctx context.Context, step Step) {
-	if step.PauseMs == 0 && !step.Hang {
+	if step.ToolDurationMs == 0 && !step.ToolHangs {
 		return
 	}
 	started := time.Now()
 	defer func() { r.outcome.ToolMs += float64(time.Since(started).Microseconds()) / 1000 }()
-	patience := time.Duration(float64(step.PauseMs)/r.driver.TimeScale)*time.Millisecond + hangPatience
+	patience := time.Duration(float64(step.ToolDurationMs)/r.driver.TimeScale)*time.Millisecond + hangPatience
 	bounded, cancel := context.WithTimeout(ctx, patience)
 	defer cancel()
-	if r.driver.Tools == "" || step.Tool == "" {
+	if r.driver.ToolAddress == "" || step.Tool == "" {
 		select {
 		case <-bounded.Done():
-		case <-time.After(time.Duration(float64(step.PauseMs)/r.driver.TimeScale) * time.Millisecond):
+		case <-time.After(time.Duration(float64(step.ToolDurationMs)/r.driver.TimeScale) * time.Millisecond):
 		}
 		return
 	}
-	body, _ := json.Marshal(emulator.ToolRequest{PauseMs: step.PauseMs, Hang: step.Hang, Argument: r.outcome.ID})
-	request, err := http.NewRequestWithContext(bounded, http.MethodPost, "http://"+r.driver.Tools+"/v1/tools/"+step.Tool, bytes.NewReader(body))
+	body, _ := json.Marshal(emulator.ToolRequest{DurationMs: step.ToolDurationMs, Hangs: step.ToolHangs, Argument: r.outcome.ID})
+	request, err := http.NewRequestWithContext(bounded, http.MethodPost, "http://"+r.driver.ToolAddress+"/v1/tools/"+step.Tool, bytes.NewReader(body))
 	if err != nil {
 		return
 	}
@@ -235,8 +235,8 @@
 
 // RunAll runs programs at their arrival times and returns their outcomes in
 // order of id.
-func (d *Driver) RunAll(ctx context.Context, programs []Program) []Outcome {
-	outcomes := make([]Outcome, len(programs))
+func (d *Driver) RunAll(ctx context.Context, programs []Program) []ProgramOutcome {
+	outcomes := make([]ProgramOutcome, len(programs))
 	var group sync.WaitGroup
 	started := time.Now()
 	for position, p := range programs {
@@ -246,7 +246,7 @@
 		case <-time.After(time.Until(started.Add(at))):
 		}
 		if ctx.Err() != nil {
-			outcomes[position] = Outcome{Program: p, Err: result.New(result.Cancelled, "the load was stopped").WithOutcome(result.NotRun)}
+			outcomes[position] = ProgramOutcome{Program: p, Err: result.New(result.Cancelled, "the load was stopped").WithOutcome(result.NotRun)}
 			continue
 		}
 		group.Add(1)
--- a/internal/workload/generate.go
+++ b/internal/workload/generate.go
@@ -14,31 +14,31 @@
 	// PromptTokens and OutputTokens describe a call.
 	PromptTokens int64
 	OutputTokens int64
-	// PauseMs is the time that the tool before this call takes, Tool its name;
+	// ToolDurationMs is the time that the tool before this call takes, Tool its name;
 	// Hang says that it never answers.
-	PauseMs int64
-	Tool    string
-	Hang    bool
+	ToolDurationMs int64
+	Tool           string
+	ToolHangs      bool
 	// SubAgent holds the calls of a sub-agent that runs after this call.
 	SubAgent []Step
 }
 
 // Program is one program of a workload.
 type Program struct {
-	ID        int
-	Service   string
-	Tenant    string
-	ArrivalMs int64
-	Steps     []Step
-	Once      bool
-	Loop      bool
-	// DeadlineMs bounds each call; zero leaves it to the settings.
-	DeadlineMs int64
-	Budget     int64
+	ID         int
+	Service    string
+	Tenant     string
+	ArrivalMs  int64
+	Steps      []Step
+	AtMostOnce bool
+	Loops      bool
+	// TimeoutMs bounds each call; zero leaves it to the settings.
+	TimeoutMs    int64
+	BudgetTokens int64
 }
 
-// Calls counts the calls of a program, sub-agents included.
-func (p Program) Calls() int {
+// CallCount counts the calls of a program, sub-agents included.
+func (p Program) CallCount() int {
 	count := 0
 	for _, step := range p.Steps {
 		count += 1 + len(step.SubAgent)
@@ -67,14 +67,14 @@
 	return programs
 }
 
-func pickShape(shapes []ServiceShape, random *rand.Rand) ServiceShape {
+func pickShape(shapes []ServiceWorkload, random *rand.Rand) ServiceWorkload {
 	total := 0.0
 	for _, shape := range shapes {
-		total += shape.Share
+		total += shape.Weight
 	}
 	drawn := random.Float64() * total
 	for _, shape := range shapes {
-		if drawn -= shape.Share; drawn < 0 {
+		if drawn -= shape.Weight; drawn < 0 {
 			return shape
 		}
 	}
@@ -83,40 +83,40 @@
 
 // burstOf returns how many programs arrive at once; one arrival in twenty of a
 // service that bursts is a burst.
-func burstOf(shape ServiceShape, random *rand.Rand) int {
-	if shape.Burst > 1 && random.IntN(20) == 0 {
-		return shape.Burst
+func burstOf(shape ServiceWorkload, random *rand.Rand) int {
+	if shape.BurstSize > 1 && random.IntN(20) == 0 {
+		return shape.BurstSize
 	}
 	return 1
 }
 
-func (r Range) draw(random *rand.Rand) float64 {
+func (r LogUniformRange) draw(random *rand.Rand) float64 {
 	if r.High <= r.Low || r.Low <= 0 {
 		return max(r.Low, 0)
 	}
 	return r.Low * math.Pow(r.High/r.Low, random.Float64())
 }
 
-func (r Range) whole(random *rand.Rand) int64 {
+func (r LogUniformRange) whole(random *rand.Rand) int64 {
 	return int64(math.Round(r.draw(random)))
 }
 
 const loopTurns = 400
 
-func (s ServiceShape) program(id int, atMs int64, random *rand.Rand) Program {
+func (s ServiceWorkload) program(id int, atMs int64, random *rand.Rand) Program {
 	program := Program{
-		ID: id, Service: s.Service, Tenant: fmt.Sprintf("tenant-%d", random.IntN(8)), ArrivalMs: atMs, Once: s.Once,
-		DeadlineMs: s.DeadlineMs, Budget: s.BudgetTokens,
+		ID: id, Service: s.Service, Tenant: fmt.Sprintf("tenant-%d", random.IntN(8)), ArrivalMs: atMs, AtMostOnce: s.AtMostOnce,
+		TimeoutMs: s.TimeoutMs, BudgetTokens: s.BudgetTokens,
 	}
 	turns := max(1, s.Turns.whole(random))
-	program.Loop = random.Float64() < s.Loop
-	if program.Loop {
+	program.Loops = random.Float64() < s.LoopProbability
+	if program.Loops {
 		turns = loopTurns
 	}
 	for turn := range turns {
 		step := s.step(turn == 0, random)
-		if random.Float64() < s.SubAgent {
-			for range max(1, s.SubTurns.whole(random)) {
+		if random.Float64() < s.SubAgentProbability {
+			for range max(1, s.SubAgentTurns.whole(random)) {
 				step.SubAgent = append(step.SubAgent, s.step(false, random))
 			}
 		}
@@ -125,18 +125,18 @@
 	return program
 }
 
-func (s ServiceShape) step(first bool, random *rand.Rand) Step {
-	prompt := s.LaterPrompt
+func (s ServiceWorkload) step(first bool, random *rand.Rand) Step {
+	prompt := s.LaterPromptTokens
 	if first {
-		prompt = s.FirstPrompt
+		prompt = s.FirstPromptTokens
 	}
-	step := Step{PromptTokens: max(4, prompt.whole(random)), OutputTokens: max(8, s.Output.whole(random))}
+	step := Step{PromptTokens: max(4, prompt.whole(random)), OutputTokens: max(8, s.OutputTokens.whole(random))}
 	if !first {
-		step.PauseMs = s.PauseMs.whole(random)
+		step.ToolDurationMs = s.ToolDurationMs.whole(random)
 		if len(s.Tools) > 0 {
 			step.Tool = s.Tools[random.IntN(len(s.Tools))]
 		}
-		step.Hang = random.Float64() < s.Hang
+		step.ToolHangs = random.Float64() < s.HangProbability
 	}
 	return step
 }
--- a/internal/workload/plan.go
+++ b/internal/workload/plan.go
@@ -18,13 +18,13 @@
 	planLag        = 200
 )
 
-// Planned is one process of a fleet, ready to be started.
-type Planned struct {
+// PlannedProcess is one process of a fleet, ready to be started.
+type PlannedProcess struct {
 	Process config.Process
 	// File is the settings file written for it.
 	File string
-	// Command are the words after the program's name that start it.
-	Command []string
+	// Arguments are the words after the program's name that start it.
+	Arguments []string
 }
 
 // ports reserves ports that the kernel picks; all are held until released, so
@@ -50,7 +50,7 @@
 
 // Plan writes a settings file for each process of a deployment below folder and
 // returns the processes in the order in which to start them. It starts nothing.
-func Plan(deployment Deployment, folder string, timeScale float64) ([]Planned, error) {
+func Plan(deployment Deployment, folder string, timeScale float64) ([]PlannedProcess, error) {
 	builder := planBuilder{deployment: deployment, folder: folder, timeScale: timeScale}
 	defer builder.ports.release()
 	if err := os.MkdirAll(filepath.Join(folder, "etc"), planFolderMode); err != nil {
@@ -73,7 +73,7 @@
 	folder     string
 	timeScale  float64
 	ports      ports
-	planned    []Planned
+	planned    []PlannedProcess
 	members    []config.Peer
 	schedulers []config.Peer
 	instances  []config.Instance
@@ -99,7 +99,7 @@
 		}
 	}
 	file := filepath.Join(b.folder, "etc", name+".yaml")
-	b.planned = append(b.planned, Planned{Process: process, File: file, Command: command})
+	b.planned = append(b.planned, PlannedProcess{Process: process, File: file, Arguments: command})
 	return &b.planned[len(b.planned)-1].Process, nil
 }
 
@@ -109,8 +109,8 @@
 	if err != nil {
 		return err
 	}
-	if b.deployment.WeightsPerSecond > 0 {
-		weights.Emulator.BytesPerSecond = b.deployment.WeightsPerSecond
+	if b.deployment.WeightBytesPerSecond > 0 {
+		weights.Emulator.BytesPerSecond = b.deployment.WeightBytesPerSecond
 	}
 	b.weights = weights.Listen.HTTP
 	if _, err := b.add(config.RoleTools, "tools", zone, "emulate", "tools"); err != nil {
@@ -135,11 +135,11 @@
 				return err
 			}
 			process.Emulator.Hardware = group.Hardware
-			process.Emulator.Slowness = group.Slowness
+			process.Emulator.Slowdown = group.Slowdown
 			process.Emulator.Pool = group.Pool
-			process.Emulator.Weights = b.weights
-			process.Emulator.LagMs = planLag
-			process.Emulator.Instant = group.Instant
+			process.Emulator.WeightStoreAddress = b.weights
+			process.Emulator.ReportDelayMs = planLag
+			process.Emulator.RespondsInstantly = group.IsInstant
 			b.instances = append(b.instances, config.Instance{Name: name, Zone: group.Zone, Address: process.Listen.HTTP, Pool: group.Pool})
 		}
 	}
@@ -147,7 +147,7 @@
 }
 
 func (b *planBuilder) addControls() error {
-	for number := range b.deployment.Controls {
+	for number := range b.deployment.ControlCount {
 		name := fmt.Sprintf("control-%d", number+1)
 		zone := b.deployment.Zones[number%len(b.deployment.Zones)]
 		process, err := b.add(config.RoleControl, name, zone, "control")
@@ -155,7 +155,7 @@
 			return err
 		}
 		process.Data.Path = filepath.Join(b.folder, "data", name)
-		process.Platform = b.platform
+		process.PlatformAddress = b.platform
 		b.members = append(b.members, config.Peer{
 			Name: name, Zone: zone, Address: process.Listen.Address, HTTP: process.Listen.HTTP,
 		})
@@ -202,7 +202,7 @@
 			process.Schedulers = ownZoneFirst(b.schedulers, process.Zone)
 		case config.RolePlatform:
 			process.Emulator.Instances = b.instances
-			process.Emulator.LagMs = planLag
+			process.Emulator.ReportDelayMs = planLag
 		}
 	}
 }
@@ -231,7 +231,7 @@
 		if err := os.WriteFile(planned.File, raw, planFileMode); err != nil {
 			return err
 		}
-		fmt.Fprintf(&lines, "%s %s %s %s\n", planned.Process.Name, planned.File, planned.Process.Listen.HTTP, strings.Join(planned.Command, " "))
+		fmt.Fprintf(&lines, "%s %s %s %s\n", planned.Process.Name, planned.File, planned.Process.Listen.HTTP, strings.Join(planned.Arguments, " "))
 	}
 	if err := os.WriteFile(filepath.Join(b.folder, "plan"), []byte(lines.String()), planFileMode); err != nil {
 		return err
--- a/internal/workload/report.go
+++ b/internal/workload/report.go
@@ -44,21 +44,21 @@
 
 // ServiceReport sums up the programs of one service.
 type ServiceReport struct {
-	Service    string    `json:"service"`
-	Programs   int       `json:"programs"`
-	Ended      int       `json:"ended"`
-	Refused    int       `json:"refused"`
-	Latency    Quantiles `json:"latency"`
-	FirstToken Quantiles `json:"first_token"`
-	Between    Quantiles `json:"between_tokens"`
+	Service          string    `json:"service"`
+	Programs         int       `json:"programs"`
+	Completed        int       `json:"ended"`
+	Failed           int       `json:"refused"`
+	Latency          Quantiles `json:"latency"`
+	TimeToFirstToken Quantiles `json:"first_token"`
+	ChunkGaps        Quantiles `json:"between_tokens"`
 }
 
 // Report is what a run of load saw.
 type Report struct {
 	Programs      int             `json:"programs"`
-	Ended         int             `json:"ended"`
+	Completed     int             `json:"ended"`
 	Calls         int             `json:"calls"`
-	Resent        int             `json:"resent"`
+	Retries       int             `json:"resent"`
 	PromptTokens  int64           `json:"prompt_tokens"`
 	CachedTokens  int64           `json:"cached_tokens"`
 	OutputTokens  int64           `json:"output_tokens"`
@@ -72,18 +72,18 @@
 
 // NewReport sums up outcomes. Latency is counted for programs that ended; what
 // was refused is counted beside it.
-func NewReport(outcomes []Outcome, violations []string) Report {
+func NewReport(outcomes []ProgramOutcome, violations []string) Report {
 	report := Report{Errors: map[string]int{}, violationsAll: len(violations), Violations: violations}
-	byService := map[string][]Outcome{}
+	byService := map[string][]ProgramOutcome{}
 	for _, outcome := range outcomes {
 		report.Programs++
 		report.Calls += outcome.Calls
-		report.Resent += outcome.Resent
+		report.Retries += outcome.Retries
 		report.PromptTokens += outcome.PromptTokens
 		report.CachedTokens += outcome.CachedTokens
 		report.OutputTokens += outcome.OutputTokens
 		if outcome.Err == nil {
-			report.Ended++
+			report.Completed++
 		} else {
 			report.Errors[outcome.Err.Code.String()]++
 		}
@@ -101,26 +101,26 @@
 	return report
 }
 
-func newServiceReport(service string, outcomes []Outcome) ServiceReport {
+func newServiceReport(service string, outcomes []ProgramOutcome) ServiceReport {
 	latency, first, between := newHistogram(), newHistogram(), newHistogram()
 	report := ServiceReport{Service: service, Programs: len(outcomes)}
 	for _, outcome := range outcomes {
-		for _, wait := range outcome.FirstTokens {
+		for _, wait := range outcome.TimesToFirstToken {
 			first.add(float64(wait.Microseconds()) / 1000)
 		}
-		for _, gap := range outcome.Gaps {
+		for _, gap := range outcome.ChunkGaps {
 			between.add(float64(gap.Microseconds()) / 1000)
 		}
 		if outcome.Err != nil {
-			report.Refused++
+			report.Failed++
 			continue
 		}
-		report.Ended++
+		report.Completed++
 		latency.add(outcome.LatencyMs)
 	}
 	report.Latency = latency.quantiles()
-	report.FirstToken = first.quantiles()
-	report.Between = between.quantiles()
+	report.TimeToFirstToken = first.quantiles()
+	report.ChunkGaps = between.quantiles()
 	return report
 }
 
@@ -128,13 +128,13 @@
 func (r Report) Print(writer io.Writer) {
 	table := tabwriter.NewWriter(writer, 0, 4, 2, ' ', 0)
 	line := func(format string, arguments ...any) { _, _ = fmt.Fprintf(table, format+"\n", arguments...) }
-	line("programs %d\tended %d\tcalls %d\tresent %d", r.Programs, r.Ended, r.Calls, r.Resent)
+	line("programs %d\tended %d\tcalls %d\tresent %d", r.Programs, r.Completed, r.Calls, r.Retries)
 	line("prompt tokens %d\tof which cached %d\tgenerated %d", r.PromptTokens, r.CachedTokens, r.OutputTokens)
 	line("")
 	line("SERVICE\tPROGRAMS\tENDED\tREFUSED\tLATENCY p50\tp95\tp99 ms\tFIRST TOKEN p50\tp95 ms\tBETWEEN p50\tp95 ms")
 	for _, s := range r.Services {
-		line("%s\t%d\t%d\t%d\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f", s.Service, s.Programs, s.Ended, s.Refused,
-			s.Latency.P50, s.Latency.P95, s.Latency.P99, s.FirstToken.P50, s.FirstToken.P95, s.Between.P50, s.Between.P95)
+		line("%s\t%d\t%d\t%d\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f", s.Service, s.Programs, s.Completed, s.Failed,
+			s.Latency.P50, s.Latency.P95, s.Latency.P99, s.TimeToFirstToken.P50, s.TimeToFirstToken.P95, s.ChunkGaps.P50, s.ChunkGaps.P95)
 	}
 	for name, count := range r.Errors {
 		line("error %s\t%d", name, count)
