--- a/internal/engine/api.go
+++ b/internal/engine/api.go
@@ -1,7 +1,8 @@
-// Package engine speaks the published protocol of model engines: chat
-// completions in the OpenAI shape with server-sent events, and the engine's own
-// paths for state, fenced orders and release of held programs. It holds the
-// types of both sides and the client that schedulers use.
+// Package engine implements the published HTTP protocol of model engines:
+// OpenAI-compatible chat completions streamed as server-sent events, and
+// engine-specific endpoints for state, fenced orders and release of cached
+// programs. It defines the message types of both sides and the client that
+// schedulers use.
 package engine
 
 import (
@@ -9,8 +10,8 @@
 	"github.com/ochrebay/ochrebay/internal/reconcile"
 )
 
-// Paths of the engine's HTTP interface. PathState takes held=false, to leave out
-// the list of held programs.
+// Paths of the engine's HTTP interface. PathState accepts the query parameter
+// held=false, which omits the list of cached programs.
 const (
 	PathCompletions = "/v1/chat/completions"
 	PathState       = "/v1/engine/state"
@@ -18,16 +19,16 @@
 	PathRelease     = "/v1/engine/release"
 )
 
-// bytesPerToken is the estimate by which text is counted before an engine has
-// counted it.
+// bytesPerToken is the estimated length of a token, used for text that no
+// engine has tokenized yet.
 const bytesPerToken = 4
 
-// CountTokens estimates the tokens of a text, at least one.
+// CountTokens estimates the number of tokens in text; the result is at least one.
 func CountTokens(text string) int64 {
 	return int64(max(1, (len(text)+bytesPerToken-1)/bytesPerToken))
 }
 
-// CountMessages estimates the tokens of messages.
+// CountMessages estimates the total number of tokens in the contents of messages.
 func CountMessages(messages []program.Message) int64 {
 	var total int64
 	for _, message := range messages {
@@ -36,27 +37,28 @@
 	return total
 }
 
-// CompletionRequest is a chat completion in the OpenAI shape; the fields after
-// Stream are the engine's own.
+// CompletionRequest is an OpenAI-compatible chat completion request; the fields
+// after Stream are engine-specific extensions.
 type CompletionRequest struct {
 	Model     string            `json:"model"`
 	Messages  []program.Message `json:"messages"`
 	MaxTokens int64             `json:"max_tokens,omitempty"`
 	Stream    bool              `json:"stream,omitempty"`
-	// Priority orders calls inside the engine; lower is more urgent.
+	// Priority orders requests inside the engine; a lower value is more urgent.
 	Priority int `json:"priority,omitempty"`
-	// User is the program, so that the engine can be told to release it.
+	// User is the program ID. The engine files the KV cache under it, so that a
+	// ReleaseRequest can name the program.
 	User      string `json:"user,omitempty"`
 	RequestID string `json:"request_id,omitempty"`
 }
 
-// Delta is the part of an answer in one chunk.
+// Delta is the part of a response that one chunk carries.
 type Delta struct {
 	Role    string `json:"role,omitempty"`
 	Content string `json:"content,omitempty"`
 }
 
-// Choice is one answer; ochrebay uses the first.
+// Choice is one of the alternative responses; ochrebay uses only the first.
 type Choice struct {
 	Index        int              `json:"index"`
 	Delta        *Delta           `json:"delta,omitempty"`
@@ -64,12 +66,12 @@
 	FinishReason *string          `json:"finish_reason"`
 }
 
-// PromptTokensDetails tells how much of a prompt was cached.
+// PromptTokensDetails reports how many prompt tokens were served from the cache.
 type PromptTokensDetails struct {
 	CachedTokens int64 `json:"cached_tokens"`
 }
 
-// Usage counts tokens in the OpenAI shape.
+// Usage is the token usage of a completion in the OpenAI format.
 type Usage struct {
 	PromptTokens        int64               `json:"prompt_tokens"`
 	CompletionTokens    int64               `json:"completion_tokens"`
@@ -77,7 +79,7 @@
 	PromptTokensDetails PromptTokensDetails `json:"prompt_tokens_details"`
 }
 
-// Chunk is one event of a stream, or the whole answer.
+// Chunk is one event of a streamed response, or a complete response.
 type Chunk struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
@@ -87,13 +89,13 @@
 	Usage   *Usage   `json:"usage,omitempty"`
 }
 
-// CachedProgram is a program whose KV cache an engine holds.
+// CachedProgram is a program with tokens in an engine's KV cache.
 type CachedProgram struct {
 	Program string `json:"program"`
 	Tokens  int64  `json:"tokens"`
 }
 
-// State is an engine's report about itself; it lags.
+// State is an engine's report of its own state. It may be out of date.
 type State struct {
 	Name           string           `json:"name"`
 	Ready          bool             `json:"ready"`
@@ -103,43 +105,47 @@
 	Running        int              `json:"running"`
 	Waiting        int              `json:"waiting"`
 	CachedPrograms []CachedProgram  `json:"held,omitempty"`
-	// CachedProgramsOmitted says that the list of held programs was not asked for.
+	// CachedProgramsOmitted is set if the request excluded the list of cached
+	// programs, to distinguish it from an empty list.
 	CachedProgramsOmitted bool     `json:"held_omitted,omitempty"`
 	Hardware              Hardware `json:"hardware"`
-	// FreeKVCacheTokens is the KV memory that nothing holds.
+	// FreeKVCacheTokens is the unused KV-cache capacity in tokens.
 	FreeKVCacheTokens int64 `json:"free_tokens"`
 }
 
-// Order tells an engine what to serve. An engine refuses an order whose fence is
-// lower than the highest it has taken.
+// Order instructs an engine to serve a target. An engine rejects an order whose
+// fence is lower than the highest fence it has accepted.
 type Order struct {
 	Fence  reconcile.Fence  `json:"fence"`
 	Target reconcile.Target `json:"target"`
 }
 
-// ReleaseRequest tells an engine to drop the KV cache of programs.
+// ReleaseRequest instructs an engine to drop the KV cache of programs.
 type ReleaseRequest struct {
 	Programs []string `json:"programs"`
 }
 
-// Hardware describes how fast an engine is and how much it holds. Sources of the
-// entries stand in docs/design/0003-engine-model.md.
+// Hardware describes the speed and the capacity of an engine. The model behind
+// the fields and its sources are documented in docs/design/0003-engine-model.md.
 type Hardware struct {
 	Name string `json:"name"`
-	// PrefillTokensPerSecond is the rate at which prompt tokens are read.
+	// PrefillTokensPerSecond is the prefill rate for prompt tokens.
 	PrefillTokensPerSecond int64 `json:"prefill_tokens_per_second"`
-	// BaseStepMicros is the time of one decoding step for the weights alone.
+	// BaseStepMicros is the part of a decoding step that is spent on the model
+	// weights, in microseconds.
 	BaseStepMicros int64 `json:"step_micros"`
-	// StepMicrosPerSequence is added to a step for each sequence in it.
+	// StepMicrosPerSequence is added to a step for each sequence in the batch, in
+	// microseconds.
 	StepMicrosPerSequence int64 `json:"sequence_micros"`
-	// ContextNanosPerToken is added for each token of context read in a step.
+	// ContextNanosPerToken is added to a step for each context token that it
+	// reads, in nanoseconds.
 	ContextNanosPerToken int64 `json:"context_nanos_per_token"`
-	// KVCacheCapacityTokens is how many tokens of KV cache fit.
+	// KVCacheCapacityTokens is the capacity of the KV cache in tokens.
 	KVCacheCapacityTokens int64 `json:"memory_tokens"`
-	// MaxPrefillTokensPerStep bounds the prompt tokens read in one step.
+	// MaxPrefillTokensPerStep limits the prompt tokens prefilled in one step.
 	MaxPrefillTokensPerStep int64 `json:"chunk_tokens"`
-	// MaxSequences bounds the sequences in one step.
+	// MaxSequences limits the sequences in one batch.
 	MaxSequences int `json:"max_sequences"`
-	// WeightBytes is what a load of a model fetches.
+	// WeightBytes is the size of the model weights that a model load fetches.
 	WeightBytes int64 `json:"weight_bytes"`
 }
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -18,42 +18,42 @@
 )
 
 const (
-	dialTimeout      = time.Second
-	smallCallTimeout = 3 * time.Second
-	idleConnections  = 64
-	maxStateBytes    = 16 << 20
-	maxEventBytes    = 1 << 20
+	dialTimeout         = time.Second
+	controlCallTimeout  = 3 * time.Second
+	maxIdleConnsPerHost = 64
+	maxStateBytes       = 16 << 20
+	maxEventBytes       = 1 << 20
 )
 
-// Client talks to engines. It uses the standard library's HTTP client, since a
-// stream must be cancelled by closing it, which fasthttp's client cannot do
-// (docs/design/0002).
+// Client is an HTTP client for engines. It uses the standard library's HTTP
+// client because a stream is cancelled by closing its connection, which
+// fasthttp's client does not support (docs/design/0002).
 type Client struct {
-	http *http.Client
+	httpClient *http.Client
 }
 
-// NewClient returns a client that keeps connections to engines open.
+// NewClient returns a client that keeps idle connections to engines open for reuse.
 func NewClient() *Client {
 	dialer := &net.Dialer{Timeout: dialTimeout}
-	return &Client{http: &http.Client{Transport: &http.Transport{
+	return &Client{httpClient: &http.Client{Transport: &http.Transport{
 		DialContext:         dialer.DialContext,
-		MaxIdleConnsPerHost: idleConnections,
+		MaxIdleConnsPerHost: maxIdleConnsPerHost,
 		DisableCompression:  true,
 	}}}
 }
 
-// CompletionOutcome is how a completion ended.
+// CompletionOutcome is the outcome of a completion request.
 type CompletionOutcome struct {
 	Usage program.Usage
-	// MayHaveStarted is false only where the engine can't have started the call.
+	// MayHaveStarted is false only if the engine cannot have started the request.
 	MayHaveStarted bool
-	// Err is nil for a whole answer.
+	// Err is nil if the response was complete.
 	Err error
 }
 
-// Complete runs one call; piece gets the answer's parts in order. Cancelling ctx
-// closes the stream.
-func (c *Client) Complete(ctx context.Context, address string, request CompletionRequest, piece func(text string)) CompletionOutcome {
+// Complete sends one completion request and passes the chunks of the response to
+// onChunk in order. Cancelling ctx closes the stream.
+func (c *Client) Complete(ctx context.Context, address string, request CompletionRequest, onChunk func(text string)) CompletionOutcome {
 	request.Stream = true
 	body, err := json.Marshal(request)
 	if err != nil {
@@ -61,14 +61,14 @@
 	}
 	response, err := c.post(ctx, address, PathCompletions, body)
 	if err != nil {
-		return CompletionOutcome{MayHaveStarted: !neverConnected(err), Err: err}
+		return CompletionOutcome{MayHaveStarted: !failedBeforeSending(err), Err: err}
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
 		failure := readError(response)
 		return CompletionOutcome{MayHaveStarted: failure.Outcome != result.NotRun, Err: failure}
 	}
-	usage, err := readStream(response.Body, piece)
+	usage, err := readStream(response.Body, onChunk)
 	return CompletionOutcome{Usage: usage, MayHaveStarted: true, Err: err}
 }
 
@@ -77,17 +77,17 @@
 	if err != nil {
 		return nil, err
 	}
-	// Without GetBody the transport can't repeat a call by itself: a call that
-	// is not repeatable must be sent at most once.
+	// Without GetBody the transport cannot retry a request on its own: a
+	// non-repeatable request must be sent at most once.
 	request.GetBody = nil
 	request.Header.Set("Content-Type", "application/json")
-	return c.http.Do(request)
+	return c.httpClient.Do(request)
 }
 
-// neverConnected reports whether an error shows that nothing was sent.
-func neverConnected(err error) bool {
-	var operation *net.OpError
-	return errors.Is(err, syscall.ECONNREFUSED) || (errors.As(err, &operation) && operation.Op == "dial")
+// failedBeforeSending reports whether err proves that no part of the request was sent.
+func failedBeforeSending(err error) bool {
+	var opError *net.OpError
+	return errors.Is(err, syscall.ECONNREFUSED) || (errors.As(err, &opError) && opError.Op == "dial")
 }
 
 func readError(response *http.Response) *result.Error {
@@ -99,16 +99,16 @@
 	return body.Error
 }
 
-var errCutShort = errors.New("engine: the stream ended before its last event")
+var errTruncatedStream = errors.New("engine: stream ended before the [DONE] event")
 
-// readStream reads server-sent events up to [DONE].
-func readStream(stream io.Reader, piece func(string)) (program.Usage, error) {
+// readStream reads server-sent events up to the [DONE] event.
+func readStream(stream io.Reader, onChunk func(string)) (program.Usage, error) {
 	var usage program.Usage
 	scanner := bufio.NewScanner(stream)
 	scanner.Buffer(make([]byte, 0, 4096), maxEventBytes)
 	for scanner.Scan() {
-		data, ok := strings.CutPrefix(scanner.Text(), "data: ")
-		if !ok {
+		data, hasData := strings.CutPrefix(scanner.Text(), "data: ")
+		if !hasData {
 			continue
 		}
 		if data == "[DONE]" {
@@ -125,29 +125,29 @@
 			}
 		}
 		if len(chunk.Choices) > 0 && chunk.Choices[0].Delta != nil && chunk.Choices[0].Delta.Content != "" {
-			piece(chunk.Choices[0].Delta.Content)
+			onChunk(chunk.Choices[0].Delta.Content)
 		}
 	}
 	if err := scanner.Err(); err != nil {
 		return usage, err
 	}
-	return usage, errCutShort
+	return usage, errTruncatedStream
 }
 
-// State asks an engine about itself; held asks for the programs that it holds, too.
-func (c *Client) State(ctx context.Context, address string, held bool) (State, error) {
+// State fetches the state of an engine. withPrograms includes the list of cached programs.
+func (c *Client) State(ctx context.Context, address string, withPrograms bool) (State, error) {
 	var state State
-	ctx, cancel := context.WithTimeout(ctx, smallCallTimeout)
+	ctx, cancel := context.WithTimeout(ctx, controlCallTimeout)
 	defer cancel()
 	url := "http://" + address + PathState
-	if !held {
+	if !withPrograms {
 		url += "?held=false"
 	}
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return state, err
 	}
-	response, err := c.http.Do(request)
+	response, err := c.httpClient.Do(request)
 	if err != nil {
 		return state, err
 	}
@@ -159,22 +159,22 @@
 	return state, json.Unmarshal(raw, &state)
 }
 
-// SendOrder gives an engine a fenced order.
+// SendOrder sends a fenced order to an engine.
 func (c *Client) SendOrder(ctx context.Context, address string, order Order) error {
-	return c.small(ctx, address, PathOrders, order)
+	return c.postMessage(ctx, address, PathOrders, order)
 }
 
-// ReleasePrograms tells an engine to drop programs.
+// ReleasePrograms instructs an engine to drop the KV cache of programs.
 func (c *Client) ReleasePrograms(ctx context.Context, address string, programs []string) error {
-	return c.small(ctx, address, PathRelease, ReleaseRequest{Programs: programs})
+	return c.postMessage(ctx, address, PathRelease, ReleaseRequest{Programs: programs})
 }
 
-func (c *Client) small(ctx context.Context, address, path string, message any) error {
+func (c *Client) postMessage(ctx context.Context, address, path string, message any) error {
 	body, err := json.Marshal(message)
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(ctx, smallCallTimeout)
+	ctx, cancel := context.WithTimeout(ctx, controlCallTimeout)
 	defer cancel()
 	response, err := c.post(ctx, address, path, body)
 	if err != nil {
