--- a/internal/emulator/answer.go
+++ b/internal/emulator/answer.go
@@ -11,17 +11,19 @@
 )
 
 const (
-	tokenBytes       = 4
-	defaultOutput    = 32
-	minimumOutput    = 8
-	answerSystemText = "assistant"
+	bytesPerToken       = 4
+	defaultOutputTokens = 32
+	minOutputTokens     = 8
+	assistantRole       = "assistant"
 )
 
-// outputDirective in a caller's last message sets the length of the answer, as
-// "#out=120"; ochrebay treats it as text like any other.
+// outputDirective matches a directive such as "#out=120" in the last message of a
+// conversation, which sets the length of the response in tokens. Only the emulator
+// interprets it; ochrebay treats it as ordinary text.
 var outputDirective = regexp.MustCompile(`#out=(\d+)`)
 
-// Prompt is a conversation prepared for the model.
+// Prompt is a conversation prepared for the model, together with the response
+// that the model will generate for it.
 type Prompt struct {
 	Segments           []Segment
 	Digest             uint64
@@ -30,48 +32,50 @@
 	DigestWithResponse uint64
 }
 
-// NewPrompt prepares messages; the answer depends on them alone, so that any
-// engine gives the same one, and its first words tell what the engine saw.
+// NewPrompt prepares messages for the model. The response depends only on the
+// messages and maxTokens, so every engine generates the same one. It starts with
+// the digest and the length of the conversation, so a caller can check which
+// conversation the engine received.
 func NewPrompt(messages []program.Message, maxTokens int64) Prompt {
-	prompt := Prompt{OutputTokens: defaultOutput}
+	prompt := Prompt{OutputTokens: defaultOutputTokens}
 	for _, message := range messages {
 		prompt.Digest = program.ChainDigest(prompt.Digest, message)
 		prompt.Segments = append(prompt.Segments, Segment{PrefixDigest: prompt.Digest, Tokens: engine.CountTokens(message.Content)})
 	}
 	if len(messages) > 0 {
-		found := outputDirective.FindStringSubmatch(messages[len(messages)-1].Content)
-		if found != nil {
-			prompt.OutputTokens, _ = strconv.ParseInt(found[1], 10, 64)
+		match := outputDirective.FindStringSubmatch(messages[len(messages)-1].Content)
+		if match != nil {
+			prompt.OutputTokens, _ = strconv.ParseInt(match[1], 10, 64)
 		}
 	}
 	if maxTokens > 0 {
 		prompt.OutputTokens = min(prompt.OutputTokens, maxTokens)
 	}
-	prompt.OutputTokens = max(prompt.OutputTokens, minimumOutput)
+	prompt.OutputTokens = max(prompt.OutputTokens, minOutputTokens)
 	prompt.Response = ResponseText(prompt.Digest, len(messages), prompt.OutputTokens)
-	prompt.DigestWithResponse = program.ChainDigest(prompt.Digest, program.Message{Role: answerSystemText, Content: prompt.Response})
+	prompt.DigestWithResponse = program.ChainDigest(prompt.Digest, program.Message{Role: assistantRole, Content: prompt.Response})
 	return prompt
 }
 
-// ResponseText is the answer of an engine that saw a conversation of the given
-// digest and length; it is exactly outputTokens long.
+// ResponseText returns the response to a conversation with the given digest and
+// number of messages. Its length is exactly outputTokens.
 func ResponseText(digest uint64, messages int, outputTokens int64) string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "saw %016x of %04d ", digest, messages)
 	state := digest
-	for int64(text.Len()) < outputTokens*tokenBytes {
+	for int64(text.Len()) < outputTokens*bytesPerToken {
 		state = state*6364136223846793005 + 1442695040888963407
 		word := state >> 40
-		for range tokenBytes - 1 {
+		for range bytesPerToken - 1 {
 			text.WriteByte(byte('a' + word%26))
 			word /= 26
 		}
 		text.WriteByte(' ')
 	}
-	return text.String()[:outputTokens*tokenBytes]
+	return text.String()[:outputTokens*bytesPerToken]
 }
 
-// pieceOf returns the part of an answer between two counts of tokens.
-func pieceOf(answer string, from, to int64) string {
-	return answer[from*tokenBytes : to*tokenBytes]
+// chunkText returns the part of a response from token from up to, excluding, token to.
+func chunkText(answer string, from, to int64) string {
+	return answer[from*bytesPerToken : to*bytesPerToken]
 }
--- a/internal/emulator/engine.go
+++ b/internal/emulator/engine.go
@@ -23,79 +23,81 @@
 )
 
 const (
-	streamQueue      = 4096
-	weightsTimeout   = 5 * time.Second
-	maxRequestBytes  = 64 << 20
-	stepPollInterval = 200 * time.Microsecond
+	streamQueueLength = 4096
+	weightsTimeout    = 5 * time.Second
+	maxRequestBytes   = 64 << 20
+	minTimerWait      = 200 * time.Microsecond
 )
 
-// Engine is the HTTP stand-in for one model engine, in real time.
+// Engine emulates one model engine behind an HTTP interface, in real time.
 type Engine struct {
-	process config.Process
-	logger  log.Logger
-	monitor *telemetry.Monitor
-	started time.Time
+	process   config.Process
+	logger    log.Logger
+	monitor   *telemetry.Monitor
+	startedAt time.Time
 
-	mutex   sync.Mutex
-	model   *Model
-	streams map[string]*stream
-	wake    chan struct{}
-	target  reconcile.Target
-	fence   reconcile.Fence
-	loading bool
-	nextID  uint64
-	// reported is the state as it was up to LagMs ago.
-	reported   engine.State
-	reportedAt time.Time
-	served     map[string]int
+	mutex     sync.Mutex
+	model     *Model
+	streams   map[string]*stream
+	wake      chan struct{}
+	target    reconcile.Target
+	fence     reconcile.Fence
+	isLoading bool
+	lastID    uint64
+	// reported is the state returned to callers; it is refreshed only when it is
+	// older than the configured ReportDelayMs or after an order or a release.
+	reported    engine.State
+	reportedAt  time.Time
+	startCounts map[string]int
 }
 
 type stream struct {
-	prompt  Prompt
-	sent    int64
-	pieces  chan streamPiece
-	created int64
+	prompt      Prompt
+	sentTokens  int64
+	chunks      chan streamChunk
+	createdUnix int64
 }
 
-type streamPiece struct {
-	text string
-	last *engine.Usage
+type streamChunk struct {
+	text       string
+	finalUsage *engine.Usage
 }
 
-// NewEngine returns an engine that serves no model until it is ordered to.
+// NewEngine returns an engine that serves no model until it receives an order.
 func NewEngine(process config.Process, logger log.Logger) *Engine {
-	stand := &Engine{
-		process: process, logger: logger, started: time.Now(),
+	emulated := &Engine{
+		process: process, logger: logger, startedAt: time.Now(),
 		model:   NewModel(WithSlowdown(HardwareByName(process.Emulator.Hardware), process.Emulator.Slowdown)),
-		streams: map[string]*stream{}, wake: make(chan struct{}, 1), served: map[string]int{},
+		streams: map[string]*stream{}, wake: make(chan struct{}, 1), startCounts: map[string]int{},
 	}
-	stand.monitor = telemetry.NewMonitor(stand.serving)
-	stand.monitor.RegisterGauge("emulated_held_tokens", "KV memory held, tokens.", func() float64 {
-		stand.mutex.Lock()
-		defer stand.mutex.Unlock()
-		return float64(stand.model.Hardware().KVCacheCapacityTokens - stand.model.FreeKVCacheTokens())
+	emulated.monitor = telemetry.NewMonitor(emulated.isServing)
+	emulated.monitor.RegisterGauge("emulated_held_tokens", "KV memory held, tokens.", func() float64 {
+		emulated.mutex.Lock()
+		defer emulated.mutex.Unlock()
+		return float64(emulated.model.Hardware().KVCacheCapacityTokens - emulated.model.FreeKVCacheTokens())
 	})
-	return stand
+	return emulated
 }
 
-// serving reports whether the engine has a model and is not loading another.
-func (e *Engine) serving() bool {
+// isServing reports whether the engine has loaded a model and is not loading another one.
+func (e *Engine) isServing() bool {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	return e.target.Model != "" && !e.loading
+	return e.target.Model != "" && !e.isLoading
 }
 
+// nowUs returns the virtual time since the engine was created, in microseconds.
 func (e *Engine) nowUs() int64 {
-	return int64(float64(time.Since(e.started).Microseconds()) * e.process.Emulator.TimeScale)
+	return int64(float64(time.Since(e.startedAt).Microseconds()) * e.process.Emulator.TimeScale)
 }
 
-// Run serves until ctx ends.
+// Run serves requests until ctx is cancelled.
 func (e *Engine) Run(ctx context.Context) error {
 	go e.runModel(ctx)
 	return serveHTTP(ctx, e.process, e.logger, e.serve)
 }
 
-// serveHTTP runs one stand-in's HTTP server until ctx ends.
+// serveHTTP runs the HTTP server of one emulated process until ctx is cancelled.
 func serveHTTP(ctx context.Context, process config.Process, logger log.Logger, handler fasthttp.RequestHandler) error {
 	listener, err := net.Listen("tcp", process.Listen.HTTP)
 	if err != nil {
@@ -106,36 +108,36 @@
 		Handler: handler, MaxRequestBodySize: maxRequestBytes, NoDefaultServerHeader: true, StreamRequestBody: false,
 		CloseOnShutdown: true,
 	}
-	failed := make(chan error, 1)
-	go func() { failed <- server.Serve(listener) }()
+	serveError := make(chan error, 1)
+	go func() { serveError <- server.Serve(listener) }()
 	select {
 	case <-ctx.Done():
-		bounded, cancel := context.WithTimeout(context.Background(), weightsTimeout)
+		shutdownContext, cancel := context.WithTimeout(context.Background(), weightsTimeout)
 		defer cancel()
-		err := server.ShutdownWithContext(bounded)
+		err := server.ShutdownWithContext(shutdownContext)
 		if errors.Is(err, context.DeadlineExceeded) {
 			return nil
 		}
 		return err
-	case err := <-failed:
+	case err := <-serveError:
 		return err
 	}
 }
 
-// runModel advances the model in real time.
+// runModel advances the model in real time until ctx is cancelled.
 func (e *Engine) runModel(ctx context.Context) {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
 	for {
 		e.mutex.Lock()
-		e.advance()
-		next, busy := e.model.StepEndUs()
+		e.advanceModel()
+		stepEndUs, isRunning := e.model.StepEndUs()
 		wait := time.Hour
-		if busy {
-			wait = time.Duration(float64(next-e.nowUs())/e.process.Emulator.TimeScale) * time.Microsecond
+		if isRunning {
+			wait = time.Duration(float64(stepEndUs-e.nowUs())/e.process.Emulator.TimeScale) * time.Microsecond
 		}
 		e.mutex.Unlock()
-		timer.Reset(max(wait, stepPollInterval))
+		timer.Reset(max(wait, minTimerWait))
 		select {
 		case <-ctx.Done():
 			return
@@ -145,30 +147,31 @@
 	}
 }
 
-func (e *Engine) advance() {
+func (e *Engine) advanceModel() {
 	for _, progress := range e.model.Advance(e.nowUs()) {
-		open, ok := e.streams[progress.ID]
+		current, ok := e.streams[progress.ID]
 		if !ok {
 			continue
 		}
-		piece := streamPiece{text: pieceOf(open.prompt.Response, open.sent, progress.GeneratedTokens)}
-		open.sent = progress.GeneratedTokens
+		chunk := streamChunk{text: chunkText(current.prompt.Response, current.sentTokens, progress.GeneratedTokens)}
+		current.sentTokens = progress.GeneratedTokens
 		if progress.IsDone {
-			piece.last = usageOf(progress)
+			chunk.finalUsage = newUsage(progress)
 			delete(e.streams, progress.ID)
 		}
 		select {
-		case open.pieces <- piece:
+		case current.chunks <- chunk:
 		default:
-			// A reader that has stopped reading is cut off.
+			// The chunk queue is full because the client has stopped reading:
+			// cancel the job and close the stream.
 			e.model.Cancel(progress.ID)
 			delete(e.streams, progress.ID)
-			close(open.pieces)
+			close(current.chunks)
 		}
 	}
 }
 
-func usageOf(progress Progress) *engine.Usage {
+func newUsage(progress Progress) *engine.Usage {
 	return &engine.Usage{
 		PromptTokens: progress.PromptTokens, CompletionTokens: progress.GeneratedTokens,
 		TotalTokens:         progress.PromptTokens + progress.GeneratedTokens,
@@ -190,7 +193,7 @@
 	case engine.PathRelease:
 		e.serveRelease(ctx)
 	case "/v1/emulator/served":
-		e.serveServed(ctx)
+		e.serveStartCounts(ctx)
 	default:
 		writeError(ctx, result.New(result.NotFound, "no path %s", ctx.Path()))
 	}
@@ -219,7 +222,7 @@
 		writeError(ctx, result.New(result.MalformedRequest, "%v", err))
 		return
 	}
-	id, open, failure := e.submit(request)
+	id, current, failure := e.submit(request)
 	if failure != nil {
 		writeError(ctx, failure)
 		return
@@ -227,27 +230,28 @@
 	ctx.SetContentType("text/event-stream")
 	ctx.SetBodyStreamWriter(func(writer *bufio.Writer) {
 		defer e.cancel(id)
-		e.writeStream(writer, request.Model, id, open)
+		e.writeStream(writer, request.Model, id, current)
 	})
 }
 
-// submit starts a call; its failures all mean that the call did not start.
+// submit starts a request. Every error that it returns means that the request
+// did not start.
 func (e *Engine) submit(request engine.CompletionRequest) (string, *stream, *result.Error) {
 	prompt := NewPrompt(request.Messages, request.MaxTokens)
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	if e.loading || e.target.Model == "" || request.Model != e.target.Model {
+	if e.isLoading || e.target.Model == "" || request.Model != e.target.Model {
 		return "", nil, result.New(result.EngineRefused, "engine serves %q, not %q", e.target.Model, request.Model)
 	}
-	e.nextID++
-	id := fmt.Sprintf("%s-%d", e.process.Name, e.nextID)
-	open := &stream{prompt: prompt, pieces: make(chan streamPiece, streamQueue), created: time.Now().Unix()}
-	e.served[request.RequestID]++
+	e.lastID++
+	id := fmt.Sprintf("%s-%d", e.process.Name, e.lastID)
+	current := &stream{prompt: prompt, chunks: make(chan streamChunk, streamQueueLength), createdUnix: time.Now().Unix()}
+	e.startCounts[request.RequestID]++
 	if e.process.Emulator.RespondsInstantly {
-		open.pieces <- streamPiece{text: prompt.Response, last: &engine.Usage{CompletionTokens: prompt.OutputTokens}}
-		return id, open, nil
+		current.chunks <- streamChunk{text: prompt.Response, finalUsage: &engine.Usage{CompletionTokens: prompt.OutputTokens}}
+		return id, current, nil
 	}
-	e.streams[id] = open
+	e.streams[id] = current
 	e.model.Submit(Job{
 		ID: id, Program: request.User, Priority: request.Priority, Segments: prompt.Segments,
 		OutputTokens: prompt.OutputTokens, DigestWithResponse: prompt.DigestWithResponse,
@@ -256,7 +260,7 @@
 	case e.wake <- struct{}{}:
 	default:
 	}
-	return id, open, nil
+	return id, current, nil
 }
 
 func (e *Engine) cancel(id string) {
@@ -268,15 +272,15 @@
 	}
 }
 
-func (e *Engine) writeStream(writer *bufio.Writer, model, id string, open *stream) {
-	for piece := range open.pieces {
+func (e *Engine) writeStream(writer *bufio.Writer, model, id string, current *stream) {
+	for next := range current.chunks {
 		chunk := engine.Chunk{
-			ID: id, Object: "chat.completion.chunk", Created: open.created, Model: model,
-			Choices: []engine.Choice{{Delta: &engine.Delta{Content: piece.text}}}, Usage: piece.last,
+			ID: id, Object: "chat.completion.chunk", Created: current.createdUnix, Model: model,
+			Choices: []engine.Choice{{Delta: &engine.Delta{Content: next.text}}}, Usage: next.finalUsage,
 		}
 		raw, _ := json.Marshal(chunk)
 		_, _ = fmt.Fprintf(writer, "data: %s\n\n", raw)
-		if piece.last != nil {
+		if next.finalUsage != nil {
 			_, _ = writer.WriteString("data: [DONE]\n\n")
 			_ = writer.Flush()
 			return
@@ -290,11 +294,11 @@
 func (e *Engine) serveState(ctx *fasthttp.RequestCtx) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	lag := time.Duration(float64(e.process.Emulator.ReportDelayMs)/e.process.Emulator.TimeScale) * time.Millisecond
-	if time.Since(e.reportedAt) > lag {
+	reportDelay := time.Duration(float64(e.process.Emulator.ReportDelayMs)/e.process.Emulator.TimeScale) * time.Millisecond
+	if time.Since(e.reportedAt) > reportDelay {
 		running, waiting := e.model.JobCounts()
 		e.reported = engine.State{
-			Name: e.process.Name, Ready: e.target.Model != "" && !e.loading, Loading: e.loading, Target: e.target,
+			Name: e.process.Name, Ready: e.target.Model != "" && !e.isLoading, Loading: e.isLoading, Target: e.target,
 			Fence: e.fence, Running: running, Waiting: waiting, CachedPrograms: e.model.CachedPrograms(),
 			Hardware: e.model.Hardware(), FreeKVCacheTokens: e.model.FreeKVCacheTokens(),
 		}
@@ -321,28 +325,29 @@
 		return
 	}
 	e.fence = order.Fence
-	if order.Target != e.target && !e.loading {
-		e.loading = true
+	if order.Target != e.target && !e.isLoading {
+		e.isLoading = true
 		e.reportedAt = time.Time{}
-		go e.load(order.Target)
+		go e.loadModel(order.Target)
 	}
 	writeJSON(ctx, map[string]bool{"accepted": true})
 }
 
-// load fetches the weights at the weight store's pace and serves the new target.
-func (e *Engine) load(target reconcile.Target) {
+// loadModel fetches the weights at the rate of the weight store and then serves
+// the new target.
+func (e *Engine) loadModel(target reconcile.Target) {
 	telemetry.Info(e.logger, "loading", "model", target.Model, "adapter", target.Adapter, "version", target.Version)
 	if err := e.fetchWeights(target); err != nil {
-		telemetry.Warn(e.logger, "load failed", "model", target.Model, "err", err)
+		telemetry.Warn(e.logger, "model load failed", "model", target.Model, "err", err)
 		e.mutex.Lock()
-		e.loading = false
+		e.isLoading = false
 		e.reportedAt = time.Time{}
 		e.mutex.Unlock()
 		return
 	}
 	e.mutex.Lock()
 	e.target = target
-	e.loading = false
+	e.isLoading = false
 	e.model.ClearCache()
 	e.reportedAt = time.Time{}
 	e.mutex.Unlock()
@@ -358,9 +363,9 @@
 	if err != nil {
 		return err
 	}
-	var slot weightSlot
+	var slot weightLoadSlot
 	if err := json.Unmarshal(body, &slot); err != nil || status != fasthttp.StatusOK {
-		return errorx.IllegalState.New("weight store answered with status %d", status)
+		return errorx.IllegalState.New("weight store returned status %d", status)
 	}
 	time.Sleep(time.Duration(slot.WaitMs) * time.Millisecond)
 	return nil
@@ -381,15 +386,16 @@
 	writeJSON(ctx, map[string]int{"released": len(request.Programs)})
 }
 
-// serveServed tells tests how often each request was started here.
-func (e *Engine) serveServed(ctx *fasthttp.RequestCtx) {
+// serveStartCounts returns how often each request was started on this engine, by
+// request ID. Tests use it to detect duplicate execution.
+func (e *Engine) serveStartCounts(ctx *fasthttp.RequestCtx) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	writeJSON(ctx, e.served)
+	writeJSON(ctx, e.startCounts)
 }
 
-// ResponsePrefix returns the first words of the answer to a conversation, by which a
-// caller checks what the engine saw.
+// ResponsePrefix returns the start of the response to a conversation. Callers
+// compare it with a response to check which conversation the engine received.
 func ResponsePrefix(messages []program.Message) string {
 	var digest uint64
 	for _, message := range messages {
--- a/internal/emulator/hardware.go
+++ b/internal/emulator/hardware.go
@@ -1,13 +1,13 @@
-// Package emulator holds the stand-ins for what ochrebay doesn't own: model
-// engines, the weight store, tools and the platform's list of machines. Model is
-// the engine in virtual time, used alike by the HTTP stand-in, the simulator and
-// the experiments (design section 11).
+// Package emulator emulates the external systems that ochrebay depends on: model
+// engines, the weight store, tool services and the platform's instance list.
+// Model simulates an engine in virtual time; the HTTP emulator, the simulator and
+// the experiments share it (design section 11).
 package emulator
 
 import "github.com/ochrebay/ochrebay/internal/engine"
 
-// HardwareProfiles is the table of engines. The figures and their sources stand in
-// docs/design/0003-engine-model.md.
+// HardwareProfiles maps names to hardware profiles. The figures and their sources
+// are documented in docs/design/0003-engine-model.md.
 var HardwareProfiles = map[string]engine.Hardware{
 	"new": {
 		Name: "new", PrefillTokensPerSecond: 24_700, BaseStepMicros: 4_800, StepMicrosPerSequence: 30,
@@ -26,7 +26,8 @@
 	},
 }
 
-// HardwareByName returns an entry of the table, the one named new by default.
+// HardwareByName returns the profile with the given name, or the profile "new" if
+// there is none with that name.
 func HardwareByName(name string) engine.Hardware {
 	hardware, ok := HardwareProfiles[name]
 	if !ok {
@@ -35,15 +36,16 @@
 	return hardware
 }
 
-// WithSlowdown returns hardware on which everything takes a number of times longer; 0 is 1.
-func WithSlowdown(hardware engine.Hardware, slowness float64) engine.Hardware {
-	if slowness <= 0 {
+// WithSlowdown returns hardware on which every operation takes slowdown times as
+// long. A slowdown of 0 or less leaves the hardware unchanged.
+func WithSlowdown(hardware engine.Hardware, slowdown float64) engine.Hardware {
+	if slowdown <= 0 {
 		return hardware
 	}
-	times := func(value int64) int64 { return int64(float64(value) * slowness) }
-	hardware.PrefillTokensPerSecond = max(int64(float64(hardware.PrefillTokensPerSecond)/slowness), 1)
-	hardware.BaseStepMicros = times(hardware.BaseStepMicros)
-	hardware.StepMicrosPerSequence = times(hardware.StepMicrosPerSequence)
-	hardware.ContextNanosPerToken = times(hardware.ContextNanosPerToken)
+	multiply := func(value int64) int64 { return int64(float64(value) * slowdown) }
+	hardware.PrefillTokensPerSecond = max(int64(float64(hardware.PrefillTokensPerSecond)/slowdown), 1)
+	hardware.BaseStepMicros = multiply(hardware.BaseStepMicros)
+	hardware.StepMicrosPerSequence = multiply(hardware.StepMicrosPerSequence)
+	hardware.ContextNanosPerToken = multiply(hardware.ContextNanosPerToken)
 	return hardware
 }
--- a/internal/emulator/hardware_test.go
+++ b/internal/emulator/hardware_test.go
@@ -7,9 +7,9 @@
 )
 
 func TestSlowed(t *testing.T) {
-	Convey("a job takes as many times longer as the engine is slower", t, func() {
-		took := func(slowness float64) int64 {
-			model := NewModel(WithSlowdown(HardwareByName("new"), slowness))
+	Convey("the duration of a job is proportional to the slowdown of the engine", t, func() {
+		finishTimeUs := func(slowdown float64) int64 {
+			model := NewModel(WithSlowdown(HardwareByName("new"), slowdown))
 			model.Submit(Job{ID: "a", Segments: []Segment{{PrefixDigest: 1, Tokens: 5_000}}, OutputTokens: 50, DigestWithResponse: 2}, 0)
 			for nowUs := int64(0); ; nowUs += 100 {
 				for _, step := range model.Advance(nowUs) {
@@ -19,8 +19,8 @@
 				}
 			}
 		}
-		So(took(0), ShouldEqual, took(1))
-		So(float64(took(2.2))/float64(took(1)), ShouldAlmostEqual, 2.2, 0.05)
-		So(float64(took(0.5))/float64(took(1)), ShouldAlmostEqual, 0.5, 0.05)
+		So(finishTimeUs(0), ShouldEqual, finishTimeUs(1))
+		So(float64(finishTimeUs(2.2))/float64(finishTimeUs(1)), ShouldAlmostEqual, 2.2, 0.05)
+		So(float64(finishTimeUs(0.5))/float64(finishTimeUs(1)), ShouldAlmostEqual, 0.5, 0.05)
 	})
 }
--- a/internal/emulator/hollow.go
+++ b/internal/emulator/hollow.go
@@ -19,197 +19,205 @@
 )
 
 const (
-	// hollowPoll is how often a run looks whether what it waits for has come about.
-	hollowPoll = 20 * time.Millisecond
-	// hollowRetry is how long an engine waits after a report that was not acknowledged.
-	hollowRetry = 250 * time.Millisecond
-	hollowSlots = 6
+	// fleetPollInterval is how often a run checks the condition that it waits for.
+	fleetPollInterval = 20 * time.Millisecond
+	// reportRetryDelay is how long an engine waits after an unacknowledged report. An
+	// engine that waits for its next report also checks at this interval whether it
+	// has to report a drain.
+	reportRetryDelay = 250 * time.Millisecond
+	slotsPerEngine   = 6
 )
 
-// EmulatedFleet plays the control traffic of a large fleet against real control processes: engines
-// that report, and gateways that follow the fleet, in one process and without requests.
+// EmulatedFleet generates the control-plane traffic of a large fleet against real control
+// processes: engines that send reports and gateways that follow the fleet. It runs in one
+// process and sends no model requests.
 type EmulatedFleet struct {
-	// ControlAddresses are the control processes' addresses for engines, Seeds their inner addresses.
+	// ControlAddresses are the addresses at which the control processes accept engine reports.
 	ControlAddresses []string
-	SeedAddresses    []string
-	EngineCount      int
-	GatewayCount     int
-	ZoneCount        int
-	// EnginesPerGateway is how many engines each gateway is to be told of, 0 where any number will do that
-	// all of them have.
+	// SeedAddresses are the internal addresses of the control processes.
+	SeedAddresses []string
+	EngineCount   int
+	GatewayCount  int
+	ZoneCount     int
+	// EnginesPerGateway is the number of engines that each gateway must have in its view. 0
+	// accepts any number, provided that it is the same for all gateways.
 	EnginesPerGateway int
-	// HeartbeatInterval is the time between two reports of an engine, Steady how long the fleet is
-	// watched once it is complete.
+	// HeartbeatInterval is the time between two reports of an engine.
 	HeartbeatInterval time.Duration
-	SteadyDuration    time.Duration
-	// SendReport carries an engine's report to a control process.
+	// SteadyDuration is how long the complete fleet is observed in steady state.
+	SteadyDuration time.Duration
+	// SendReport sends an engine's report to a control process.
 	SendReport func(ctx context.Context, control string, engine membership.ServingEngine) error
 	Out        io.Writer
 	Logger     log.Logger
 
-	reports  atomic.Int64
-	failed   atomic.Int64
-	answers  atomic.Int64
-	draining sync.Map
-	reported sync.Map
-	views    []atomic.Pointer[membership.FleetView]
+	sentReports         atomic.Int64
+	failedReports       atomic.Int64
+	viewUpdates         atomic.Int64
+	drainingEngines     sync.Map
+	acknowledgedEngines sync.Map
+	gatewayViews        []atomic.Pointer[membership.FleetView]
 }
 
-// Run registers the engines, has the gateways follow, watches for a while, drains one
-// advertised engine, and prints what each step took. It returns an error where a step did
-// not come about before ctx ended.
+// Run registers the engines, starts the gateways, observes the fleet in steady state, drains
+// one advertised engine, and prints how long each step took. It returns an error if a step did
+// not complete before ctx was cancelled.
 func (h *EmulatedFleet) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	group := daemon.NewTaskGroup()
-	h.views = make([]atomic.Pointer[membership.FleetView], h.GatewayCount)
+	h.gatewayViews = make([]atomic.Pointer[membership.FleetView], h.GatewayCount)
 	for number := range h.EngineCount {
-		group.Go(func(ctx context.Context) error { return h.engine(ctx, number) })
+		group.Go(func(ctx context.Context) error { return h.runEngine(ctx, number) })
 	}
 	for number := range h.GatewayCount {
-		group.Go(h.gateway(number).Run)
+		group.Go(h.newGatewayFollower(number).Run)
 	}
-	ended := make(chan error, 1)
-	go func() { ended <- group.Wait(ctx, func(context.Context) {}) }()
-	err := h.steps(ctx)
+	groupEnded := make(chan error, 1)
+	go func() { groupEnded <- group.Wait(ctx, func(context.Context) {}) }()
+	err := h.runSteps(ctx)
 	cancel()
-	<-ended
+	<-groupEnded
 	return err
 }
 
-func (h *EmulatedFleet) steps(ctx context.Context) error {
-	if err := h.await(ctx, "engines registered", func() bool { return h.registered() == h.EngineCount }); err != nil {
+func (h *EmulatedFleet) runSteps(ctx context.Context) error {
+	if err := h.waitFor(ctx, "engines registered", func() bool { return h.registeredCount() == h.EngineCount }); err != nil {
 		return err
 	}
-	if err := h.await(ctx, "every gateway follows", h.followed); err != nil {
+	if err := h.waitFor(ctx, "every gateway follows", h.allGatewaysFollow); err != nil {
 		return err
 	}
-	h.watch(ctx)
-	victim := h.anyAdvertised()
-	h.draining.Store(victim, true)
-	return h.await(ctx, "a draining engine withdrawn everywhere", func() bool { return !h.advertised(victim) })
+	h.observeSteadyState(ctx)
+	victim := h.anyAdvertisedEngine()
+	h.drainingEngines.Store(victim, true)
+	return h.waitFor(ctx, "a draining engine withdrawn everywhere", func() bool { return !h.isAdvertised(victim) })
 }
 
-// await waits until a step has come about and prints how long that took.
-func (h *EmulatedFleet) await(ctx context.Context, step string, done func() bool) error {
-	began := time.Now()
-	failedBefore := h.failed.Load()
-	for !done() {
+// waitFor waits until isDone reports that a step is complete and prints how long that took.
+func (h *EmulatedFleet) waitFor(ctx context.Context, step string, isDone func() bool) error {
+	startedAt := time.Now()
+	failedBefore := h.failedReports.Load()
+	for !isDone() {
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("emulator: %s: not within %s", step, time.Since(began).Round(time.Millisecond))
-		case <-time.After(hollowPoll):
+			return fmt.Errorf("emulator: step %q: not complete after %s", step, time.Since(startedAt).Round(time.Millisecond))
+		case <-time.After(fleetPollInterval):
 		}
 	}
-	_, err := fmt.Fprintf(h.Out, "%-40s %8s  reports not acknowledged %d\n", step, time.Since(began).Round(time.Millisecond), h.failed.Load()-failedBefore)
+	_, err := fmt.Fprintf(h.Out, "%-40s %8s  reports not acknowledged %d\n", step, time.Since(startedAt).Round(time.Millisecond), h.failedReports.Load()-failedBefore)
 	return err
 }
 
-// watch prints what a fleet costs in which nothing happens.
-func (h *EmulatedFleet) watch(ctx context.Context) {
-	reports, failed, answers := h.reports.Load(), h.failed.Load(), h.answers.Load()
+// observeSteadyState prints the control traffic of a fleet in which no engine changes state.
+func (h *EmulatedFleet) observeSteadyState(ctx context.Context) {
+	sentBefore, failedBefore, updatesBefore := h.sentReports.Load(), h.failedReports.Load(), h.viewUpdates.Load()
 	select {
 	case <-ctx.Done():
 	case <-time.After(h.SteadyDuration):
 	}
-	fmt.Fprintf(h.Out, "%-40s %8s  reports %d, not acknowledged %d, answers with news %d, engines known to a gateway %d\n", "nothing happens", h.SteadyDuration,
-		h.reports.Load()-reports, h.failed.Load()-failed, h.answers.Load()-answers, len(h.views[0].Load().Engines))
+	fmt.Fprintf(h.Out, "%-40s %8s  reports %d, not acknowledged %d, updates of gateways %d, engines known to a gateway %d\n", "steady state", h.SteadyDuration,
+		h.sentReports.Load()-sentBefore, h.failedReports.Load()-failedBefore, h.viewUpdates.Load()-updatesBefore, len(h.gatewayViews[0].Load().Engines))
 }
 
-func (h *EmulatedFleet) registered() int {
+func (h *EmulatedFleet) registeredCount() int {
 	count := 0
-	h.reported.Range(func(any, any) bool {
+	h.acknowledgedEngines.Range(func(any, any) bool {
 		count++
 		return true
 	})
 	return count
 }
 
-// followed reports whether every gateway knows as many engines as it should, or where that is
-// not said, as any other.
-func (h *EmulatedFleet) followed() bool {
-	known := h.EnginesPerGateway
-	for number := range h.views {
-		view := h.views[number].Load()
+// allGatewaysFollow reports whether the view of every gateway contains EnginesPerGateway engines
+// or, if that is 0, whether all views contain the same nonzero number of engines.
+func (h *EmulatedFleet) allGatewaysFollow() bool {
+	expected := h.EnginesPerGateway
+	for number := range h.gatewayViews {
+		view := h.gatewayViews[number].Load()
 		if view == nil || len(view.Engines) == 0 {
 			return false
 		}
-		if known == 0 {
-			known = len(view.Engines)
+		if expected == 0 {
+			expected = len(view.Engines)
 		}
-		if len(view.Engines) != known {
+		if len(view.Engines) != expected {
 			return false
 		}
 	}
 	return true
 }
 
-func (h *EmulatedFleet) anyAdvertised() string {
-	for id := range h.views[0].Load().Engines {
+func (h *EmulatedFleet) anyAdvertisedEngine() string {
+	for id := range h.gatewayViews[0].Load().Engines {
 		return id
 	}
 	return ""
 }
 
-func (h *EmulatedFleet) advertised(engine string) bool {
-	for number := range h.views {
-		if _, known := h.views[number].Load().Engines[engine]; known {
+func (h *EmulatedFleet) isAdvertised(engineID string) bool {
+	for number := range h.gatewayViews {
+		if _, known := h.gatewayViews[number].Load().Engines[engineID]; known {
 			return true
 		}
 	}
 	return false
 }
 
-func (h *EmulatedFleet) zone(number int) string { return fmt.Sprint("zone-", number%h.ZoneCount) }
+// zoneOf returns the zone of the engine or gateway with the given number.
+func (h *EmulatedFleet) zoneOf(number int) string { return fmt.Sprint("zone-", number%h.ZoneCount) }
 
-// engine reports one engine until ctx ends.
-func (h *EmulatedFleet) engine(ctx context.Context, number int) error {
+// runEngine sends the reports of one engine until ctx is cancelled.
+func (h *EmulatedFleet) runEngine(ctx context.Context, number int) error {
 	engine := membership.ServingEngine{
-		ID: fmt.Sprintf("engine-%06d", number), Backend: "hollow", Zone: h.zone(number), Slots: hollowSlots,
+		ID: fmt.Sprintf("engine-%06d", number), Backend: "hollow", Zone: h.zoneOf(number), Slots: slotsPerEngine,
 		Address: fmt.Sprintf("127.%d.%d.%d:9", 100+number>>16, number>>8&0xff, number&0xff),
 	}
-	// Engines start together and report evenly from then on.
-	pause := rand.N(h.HeartbeatInterval)
+	// All engines send their first report at once; the random first delay spreads the
+	// reports evenly over the heartbeat interval from then on.
+	delay := rand.N(h.HeartbeatInterval)
 	for ctx.Err() == nil {
 		engine.Sequence++
-		_, engine.Draining = h.draining.Load(engine.ID)
-		h.reports.Add(1)
+		_, engine.Draining = h.drainingEngines.Load(engine.ID)
+		h.sentReports.Add(1)
 		if err := h.SendReport(ctx, h.ControlAddresses[rand.IntN(len(h.ControlAddresses))], engine); err != nil {
-			h.failed.Add(1)
-			pause = hollowRetry
+			h.failedReports.Add(1)
+			delay = reportRetryDelay
 		} else {
-			h.reported.Store(engine.ID, true)
+			h.acknowledgedEngines.Store(engine.ID, true)
 		}
-		for waited := time.Duration(0); waited < pause && ctx.Err() == nil && h.drainTold(engine); waited += hollowRetry {
+		for waited := time.Duration(0); waited < delay && ctx.Err() == nil && h.isDrainingReported(engine); waited += reportRetryDelay {
 			select {
 			case <-ctx.Done():
-			case <-time.After(min(hollowRetry, pause-waited)):
+			case <-time.After(min(reportRetryDelay, delay-waited)):
 			}
 		}
-		pause = h.HeartbeatInterval
+		delay = h.HeartbeatInterval
 	}
 	return ctx.Err()
 }
 
-// drainTold reports whether an engine has said all that it has to.
-func (h *EmulatedFleet) drainTold(engine membership.ServingEngine) bool {
-	_, draining := h.draining.Load(engine.ID)
+// isDrainingReported reports whether the last report of engine carried its current draining
+// state. If not, the engine must report at once.
+func (h *EmulatedFleet) isDrainingReported(engine membership.ServingEngine) bool {
+	_, draining := h.drainingEngines.Load(engine.ID)
 	return draining == engine.Draining
 }
 
-// gateway returns the link to control of one gateway that has no callers.
-func (h *EmulatedFleet) gateway(number int) *daemon.Follower {
+// newGatewayFollower returns the follower through which one gateway without callers tracks
+// the fleet.
+func (h *EmulatedFleet) newGatewayFollower(number int) *daemon.Follower {
 	follower := daemon.NewFollower(h.SeedAddresses, h.Logger)
 	follower.WithRouting = true
 	follower.OnEngineLoads = func([]scheduling.EngineLoad, []string) {}
 	follower.FillReport = func(request *protocol.FleetSync) {
 		request.Gateway = &membership.Gateway{
-			Name: fmt.Sprintf("hollow-%04d", number), Zone: h.zone(number), Region: "hollow",
+			Name: fmt.Sprintf("hollow-%04d", number), Zone: h.zoneOf(number), Region: "hollow",
 			Address: fmt.Sprintf("127.99.%d.%d:9", number>>8, number&0xff), IsReady: true,
 		}
 	}
 	follower.OnUpdate = func(view *membership.FleetView, _ *routing.Table) {
-		h.answers.Add(1)
-		h.views[number].Store(view)
+		h.viewUpdates.Add(1)
+		h.gatewayViews[number].Store(view)
 	}
 	return follower
 }
--- a/internal/emulator/model.go
+++ b/internal/emulator/model.go
@@ -7,69 +7,70 @@
 	"github.com/ochrebay/ochrebay/internal/engine"
 )
 
-// Segment is a stretch of a prompt that is cached whole: one message. Chain
-// identifies the prompt up to and with the segment.
+// Segment is the unit of the prefix cache: one message of a prompt. PrefixDigest
+// identifies the prompt up to and including the segment.
 type Segment struct {
 	PrefixDigest uint64
 	Tokens       int64
 }
 
-// Job is one call as the engine model sees it.
+// Job is one request to the engine model.
 type Job struct {
 	ID      string
 	Program string
-	// Priority orders jobs; lower is more urgent.
+	// Priority orders jobs; a lower value is more urgent.
 	Priority int
 	Segments []Segment
-	// OutputTokens is how long the answer will be; no scheduler sees it.
+	// OutputTokens is the length of the response. It is hidden from schedulers.
 	OutputTokens int64
-	// DigestWithResponse identifies the prompt with the answer appended.
+	// DigestWithResponse identifies the prompt followed by the response.
 	DigestWithResponse uint64
 }
 
-// Progress is what a job has reached at the end of a step.
+// Progress is the progress of a job at the end of a step that generated a token for it.
 type Progress struct {
 	ID string
-	// GeneratedTokens counts the answer's tokens so far.
+	// GeneratedTokens is the number of response tokens generated so far.
 	GeneratedTokens int64
 	IsDone          bool
-	// CachedTokens is how much of the prompt was in the cache at the start.
+	// CachedTokens is the number of prompt tokens in the cache when the job first started.
 	CachedTokens int64
 	PromptTokens int64
 }
 
 type sequence struct {
-	job       Job
-	arrivedUs int64
-	order     uint64
-	prompt    int64
-	cached    int64
-	// everCached is what the first start found; preemption doesn't change it.
-	everCached int64
-	started    bool
-	prefilled  int64
-	generated  int64
-	// private counts the tokens of KV memory that only this sequence uses.
-	private int64
+	job          Job
+	arrivedUs    int64
+	arrivalOrder uint64
+	promptTokens int64
+	cachedTokens int64
+	// initiallyCachedTokens is the value of cachedTokens at the first start; a
+	// restart after a preemption does not change it.
+	initiallyCachedTokens int64
+	hasStarted            bool
+	prefilledTokens       int64
+	generatedTokens       int64
+	// privateTokens is the number of KV-cache tokens that only this sequence uses.
+	privateTokens int64
 }
 
-// Model is an engine with continuous batching (Orca, OSDI 2022), chunked prefill
-// (Sarathi-Serve, OSDI 2024) and a prefix cache in limited memory (vLLM, SOSP
+// Model simulates an engine with continuous batching (Orca, OSDI 2022), chunked
+// prefill (Sarathi-Serve, OSDI 2024) and a prefix cache of limited size (vLLM, SOSP
 // 2023; SGLang's RadixAttention, 2024). Times are virtual microseconds.
 type Model struct {
-	hardware engine.Hardware
-	cache    *prefixCache
-	waiting  []*sequence
-	running  []*sequence
-	order    uint64
-	stepEnd  int64
-	inStep   bool
-	// chunk is what each running sequence prefills in the present step.
-	chunk map[*sequence]int64
-
-	// PrefilledTokens counts all prompt tokens computed, and RepeatedTokens those
-	// that this engine or another had computed for the same program before; the
-	// caller adds to the latter what it knows.
+	hardware         engine.Hardware
+	cache            *prefixCache
+	waiting          []*sequence
+	running          []*sequence
+	lastArrivalOrder uint64
+	stepEndUs        int64
+	isStepping       bool
+	// prefillChunks holds the number of tokens that each running sequence prefills
+	// in the current step.
+	prefillChunks map[*sequence]int64
+
+	// PrefilledTokens counts all tokens computed by prefill, including those
+	// recomputed after a preemption.
 	PrefilledTokens int64
 	Preemptions     int64
 	BusyMicros      int64
@@ -77,156 +78,161 @@
 
 // NewModel returns an idle engine.
 func NewModel(hardware engine.Hardware) *Model {
-	return &Model{hardware: hardware, cache: newPrefixCache(), chunk: map[*sequence]int64{}}
+	return &Model{hardware: hardware, cache: newPrefixCache(), prefillChunks: map[*sequence]int64{}}
 }
 
-// Hardware returns what the engine runs on.
+// Hardware returns the hardware that the engine runs on.
 func (m *Model) Hardware() engine.Hardware { return m.hardware }
 
-// JobCounts returns how many jobs run and wait.
+// JobCounts returns the numbers of running and waiting jobs.
 func (m *Model) JobCounts() (running, waiting int) { return len(m.running), len(m.waiting) }
 
-// FreeKVCacheTokens returns the KV memory that nothing holds.
-func (m *Model) FreeKVCacheTokens() int64 { return m.hardware.KVCacheCapacityTokens - m.used() }
+// FreeKVCacheTokens returns the unused KV-cache capacity in tokens.
+func (m *Model) FreeKVCacheTokens() int64 { return m.hardware.KVCacheCapacityTokens - m.usedTokens() }
 
-// CachedPrograms returns the programs whose cache is held, with their tokens, in ascending
-// order of name.
-func (m *Model) CachedPrograms() []engine.CachedProgram { return m.cache.held() }
+// CachedPrograms returns the programs in the prefix cache with their token counts, in
+// ascending order of program ID.
+func (m *Model) CachedPrograms() []engine.CachedProgram { return m.cache.cachedPrograms() }
 
-// Submit queues a job.
+// Submit adds a job to the wait queue and starts a step if the engine is idle.
 func (m *Model) Submit(job Job, nowUs int64) {
-	m.order++
-	prompt := int64(0)
+	m.lastArrivalOrder++
+	promptTokens := int64(0)
 	for _, segment := range job.Segments {
-		prompt += segment.Tokens
+		promptTokens += segment.Tokens
 	}
-	m.waiting = append(m.waiting, &sequence{job: job, arrivedUs: nowUs, order: m.order, prompt: prompt})
-	if !m.inStep {
+	m.waiting = append(m.waiting, &sequence{job: job, arrivedUs: nowUs, arrivalOrder: m.lastArrivalOrder, promptTokens: promptTokens})
+	if !m.isStepping {
 		m.beginStep(nowUs)
 	}
 }
 
-// Cancel drops a job and what only it holds.
+// Cancel removes a job and frees the KV-cache tokens that only this job uses.
 func (m *Model) Cancel(id string) {
 	matches := func(s *sequence) bool { return s.job.ID == id }
 	for _, sequence := range m.running {
 		if matches(sequence) {
 			m.cache.unpin(sequence.job.Segments)
-			delete(m.chunk, sequence)
+			delete(m.prefillChunks, sequence)
 		}
 	}
 	m.running = slices.DeleteFunc(m.running, matches)
 	m.waiting = slices.DeleteFunc(m.waiting, matches)
 }
 
-// ReleaseProgram drops the cache of a program that no job of it uses.
+// ReleaseProgram drops the cached segments of a program that no running job uses.
 func (m *Model) ReleaseProgram(program string) {
-	m.cache.release(program)
+	m.cache.releaseProgram(program)
 }
 
-// ClearCache drops the whole cache, as a load of another model does.
+// ClearCache drops the whole prefix cache, as loading another model does.
 func (m *Model) ClearCache() {
 	m.cache = newPrefixCache()
 }
 
-// StepEndUs returns when the present step ends; false where the engine is idle.
+// StepEndUs returns the time at which the current step ends; it returns false if the
+// engine is idle.
 func (m *Model) StepEndUs() (int64, bool) {
-	return m.stepEnd, m.inStep
+	return m.stepEndUs, m.isStepping
 }
 
-// Advance carries out every step that ends by nowUs.
+// Advance executes every step that ends at or before nowUs and returns the progress of
+// the jobs.
 func (m *Model) Advance(nowUs int64) []Progress {
 	var progress []Progress
-	for m.inStep && m.stepEnd <= nowUs {
+	for m.isStepping && m.stepEndUs <= nowUs {
 		progress = append(progress, m.endStep()...)
-		m.beginStep(m.stepEnd)
+		m.beginStep(m.stepEndUs)
 	}
 	return progress
 }
 
-func (m *Model) used() int64 {
+func (m *Model) usedTokens() int64 {
 	total := m.cache.tokens
 	for _, sequence := range m.running {
-		total += sequence.private
+		total += sequence.privateTokens
 	}
 	return total
 }
 
-// beginStep admits jobs, plans chunks and sets the step's end.
+// beginStep admits waiting jobs, plans the prefill chunks and sets the end of the step.
 func (m *Model) beginStep(nowUs int64) {
-	m.admit()
-	m.inStep = len(m.running) > 0
-	if !m.inStep {
+	m.admitWaiting()
+	m.isStepping = len(m.running) > 0
+	if !m.isStepping {
 		return
 	}
-	clear(m.chunk)
-	budget := m.hardware.MaxPrefillTokensPerStep
-	prefill := int64(0)
-	context := int64(0)
+	clear(m.prefillChunks)
+	prefillBudget := m.hardware.MaxPrefillTokensPerStep
+	prefillTokens := int64(0)
+	contextTokens := int64(0)
 	for _, sequence := range m.running {
-		remaining := sequence.prompt + sequence.generated - sequence.cached - sequence.prefilled
+		remaining := sequence.promptTokens + sequence.generatedTokens - sequence.cachedTokens - sequence.prefilledTokens
 		if remaining > 0 {
-			part := min(remaining, budget)
-			m.chunk[sequence] = part
-			budget -= part
-			prefill += part
+			chunkTokens := min(remaining, prefillBudget)
+			m.prefillChunks[sequence] = chunkTokens
+			prefillBudget -= chunkTokens
+			prefillTokens += chunkTokens
 			continue
 		}
-		context += sequence.prompt + sequence.generated
+		contextTokens += sequence.promptTokens + sequence.generatedTokens
 	}
-	micros := m.hardware.BaseStepMicros + int64(len(m.running))*m.hardware.StepMicrosPerSequence +
-		context*m.hardware.ContextNanosPerToken/1000 + prefill*1_000_000/m.hardware.PrefillTokensPerSecond
-	m.BusyMicros += micros
-	m.PrefilledTokens += prefill
-	m.stepEnd = nowUs + micros
+	stepMicros := m.hardware.BaseStepMicros + int64(len(m.running))*m.hardware.StepMicrosPerSequence +
+		contextTokens*m.hardware.ContextNanosPerToken/1000 + prefillTokens*1_000_000/m.hardware.PrefillTokensPerSecond
+	m.BusyMicros += stepMicros
+	m.PrefilledTokens += prefillTokens
+	m.stepEndUs = nowUs + stepMicros
 }
 
-// admit starts waiting jobs in order of priority, then arrival, while memory and
-// batch have room; a more urgent job may preempt a less urgent one.
-func (m *Model) admit() {
+// admitWaiting starts waiting jobs by priority, then by order of arrival, while the KV
+// cache and the batch have capacity. A more urgent job may preempt a less urgent one.
+func (m *Model) admitWaiting() {
 	slices.SortStableFunc(m.waiting, func(a, b *sequence) int {
 		if a.job.Priority != b.job.Priority {
 			return a.job.Priority - b.job.Priority
 		}
-		return int(int64(a.order) - int64(b.order))
+		return int(int64(a.arrivalOrder) - int64(b.arrivalOrder))
 	})
 	for len(m.waiting) > 0 {
-		next := m.waiting[0]
-		for !m.fits(next) {
-			if !m.preemptFor(next) {
+		candidate := m.waiting[0]
+		for !m.makeRoomFor(candidate) {
+			if !m.preemptFor(candidate) {
 				return
 			}
 		}
 		m.waiting = m.waiting[1:]
-		m.start(next)
+		m.startSequence(candidate)
 	}
 }
 
-// fits makes room in the cache where that is enough for the job.
-func (m *Model) fits(next *sequence) bool {
+// makeRoomFor reports whether the job fits into the batch and the KV cache, evicting
+// unused cached segments as needed.
+func (m *Model) makeRoomFor(candidate *sequence) bool {
 	if len(m.running) >= m.hardware.MaxSequences {
 		return false
 	}
-	cached := m.cache.match(next.job.Segments)
-	need := next.prompt - cached + next.job.OutputTokens
-	if need > m.hardware.KVCacheCapacityTokens {
-		// A job that can never fit runs alone with all the memory.
+	cachedTokens := m.cache.cachedPrefixTokens(candidate.job.Segments)
+	neededTokens := candidate.promptTokens - cachedTokens + candidate.job.OutputTokens
+	if neededTokens > m.hardware.KVCacheCapacityTokens {
+		// A job that exceeds the KV-cache capacity runs alone.
 		return len(m.running) == 0
 	}
-	m.cache.pin(next.job.Segments)
-	free := m.cache.evict(need - m.FreeKVCacheTokens())
-	m.cache.unpin(next.job.Segments)
-	return free || m.FreeKVCacheTokens() >= need
+	m.cache.pin(candidate.job.Segments)
+	hasEvicted := m.cache.evict(neededTokens - m.FreeKVCacheTokens())
+	m.cache.unpin(candidate.job.Segments)
+	return hasEvicted || m.FreeKVCacheTokens() >= neededTokens
 }
 
-func (m *Model) preemptFor(next *sequence) bool {
+// preemptFor preempts the least urgent running job that is less urgent than the
+// candidate, the latest arrival among equals. It reports whether there was one.
+func (m *Model) preemptFor(candidate *sequence) bool {
 	victim := -1
 	for position, running := range m.running {
-		if running.job.Priority <= next.job.Priority {
+		if running.job.Priority <= candidate.job.Priority {
 			continue
 		}
 		if victim < 0 || running.job.Priority > m.running[victim].job.Priority ||
-			(running.job.Priority == m.running[victim].job.Priority && running.order > m.running[victim].order) {
+			(running.job.Priority == m.running[victim].job.Priority && running.arrivalOrder > m.running[victim].arrivalOrder) {
 			victim = position
 		}
 	}
@@ -236,87 +242,87 @@
 	preempted := m.running[victim]
 	m.running = slices.Delete(m.running, victim, victim+1)
 	m.cache.unpin(preempted.job.Segments)
-	preempted.cached = 0
-	preempted.prefilled = 0
-	preempted.private = 0
+	preempted.cachedTokens = 0
+	preempted.prefilledTokens = 0
+	preempted.privateTokens = 0
 	m.Preemptions++
 	m.waiting = append(m.waiting, preempted)
 	return true
 }
 
-func (m *Model) start(next *sequence) {
-	next.cached = m.cache.match(next.job.Segments)
-	m.cache.pin(next.job.Segments)
-	if !next.started {
-		next.started = true
-		next.everCached = next.cached
+func (m *Model) startSequence(candidate *sequence) {
+	candidate.cachedTokens = m.cache.cachedPrefixTokens(candidate.job.Segments)
+	m.cache.pin(candidate.job.Segments)
+	if !candidate.hasStarted {
+		candidate.hasStarted = true
+		candidate.initiallyCachedTokens = candidate.cachedTokens
 	}
-	next.private = next.prompt - next.cached + next.job.OutputTokens
-	m.running = append(m.running, next)
+	candidate.privateTokens = candidate.promptTokens - candidate.cachedTokens + candidate.job.OutputTokens
+	m.running = append(m.running, candidate)
 }
 
-// endStep moves every running sequence on by its chunk or by one token.
+// endStep advances every running sequence by its prefill chunk or by one generated token.
 func (m *Model) endStep() []Progress {
 	var progress []Progress
-	var still []*sequence
+	var stillRunning []*sequence
 	for _, sequence := range m.running {
-		remaining := sequence.prompt + sequence.generated - sequence.cached - sequence.prefilled
-		part := m.chunk[sequence]
-		sequence.prefilled += part
-		if remaining > part {
-			still = append(still, sequence)
+		remaining := sequence.promptTokens + sequence.generatedTokens - sequence.cachedTokens - sequence.prefilledTokens
+		chunkTokens := m.prefillChunks[sequence]
+		sequence.prefilledTokens += chunkTokens
+		if remaining > chunkTokens {
+			stillRunning = append(stillRunning, sequence)
 			continue
 		}
-		sequence.generated++
-		if part == 0 {
-			sequence.prefilled++
+		sequence.generatedTokens++
+		if chunkTokens == 0 {
+			sequence.prefilledTokens++
 		}
-		done := sequence.generated >= sequence.job.OutputTokens
+		done := sequence.generatedTokens >= sequence.job.OutputTokens
 		progress = append(progress, Progress{
-			ID: sequence.job.ID, GeneratedTokens: sequence.generated, IsDone: done,
-			CachedTokens: sequence.everCached, PromptTokens: sequence.prompt,
+			ID: sequence.job.ID, GeneratedTokens: sequence.generatedTokens, IsDone: done,
+			CachedTokens: sequence.initiallyCachedTokens, PromptTokens: sequence.promptTokens,
 		})
 		if !done {
-			still = append(still, sequence)
+			stillRunning = append(stillRunning, sequence)
 			continue
 		}
-		m.finish(sequence)
+		m.finishSequence(sequence)
 	}
-	m.running = still
+	m.running = stillRunning
 	return progress
 }
 
-// finish leaves the prompt and the answer in the cache.
-func (m *Model) finish(done *sequence) {
-	m.cache.unpin(done.job.Segments)
-	segments := append(slices.Clone(done.job.Segments), Segment{PrefixDigest: done.job.DigestWithResponse, Tokens: done.job.OutputTokens})
-	m.cache.insert(done.job.Program, segments)
+// finishSequence stores the prompt and the response of a finished sequence in the cache.
+func (m *Model) finishSequence(finished *sequence) {
+	m.cache.unpin(finished.job.Segments)
+	segments := append(slices.Clone(finished.job.Segments), Segment{PrefixDigest: finished.job.DigestWithResponse, Tokens: finished.job.OutputTokens})
+	m.cache.insert(finished.job.Program, segments)
 	m.cache.evict(m.cache.tokens - m.hardware.KVCacheCapacityTokens)
 }
 
-// prefixCache is a tree of segments, evicted leaf first, least recent first.
+// prefixCache is a tree of segments. It evicts the least recently used leaf first.
 type prefixCache struct {
-	nodes  map[uint64]*cacheNode
-	tokens int64
-	clock  uint64
+	nodes       map[uint64]*cacheNode
+	tokens      int64
+	accessClock uint64
 }
 
 type cacheNode struct {
-	chain    uint64
-	parent   uint64
-	tokens   int64
-	program  string
-	children int
-	pins     int
-	used     uint64
+	digest       uint64
+	parentDigest uint64
+	tokens       int64
+	program      string
+	childCount   int
+	pinCount     int
+	lastUsed     uint64
 }
 
 func newPrefixCache() *prefixCache {
 	return &prefixCache{nodes: map[uint64]*cacheNode{}}
 }
 
-// match returns how many tokens of a prompt are cached, from its start.
-func (c *prefixCache) match(segments []Segment) int64 {
+// cachedPrefixTokens returns the length in tokens of the longest cached prefix of a prompt.
+func (c *prefixCache) cachedPrefixTokens(segments []Segment) int64 {
 	var tokens int64
 	for _, segment := range segments {
 		if _, ok := c.nodes[segment.PrefixDigest]; !ok {
@@ -324,101 +330,102 @@
 		}
 		tokens += segment.Tokens
 	}
-	// The last token is always computed, to have something to sample from.
+	// The last prompt token is always computed, because the first response token is
+	// sampled from its output.
 	if len(segments) > 0 && tokens > 0 && c.nodes[segments[len(segments)-1].PrefixDigest] != nil {
 		tokens--
 	}
 	return tokens
 }
 
-func (c *prefixCache) pin(segments []Segment)   { c.count(segments, 1) }
-func (c *prefixCache) unpin(segments []Segment) { c.count(segments, -1) }
+func (c *prefixCache) pin(segments []Segment)   { c.adjustPins(segments, 1) }
+func (c *prefixCache) unpin(segments []Segment) { c.adjustPins(segments, -1) }
 
-func (c *prefixCache) count(segments []Segment, by int) {
-	c.clock++
+func (c *prefixCache) adjustPins(segments []Segment, delta int) {
+	c.accessClock++
 	for _, segment := range segments {
 		node, ok := c.nodes[segment.PrefixDigest]
 		if !ok {
 			return
 		}
-		node.pins = max(0, node.pins+by)
-		node.used = c.clock
+		node.pinCount = max(0, node.pinCount+delta)
+		node.lastUsed = c.accessClock
 	}
 }
 
 func (c *prefixCache) insert(program string, segments []Segment) {
-	c.clock++
-	parent := uint64(0)
+	c.accessClock++
+	parentDigest := uint64(0)
 	for _, segment := range segments {
 		node, ok := c.nodes[segment.PrefixDigest]
 		if !ok {
-			node = &cacheNode{chain: segment.PrefixDigest, parent: parent, tokens: segment.Tokens, program: program}
+			node = &cacheNode{digest: segment.PrefixDigest, parentDigest: parentDigest, tokens: segment.Tokens, program: program}
 			c.nodes[segment.PrefixDigest] = node
 			c.tokens += segment.Tokens
-			if above, ok := c.nodes[parent]; ok {
-				above.children++
+			if parentNode, ok := c.nodes[parentDigest]; ok {
+				parentNode.childCount++
 			}
 		}
-		node.used = c.clock
-		parent = segment.PrefixDigest
+		node.lastUsed = c.accessClock
+		parentDigest = segment.PrefixDigest
 	}
 }
 
 func (c *prefixCache) remove(node *cacheNode) {
-	delete(c.nodes, node.chain)
+	delete(c.nodes, node.digest)
 	c.tokens -= node.tokens
-	if above, ok := c.nodes[node.parent]; ok {
-		above.children--
+	if parentNode, ok := c.nodes[node.parentDigest]; ok {
+		parentNode.childCount--
 	}
 }
 
-// evict drops at least the given tokens where it can, and reports whether it
-// could.
+// evict drops unpinned leaves that hold at least the given number of tokens in total,
+// and reports whether there were enough of them.
 func (c *prefixCache) evict(tokens int64) bool {
 	if tokens <= 0 {
 		return true
 	}
-	goal := c.tokens - tokens
-	for c.tokens > goal {
-		oldest := c.oldestLeaf()
-		if oldest == nil {
+	targetTokens := c.tokens - tokens
+	for c.tokens > targetTokens {
+		leaf := c.leastRecentLeaf()
+		if leaf == nil {
 			return false
 		}
-		c.remove(oldest)
+		c.remove(leaf)
 	}
 	return true
 }
 
-func (c *prefixCache) oldestLeaf() *cacheNode {
-	var oldest *cacheNode
+func (c *prefixCache) leastRecentLeaf() *cacheNode {
+	var leastRecent *cacheNode
 	for _, node := range c.nodes {
-		if node.children > 0 || node.pins > 0 {
+		if node.childCount > 0 || node.pinCount > 0 {
 			continue
 		}
-		if oldest == nil || node.used < oldest.used || (node.used == oldest.used && node.chain < oldest.chain) {
-			oldest = node
+		if leastRecent == nil || node.lastUsed < leastRecent.lastUsed || (node.lastUsed == leastRecent.lastUsed && node.digest < leastRecent.digest) {
+			leastRecent = node
 		}
 	}
-	return oldest
+	return leastRecent
 }
 
-// release drops a program's segments, leaves first.
-func (c *prefixCache) release(program string) {
+// releaseProgram drops the unpinned segments of a program, leaves first.
+func (c *prefixCache) releaseProgram(program string) {
 	for {
-		dropped := false
+		hasRemoved := false
 		for _, node := range c.nodes {
-			if node.program == program && node.children == 0 && node.pins == 0 {
+			if node.program == program && node.childCount == 0 && node.pinCount == 0 {
 				c.remove(node)
-				dropped = true
+				hasRemoved = true
 			}
 		}
-		if !dropped {
+		if !hasRemoved {
 			return
 		}
 	}
 }
 
-func (c *prefixCache) held() []engine.CachedProgram {
+func (c *prefixCache) cachedPrograms() []engine.CachedProgram {
 	tokens := map[string]int64{}
 	for _, node := range c.nodes {
 		tokens[node.program] += node.tokens
--- a/internal/emulator/platform.go
+++ b/internal/emulator/platform.go
@@ -16,26 +16,27 @@
 	"github.com/ochrebay/ochrebay/internal/telemetry"
 )
 
-// WeightStore is the stand-in for the rate-limited weight store. It hands out slots:
-// each load waits until all loads before it have had the store's rate.
+// WeightStore emulates the rate-limited weight store. It assigns time slots: each
+// load waits until its own transfer and all earlier ones have completed at the
+// rate of the store.
 type WeightStore struct {
-	process config.Process
-	logger  log.Logger
-	monitor *telemetry.Monitor
-	mutex   sync.Mutex
-	freeAt  time.Time
+	process     config.Process
+	logger      log.Logger
+	monitor     *telemetry.Monitor
+	mutex       sync.Mutex
+	availableAt time.Time
 }
 
-type weightSlot struct {
+type weightLoadSlot struct {
 	WaitMs int64 `json:"wait_ms"`
 }
 
-// NewWeightStore returns an idle weight store.
+// NewWeightStore returns a weight store without pending loads.
 func NewWeightStore(process config.Process, logger log.Logger) *WeightStore {
 	return &WeightStore{process: process, logger: logger, monitor: telemetry.NewMonitor(func() bool { return true })}
 }
 
-// Run serves until ctx ends.
+// Run serves requests until ctx is cancelled.
 func (w *WeightStore) Run(ctx context.Context) error {
 	return serveHTTP(ctx, w.process, w.logger, w.serve)
 }
@@ -52,40 +53,40 @@
 	seconds := float64(size) / float64(w.process.Emulator.BytesPerSecond) / w.process.Emulator.TimeScale
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	if now := time.Now(); w.freeAt.Before(now) {
-		w.freeAt = now
+	if now := time.Now(); w.availableAt.Before(now) {
+		w.availableAt = now
 	}
-	w.freeAt = w.freeAt.Add(time.Duration(seconds * float64(time.Second)))
-	writeJSON(ctx, weightSlot{WaitMs: time.Until(w.freeAt).Milliseconds()})
+	w.availableAt = w.availableAt.Add(time.Duration(seconds * float64(time.Second)))
+	writeJSON(ctx, weightLoadSlot{WaitMs: time.Until(w.availableAt).Milliseconds()})
 }
 
-// ToolServices is the stand-in for tool services: a call answers after a pause, or
-// never.
+// ToolServices emulates tool services. A call returns after the requested duration,
+// or hangs.
 type ToolServices struct {
 	process config.Process
 	logger  log.Logger
 	monitor *telemetry.Monitor
 }
 
-// ToolRequest asks for a tool; the caller says how long the real one would take.
+// ToolRequest is a call of a tool. The caller sets how long the real tool would take.
 type ToolRequest struct {
 	DurationMs int64  `json:"pause_ms"`
 	Hangs      bool   `json:"hang"`
 	Argument   string `json:"argument"`
 }
 
-// ToolReply is what a tool found.
+// ToolReply is the result of a tool call.
 type ToolReply struct {
 	Tool   string `json:"tool"`
 	Result string `json:"result"`
 }
 
-// NewToolServices returns the tool services.
+// NewToolServices returns emulated tool services.
 func NewToolServices(process config.Process, logger log.Logger) *ToolServices {
 	return &ToolServices{process: process, logger: logger, monitor: telemetry.NewMonitor(func() bool { return true })}
 }
 
-// Run serves until ctx ends.
+// Run serves requests until ctx is cancelled.
 func (t *ToolServices) Run(ctx context.Context) error {
 	return serveHTTP(ctx, t.process, t.logger, t.serve)
 }
@@ -100,57 +101,57 @@
 		writeError(ctx, result.New(result.MalformedRequest, "POST /v1/tools/NAME takes a tool request"))
 		return
 	}
-	pause := time.Duration(float64(request.DurationMs)/t.process.Emulator.TimeScale) * time.Millisecond
+	delay := time.Duration(float64(request.DurationMs)/t.process.Emulator.TimeScale) * time.Millisecond
 	if request.Hangs {
-		pause = time.Hour
+		delay = time.Hour
 	}
 	select {
-	case <-time.After(pause):
+	case <-time.After(delay):
 	case <-ctx.Done():
 	}
 	writeJSON(ctx, ToolReply{Tool: name, Result: "result of " + name + " for " + request.Argument})
 }
 
-// Platform is the stand-in for the platform's list of live and leaving machines;
-// what it shows is LagMs old.
+// Platform emulates the platform's list of live and leaving instances. Changes
+// become visible in the list ReportDelayMs after they were made.
 type Platform struct {
-	process config.Process
-	logger  log.Logger
-	monitor *telemetry.Monitor
-	mutex   sync.Mutex
-	now     map[string]membership.Instance
-	shown   []membership.Instance
-	changed []change
+	process           config.Process
+	logger            log.Logger
+	monitor           *telemetry.Monitor
+	mutex             sync.Mutex
+	instances         map[string]membership.Instance
+	reportedInstances []membership.Instance
+	pendingChanges    []instanceChange
 }
 
-type change struct {
-	at   time.Time
-	list []membership.Instance
+type instanceChange struct {
+	at        time.Time
+	instances []membership.Instance
 }
 
-// NewPlatform returns a platform that shows the configured instances.
+// NewPlatform returns a platform that lists the configured instances.
 func NewPlatform(process config.Process, logger log.Logger) *Platform {
 	platform := &Platform{
-		process: process, logger: logger, now: map[string]membership.Instance{},
+		process: process, logger: logger, instances: map[string]membership.Instance{},
 		monitor: telemetry.NewMonitor(func() bool { return true }),
 	}
 	for _, instance := range process.Emulator.Instances {
-		platform.now[instance.Name] = membership.Instance{
+		platform.instances[instance.Name] = membership.Instance{
 			Name: instance.Name, Zone: instance.Zone, Address: instance.Address, Pool: instance.Pool,
 		}
 	}
-	platform.shown = platform.list()
+	platform.reportedInstances = platform.listInstances()
 	return platform
 }
 
-// Run serves until ctx ends.
+// Run serves requests until ctx is cancelled.
 func (p *Platform) Run(ctx context.Context) error {
 	return serveHTTP(ctx, p.process, p.logger, p.serve)
 }
 
-func (p *Platform) list() []membership.Instance {
-	list := make([]membership.Instance, 0, len(p.now))
-	for _, instance := range p.now {
+func (p *Platform) listInstances() []membership.Instance {
+	list := make([]membership.Instance, 0, len(p.instances))
+	for _, instance := range p.instances {
 		list = append(list, instance)
 	}
 	return list
@@ -164,8 +165,8 @@
 	defer p.mutex.Unlock()
 	path := string(ctx.Path())
 	if path == "/v1/instances" && ctx.IsGet() {
-		p.showChanges()
-		writeJSON(ctx, map[string]any{"instances": p.shown})
+		p.applyDueChanges()
+		writeJSON(ctx, map[string]any{"instances": p.reportedInstances})
 		return
 	}
 	name, ok := strings.CutPrefix(path, "/v1/instances/")
@@ -176,27 +177,28 @@
 	p.serveChange(ctx, name)
 }
 
-// serveChange is how tests and people take machines away and bring them back.
+// serveChange removes or adds an instance. Tests and operators use it to emulate the
+// loss and the return of instances.
 func (p *Platform) serveChange(ctx *fasthttp.RequestCtx, name string) {
-	instance, known := p.now[name]
+	instance, exists := p.instances[name]
 	switch {
 	case ctx.IsDelete():
-		delete(p.now, name)
-	case ctx.IsPut() && json.Unmarshal(ctx.PostBody(), &instance) == nil && (known || instance.Address != ""):
+		delete(p.instances, name)
+	case ctx.IsPut() && json.Unmarshal(ctx.PostBody(), &instance) == nil && (exists || instance.Address != ""):
 		instance.Name = name
-		p.now[name] = instance
+		p.instances[name] = instance
 	default:
 		writeError(ctx, result.New(result.MalformedRequest, "PUT takes an instance; DELETE removes one"))
 		return
 	}
-	p.changed = append(p.changed, change{at: time.Now(), list: p.list()})
+	p.pendingChanges = append(p.pendingChanges, instanceChange{at: time.Now(), instances: p.listInstances()})
 	writeJSON(ctx, map[string]bool{"accepted": true})
 }
 
-func (p *Platform) showChanges() {
-	lag := time.Duration(p.process.Emulator.ReportDelayMs) * time.Millisecond
-	for len(p.changed) > 0 && time.Since(p.changed[0].at) >= lag {
-		p.shown = p.changed[0].list
-		p.changed = p.changed[1:]
+func (p *Platform) applyDueChanges() {
+	reportDelay := time.Duration(p.process.Emulator.ReportDelayMs) * time.Millisecond
+	for len(p.pendingChanges) > 0 && time.Since(p.pendingChanges[0].at) >= reportDelay {
+		p.reportedInstances = p.pendingChanges[0].instances
+		p.pendingChanges = p.pendingChanges[1:]
 	}
 }
