--- a/internal/workload/client.go
+++ b/internal/workload/client.go
@@ -19,11 +19,11 @@
 )
 
 const (
-	idleConnections = 512
-	maxEventBytes   = 1 << 20
+	maxIdleConnsPerHost = 512
+	maxEventBytes       = 1 << 20
 )
 
-// Call is one call as a caller makes it.
+// Call is one request of a caller to a sidecar.
 type Call struct {
 	Service      string
 	Messages     []program.Message
@@ -39,36 +39,37 @@
 	MaxTokens    int64
 }
 
-// Reply is what the caller got.
+// Reply is the response that a caller received.
 type Reply struct {
 	Program string
 	Content string
 	Usage   engine.Usage
 	Error   *result.Error
-	// TimeToFirstToken and Total are times since the call was sent; Gaps are the times
-	// between parts of the answer.
+	// TimeToFirstToken and TotalTime are measured from the sending of the call.
+	// ChunkGaps are the times between successive chunks of the response.
 	TimeToFirstToken time.Duration
 	TotalTime        time.Duration
 	ChunkGaps        []time.Duration
-	// IsTruncated says that the stream ended without its closing event.
+	// IsTruncated is set if the stream ended without the [DONE] event.
 	IsTruncated bool
 }
 
-// Client calls one sidecar.
+// Client sends calls to one sidecar.
 type Client struct {
-	address string
-	http    *http.Client
+	address    string
+	httpClient *http.Client
 }
 
-// NewClient returns a client of the sidecar at IP:port.
+// NewClient returns a client of the sidecar at address, an IP:port.
 func NewClient(address string) *Client {
-	return &Client{address: address, http: &http.Client{Transport: &http.Transport{
-		MaxIdleConnsPerHost: idleConnections, DisableCompression: true,
+	return &Client{address: address, httpClient: &http.Client{Transport: &http.Transport{
+		MaxIdleConnsPerHost: maxIdleConnsPerHost, DisableCompression: true,
 	}}}
 }
 
-// Do makes a streaming call and reads the answer to its end. The error is of the
-// transport; what ochrebay answers is in the Reply.
+// Do sends a streaming call and reads the response to its end. The returned error
+// covers the transport and the decoding only; errors that ochrebay reports are in
+// Reply.Error.
 func (c *Client) Do(ctx context.Context, call Call) (Reply, error) {
 	started := time.Now()
 	body, err := json.Marshal(engine.CompletionRequest{
@@ -82,18 +83,18 @@
 		return Reply{}, err
 	}
 	setHeaders(request, call)
-	response, err := c.http.Do(request)
+	response, err := c.httpClient.Do(request)
 	if err != nil {
 		return Reply{}, err
 	}
 	defer response.Body.Close()
 	reply := Reply{Program: response.Header.Get(sidecar.HeaderProgram)}
 	if response.StatusCode != http.StatusOK {
-		reply.Error, err = readFailure(response.Body)
+		reply.Error, err = readError(response.Body)
 		reply.TotalTime = time.Since(started)
 		return reply, err
 	}
-	err = reply.read(response.Body, started)
+	err = reply.readStream(response.Body, started)
 	reply.TotalTime = time.Since(started)
 	return reply, err
 }
@@ -124,19 +125,20 @@
 	}
 }
 
-func readFailure(body io.Reader) (*result.Error, error) {
+func readError(body io.Reader) (*result.Error, error) {
 	var failure result.Body
 	if err := json.NewDecoder(body).Decode(&failure); err != nil {
 		return nil, err
 	}
 	if failure.Error == nil {
-		return nil, errors.New("workload: an error answer without an error")
+		return nil, errors.New("workload: error response has no error object")
 	}
 	return failure.Error, nil
 }
 
-// read takes the stream's events; a stream without [DONE] is cut.
-func (r *Reply) read(body io.Reader, started time.Time) error {
+// readStream reads the events of a stream. A stream without a [DONE] event is marked
+// as truncated.
+func (r *Reply) readStream(body io.Reader, started time.Time) error {
 	scanner := bufio.NewScanner(body)
 	scanner.Buffer(make([]byte, 0, 4096), maxEventBytes)
 	var text strings.Builder
@@ -180,7 +182,7 @@
 	return scanner.Err()
 }
 
-// FetchProgram reads a program's ledger entry as raw JSON.
+// FetchProgram returns the ledger entry of a program as raw JSON.
 func (c *Client) FetchProgram(ctx context.Context, id, tenant string) ([]byte, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+c.address+"/v1/programs/"+id, nil)
 	if err != nil {
@@ -189,7 +191,7 @@
 	if tenant != "" {
 		request.Header.Set(sidecar.HeaderTenant, tenant)
 	}
-	response, err := c.http.Do(request)
+	response, err := c.httpClient.Do(request)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/workload/closed.go
+++ b/internal/workload/closed.go
@@ -17,7 +17,8 @@
 	"github.com/ochrebay/ochrebay/internal/program"
 )
 
-// OverheadReport is what a closed loop of callers measured. Times are milliseconds.
+// OverheadReport holds the measurements of a closed loop of callers. Latencies are
+// in milliseconds.
 type OverheadReport struct {
 	Callers        int     `json:"callers"`
 	Calls          int64   `json:"calls"`
@@ -25,72 +26,76 @@
 	CallsPerSecond float64 `json:"calls_per_second"`
 	P50            float64 `json:"p50_ms"`
 	P99            float64 `json:"p99_ms"`
-	// DirectP50 and DirectP99 are the same calls sent to an engine directly.
+	// DirectP50 and DirectP99 are the latencies of the same calls sent directly to
+	// an engine.
 	DirectP50 float64 `json:"direct_p50_ms"`
 	DirectP99 float64 `json:"direct_p99_ms"`
-	// EntriesPerSecond and EntriesPerSync are of the busiest control process.
+	// EntriesPerSecond and EntriesPerSync are the highest rate of applied log entries
+	// and the highest number of entries per store sync over the control processes.
 	EntriesPerSecond float64 `json:"entries_per_second"`
 	EntriesPerSync   float64 `json:"entries_per_sync"`
 }
 
 const (
-	turnsPerProgram = 50
-	closedMaxMicros = 60_000_000
-	closedDigits    = 3
+	turnsPerProgram   = 50
+	maxLatencyMicros  = 60_000_000
+	significantDigits = 3
 )
 
-// closedLoop runs callers that each call again as soon as they are answered.
-func closedLoop(ctx context.Context, callers int, length time.Duration, call func(caller, number int) error) (*hdrhistogram.Histogram, int64) {
-	total := hdrhistogram.New(1, closedMaxMicros, closedDigits)
+// runClosedLoop runs concurrent callers that each send their next call as soon as the
+// previous one returns. It returns the latencies of the successful calls in
+// microseconds and the number of failed calls.
+func runClosedLoop(ctx context.Context, callers int, duration time.Duration, call func(caller, callNumber int) error) (*hdrhistogram.Histogram, int64) {
+	latency := hdrhistogram.New(1, maxLatencyMicros, significantDigits)
 	var failed int64
 	var mutex sync.Mutex
-	var group sync.WaitGroup
-	bounded, cancel := context.WithTimeout(ctx, length)
+	var waitGroup sync.WaitGroup
+	loopContext, cancel := context.WithTimeout(ctx, duration)
 	defer cancel()
 	for caller := range callers {
-		group.Add(1)
+		waitGroup.Add(1)
 		go func() {
-			defer group.Done()
-			own := hdrhistogram.New(1, closedMaxMicros, closedDigits)
-			var bad int64
-			for number := 0; bounded.Err() == nil; number++ {
-				begun := time.Now()
+			defer waitGroup.Done()
+			callerLatency := hdrhistogram.New(1, maxLatencyMicros, significantDigits)
+			var callerFailed int64
+			for number := 0; loopContext.Err() == nil; number++ {
+				sentAt := time.Now()
 				if call(caller, number) != nil {
-					bad++
+					callerFailed++
 					continue
 				}
-				_ = own.RecordValue(time.Since(begun).Microseconds())
+				_ = callerLatency.RecordValue(time.Since(sentAt).Microseconds())
 			}
 			mutex.Lock()
 			defer mutex.Unlock()
-			total.Merge(own)
-			failed += bad
+			latency.Merge(callerLatency)
+			failed += callerFailed
 		}()
 	}
-	group.Wait()
-	return total, failed
+	waitGroup.Wait()
+	return latency, failed
 }
 
-// MeasureOverhead sends calls through a sidecar and, for comparison, to an engine
-// directly. controls are the HTTP addresses of the control processes.
-func (d *Driver) MeasureOverhead(ctx context.Context, service, model, engineAddress string, controls []string, callers int, length time.Duration) (OverheadReport, error) {
+// MeasureOverhead sends calls through the sidecars and, for comparison, directly to an
+// engine. controlAddresses are the HTTP addresses of the control processes.
+func (d *Driver) MeasureOverhead(ctx context.Context, service, model, engineAddress string, controlAddresses []string, callers int, duration time.Duration) (OverheadReport, error) {
 	message := []program.Message{{Role: "user", Content: Text("path", 30, 8)}}
-	direct := engine.NewClient()
-	directTimes, _ := closedLoop(ctx, callers, length/4, func(int, int) error {
-		return direct.Complete(ctx, engineAddress, engine.CompletionRequest{Model: model, Messages: message}, func(string) {}).Err
+	engineClient := engine.NewClient()
+	directLatency, _ := runClosedLoop(ctx, callers, duration/4, func(int, int) error {
+		return engineClient.Complete(ctx, engineAddress, engine.CompletionRequest{Model: model, Messages: message}, func(string) {}).Err
 	})
 	programs := make([]string, callers)
-	before, err := controlCounts(controls)
+	before, err := readControlCounters(controlAddresses)
 	if err != nil {
 		return OverheadReport{}, err
 	}
-	begun := time.Now()
-	times, failed := closedLoop(ctx, callers, length, func(caller, number int) error {
-		if number%turnsPerProgram == 0 {
+	startedAt := time.Now()
+	latency, failed := runClosedLoop(ctx, callers, duration, func(caller, callNumber int) error {
+		if callNumber%turnsPerProgram == 0 {
 			programs[caller] = ""
 		}
 		reply, err := d.Sidecars[caller%len(d.Sidecars)].Do(ctx, Call{
-			Service: service, Program: programs[caller], Messages: message, EndsProgram: number%turnsPerProgram == turnsPerProgram-1,
+			Service: service, Program: programs[caller], Messages: message, EndsProgram: callNumber%turnsPerProgram == turnsPerProgram-1,
 		})
 		if err != nil {
 			return err
@@ -101,19 +106,19 @@
 		programs[caller] = reply.Program
 		return nil
 	})
-	seconds := time.Since(begun).Seconds()
-	after, err := controlCounts(controls)
+	seconds := time.Since(startedAt).Seconds()
+	after, err := readControlCounters(controlAddresses)
 	if err != nil {
 		return OverheadReport{}, err
 	}
 	report := OverheadReport{
-		Callers: callers, Calls: times.TotalCount(), Failed: failed, CallsPerSecond: float64(times.TotalCount()) / seconds,
-		P50: float64(times.ValueAtQuantile(50)) / 1000, P99: float64(times.ValueAtQuantile(99)) / 1000,
-		DirectP50: float64(directTimes.ValueAtQuantile(50)) / 1000, DirectP99: float64(directTimes.ValueAtQuantile(99)) / 1000,
+		Callers: callers, Calls: latency.TotalCount(), Failed: failed, CallsPerSecond: float64(latency.TotalCount()) / seconds,
+		P50: float64(latency.ValueAtQuantile(50)) / 1000, P99: float64(latency.ValueAtQuantile(99)) / 1000,
+		DirectP50: float64(directLatency.ValueAtQuantile(50)) / 1000, DirectP99: float64(directLatency.ValueAtQuantile(99)) / 1000,
 	}
 	for position := range before {
-		entries := after[position].entries - before[position].entries
-		syncs := after[position].syncs - before[position].syncs
+		entries := after[position].appliedEntries - before[position].appliedEntries
+		syncs := after[position].storeSyncs - before[position].storeSyncs
 		report.EntriesPerSecond = max(report.EntriesPerSecond, entries/seconds)
 		if syncs > 0 {
 			report.EntriesPerSync = max(report.EntriesPerSync, entries/syncs)
@@ -122,7 +127,7 @@
 	return report, nil
 }
 
-// Print writes the report.
+// Print writes the report as text.
 func (r OverheadReport) Print(out io.Writer) {
 	_, _ = fmt.Fprintf(out, "%d callers: %d calls, %d failed, %.0f calls/s\n", r.Callers, r.Calls, r.Failed, r.CallsPerSecond)
 	_, _ = fmt.Fprintf(out, "  through ochrebay   p50 %7.3f ms   p99 %7.3f ms\n", r.P50, r.P99)
@@ -131,29 +136,30 @@
 	_, _ = fmt.Fprintf(out, "  ledger             %.0f entries/s, %.2f entries a sync\n", r.EntriesPerSecond, r.EntriesPerSync)
 }
 
-type controlCount struct {
-	entries float64
-	syncs   float64
+type controlCounters struct {
+	appliedEntries float64
+	storeSyncs     float64
 }
 
-// controlCounts reads the counters of control processes from their metrics.
-func controlCounts(addresses []string) ([]controlCount, error) {
-	var counts []controlCount
+// readControlCounters reads the counters of the control processes from their metrics
+// endpoints.
+func readControlCounters(addresses []string) ([]controlCounters, error) {
+	var counts []controlCounters
 	for _, address := range addresses {
 		response, err := http.Get("http://" + address + "/metrics")
 		if err != nil {
 			return nil, err
 		}
-		var count controlCount
+		var count controlCounters
 		scanner := bufio.NewScanner(response.Body)
 		for scanner.Scan() {
 			name, value, _ := strings.Cut(scanner.Text(), " ")
-			number, _ := strconv.ParseFloat(value, 64)
+			counter, _ := strconv.ParseFloat(value, 64)
 			switch name {
 			case "ochrebay_entries_applied":
-				count.entries = number
+				count.appliedEntries = counter
 			case "ochrebay_store_syncs":
-				count.syncs = number
+				count.storeSyncs = counter
 			}
 		}
 		_ = response.Body.Close()
--- a/internal/workload/deployment.go
+++ b/internal/workload/deployment.go
@@ -1,7 +1,7 @@
-// Package workload describes deployments (halls, delays, engines, settings and
-// what callers do), plans the processes of a fleet on one machine, generates
-// programs from a seed, and drives a running fleet with them while checking what
-// callers see (design section 11).
+// Package workload describes deployments (zones, network delays, engines, settings
+// and caller workloads), plans the processes of a fleet on one machine, generates
+// programs from a seed, and runs them against a running fleet while checking the
+// responses that callers receive (design section 11).
 package workload
 
 import (
@@ -14,12 +14,13 @@
 	"github.com/ochrebay/ochrebay/internal/settings"
 )
 
-// Deployment is one file below deployments/.
+// Deployment is the content of a file below deployments/.
 type Deployment struct {
 	Name string `yaml:"name"`
-	// Zones are the halls; the first three hold a control process each.
+	// Zones are the names of the zones. Control processes are placed in them in
+	// this order, round-robin.
 	Zones []string `yaml:"zones"`
-	// ZoneDelayMs and ClientDelayMs are one-way delays.
+	// ZoneDelayMs and ClientDelayMs are one-way network delays.
 	ZoneDelayMs          float64           `yaml:"zone_delay_ms"`
 	ClientDelayMs        float64           `yaml:"client_delay_ms"`
 	ControlCount         int               `yaml:"controls"`
@@ -30,40 +31,42 @@
 	WeightBytesPerSecond int64             `yaml:"weights_bytes_per_second"`
 	Settings             yaml.MapSlice     `yaml:"settings"`
 	Workload             []ServiceWorkload `yaml:"workload"`
-	// ProgramsPerSecond is the arrival rate at load 1.0.
+	// ProgramsPerSecond is the arrival rate of programs, or of bursts of them, at load 1.0.
 	ProgramsPerSecond float64 `yaml:"programs_per_second"`
 }
 
-// ZoneCount is a number of processes in a zone.
+// ZoneCount is the number of processes in a zone.
 type ZoneCount struct {
 	Zone  string `yaml:"zone"`
 	Count int    `yaml:"count"`
 }
 
-// EngineGroup is a number of engines of a pool in a zone.
+// EngineGroup describes engines of one pool in one zone that share their settings.
 type EngineGroup struct {
 	Zone     string `yaml:"zone"`
 	Pool     string `yaml:"pool"`
 	Hardware string `yaml:"hardware"`
-	// Slowdown is how many times longer than on that hardware things take; 0 is 1.
+	// Slowdown is the factor by which operations take longer than on Hardware; 0
+	// means 1.
 	Slowdown float64 `yaml:"slowness"`
 	Count    int     `yaml:"count"`
-	// IsInstant engines answer at once, for measuring what ochrebay adds.
+	// IsInstant makes the engines respond without delay, to measure the overhead of
+	// ochrebay.
 	IsInstant bool `yaml:"instant"`
 }
 
-// LogUniformRange is drawn from log-uniformly.
+// LogUniformRange is the range of a log-uniform distribution.
 type LogUniformRange struct {
 	Low  float64 `yaml:"low"`
 	High float64 `yaml:"high"`
 }
 
-// ServiceWorkload is what the callers of one service do.
+// ServiceWorkload describes the programs that call one service.
 type ServiceWorkload struct {
 	Service string `yaml:"service"`
-	// Weight is the part of programs that are of this service.
+	// Weight is the relative frequency of this service among the arrivals.
 	Weight float64 `yaml:"share"`
-	// Turns is the number of calls of a program.
+	// Turns is the number of calls of a program, without those of its sub-agents.
 	Turns               LogUniformRange `yaml:"turns"`
 	FirstPromptTokens   LogUniformRange `yaml:"first_prompt_tokens"`
 	LaterPromptTokens   LogUniformRange `yaml:"later_prompt_tokens"`
@@ -80,7 +83,7 @@
 	BudgetTokens        int64           `yaml:"budget_tokens"`
 }
 
-// LoadDeployment reads a deployment file strictly.
+// LoadDeployment reads and validates a deployment file. Unknown fields are errors.
 func LoadDeployment(file string) (Deployment, error) {
 	var deployment Deployment
 	raw, err := os.ReadFile(file)
@@ -90,38 +93,38 @@
 	if err := yaml.UnmarshalWithOptions(raw, &deployment, yaml.Strict()); err != nil {
 		return deployment, fmt.Errorf("%s: %w", file, err)
 	}
-	return deployment, deployment.check(file)
+	return deployment, deployment.validate(file)
 }
 
-func (d Deployment) check(file string) error {
+func (d Deployment) validate(file string) error {
 	zones := map[string]bool{}
 	for _, zone := range d.Zones {
 		zones[zone] = true
 	}
 	for _, count := range append(d.Schedulers, d.Sidecars...) {
 		if !zones[count.Zone] {
-			return fmt.Errorf("%s: zone %q is not among zones", file, count.Zone)
+			return fmt.Errorf("%s: zone %q is not listed in zones", file, count.Zone)
 		}
 	}
 	for _, count := range d.Engines {
 		if !zones[count.Zone] {
-			return fmt.Errorf("%s: engines: zone %q is not among zones", file, count.Zone)
+			return fmt.Errorf("%s: engines: zone %q is not listed in zones", file, count.Zone)
 		}
 	}
 	if d.ControlCount < 1 || len(d.Zones) == 0 || len(d.Schedulers) == 0 || len(d.Sidecars) == 0 {
-		return fmt.Errorf("%s: needs zones, controls, schedulers and sidecars", file)
+		return fmt.Errorf("%s: zones, controls, schedulers and sidecars are required", file)
 	}
 	_, err := d.SettingsChange("deployment", 1)
 	return err
 }
 
-// SettingsChange returns the deployment's settings as one change of the tree.
+// SettingsChange returns the settings of the deployment as one change of the settings tree.
 func (d Deployment) SettingsChange(operator string, number uint64) (settings.Change, error) {
 	return SettingsChangeFromYAML(d.Settings, operator, number)
 }
 
-// SettingsChangeFromYAML turns a mapping from paths to fields into one change that sets
-// all of them, whatever their versions.
+// SettingsChangeFromYAML converts a mapping from paths to fields into one change that
+// sets all of them unconditionally, regardless of the current node versions.
 func SettingsChangeFromYAML(nodes yaml.MapSlice, operator string, number uint64) (settings.Change, error) {
 	change := settings.Change{Operator: operator, Number: number}
 	for _, item := range nodes {
--- a/internal/workload/generate.go
+++ b/internal/workload/generate.go
@@ -8,22 +8,23 @@
 	"strings"
 )
 
-// Step is one thing that a program does. A caller knows it only when it gets
-// there; ochrebay never does.
+// Step is one step of a program: a tool call, a model call and optionally a
+// sub-agent. Steps are revealed to ochrebay only as the program reaches them.
 type Step struct {
-	// PromptTokens and OutputTokens describe a call.
+	// PromptTokens is the length of the new message of the call, and OutputTokens
+	// the length of the response.
 	PromptTokens int64
 	OutputTokens int64
-	// ToolDurationMs is the time that the tool before this call takes, Tool its name;
-	// Hang says that it never answers.
+	// ToolDurationMs is the duration of the tool call before this model call, and Tool
+	// the name of the tool. ToolHangs makes the tool call hang.
 	ToolDurationMs int64
 	Tool           string
 	ToolHangs      bool
-	// SubAgent holds the calls of a sub-agent that runs after this call.
+	// SubAgent holds the steps of a sub-agent that runs after this call.
 	SubAgent []Step
 }
 
-// Program is one program of a workload.
+// Program is one generated agent program.
 type Program struct {
 	ID         int
 	Service    string
@@ -32,12 +33,12 @@
 	Steps      []Step
 	AtMostOnce bool
 	Loops      bool
-	// TimeoutMs bounds each call; zero leaves it to the settings.
+	// TimeoutMs limits each call; with 0 the settings apply.
 	TimeoutMs    int64
 	BudgetTokens int64
 }
 
-// CallCount counts the calls of a program, sub-agents included.
+// CallCount returns the number of calls of a program, including those of sub-agents.
 func (p Program) CallCount() int {
 	count := 0
 	for _, step := range p.Steps {
@@ -46,78 +47,79 @@
 	return count
 }
 
-// Generate returns the programs that arrive within a time at a load, the same
-// for the same seed.
+// Generate returns the programs that arrive within durationMs at the given load, in
+// order of arrival. Arrivals are a Poisson process. The result is deterministic for a
+// seed.
 func Generate(deployment Deployment, seed uint64, load float64, durationMs int64) []Program {
 	random := rand.New(rand.NewPCG(seed, 0x6f636872))
 	var programs []Program
-	rate := deployment.ProgramsPerSecond * load
+	arrivalsPerSecond := deployment.ProgramsPerSecond * load
 	atMs := 0.0
-	for rate > 0 {
-		atMs += random.ExpFloat64() / rate * 1000
+	for arrivalsPerSecond > 0 {
+		atMs += random.ExpFloat64() / arrivalsPerSecond * 1000
 		if int64(atMs) >= durationMs {
 			break
 		}
-		shape := pickShape(deployment.Workload, random)
-		for range max(1, burstOf(shape, random)) {
-			programs = append(programs, shape.program(len(programs), int64(atMs), random))
+		service := chooseService(deployment.Workload, random)
+		for range max(1, arrivalBatchSize(service, random)) {
+			programs = append(programs, service.newProgram(len(programs), int64(atMs), random))
 		}
 	}
 	slices.SortStableFunc(programs, func(a, b Program) int { return int(a.ArrivalMs - b.ArrivalMs) })
 	return programs
 }
 
-func pickShape(shapes []ServiceWorkload, random *rand.Rand) ServiceWorkload {
-	total := 0.0
-	for _, shape := range shapes {
-		total += shape.Weight
+func chooseService(services []ServiceWorkload, random *rand.Rand) ServiceWorkload {
+	totalWeight := 0.0
+	for _, service := range services {
+		totalWeight += service.Weight
 	}
-	drawn := random.Float64() * total
-	for _, shape := range shapes {
-		if drawn -= shape.Weight; drawn < 0 {
-			return shape
+	remainingWeight := random.Float64() * totalWeight
+	for _, service := range services {
+		if remainingWeight -= service.Weight; remainingWeight < 0 {
+			return service
 		}
 	}
-	return shapes[len(shapes)-1]
+	return services[len(services)-1]
 }
 
-// burstOf returns how many programs arrive at once; one arrival in twenty of a
-// service that bursts is a burst.
-func burstOf(shape ServiceWorkload, random *rand.Rand) int {
-	if shape.BurstSize > 1 && random.IntN(20) == 0 {
-		return shape.BurstSize
+// arrivalBatchSize returns the number of programs that arrive at once. One in twenty
+// arrivals of a service with a BurstSize above 1 is a burst.
+func arrivalBatchSize(service ServiceWorkload, random *rand.Rand) int {
+	if service.BurstSize > 1 && random.IntN(20) == 0 {
+		return service.BurstSize
 	}
 	return 1
 }
 
-func (r LogUniformRange) draw(random *rand.Rand) float64 {
+func (r LogUniformRange) sample(random *rand.Rand) float64 {
 	if r.High <= r.Low || r.Low <= 0 {
 		return max(r.Low, 0)
 	}
 	return r.Low * math.Pow(r.High/r.Low, random.Float64())
 }
 
-func (r LogUniformRange) whole(random *rand.Rand) int64 {
-	return int64(math.Round(r.draw(random)))
+func (r LogUniformRange) sampleInt(random *rand.Rand) int64 {
+	return int64(math.Round(r.sample(random)))
 }
 
-const loopTurns = 400
+const turnsOfLoopingProgram = 400
 
-func (s ServiceWorkload) program(id int, atMs int64, random *rand.Rand) Program {
+func (s ServiceWorkload) newProgram(id int, atMs int64, random *rand.Rand) Program {
 	program := Program{
 		ID: id, Service: s.Service, Tenant: fmt.Sprintf("tenant-%d", random.IntN(8)), ArrivalMs: atMs, AtMostOnce: s.AtMostOnce,
 		TimeoutMs: s.TimeoutMs, BudgetTokens: s.BudgetTokens,
 	}
-	turns := max(1, s.Turns.whole(random))
+	turns := max(1, s.Turns.sampleInt(random))
 	program.Loops = random.Float64() < s.LoopProbability
 	if program.Loops {
-		turns = loopTurns
+		turns = turnsOfLoopingProgram
 	}
 	for turn := range turns {
-		step := s.step(turn == 0, random)
+		step := s.newStep(turn == 0, random)
 		if random.Float64() < s.SubAgentProbability {
-			for range max(1, s.SubAgentTurns.whole(random)) {
-				step.SubAgent = append(step.SubAgent, s.step(false, random))
+			for range max(1, s.SubAgentTurns.sampleInt(random)) {
+				step.SubAgent = append(step.SubAgent, s.newStep(false, random))
 			}
 		}
 		program.Steps = append(program.Steps, step)
@@ -125,14 +127,14 @@
 	return program
 }
 
-func (s ServiceWorkload) step(first bool, random *rand.Rand) Step {
-	prompt := s.LaterPromptTokens
-	if first {
-		prompt = s.FirstPromptTokens
+func (s ServiceWorkload) newStep(isFirst bool, random *rand.Rand) Step {
+	promptTokens := s.LaterPromptTokens
+	if isFirst {
+		promptTokens = s.FirstPromptTokens
 	}
-	step := Step{PromptTokens: max(4, prompt.whole(random)), OutputTokens: max(8, s.OutputTokens.whole(random))}
-	if !first {
-		step.ToolDurationMs = s.ToolDurationMs.whole(random)
+	step := Step{PromptTokens: max(4, promptTokens.sampleInt(random)), OutputTokens: max(8, s.OutputTokens.sampleInt(random))}
+	if !isFirst {
+		step.ToolDurationMs = s.ToolDurationMs.sampleInt(random)
 		if len(s.Tools) > 0 {
 			step.Tool = s.Tools[random.IntN(len(s.Tools))]
 		}
@@ -141,9 +143,8 @@
 	return step
 }
 
-// Text returns a message of about the given number of tokens; its first words
-// carry the label and the directive that tells an emulated engine how long to
-// answer.
+// Text returns a message of about the given number of tokens. It starts with the label
+// and the directive that sets the length of an emulated engine's response.
 func Text(label string, tokens, output int64) string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "%s #out=%d ", label, output)
--- a/internal/workload/plan.go
+++ b/internal/workload/plan.go
@@ -13,43 +13,43 @@
 )
 
 const (
-	planFolderMode = 0o750
-	planFileMode   = 0o640
-	planLag        = 200
+	planFolderMode    = 0o750
+	planFileMode      = 0o640
+	planReportDelayMs = 200
 )
 
-// PlannedProcess is one process of a fleet, ready to be started.
+// PlannedProcess describes one process of a fleet that is ready to be started.
 type PlannedProcess struct {
 	Process config.Process
-	// File is the settings file written for it.
+	// File is the path of the settings file of the process.
 	File string
-	// Arguments are the words after the program's name that start it.
+	// Arguments are the subcommands with which the program is started.
 	Arguments []string
 }
 
-// ports reserves ports that the kernel picks; all are held until released, so
-// that no two processes of a plan get the same.
-type ports struct {
-	held []net.Listener
+// portReservations reserves ports chosen by the kernel. All listeners stay open until
+// release, so that no two processes of a plan get the same port.
+type portReservations struct {
+	listeners []net.Listener
 }
 
-func (p *ports) next() (string, error) {
+func (p *portReservations) reserve() (string, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
 	}
-	p.held = append(p.held, listener)
+	p.listeners = append(p.listeners, listener)
 	return listener.Addr().String(), nil
 }
 
-func (p *ports) release() {
-	for _, listener := range p.held {
+func (p *portReservations) release() {
+	for _, listener := range p.listeners {
 		_ = listener.Close()
 	}
 }
 
 // Plan writes a settings file for each process of a deployment below folder and
-// returns the processes in the order in which to start them. It starts nothing.
+// returns the processes in start order. It does not start them.
 func Plan(deployment Deployment, folder string, timeScale float64) ([]PlannedProcess, error) {
 	builder := planBuilder{deployment: deployment, folder: folder, timeScale: timeScale}
 	defer builder.ports.release()
@@ -64,21 +64,21 @@
 			return nil, err
 		}
 	}
-	builder.connect()
-	return builder.planned, builder.write()
+	builder.setPeerAddresses()
+	return builder.planned, builder.writeFiles()
 }
 
 type planBuilder struct {
-	deployment Deployment
-	folder     string
-	timeScale  float64
-	ports      ports
-	planned    []PlannedProcess
-	members    []config.Peer
-	schedulers []config.Peer
-	instances  []config.Instance
-	platform   string
-	weights    string
+	deployment         Deployment
+	folder             string
+	timeScale          float64
+	ports              portReservations
+	planned            []PlannedProcess
+	members            []config.Peer
+	schedulers         []config.Peer
+	instances          []config.Instance
+	platformAddress    string
+	weightStoreAddress string
 }
 
 func (b *planBuilder) add(role, name, zone string, command ...string) (*config.Process, error) {
@@ -89,12 +89,12 @@
 	process.Network = config.Network{ZoneDelayMs: b.deployment.ZoneDelayMs, ClientDelayMs: b.deployment.ClientDelayMs}
 	process.Emulator.TimeScale = b.timeScale
 	var err error
-	if process.Listen.HTTP, err = b.ports.next(); err != nil {
+	if process.Listen.HTTP, err = b.ports.reserve(); err != nil {
 		return nil, err
 	}
 	process.Listen.Address = "127.0.0.1:0"
 	if role == config.RoleControl || role == config.RoleScheduler {
-		if process.Listen.Address, err = b.ports.next(); err != nil {
+		if process.Listen.Address, err = b.ports.reserve(); err != nil {
 			return nil, err
 		}
 	}
@@ -112,7 +112,7 @@
 	if b.deployment.WeightBytesPerSecond > 0 {
 		weights.Emulator.BytesPerSecond = b.deployment.WeightBytesPerSecond
 	}
-	b.weights = weights.Listen.HTTP
+	b.weightStoreAddress = weights.Listen.HTTP
 	if _, err := b.add(config.RoleTools, "tools", zone, "emulate", "tools"); err != nil {
 		return err
 	}
@@ -120,7 +120,7 @@
 	if err != nil {
 		return err
 	}
-	b.platform = platform.Listen.HTTP
+	b.platformAddress = platform.Listen.HTTP
 	return nil
 }
 
@@ -137,8 +137,8 @@
 			process.Emulator.Hardware = group.Hardware
 			process.Emulator.Slowdown = group.Slowdown
 			process.Emulator.Pool = group.Pool
-			process.Emulator.WeightStoreAddress = b.weights
-			process.Emulator.ReportDelayMs = planLag
+			process.Emulator.WeightStoreAddress = b.weightStoreAddress
+			process.Emulator.ReportDelayMs = planReportDelayMs
 			process.Emulator.RespondsInstantly = group.IsInstant
 			b.instances = append(b.instances, config.Instance{Name: name, Zone: group.Zone, Address: process.Listen.HTTP, Pool: group.Pool})
 		}
@@ -155,7 +155,7 @@
 			return err
 		}
 		process.Data.Path = filepath.Join(b.folder, "data", name)
-		process.PlatformAddress = b.platform
+		process.PlatformAddress = b.platformAddress
 		b.members = append(b.members, config.Peer{
 			Name: name, Zone: zone, Address: process.Listen.Address, HTTP: process.Listen.HTTP,
 		})
@@ -188,40 +188,41 @@
 	return nil
 }
 
-// connect fills in what each process must know of the others.
-func (b *planBuilder) connect() {
+// setPeerAddresses fills in the addresses of other processes, which are known only
+// after all processes have been added.
+func (b *planBuilder) setPeerAddresses() {
 	for position := range b.planned {
 		process := &b.planned[position].Process
 		switch process.Role {
 		case config.RoleControl, config.RoleScheduler:
-			process.Cluster.Members = ownZoneFirst(b.members, process.Zone)
+			process.Cluster.Members = sameZoneFirst(b.members, process.Zone)
 			if b.deployment.LedgerGroups > 0 {
 				process.Cluster.LedgerGroups = b.deployment.LedgerGroups
 			}
 		case config.RoleSidecar:
-			process.Schedulers = ownZoneFirst(b.schedulers, process.Zone)
+			process.Schedulers = sameZoneFirst(b.schedulers, process.Zone)
 		case config.RolePlatform:
 			process.Emulator.Instances = b.instances
-			process.Emulator.ReportDelayMs = planLag
+			process.Emulator.ReportDelayMs = planReportDelayMs
 		}
 	}
 }
 
-func ownZoneFirst(peers []config.Peer, zone string) []config.Peer {
-	var own, others []config.Peer
+func sameZoneFirst(peers []config.Peer, zone string) []config.Peer {
+	var sameZone, others []config.Peer
 	for _, peer := range peers {
 		if peer.Zone == zone {
-			own = append(own, peer)
+			sameZone = append(sameZone, peer)
 		} else {
 			others = append(others, peer)
 		}
 	}
-	return append(own, others...)
+	return append(sameZone, others...)
 }
 
-// write stores the settings files, the operators' settings and the list that
-// scripts read: NAME FILE IP:PORT COMMAND.
-func (b *planBuilder) write() error {
+// writeFiles writes the settings files of the processes, the operators' settings and the
+// list that scripts read, one process per line: NAME FILE IP:PORT COMMAND.
+func (b *planBuilder) writeFiles() error {
 	var lines strings.Builder
 	for _, planned := range b.planned {
 		raw, err := yaml.Marshal(planned.Process)
