--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -1,5 +1,5 @@
-// Package experiment compares variants of a policy that were played on the same days with
-// the same seeds: the mean difference to the base and how sure it is.
+// Package experiment compares policy variants that were run on the same scenarios with the
+// same seeds: the mean paired difference to the baseline and its confidence interval.
 package experiment
 
 import (
@@ -17,89 +17,93 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Baseline is the name of the variant that others are compared with.
+// Baseline is the name of the variant that the others are compared with.
 const Baseline = "base"
 
-// columns is how many a line of a table has.
-const columns = 8
+// columnCount is the number of columns in each line of a table.
+const columnCount = 8
 
-// Scenario is what a play is paired by.
+// Scenario identifies the conditions of a run. A variant's run is compared with the
+// baseline run of the same scenario.
 type Scenario struct {
 	Site string
 	Name string
 	Seed string
 }
 
-// Run is one day played with one variant.
+// Run is the result of running one scenario with one variant.
 type Run struct {
 	Variant  string
 	Scenario Scenario
-	// Score and Worth are the day's, TokensRead the thousands of prompt tokens that
-	// engines read.
+	// Score and Worth are the metrics of the run, and PrefillKilotokens the number of
+	// prompt tokens that engines prefilled, in thousands.
 	Score             float64
 	Worth             float64
 	PrefillKilotokens float64
-	// ViolatedRules names the rules that were broken, "-" for none.
+	// ViolatedRules names the rules that the run violated, "-" for none.
 	ViolatedRules string
 }
 
-// ReadRuns reads a table: one play a line, columns split by tabs.
+// ReadRuns reads a table with one run per line and tab-separated columns.
 func ReadRuns(reader io.Reader) ([]Run, error) {
-	var plays []Run
+	var runs []Run
 	scanner := bufio.NewScanner(reader)
 	for line := 1; scanner.Scan(); line++ {
 		fields := strings.Split(scanner.Text(), "\t")
-		if len(fields) != columns {
-			return nil, errorx.IllegalFormat.New("line %d has %d columns, not %d", line, len(fields), columns)
+		if len(fields) != columnCount {
+			return nil, errorx.IllegalFormat.New("line %d has %d columns, want %d", line, len(fields), columnCount)
 		}
-		play := Run{Variant: fields[0], Scenario: Scenario{fields[1], fields[2], fields[3]}, ViolatedRules: fields[7]}
-		for position, value := range []*float64{&play.Score, &play.Worth, &play.PrefillKilotokens} {
+		run := Run{Variant: fields[0], Scenario: Scenario{fields[1], fields[2], fields[3]}, ViolatedRules: fields[7]}
+		for position, value := range []*float64{&run.Score, &run.Worth, &run.PrefillKilotokens} {
 			parsed, err := strconv.ParseFloat(fields[4+position], 64)
 			if err != nil {
-				return nil, errorx.IllegalFormat.New("line %d, column %d: %q is no number", line, 5+position, fields[4+position])
+				return nil, errorx.IllegalFormat.New("line %d, column %d: %q is not a number", line, 5+position, fields[4+position])
 			}
 			*value = parsed
 		}
-		plays = append(plays, play)
+		runs = append(runs, run)
 	}
-	return plays, scanner.Err()
+	return runs, scanner.Err()
 }
 
-// Difference is what a variant does on a site, as a mean over pairs of plays.
+// Difference is the difference of a variant to the baseline at a site, as a mean over
+// paired runs.
 type Difference struct {
 	Variant string
 	Site    string
 	Pairs   int
-	// Worth and Score are mean differences to the base, and WorthInterval half the
-	// width of the 95% interval of the first, infinite for a single pair.
+	// Worth and Score are the mean differences to the baseline. WorthConfidenceHalfWidth
+	// is half the width of the 95% confidence interval of Worth; it is infinite for a
+	// single pair.
 	Worth                    float64
 	WorthConfidenceHalfWidth float64
 	Score                    float64
-	// PrefillTokenRatio is the mean ratio of tokens read to the base's.
+	// PrefillTokenRatio is the mean ratio of prefilled tokens to those of the baseline.
 	PrefillTokenRatio float64
-	// RunsWithViolations counts the plays with a broken rule.
+	// RunsWithViolations counts the runs that violated a rule.
 	RunsWithViolations int
 }
 
-// Compare pairs the plays of each variant with the base's, site by site.
-func Compare(plays []Run) []Difference {
-	base := map[Scenario]Run{}
-	for _, play := range plays {
-		if play.Variant == Baseline {
-			base[play.Scenario] = play
+// Compare pairs the runs of each variant with the baseline runs and returns the
+// differences per variant and site. Runs without a baseline run are ignored.
+func Compare(runs []Run) []Difference {
+	baseline := map[Scenario]Run{}
+	for _, run := range runs {
+		if run.Variant == Baseline {
+			baseline[run.Scenario] = run
 		}
 	}
-	type row struct{ variant, site string }
-	paired := map[row][]Run{}
-	for _, play := range plays {
-		if _, known := base[play.Scenario]; known && play.Variant != Baseline {
-			key := row{play.Variant, play.Scenario.Site}
-			paired[key] = append(paired[key], play)
+	type groupKey struct{ variant, site string }
+	pairedRuns := map[groupKey][]Run{}
+	for _, run := range runs {
+		if _, hasBaseline := baseline[run.Scenario]; hasBaseline && run.Variant != Baseline {
+			key := groupKey{run.Variant, run.Scenario.Site}
+			pairedRuns[key] = append(pairedRuns[key], run)
 		}
 	}
 	var differences []Difference
-	for key, variant := range paired {
-		differences = append(differences, difference(key.variant, key.site, variant, base))
+	for key, variantRuns := range pairedRuns {
+		differences = append(differences, newDifference(key.variant, key.site, variantRuns, baseline))
 	}
 	slices.SortFunc(differences, func(a, b Difference) int {
 		return cmp.Or(cmp.Compare(a.Site, b.Site), cmp.Compare(a.Worth, b.Worth), cmp.Compare(a.Variant, b.Variant))
@@ -107,31 +111,31 @@
 	return differences
 }
 
-func difference(variant, site string, plays []Run, base map[Scenario]Run) Difference {
-	var worth, score, read []float64
-	result := Difference{Variant: variant, Site: site, Pairs: len(plays), WorthConfidenceHalfWidth: math.Inf(1)}
-	for _, play := range plays {
-		other := base[play.Scenario]
-		worth = append(worth, play.Worth-other.Worth)
-		score = append(score, play.Score-other.Score)
-		if other.PrefillKilotokens > 0 {
-			read = append(read, play.PrefillKilotokens/other.PrefillKilotokens)
+func newDifference(variant, site string, runs []Run, baseline map[Scenario]Run) Difference {
+	var worthDifferences, scoreDifferences, prefillRatios []float64
+	result := Difference{Variant: variant, Site: site, Pairs: len(runs), WorthConfidenceHalfWidth: math.Inf(1)}
+	for _, run := range runs {
+		baselineRun := baseline[run.Scenario]
+		worthDifferences = append(worthDifferences, run.Worth-baselineRun.Worth)
+		scoreDifferences = append(scoreDifferences, run.Score-baselineRun.Score)
+		if baselineRun.PrefillKilotokens > 0 {
+			prefillRatios = append(prefillRatios, run.PrefillKilotokens/baselineRun.PrefillKilotokens)
 		}
-		if play.ViolatedRules != "-" {
+		if run.ViolatedRules != "-" {
 			result.RunsWithViolations++
 		}
 	}
-	result.Worth = stat.Mean(worth, nil)
-	result.Score = stat.Mean(score, nil)
-	result.PrefillTokenRatio = stat.Mean(read, nil)
-	if len(worth) > 1 {
-		student := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(len(worth) - 1)}
-		result.WorthConfidenceHalfWidth = student.Quantile(0.975) * stat.StdErr(stat.StdDev(worth, nil), float64(len(worth)))
+	result.Worth = stat.Mean(worthDifferences, nil)
+	result.Score = stat.Mean(scoreDifferences, nil)
+	result.PrefillTokenRatio = stat.Mean(prefillRatios, nil)
+	if len(worthDifferences) > 1 {
+		student := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(len(worthDifferences) - 1)}
+		result.WorthConfidenceHalfWidth = student.Quantile(0.975) * stat.StdErr(stat.StdDev(worthDifferences, nil), float64(len(worthDifferences)))
 	}
 	return result
 }
 
-// WriteTable writes differences as a table in Markdown.
+// WriteTable writes differences as a Markdown table.
 func WriteTable(writer io.Writer, differences []Difference) error {
 	if _, err := fmt.Fprint(writer, "| site | without | pairs | worth | 95% | score | tokens read | rules broken |\n|---|---|---|---|---|---|---|---|\n"); err != nil {
 		return err
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -16,10 +16,10 @@
 	"rank\ts\tscale-9\t-\t0.80\t0.910\t1000\t-\n"
 
 func TestCompare(t *testing.T) {
-	Convey("variants are compared with the base, pair by pair", t, func() {
-		plays, err := ReadRuns(strings.NewReader(table))
+	Convey("variants are compared with the baseline over paired runs", t, func() {
+		runs, err := ReadRuns(strings.NewReader(table))
 		So(err, ShouldBeNil)
-		differences := Compare(plays)
+		differences := Compare(runs)
 		So(differences, ShouldHaveLength, 2)
 		home, rank := differences[0], differences[1]
 		So(home.Variant, ShouldEqual, "home")
@@ -36,7 +36,7 @@
 		So(WriteTable(&written, differences), ShouldBeNil)
 		So(written.String(), ShouldContainSubstring, "| s | home | 2 | -0.300 | ±1.271 | -0.600 | x2.50 | 1 |")
 	})
-	Convey("a table with a fault is refused with its line", t, func() {
+	Convey("an invalid table returns an error that names the line", t, func() {
 		_, err := ReadRuns(strings.NewReader(table + "a\tb\n"))
 		So(err.Error(), ShouldContainSubstring, "line 7")
 		_, err = ReadRuns(strings.NewReader(strings.Replace(table, "0.900", "much", 1)))
