--- a/internal/capacity/report.go
+++ b/internal/capacity/report.go
@@ -14,14 +14,14 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// The letter's sizes.
+// Sizes of the runs without quick.
 const (
-	tenantsAtSize  = 48_000
-	programsAtSize = 1_000_000
+	fullTenantCount  = 48_000
+	fullProgramCount = 1_000_000
 )
 
-// Measure takes every slope and run, or the one part named; quick takes smaller
-// sizes. progress gets a line for each part.
+// Measure measures all linear fits and runs, or only the part named by only; quick
+// uses smaller sizes. It writes a line for each part to progress.
 func Measure(quick bool, only string, progress io.Writer) (Report, error) {
 	report := Report{Quick: quick, Machine: fmt.Sprintf("%s/%s, %d processors, %s", runtime.GOOS, runtime.GOARCH, runtime.NumCPU(), runtime.Version())}
 	scale := func(full, small []int) []int {
@@ -35,73 +35,73 @@
 		measure func() ([]LinearFit, error)
 	}{
 		{"program headers", func() ([]LinearFit, error) {
-			return ledgerSlopes(scale([]int{25_000, 50_000, 100_000, 200_000}, []int{1000, 2000, 4000, 8000}))
+			return fitLedger(scale([]int{25_000, 50_000, 100_000, 200_000}, []int{1000, 2000, 4000, 8000}))
 		}},
 		{"turns of a program", func() ([]LinearFit, error) {
-			return []LinearFit{turnSlope(scale([]int{4000}, []int{400})[0], []int{10, 50, 110, 220})}, nil
+			return []LinearFit{fitTurns(scale([]int{4000}, []int{400})[0], []int{10, 50, 110, 220})}, nil
 		}},
 		{"tenants", func() ([]LinearFit, error) {
-			return tenantSlopes(scale([]int{6000, 12_000, 24_000, 48_000}, []int{500, 1000, 2000, 4000}))
+			return fitTenants(scale([]int{6000, 12_000, 24_000, 48_000}, []int{500, 1000, 2000, 4000}))
 		}},
-		{"engine reports", func() ([]LinearFit, error) { return reportSlopes([]int{0, 50, 100, 200}), nil }},
-		{"synced writes", func() ([]LinearFit, error) { return storeSlopes([]int{1, 8, 32, 128}, 2048) }},
+		{"engine reports", func() ([]LinearFit, error) { return fitEngineReports([]int{0, 50, 100, 200}), nil }},
+		{"synced writes", func() ([]LinearFit, error) { return fitSyncedWrites([]int{1, 8, 32, 128}, 2048) }},
 	} {
 		if only != "" && only != part.name {
 			continue
 		}
 		_, _ = fmt.Fprintln(progress, "capacity: measuring", part.name)
-		slopes, err := part.measure()
+		fits, err := part.measure()
 		if err != nil {
 			return report, fmt.Errorf("%s: %w", part.name, err)
 		}
-		report.Fits = append(report.Fits, slopes...)
+		report.Fits = append(report.Fits, fits...)
 	}
 	var err error
 	if len(report.Fits) == 0 || only == "" {
-		err = report.takeRuns(quick, only, progress)
+		err = report.measureRuns(quick, only, progress)
 	}
-	report.PeakMemoryMB = peakMB()
+	report.PeakMemoryMB = peakMemoryMB()
 	return report, err
 }
 
-func (r *Report) takeRuns(quick bool, only string, progress io.Writer) error {
-	programs, tenants := programsAtSize, tenantsAtSize
+func (r *Report) measureRuns(quick bool, only string, progress io.Writer) error {
+	programs, tenants := fullProgramCount, fullTenantCount
 	if quick {
 		programs, tenants = 10_000, 1000
 	}
 	for _, part := range []struct {
-		name string
-		body func() ([]Measurement, error)
+		name    string
+		measure func() ([]Measurement, error)
 	}{
-		{"1 million program headers", func() ([]Measurement, error) { return manyPrograms(programs) }},
-		{"48,000 tenants", func() ([]Measurement, error) { return manyTenants(tenants) }},
+		{"1 million program headers", func() ([]Measurement, error) { return measureProgramHeaders(programs) }},
+		{"48,000 tenants", func() ([]Measurement, error) { return measureTenantTree(tenants) }},
 	} {
 		if only != "" && only != "runs" && only != part.name {
 			continue
 		}
 		_, _ = fmt.Fprintln(progress, "capacity: running", part.name)
-		outcome, err := run(part.name, part.body)
+		outcome, err := measureRun(part.name, part.measure)
 		if err != nil {
 			return fmt.Errorf("%s: %w", part.name, err)
 		}
-		_, _ = fmt.Fprintf(progress, "capacity: %s took %.0f s of processor\n", part.name, outcome.CPUSeconds)
+		_, _ = fmt.Fprintf(progress, "capacity: %s used %.0f s of CPU time\n", part.name, outcome.CPUSeconds)
 		r.Runs = append(r.Runs, outcome)
 	}
 	return nil
 }
 
-// Print writes the report as tables.
+// Print writes the report as text tables.
 func (r Report) Print(out io.Writer) {
 	_, _ = fmt.Fprintf(out, "machine: %s; peak memory %.0f MB\n\n", r.Machine, r.PeakMemoryMB)
 	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	_, _ = fmt.Fprintln(table, "ROLE\tWHAT\tUNIT\tPER\tSLOPE\tBASE\tRANGE\tR2\tRESIDUAL\tFIT")
-	for _, slope := range r.Fits {
-		_, _ = fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%.4g\t%.4g\t%.4g..%.4g\t%.3f\t%.1f%%\t%s\n", slope.Role, slope.Name, slope.Unit, slope.Driver,
-			slope.Slope, slope.Intercept, slope.Points[0].X, slope.Points[len(slope.Points)-1].X, slope.R2, 100*slope.Residual, slope.Quality())
+	for _, fit := range r.Fits {
+		_, _ = fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%.4g\t%.4g\t%.4g..%.4g\t%.3f\t%.1f%%\t%s\n", fit.Role, fit.Name, fit.Unit, fit.Driver,
+			fit.Slope, fit.Intercept, fit.Points[0].X, fit.Points[len(fit.Points)-1].X, fit.R2, 100*fit.Residual, fit.Quality())
 	}
 	_ = table.Flush()
 	for _, run := range r.Runs {
-		_, _ = fmt.Fprintf(out, "\n%s (heap after it %.0f MB, %.1f s of processor)\n", run.Name, run.HeapMB, run.CPUSeconds)
+		_, _ = fmt.Fprintf(out, "\n%s (heap %.0f MB, CPU time %.1f s)\n", run.Name, run.HeapMB, run.CPUSeconds)
 		for _, value := range run.Measurements {
 			_, _ = fmt.Fprintf(out, "  %-76s %12.4g %s\n", value.Name, value.Value, value.Unit)
 		}
@@ -114,32 +114,32 @@
 	folderMode = 0o755
 )
 
-// WritePlots writes one SVG for each slope below a folder.
+// WritePlots writes one SVG file per linear fit to a folder.
 func (r Report) WritePlots(folder string) error {
 	if err := os.MkdirAll(folder, folderMode); err != nil {
 		return err
 	}
-	for _, slope := range r.Fits {
-		if err := slope.plot(folder); err != nil {
-			return fmt.Errorf("%s: %w", slope.Name, err)
+	for _, fit := range r.Fits {
+		if err := fit.writePlot(folder); err != nil {
+			return fmt.Errorf("%s: %w", fit.Name, err)
 		}
 	}
 	return nil
 }
 
-// PlotFileName is the slope's name as a file.
+// PlotFileName returns the file name of the plot, derived from the name and the driver.
 func (s LinearFit) PlotFileName() string {
 	name := strings.ToLower(s.Name + " by " + s.Driver)
 	return "capacity-" + strings.NewReplacer(" ", "-", ",", "", "/", "-per-").Replace(name) + ".svg"
 }
 
-func (s LinearFit) plot(folder string) error {
-	picture := plot.New()
-	picture.Title.Text = s.Name
-	picture.X.Label.Text = s.Driver
-	picture.Y.Label.Text = s.Unit
-	picture.X.Min = 0
-	picture.Y.Min = 0
+func (s LinearFit) writePlot(folder string) error {
+	figure := plot.New()
+	figure.Title.Text = s.Name
+	figure.X.Label.Text = s.Driver
+	figure.Y.Label.Text = s.Unit
+	figure.X.Min = 0
+	figure.Y.Min = 0
 	points := make(plotter.XYs, len(s.Points))
 	for position, point := range s.Points {
 		points[position].X = point.X
@@ -150,10 +150,10 @@
 		return err
 	}
 	last := s.Points[len(s.Points)-1].X
-	line, err := plotter.NewLine(plotter.XYs{{X: 0, Y: s.Intercept}, {X: last, Y: s.at(last)}})
+	line, err := plotter.NewLine(plotter.XYs{{X: 0, Y: s.Intercept}, {X: last, Y: s.predict(last)}})
 	if err != nil {
 		return err
 	}
-	picture.Add(plotter.NewGrid(), line, scatter)
-	return picture.Save(plotWidth, plotHeight, filepath.Join(folder, s.PlotFileName()))
+	figure.Add(plotter.NewGrid(), line, scatter)
+	return figure.Save(plotWidth, plotHeight, filepath.Join(folder, s.PlotFileName()))
 }
--- a/internal/capacity/slope.go
+++ b/internal/capacity/slope.go
@@ -1,6 +1,7 @@
-// Package capacity measures how state, bytes and memory grow with what drives them, on
-// the real state machines and the real store, for docs/CAPACITY.md. What a
-// fleet of processes costs is measured with whole processes and stands on that page too.
+// Package capacity measures how state size, bytes on the wire, memory and time grow with
+// the quantity that drives them, on the production state machines and store, for
+// docs/CAPACITY.md. The resource use of a fleet of processes, on the same page, is
+// measured separately with complete processes.
 package capacity
 
 import (
@@ -12,34 +13,34 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Point is one measurement: Y at a size X.
+// Point is one measurement: the value Y at size X.
 type Point struct {
 	X float64 `json:"x"`
 	Y float64 `json:"y"`
 }
 
-// LinearFit is a straight line through measurements at several sizes.
+// LinearFit is a linear regression over measurements at several sizes.
 type LinearFit struct {
 	Name   string  `json:"name"`
 	Role   string  `json:"role"`
 	Driver string  `json:"driver"`
 	Unit   string  `json:"unit"`
 	Points []Point `json:"points"`
-	// Slope is Y per unit of X, Base the Y at X = 0.
+	// Slope is the increase of Y per unit of X, and Intercept the value of Y at X = 0.
 	Slope     float64 `json:"per_driver"`
 	Intercept float64 `json:"base"`
-	// R2 is the share of the variation that the line explains, and Residual the
-	// largest distance of a point from it, as a share of the largest Y.
+	// R2 is the coefficient of determination, and Residual the largest absolute
+	// residual as a fraction of the largest absolute Y.
 	R2       float64 `json:"r2"`
 	Residual float64 `json:"residual"`
 }
 
-// goodFit is the least R2 of a slope that is called good.
-const goodFit = 0.95
+// minGoodR2 is the smallest R2 of a fit of quality "good".
+const minGoodR2 = 0.95
 
-// fit computes the line of a slope.
-func fit(name, role, driver, unit string, points []Point) LinearFit {
-	slope := LinearFit{Name: name, Role: role, Driver: driver, Unit: unit, Points: points}
+// newLinearFit fits a line to points.
+func newLinearFit(name, role, driver, unit string, points []Point) LinearFit {
+	fit := LinearFit{Name: name, Role: role, Driver: driver, Unit: unit, Points: points}
 	xs := make([]float64, len(points))
 	ys := make([]float64, len(points))
 	largest := 0.0
@@ -48,28 +49,28 @@
 		ys[position] = point.Y
 		largest = max(largest, math.Abs(point.Y))
 	}
-	slope.Intercept, slope.Slope = stat.LinearRegression(xs, ys, nil, false)
-	slope.R2 = stat.RSquared(xs, ys, nil, slope.Intercept, slope.Slope)
-	if math.IsNaN(slope.R2) {
-		// Nothing varies, so there is nothing to explain.
-		slope.R2 = 0
+	fit.Intercept, fit.Slope = stat.LinearRegression(xs, ys, nil, false)
+	fit.R2 = stat.RSquared(xs, ys, nil, fit.Intercept, fit.Slope)
+	if math.IsNaN(fit.R2) {
+		// R2 is undefined if Y does not vary.
+		fit.R2 = 0
 	}
 	for position := range points {
-		distance := math.Abs(ys[position] - slope.at(xs[position]))
+		residual := math.Abs(ys[position] - fit.predict(xs[position]))
 		if largest > 0 {
-			slope.Residual = max(slope.Residual, distance/largest)
+			fit.Residual = max(fit.Residual, residual/largest)
 		}
 	}
-	return slope
+	return fit
 }
 
-func (s LinearFit) at(x float64) float64 { return s.Intercept + s.Slope*x }
+func (s LinearFit) predict(x float64) float64 { return s.Intercept + s.Slope*x }
 
-// Quality says whether the line may be relied on. A line that doesn't rise has
-// nothing to explain.
+// Quality classifies the fit: "good" for a high R2, "flat" if Y hardly varies, so that
+// R2 is not meaningful, and "bad" otherwise.
 func (s LinearFit) Quality() string {
 	switch {
-	case s.R2 >= goodFit:
+	case s.R2 >= minGoodR2:
 		return "good"
 	case s.isFlat():
 		return "flat"
@@ -78,47 +79,47 @@
 	}
 }
 
-// isFlat reports whether Y varies little over the range.
+// isFlat reports whether Y varies by at most maxRelativeRange of its largest value.
 func (s LinearFit) isFlat() bool {
 	low, high := math.Inf(1), math.Inf(-1)
 	for _, point := range s.Points {
 		low = min(low, point.Y)
 		high = max(high, point.Y)
 	}
-	const little = 0.15
-	return high-low <= little*math.Abs(high)
+	const maxRelativeRange = 0.15
+	return high-low <= maxRelativeRange*math.Abs(high)
 }
 
-// Measurement is one figure of a run.
+// Measurement is one measured value of a run.
 type Measurement struct {
 	Name  string  `json:"name"`
 	Value float64 `json:"value"`
 	Unit  string  `json:"unit"`
 }
 
-// RunResult is one run at a fixed size.
+// RunResult holds the measurements of one run at a fixed size.
 type RunResult struct {
 	Name         string        `json:"name"`
 	Measurements []Measurement `json:"values"`
-	// HeapMB is the Go heap after the run, and ProcessorSeconds what the process
-	// used in it.
+	// HeapMB is the live Go heap after the run in MiB, and CPUSeconds the CPU time
+	// that the process used during the run.
 	HeapMB     float64 `json:"heap_mb"`
 	CPUSeconds float64 `json:"processor_seconds"`
 }
 
-// Report is everything measured.
+// Report holds all measurements.
 type Report struct {
 	Machine string      `json:"machine"`
 	Quick   bool        `json:"quick"`
 	Fits    []LinearFit `json:"slopes"`
 	Runs    []RunResult `json:"runs"`
-	// PeakMemoryMB is the most memory that the process ever held.
+	// PeakMemoryMB is the peak resident memory of the process in MiB.
 	PeakMemoryMB float64 `json:"peak_mb"`
 }
 
 const megabyte = 1 << 20
 
-// heapBytes is the live heap after a collection.
+// heapBytes returns the size of the live heap after a garbage collection.
 func heapBytes() float64 {
 	runtime.GC()
 	runtime.GC()
@@ -127,7 +128,7 @@
 	return float64(stats.HeapAlloc)
 }
 
-func processorTime() time.Duration {
+func processCPUTime() time.Duration {
 	var usage syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &usage) != nil {
 		return 0
@@ -135,7 +136,7 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-func peakMB() float64 {
+func peakMemoryMB() float64 {
 	var usage syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &usage) != nil {
 		return 0
@@ -143,11 +144,11 @@
 	return float64(usage.Maxrss) / 1024
 }
 
-// run carries out one run and adds its cost.
-func run(name string, body func() ([]Measurement, error)) (RunResult, error) {
-	begun := processorTime()
-	values, err := body()
+// measureRun executes one run and records its CPU time and the heap after it.
+func measureRun(name string, measure func() ([]Measurement, error)) (RunResult, error) {
+	startCPUTime := processCPUTime()
+	values, err := measure()
 	return RunResult{
-		Name: name, Measurements: values, HeapMB: heapBytes() / megabyte, CPUSeconds: (processorTime() - begun).Seconds(),
+		Name: name, Measurements: values, HeapMB: heapBytes() / megabyte, CPUSeconds: (processCPUTime() - startCPUTime).Seconds(),
 	}, err
 }
--- a/internal/capacity/state.go
+++ b/internal/capacity/state.go
@@ -13,9 +13,9 @@
 	"github.com/ochrebay/ochrebay/internal/storage"
 )
 
-const sampleTurns = 3
+const turnsPerProgram = 3
 
-// buildLedger returns a ledger of programs with some turns each.
+// buildLedger returns a ledger of programs with the given number of turns each.
 func buildLedger(programs, turns int) *program.Ledger {
 	ledger := program.NewLedger()
 	index := uint64(0)
@@ -38,42 +38,43 @@
 	return ledger
 }
 
-// ledgerSlopes measures what program headers cost.
-func ledgerSlopes(sizes []int) ([]LinearFit, error) {
+// fitLedger measures the memory, the snapshot size and the restart time of program headers.
+func fitLedger(sizes []int) ([]LinearFit, error) {
 	var memory, bytes, restore []Point
 	for _, size := range sizes {
 		before := heapBytes()
-		ledger := buildLedger(size, sampleTurns)
+		ledger := buildLedger(size, turnsPerProgram)
 		memory = append(memory, Point{float64(size), heapBytes() - before})
 		data, err := ledger.Snapshot()
 		if err != nil {
 			return nil, err
 		}
 		bytes = append(bytes, Point{float64(size), float64(len(data))})
-		begun := time.Now()
+		startedAt := time.Now()
 		if err := program.NewLedger().Restore(data); err != nil {
 			return nil, err
 		}
-		restore = append(restore, Point{float64(size), float64(time.Since(begun).Microseconds()) / 1000})
+		restore = append(restore, Point{float64(size), float64(time.Since(startedAt).Microseconds()) / 1000})
 	}
 	return []LinearFit{
-		fit("memory of program headers", "control", "programs", "bytes", memory),
-		fit("snapshot of program headers", "control", "programs", "bytes", bytes),
-		fit("restart from a snapshot of headers", "control", "programs", "ms", restore),
+		newLinearFit("memory of program headers", "control", "programs", "bytes", memory),
+		newLinearFit("snapshot of program headers", "control", "programs", "bytes", bytes),
+		newLinearFit("restart from a snapshot of headers", "control", "programs", "ms", restore),
 	}, nil
 }
 
-func turnSlope(programs int, turns []int) LinearFit {
+// fitTurns measures the memory of one program header by its number of turns.
+func fitTurns(programs int, turns []int) LinearFit {
 	var points []Point
 	for _, count := range turns {
 		before := heapBytes()
 		ledger := buildLedger(programs, count)
 		points = append(points, Point{float64(count), (heapBytes() - before) / float64(ledger.Len())})
 	}
-	return fit("memory of one header", "control", "turns of the program", "bytes", points)
+	return newLinearFit("memory of one header", "control", "turns of the program", "bytes", points)
 }
 
-func buildTree(tenants int) *settings.Tree {
+func buildSettingsTree(tenants int) *settings.Tree {
 	tree := settings.NewTree()
 	const perChange = 1000
 	for first := 0; first < tenants; first += perChange {
@@ -91,62 +92,63 @@
 	return tree
 }
 
-// tenantSlopes measures what tenants in the tree cost a daemon that follows it.
-func tenantSlopes(sizes []int) ([]LinearFit, error) {
+// fitTenants measures the cost of tenants in the settings tree for a daemon that follows it.
+func fitTenants(sizes []int) ([]LinearFit, error) {
 	var memory, bytes, restore []Point
 	for _, size := range sizes {
-		state, err := buildTree(size).FollowerState()
+		state, err := buildSettingsTree(size).FollowerState()
 		if err != nil {
 			return nil, err
 		}
 		before := heapBytes()
 		follower := settings.NewTree()
-		begun := time.Now()
+		startedAt := time.Now()
 		if err := follower.Restore(state); err != nil {
 			return nil, err
 		}
-		took := time.Since(begun)
+		restoreTime := time.Since(startedAt)
 		memory = append(memory, Point{float64(size), heapBytes() - before})
 		bytes = append(bytes, Point{float64(size), float64(len(state))})
-		restore = append(restore, Point{float64(size), float64(took.Microseconds()) / 1000})
+		restore = append(restore, Point{float64(size), float64(restoreTime.Microseconds()) / 1000})
 		if follower.Revision() == 0 {
-			return nil, fmt.Errorf("capacity: the follower restored nothing")
+			return nil, fmt.Errorf("capacity: restored settings tree is empty")
 		}
 	}
 	return []LinearFit{
-		fit("memory of the followed tree", "scheduler", "tenants", "bytes", memory),
-		fit("whole tree sent to a fresh daemon", "scheduler", "tenants", "bytes", bytes),
-		fit("restoring the whole tree", "scheduler", "tenants", "ms", restore),
+		newLinearFit("memory of the followed tree", "scheduler", "tenants", "bytes", memory),
+		newLinearFit("whole tree sent to a fresh daemon", "scheduler", "tenants", "bytes", bytes),
+		newLinearFit("restoring the whole tree", "scheduler", "tenants", "ms", restore),
 	}, nil
 }
 
-// reportSlope measures what one report of an engine costs its owner, in JSON.
-func reportSlopes(sizes []int) []LinearFit {
-	var size, cost []Point
-	for _, held := range sizes {
+// fitEngineReports measures the size of one JSON engine report and the time that the
+// owner of the engine needs to decode it.
+func fitEngineReports(sizes []int) []LinearFit {
+	var sizePoints, costPoints []Point
+	for _, programs := range sizes {
 		state := engine.State{Name: "engine-agents-east-1", Ready: true}
-		for number := range held {
+		for number := range programs {
 			state.CachedPrograms = append(state.CachedPrograms, engine.CachedProgram{Program: fmt.Sprintf("p-%024x", number), Tokens: 4000})
 		}
 		raw, _ := json.Marshal(state)
 		const repeats = 200
-		begun := time.Now()
+		startedAt := time.Now()
 		for range repeats {
 			var decoded engine.State
 			_ = json.Unmarshal(raw, &decoded)
 		}
-		size = append(size, Point{float64(held), float64(len(raw))})
-		cost = append(cost, Point{float64(held), float64(time.Since(begun).Microseconds()) / repeats})
+		sizePoints = append(sizePoints, Point{float64(programs), float64(len(raw))})
+		costPoints = append(costPoints, Point{float64(programs), float64(time.Since(startedAt).Microseconds()) / repeats})
 	}
 	return []LinearFit{
-		fit("bytes of one engine report", "scheduler", "programs held by the engine", "bytes", size),
-		fit("decoding one engine report", "scheduler", "programs held by the engine", "us", cost),
+		newLinearFit("bytes of one engine report", "scheduler", "programs held by the engine", "bytes", sizePoints),
+		newLinearFit("decoding one engine report", "scheduler", "programs held by the engine", "us", costPoints),
 	}
 }
 
-// storeSlopes measures the real store: one synced write of several entries, each
-// with its turn record, as group commit makes them.
-func storeSlopes(sizes []int, recordBytes int) ([]LinearFit, error) {
+// fitSyncedWrites measures the production store: one synced write of several entries,
+// each with its turn record, as group commit produces them.
+func fitSyncedWrites(sizes []int, recordBytes int) ([]LinearFit, error) {
 	folder, err := os.MkdirTemp("", "ochrebay-capacity")
 	if err != nil {
 		return nil, err
@@ -162,7 +164,7 @@
 	value := make([]byte, recordBytes)
 	for _, size := range sizes {
 		const repeats = 60
-		begun := time.Now()
+		startedAt := time.Now()
 		for range repeats {
 			write := storage.GroupWrite{Group: 1}
 			for range size {
@@ -174,7 +176,7 @@
 				return nil, err
 			}
 		}
-		points = append(points, Point{float64(size), float64(time.Since(begun).Microseconds()) / repeats})
+		points = append(points, Point{float64(size), float64(time.Since(startedAt).Microseconds()) / repeats})
 	}
-	return []LinearFit{fit("one synced write", "control", "entries in the write", "us", points)}, nil
+	return []LinearFit{newLinearFit("one synced write", "control", "entries in the write", "us", points)}, nil
 }
