--- a/internal/admission/kinds.go
+++ b/internal/admission/kinds.go
@@ -1,6 +1,7 @@
-// Package admission decides which programs may start: within the limit of their tenant, based on
-// the requests of earlier programs of the same kind, and within their tenant's fair share of an
-// oversubscribed back end. The package is pure: its callers pass the time.
+// Package admission decides which programs may start. The limit of a tenant is compared with a
+// forecast of the requests of its programs, which is learned from earlier programs of the same
+// kind. At an oversubscribed backend, tenants are limited to their fair shares. The package is
+// pure: its callers pass the time.
 package admission
 
 import "math"
@@ -16,15 +17,15 @@
 	// kind of programs are learned within some hundred requests.
 	maxObservedWeight = 1024
 	// gapBuckets is the number of buckets of the time between two requests. Bucket i starts at
-	// minGapMs * 2^i milliseconds.
+	// minGapMs * 2^i milliseconds; bucket 0 also holds shorter times.
 	gapBuckets = 12
 	minGapMs   = 25
 	// progressBuckets is the number of buckets of the progress of a program. Bucket i starts at 2^i
 	// requests.
 	progressBuckets = 10
 	// inactivityGaps is the number of mean gaps without a request after which a program counts as
-	// ended, and minInactivityMs is the minimum of that time. A caller that was refused retries
-	// within a second.
+	// ended, and minInactivityMs is the minimum of that time. It is longer than the second within
+	// which a refused caller retries.
 	inactivityGaps  = 8
 	minInactivityMs = 1500
 )
@@ -47,7 +48,7 @@
 }
 
 // ProgramKind holds the observations of one kind of programs: the number of their requests and the
-// times between them, including tool calls and sub-agents.
+// times between them, which include tool calls and sub-agents.
 //
 // Whether a program continues after a request is estimated from the requests that were followed by
 // another one and those that were not, as in the estimator of Kaplan and Meier. Programs that are
@@ -146,17 +147,17 @@
 	return math.Max(inactivityGaps*k.MeanGapMs(), minInactivityMs)
 }
 
-// continueProbability returns the probability that a program continues after silentMs without a
+// continueProbability returns the probability that a program continues after idleMs without a
 // request.
-func (k *ProgramKind) continueProbability(endProbability, silentMs float64) float64 {
-	if silentMs >= k.InactivityTimeoutMs() {
+func (k *ProgramKind) continueProbability(endProbability, idleMs float64) float64 {
+	if idleMs >= k.InactivityTimeoutMs() {
 		return 0
 	}
 	longerGaps := 0.0
-	for bucket := gapBucket(silentMs); bucket < gapBuckets; bucket++ {
+	for bucket := gapBucket(idleMs); bucket < gapBuckets; bucket++ {
 		longerGaps += k.gapCounts[bucket]
 	}
-	longerGaps += priorWeight * math.Exp(-silentMs/priorGapMs)
+	longerGaps += priorWeight * math.Exp(-idleMs/priorGapMs)
 	continueWeight := (1 - endProbability) * longerGaps / (k.gapWeight + priorWeight)
 	return continueWeight / (continueWeight + endProbability)
 }
@@ -219,5 +220,6 @@
 	}
 }
 
-// horizonMs returns the end of a part of the window.
+// horizonMs returns the time from now to a horizon. The horizons divide the window into
+// horizonCount equal parts.
 func horizonMs(windowMs int64, horizon int) int64 { return windowMs * int64(horizon+1) / horizonCount }
--- a/internal/admission/meter.go
+++ b/internal/admission/meter.go
@@ -1,7 +1,7 @@
 package admission
 
 // UsageMeter measures at a gateway the mean number of requests of each tenant in flight at each
-// back end since the last collection.
+// backend since the last collection.
 type UsageMeter struct {
 	counters    map[meterKey]*usageCounter
 	collectedMs int64
@@ -30,8 +30,8 @@
 	c.integratedMs = max(nowMs, c.integratedMs)
 }
 
-// counter returns the counter of a tenant at a back end, which is created if necessary, and sets
-// its weight.
+// counter returns the counter of a tenant at a backend, which is created if necessary, and sets its
+// weight.
 func (m *UsageMeter) counter(backend, tenant string, weight float64, nowMs int64) *usageCounter {
 	key := meterKey{backend, tenant}
 	counter := m.counters[key]
@@ -57,7 +57,7 @@
 }
 
 // CollectUsage returns the usage since the last call, and removes tenants without requests in
-// flight. It lists the tenants only of back ends that are nearly oversubscribed.
+// flight. It lists the tenants only of backends that are nearly oversubscribed.
 func (m *UsageMeter) CollectUsage(nowMs int64, isNearlyOversubscribed func(backend string) bool) []BackendUsage {
 	elapsed := float64(max(nowMs-m.collectedMs, 1))
 	m.collectedMs = nowMs
--- a/internal/admission/programs.go
+++ b/internal/admission/programs.go
@@ -53,8 +53,8 @@
 // Len returns the number of programs that are kept.
 func (p *TenantPrograms) Len() int { return len(p.byName) }
 
-// RecordGrant records a request of a program that was made at requestedMs and granted at nowMs. For
-// a turn, kind is the kind of the program.
+// RecordGrant records a request of a program that was made at requestedMs and granted at nowMs.
+// kind is the kind of the program if the request is a turn, and empty otherwise.
 func (p *TenantPrograms) RecordGrant(name, kind string, requestedMs, nowMs int64) {
 	current := p.byName[name]
 	if current == nil {
@@ -107,12 +107,12 @@
 	p.hasForecast, p.forecastedMs = true, nowMs
 	p.demand = [horizonCount]float64{}
 	for name, current := range p.byName {
-		silentMs := nowMs - current.lastGrantMs
+		idleMs := nowMs - current.lastGrantMs
 		switch {
-		case silentMs > idleProgramLifetimeMs:
+		case idleMs > idleProgramLifetimeMs:
 			delete(p.byName, name)
 		case current.countsAsEnded:
-		case float64(silentMs) >= current.kind.InactivityTimeoutMs():
+		case float64(idleMs) >= current.kind.InactivityTimeoutMs():
 			current.countsAsEnded = true
 			current.kind.ObserveEnd(current.grantedRequests)
 		default:
@@ -124,8 +124,7 @@
 // RemoveIdle removes idle programs, if the forecast is out of date.
 func (p *TenantPrograms) RemoveIdle(nowMs int64) { p.updateForecast(nowMs) }
 
-// Decision is the decision whether a program may start, with the figures that it is based
-// on.
+// Decision is the decision whether a program may start, with the figures on which it is based.
 type Decision struct {
 	Admitted bool
 	// CountedRequests is the number of granted requests that still count, ExpectedRequests the
@@ -140,11 +139,12 @@
 }
 
 // DecideAdmission decides whether a program of a kind may start: at no moment of the coming window
-// may the mean number of requests exceed allowed. The queue absorbs the spread around the mean. To
-// keep a standard deviation free as well refuses a fifth more programs, and shortens the wait at
-// the 99th percentile from 0.3 to 0.1 s (docs/design/0011-limits-by-program.md). countedAt returns
-// how many of the requests granted so far still count at a time. externalDemand is demand within
-// the window that is known from elsewhere, such as from programs that a new owner has not seen yet.
+// may the mean number of requests exceed allowed. The queue absorbs the spread around the mean.
+// Keeping a standard deviation free as well would refuse a fifth more programs and shorten the 99th
+// percentile of the wait from 0.3 to 0.1 s (docs/design/0011-limits-by-program.md). countedAt
+// returns how many of the requests granted so far still count at a time. externalDemand is an
+// estimate of the demand within the window from another source, such as that of programs that a new
+// owner of the tenant's limit has not seen yet; the higher estimate counts.
 //
 // A tenant without a program in progress may always start one, however small its limit. The program
 // then uses what the limit allows.
--- a/internal/admission/programs_test.go
+++ b/internal/admission/programs_test.go
@@ -53,7 +53,7 @@
 		So(programs.DecideAdmission("k", 1000, 2, 0, none).Admitted, ShouldBeTrue)
 		So(programs.DecideAdmission("k", 1000, 2, 9, none).Admitted, ShouldBeFalse)
 	})
-	Convey("requests that already count leave the window in time", t, func() {
+	Convey("a program may start if the requests that already count leave the window in time", t, func() {
 		programs := NewTenantPrograms(learnedKinds(200, 10, 400), testWindowMs)
 		programs.RecordGrant("a", "k", 1000, 1000)
 		full := func(atMs int64) int64 {
--- a/internal/admission/shares.go
+++ b/internal/admission/shares.go
@@ -3,14 +3,14 @@
 import "math"
 
 const (
-	// usageLifetimeMs is the age from which reported usage is ignored. Shares expire with it, so
+	// usageLifetimeMs is the age above which reported usage is ignored. Shares expire with it, so
 	// that no tenant is limited to a share while control is unavailable.
 	usageLifetimeMs = 2500
-	// maxReportedTenants limits the tenants of a back end that are sent to gateways to those with
+	// maxReportedTenants limits the tenants of a backend that are sent to gateways to those with
 	// the highest demand for their weight. The others count in the totals and are treated as within
 	// their share.
 	maxReportedTenants = 64
-	// maxReportedBackends limits the number of back ends in one report.
+	// maxReportedBackends limits the number of backends in one report.
 	maxReportedBackends = 64
 	// fullRejectionExcess is the excess, as a fraction of its share, from which all new programs of
 	// a tenant are rejected. Up to there the rejected fraction grows with the excess, so that usage
@@ -20,11 +20,12 @@
 	// its share by chance; the standard deviation is the square root of the share. A small tenant
 	// with one or two programs more than usual is not the cause of an overload.
 	slackDeviations = 2
-	// retrySpreadMs spreads the retries of programs that are rejected together.
+	// retrySpreadMs is the upper bound of the retry delay, which differs between programs so that
+	// those rejected together do not retry together.
 	retrySpreadMs = 1000
 )
 
-// TenantUsage is the usage of a back end by a tenant. Weight is the tenant's configured rate, by
+// TenantUsage is the usage of a backend by a tenant. Weight is the tenant's configured rate, by
 // which the operator has sized the tenant's part of the fleet.
 type TenantUsage struct {
 	Tenant string  `msgpack:"t"`
@@ -37,7 +38,7 @@
 	ProgramStarts float32 `msgpack:"g,omitempty"`
 }
 
-// BackendUsage is the usage of one back end, by tenants and by all requests together.
+// BackendUsage is the usage of one backend, by tenants and by all requests together.
 type BackendUsage struct {
 	Backend string `msgpack:"b"`
 	// InFlight is the number of requests in flight, with or without a tenant, and ProgramStarts the
@@ -104,12 +105,12 @@
 	return u.TenantDemand(tenant) / tenant.weight()
 }
 
-// ShareStatus is the state of a tenant at a back end with respect to its fair share.
+// ShareStatus is the state of a tenant at a backend with respect to its fair share.
 type ShareStatus struct {
-	// HasRecentUsage means that the usage of all gateways was received recently; otherwise the other fields
-	// are zero.
+	// HasRecentUsage means that the usage of all gateways was received recently. If it is false,
+	// the other fields are zero.
 	HasRecentUsage bool
-	// Oversubscribed means that the demand on the back end exceeds its capacity, and AboveFairShare
+	// Oversubscribed means that the demand on the backend exceeds its capacity, and AboveFairShare
 	// that the tenant's demand exceeds its share.
 	Oversubscribed, AboveFairShare bool
 	// InFlight, Demand and Share are numbers of requests in flight. Excess is the sum over the
@@ -120,9 +121,9 @@
 // toleratedDemand returns the demand up to which a tenant counts as within its share.
 func (s ShareStatus) toleratedDemand() float64 { return s.Share + slackDeviations*math.Sqrt(s.Share) }
 
-// RejectedFraction returns the fraction of the tenant's new programs that is rejected: none within
-// its share, and otherwise as many as reduce the demand to the share. It rises to all programs as
-// the requests in flight exceed the share by fullRejectionExcess.
+// RejectedFraction returns the fraction of the tenant's new programs that is rejected: 0 within its
+// share, and otherwise the fraction that reduces the demand to the share. It rises to 1 as the
+// requests in flight exceed the share by fullRejectionExcess.
 func (s ShareStatus) RejectedFraction() float64 {
 	if !s.AboveFairShare {
 		return 0
@@ -132,8 +133,8 @@
 }
 
 // Admit reports whether a new program of the tenant may start, and otherwise the delay after which
-// it is to retry, in milliseconds. sample is a random number within 0..1 that is the same for every
-// attempt of a program.
+// it should retry, in milliseconds. sample is a random number within 0..1 that is the same for
+// every attempt of a program.
 func (s ShareStatus) Admit(sample float64) (retryAfterMs int64, admitted bool) {
 	excess := s.RejectedFraction() - sample
 	if excess <= 0 {
@@ -142,7 +143,7 @@
 	return int64(math.Ceil(excess * retrySpreadMs)), false
 }
 
-// FairShares holds at a gateway the usage of back ends over all gateways.
+// FairShares holds at a gateway the usage of backends over all gateways.
 type FairShares struct {
 	usageByBackend map[string]BackendUsage
 	receivedMs     int64
@@ -158,7 +159,7 @@
 	s.receivedMs, s.hasUsage = nowMs, true
 }
 
-// Status returns the state of a tenant at a back end with a capacity in requests.
+// Status returns the state of a tenant at a backend with a capacity, in requests in flight.
 func (s *FairShares) Status(backend, tenant string, capacity float64, nowMs int64) ShareStatus {
 	usage, known := s.usageByBackend[backend]
 	if !s.hasUsage || !known || nowMs-s.receivedMs > usageLifetimeMs || capacity <= 0 {
@@ -180,7 +181,7 @@
 	return status
 }
 
-// Demand returns the demand of all tenants on a back end, in requests in flight, or 0 if none was
+// Demand returns the demand of all tenants on a backend, in requests in flight, or 0 if none was
 // received recently.
 func (s *FairShares) Demand(backend string, nowMs int64) float64 {
 	if !s.hasUsage || nowMs-s.receivedMs > usageLifetimeMs {
--- a/internal/admission/shares_test.go
+++ b/internal/admission/shares_test.go
@@ -29,8 +29,8 @@
 }
 
 // TestSharesProperty compares the shares at gateways with those computed from all tenants at once.
-// They fill the capacity exactly, no tenant within its share is limited, and no tenant is limited
-// while the capacity suffices for all.
+// They fill the capacity, no tenant within its share is limited, and no tenant is limited while the
+// capacity suffices for all.
 func TestSharesProperty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		aggregator := NewUsageAggregator()
@@ -114,7 +114,7 @@
 		So(status.RejectedFraction(), ShouldBeGreaterThan, 0.3)
 		So(shares.Status("b", "u", 20, 20_000).AboveFairShare, ShouldBeFalse)
 	})
-	Convey("the size of the totals does not grow with the number of tenants", t, func() {
+	Convey("totals of many tenants list only maxReportedTenants of them, in less than 3,000 bytes", t, func() {
 		aggregator := NewUsageAggregator()
 		for gateway := range 700 {
 			usage := BackendUsage{Backend: "back-end-name", InFlight: 17}
--- a/internal/admission/useboard.go
+++ b/internal/admission/useboard.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	// totalsLifetimeMs is how long totals are reused. To compute them takes as many steps as there
+	// totalsLifetimeMs is how long totals are reused. Computing them takes as many steps as there
 	// are tenants in the reports of all gateways.
 	totalsLifetimeMs = 200
 	// startHalfLifeMs is the half-life of a program start. It is long enough that one program of a
@@ -59,7 +59,7 @@
 	usages []BackendUsage
 }
 
-// backendStatistics holds the statistics of one back end.
+// backendStatistics holds the observed service time and program starts of one backend.
 type backendStatistics struct {
 	// serviceSeconds is the total duration of requests in seconds, and programStarts the number of
 	// programs started.
@@ -72,7 +72,7 @@
 	return &UsageAggregator{byGateway: map[string]gatewayReport{}, backends: map[string]*backendStatistics{}}
 }
 
-// ReportUsage replaces the report of a gateway, which omits back ends without usage.
+// ReportUsage replaces the report of a gateway, which omits backends without usage.
 func (a *UsageAggregator) ReportUsage(gateway string, usages []BackendUsage, nowMs int64) {
 	previous, hasPrevious := a.byGateway[gateway]
 	delete(a.byGateway, gateway)
@@ -124,7 +124,8 @@
 	return float32(s.serviceSeconds.at(nowMs, serviceHalfLifeMs) / starts)
 }
 
-// startsPerSecond returns how many programs a tenant starts per second.
+// startsPerSecond returns how many programs a tenant starts per second. At a constant rate, the
+// decayed count is the rate times the half-life divided by ln 2.
 func (s *backendStatistics) startsPerSecond(tenant string, nowMs int64) float32 {
 	starts := s.startsByTenant[tenant]
 	if starts == nil {
@@ -134,7 +135,7 @@
 	return float32(starts.at(nowMs, startHalfLifeMs) * perSecond / startHalfLifeMs)
 }
 
-// Totals returns the usage of each back end over all gateways, with at most maxReportedTenants
+// Totals returns the usage of each backend over all gateways, with at most maxReportedTenants
 // tenants each.
 func (a *UsageAggregator) Totals(nowMs int64) []BackendUsage {
 	if a.Version > 0 && nowMs-a.totalsMs < totalsLifetimeMs && nowMs >= a.totalsMs {
@@ -217,13 +218,13 @@
 
 // withTopTenants returns the total with the tenants that have the highest demand for their weight.
 func (u *BackendUsage) withTopTenants(tenants map[string]TenantUsage) BackendUsage {
-	total, namedInFlight := *u, 0.0
+	total, listedInFlight := *u, 0.0
 	for _, tenant := range tenants {
 		total.Tenants = append(total.Tenants, tenant)
 		total.Demand += float32(total.TenantDemand(tenant))
-		namedInFlight += float64(tenant.InFlight)
+		listedInFlight += float64(tenant.InFlight)
 	}
-	total.Demand += float32(max(float64(total.InFlight)-namedInFlight, 0))
+	total.Demand += float32(max(float64(total.InFlight)-listedInFlight, 0))
 	slices.SortFunc(total.Tenants, func(x, y TenantUsage) int {
 		return cmp.Or(cmp.Compare(total.demandPerWeight(y), total.demandPerWeight(x)), cmp.Compare(x.Tenant, y.Tenant))
 	})
--- a/internal/routing/delta.go
+++ b/internal/routing/delta.go
@@ -59,7 +59,7 @@
 }
 
 // Apply returns the table after the delta. It returns the current table and false if the delta
-// applies to another table or leads to an older one. Invariant: the generation only grows.
+// applies to another table or does not lead to a newer one. Invariant: the generation only grows.
 func (d *Delta) Apply(current *Table) (*Table, bool) {
 	if current != nil && d.Generation <= current.Generation {
 		return current, false
--- a/internal/routing/index.go
+++ b/internal/routing/index.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Index finds routes, tenants and back ends of one table. It is immutable.
+// Index finds routes, tenants and backends of one table. It is immutable.
 type Index struct {
 	Table        *Table
 	routesByHost map[string][]*Route
@@ -14,8 +14,7 @@
 	tenantsByKey map[KeyDigest]*Tenant
 	// meanTenantRate is the mean rate of the tenants with a rate limit, in requests per second.
 	meanTenantRate float64
-	// streamPriorities holds the priorities of the streams of each back end, the least urgent
-	// first.
+	// streamPriorities holds the priorities of the streams of each backend, the least urgent first.
 	streamPriorities map[string][]requestPriority
 }
 
@@ -69,7 +68,7 @@
 	return nil
 }
 
-// addStreamPriorities collects the priorities of the streams of each back end.
+// addStreamPriorities collects the priorities of the streams of each backend.
 func (i *Index) addStreamPriorities() {
 	table := i.Table
 	for number := range table.Routes {
@@ -92,8 +91,8 @@
 	}
 }
 
-// PriorityPosition returns how many of the priorities in use at a back end are less urgent than
-// that of a request, and how many are in use.
+// PriorityPosition returns how many of the priorities in use by streams at a backend are less
+// urgent than that of a request, and how many are in use.
 func (i *Index) PriorityPosition(backend string, tenant *Tenant, route *Route) (position, priorities int) {
 	known := i.streamPriorities[backend]
 	index, _ := slices.BinarySearchFunc(known, priorityOf(tenant, route), compareLeastUrgentFirst)
@@ -104,10 +103,10 @@
 // digest, so that its duration reveals nothing about the keys that exist.
 func (i *Index) TenantByKey(key string) *Tenant { return i.tenantsByKey[DigestKey(key)] }
 
-// Backend returns a back end of the table.
+// Backend returns a backend of the table.
 func (i *Index) Backend(name string) Backend { return i.backends[name] }
 
-// SelectBackend returns a back end of the route by weight, for a random sample within 0..1.
+// SelectBackend returns a backend of the route by weight, for a random sample within 0..1.
 func (r *Route) SelectBackend(sample float64) string {
 	total := 0.0
 	for _, share := range r.Shares {
@@ -143,8 +142,8 @@
 	return sum / float64(limited)
 }
 
-// TenantWeight returns a tenant's weight in the sharing of an oversubscribed back end: its rate
-// limit, or the mean rate of the other tenants if it has none.
+// TenantWeight returns a tenant's weight in the sharing of an oversubscribed backend: its rate
+// limit, or the mean rate limit of the tenants that have one.
 func (i *Index) TenantWeight(tenant *Tenant) float64 {
 	if tenant == nil || !tenant.HasRateLimit() {
 		return i.meanTenantRate
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -38,17 +38,17 @@
 		So(index.FindRoute("a.example", "/xy/"), ShouldBeNil)
 		So(index.FindRoute("b.example", "/x/y/z"), ShouldBeNil)
 	})
-	Convey("a table with any error is rejected as a whole", t, func() {
+	Convey("a table with any of these errors is invalid", t, func() {
 		faults := map[string]func(*Table){
-			"no back end":           func(t *Table) { t.Routes[0].Shares[0].Backend = "three" },
-			"listed twice":          func(t *Table) { t.Routes[1].PathPrefix = "/x/" },
-			"sum to 0":              func(t *Table) { t.Routes[0].Shares[0].Weight = 0 },
-			"below 0":               func(t *Table) { t.Routes[0].Shares[0].Weight = -1 },
-			"time-out":              func(t *Table) { t.Routes[0].TimeoutMs = 0 },
-			"kind":                  func(t *Table) { t.Routes[0].Kind = "other" },
-			"with a slash":          func(t *Table) { t.Routes[0].PathPrefix = "/x" },
-			"same prefix":           func(t *Table) { t.Routes[1].PathPrefix, t.Routes[1].Host = "/x/", "A.EXAMPLE" },
-			"has no name":           func(t *Table) { t.Backends[1].Name = "one" },
+			"unknown backend":       func(t *Table) { t.Routes[0].Shares[0].Backend = "three" },
+			"route listed twice":    func(t *Table) { t.Routes[1].PathPrefix = "/x/" },
+			"weights sum to 0":      func(t *Table) { t.Routes[0].Shares[0].Weight = 0 },
+			"weight below 0":        func(t *Table) { t.Routes[0].Shares[0].Weight = -1 },
+			"timeout of 0":          func(t *Table) { t.Routes[0].TimeoutMs = 0 },
+			"unknown kind":          func(t *Table) { t.Routes[0].Kind = "other" },
+			"no slash at the end":   func(t *Table) { t.Routes[0].PathPrefix = "/x" },
+			"host in other case":    func(t *Table) { t.Routes[1].PathPrefix, t.Routes[1].Host = "/x/", "A.EXAMPLE" },
+			"backend listed twice":  func(t *Table) { t.Backends[1].Name = "one" },
 			"shared key":            func(t *Table) { t.Tenants[1].Keys[0] = t.Tenants[0].Keys[1] },
 			"tenant listed twice":   func(t *Table) { t.Tenants[1].Name = "t" },
 			"tenant without a name": func(t *Table) { t.Tenants[1].Name = "" },
@@ -79,7 +79,7 @@
 		So((&Tenant{}).EffectivePriority(route), ShouldEqual, 1)
 		So((&Tenant{Priority: &priority}).EffectivePriority(route), ShouldEqual, 3)
 	})
-	Convey("back ends are selected by weight, and one of weight 0 never is", t, func() {
+	Convey("backends are selected by weight, and one of weight 0 is never selected", t, func() {
 		route := Route{Shares: []BackendShare{{"none", 0}, {"most", 90}, {"few", 10}, {"nobody", 0}}}
 		counts := map[string]int{}
 		for step := range 1000 {
@@ -99,7 +99,7 @@
 // that no delta returns it to an older table.
 func TestDeltaProperty(t *testing.T) {
 	tables := rapid.Custom(func(t *rapid.T) *Table {
-		generated := &Table{Backends: []Backend{{Name: "one"}}, RequiresKey: rapid.Bool().Draw(t, "keyed")}
+		generated := &Table{Backends: []Backend{{Name: "one"}}, RequiresKey: rapid.Bool().Draw(t, "requires key")}
 		for number := range 4 {
 			if rapid.Bool().Draw(t, "tenant") {
 				key := DigestKey(fmt.Sprint(rapid.IntRange(0, 2).Draw(t, "key")))
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -1,5 +1,5 @@
 // Package routing defines the routing table of the gateways: which host and path prefix belong to
-// which route, whether its requests may be repeated, its timeouts and its back ends. A table is
+// which route, whether its requests may be repeated, its timeouts and its backends. A table is
 // replaced as a whole, by generation, and is part of the settings tree. The package is pure: it
 // uses no clock, socket or random source.
 package routing
@@ -25,13 +25,13 @@
 	KindStream RouteKind = "stream"
 )
 
-// BackendShare is the share of a route's requests that goes to one back end.
+// BackendShare is the share of a route's requests that goes to one backend.
 type BackendShare struct {
 	Backend string  `msgpack:"b" json:"backend"`
 	Weight  float64 `msgpack:"w" json:"weight"`
 }
 
-// Route sends the requests of one host and path prefix to back ends. Times are in milliseconds.
+// Route sends the requests of one host and path prefix to backends. Times are in milliseconds.
 type Route struct {
 	Name       string         `msgpack:"n" json:"name"`
 	Host       string         `msgpack:"h" json:"host"`
@@ -50,10 +50,11 @@
 	// MaxAttempts limits the number of engines to which one request may be sent.
 	MaxAttempts int  `msgpack:"a" json:"max_attempts"`
 	Resumable   bool `msgpack:"e,omitempty" json:"resumable,omitempty"`
-	// RetainTurns stores the turns of this route for RetentionMs.
+	// RetainTurns means that the turns of this route are stored for RetentionMs.
 	RetainTurns bool  `msgpack:"v,omitempty" json:"retain,omitempty"`
 	RetentionMs int64 `msgpack:"m,omitempty" json:"retention_ms,omitempty"`
-	// Affinity means that an engine that has recently served the same object is faster.
+	// Affinity means that an engine is faster if it has recently served a request with the same
+	// affinity key. Such requests are therefore sent to the same engine.
 	Affinity bool `msgpack:"f,omitempty" json:"affinity,omitempty"`
 	// AllowsAnonymous permits requests without a key although the table has tenants.
 	AllowsAnonymous bool `msgpack:"o,omitempty" json:"anonymous,omitempty"`
@@ -101,7 +102,7 @@
 	SourceDocument []byte `msgpack:"d,omitempty" json:"-"`
 }
 
-// Validate returns the first error in a table.
+// Validate returns the first error in a table, or nil if it is valid.
 func (t *Table) Validate() *result.Error {
 	backends := map[string]bool{}
 	for _, backend := range t.Backends {
@@ -138,15 +139,15 @@
 	total := 0.0
 	for _, share := range r.Shares {
 		if !backends[share.Backend] {
-			return invalid("route %q: back end %q does not exist", r.Name, share.Backend)
+			return invalid("route %q: backend %q does not exist", r.Name, share.Backend)
 		}
 		if share.Weight < 0 {
-			return invalid("route %q: the weight of back end %q is negative", r.Name, share.Backend)
+			return invalid("route %q: the weight of backend %q is negative", r.Name, share.Backend)
 		}
 		total += share.Weight
 	}
 	if total <= 0 {
-		return invalid("route %q: the weights of its back ends sum to 0", r.Name)
+		return invalid("route %q: the weights of its backends sum to 0", r.Name)
 	}
 	return nil
 }
@@ -163,7 +164,7 @@
 	return &stripped
 }
 
-// Backend returns the back end with a name.
+// Backend returns the backend with a name.
 func (t *Table) Backend(name string) (Backend, bool) {
 	for _, backend := range t.Backends {
 		if backend.Name == name {
--- a/internal/routing/tenants.go
+++ b/internal/routing/tenants.go
@@ -17,11 +17,11 @@
 // Tenant is a customer of the operator, identified by any of its keys.
 type Tenant struct {
 	Name string `msgpack:"n" json:"name"`
-	// Keys are the digests of the tenant's keys. There are several while a key is being replaced. A
-	// tenant without keys can't be used.
+	// Keys are the digests of the tenant's keys. There are several while a key is being replaced.
+	// No request is attributed to a tenant without keys.
 	Keys []KeyDigest `msgpack:"k,omitempty" json:"-"`
 	// Priority is the priority of the tenant's requests, 0 is the highest. It replaces the priority
-	// of the route; nil leaves that in force.
+	// of the route, unless it is nil.
 	Priority *int `msgpack:"p,omitempty" json:"priority,omitempty"`
 	// RatePerSecond and Burst limit the tenant's requests over all gateways, in requests per second
 	// and in requests. A rate of 0 means no limit.
@@ -41,8 +41,8 @@
 	return *t.Priority
 }
 
-// validateTenants returns the first error in the tenants. It identifies a key by its number and
-// never contains the key.
+// validateTenants returns the first error in the tenants. The error identifies a key by its number
+// and never contains the key.
 func (t *Table) validateTenants() *result.Error {
 	names := map[string]bool{}
 	owners := map[KeyDigest]string{}
--- a/internal/scheduling/admission.go
+++ b/internal/scheduling/admission.go
@@ -8,9 +8,10 @@
 	priorOnTimeStreams = 8
 	// overloadLateFraction is the fraction of late streams above which a fleet counts as overloaded
 	// and a limit is set. targetLateFraction is the fraction that the limit aims at. A burst of 2.5
-	// times the traffic took engines that recover by themselves to 0.32 for some seconds; rejecting
-	// programs there lost 0.1 of the value of the work. Engines of half the speed went from 0.07
-	// through 0.34 to 0.99 within 12 s and stayed there (docs/design/0008-shifted-work.md).
+	// times the traffic raised the late fraction to 0.32 for some seconds at engines that recover
+	// by themselves; rejecting programs in that case lost 0.1 of the value of the work. At engines
+	// of half the speed the fraction rose from 0.07 through 0.34 to 0.99 within 12 s and stayed
+	// there (docs/design/0008-shifted-work.md).
 	overloadLateFraction = 0.4
 	targetLateFraction   = 0.1
 	// idleLimitLifetimeMs is how long a limit is kept while it rejects nobody and few streams are
@@ -22,8 +23,8 @@
 	decreasePerSecond = 1.0
 	increasePerSecond = 0.1
 	// nearLimitFraction is the fraction of the limit from which concurrency shows whether the limit
-	// is right: streams that start on time at a lower concurrency don't show that a higher limit
-	// would do.
+	// is right: streams that start on time at a lower concurrency don't show that a higher limit is
+	// safe.
 	nearLimitFraction = 0.8
 	// The limit never falls below the engine's slots divided by minLimitSlotDivisor, or below
 	// minLimit. Streams that start late at emptier engines do so for another reason, such as an
@@ -32,26 +33,29 @@
 	minLimit            = 2
 	// unrestrictedFraction is the fraction of the limit up to which all programs of the lowest
 	// priority are admitted. priorityFraction is added to it in steps up to the highest priority,
-	// and over a further rampFraction the admitted share of programs falls from all to the minimum.
+	// and over a further rampFraction the rejected fraction of programs rises from 0 to
+	// maxRejectedFraction.
 	unrestrictedFraction = 0.7
 	priorityFraction     = 0.2
 	rampFraction         = 0.2
 	// maxRejectedFraction limits the fraction of new programs that is rejected, so that no priority
 	// starves.
 	maxRejectedFraction = 0.9
-	// retrySpreadMs spreads the retries of programs that are rejected together. It is the longest
-	// delay after which callers with turns of 3 s retry.
+	// retrySpreadMs is the upper bound of the retry delay, which differs between programs so that
+	// those rejected together do not retry together. Callers with turns of 3 s retry within this
+	// time.
 	retrySpreadMs = 1000
 )
 
-// AdmissionController decides which programs may start at the engines of one back end. When engines
+// AdmissionController decides which programs may start at the engines of one backend. When engines
 // are asked for more than they can serve, every program is late and cached prompts are evicted, so
 // that the engines serve less and less. Callers are then better off if some programs are rejected
 // at once, before any work was done for them, and the others are served in time.
 //
 // It learns the concurrency, in requests per engine, up to which streams start within the target
 // latency of their route, and admits programs while the concurrency is below it. It needs neither a
-// model nor figures of the engines. There is no limit until most streams start late.
+// model of the engines nor their performance figures. There is no limit until the late fraction
+// exceeds overloadLateFraction.
 //
 // One gateway of a large fleet sees few streams and might learn a limit by chance that no other
 // gateway has. The late fraction is therefore that of the streams of all gateways, as aggregated by
@@ -65,10 +69,11 @@
 	// limit is in requests per engine, 0 for none.
 	limit     float64
 	updatedMs int64
-	// lastBindingMs is when the limit last took effect on a new program.
+	// lastBindingMs is when the limit was set, or when a new program last had a rejected fraction
+	// above 0.
 	lastBindingMs int64
-	// onTimeConcurrency is the concurrency at which few streams were late, last updated while there
-	// was no limit.
+	// onTimeConcurrency is the last concurrency without a limit at which the late fraction was at
+	// most targetLateFraction, 0 if there was none.
 	onTimeConcurrency float64
 }
 
@@ -95,10 +100,10 @@
 	a.sharedMs = nowMs
 }
 
-// UpdateLimit brings the limit up to nowMs, given the mean concurrency of the engines. Lateness at
-// a concurrency above the limit comes from requests in flight and will pass; only lateness at or
-// below the limit shows that the limit is too high. slots is the number of requests that an engine
-// serves at once, 0 if unknown.
+// UpdateLimit updates the limit, given the mean concurrency of the engines at nowMs. Lateness at a
+// concurrency above the limit is caused by requests that are already in flight and will pass; only
+// lateness at or below the limit shows that the limit is too high. slots is the number of requests
+// that an engine serves at once, 0 if unknown.
 func (a *AdmissionController) UpdateLimit(nowMs int64, concurrency float64, slots int) {
 	minimum := max(float64(slots)/minLimitSlotDivisor, minLimit)
 	const millisecondsPerSecond = 1000
@@ -140,10 +145,10 @@
 }
 
 // Admit reports whether a new program may start at a mean concurrency, and otherwise the delay
-// after which it is to retry, in milliseconds. priorities is the number of priorities in use, and
-// position the number of those that are lower than the program's own. sample is a random number
-// within 0..1 that is the same for every attempt of a program at every gateway, so that retrying
-// more often does not raise the chance of admission.
+// after which it should retry, in milliseconds. priorities is the number of priorities in use, and
+// position the number of those that are less urgent than the program's own. sample is a random
+// number within 0..1 that is the same for every attempt of a program at every gateway, so that
+// retrying more often does not raise the chance of admission.
 func (a *AdmissionController) Admit(concurrency float64, position, priorities int, sample float64) (retryAfterMs int64, admitted bool) {
 	rejected := a.RejectedFraction(concurrency, position, priorities)
 	if rejected > 0 {
--- a/internal/scheduling/admission_test.go
+++ b/internal/scheduling/admission_test.go
@@ -8,9 +8,9 @@
 )
 
 // TestAdmissionProperty checks for any history of streams and concurrency that nobody is rejected
-// below the minimum limit, that some programs are always admitted, that a higher priority is never
-// rejected more often, and that a program admitted with one random sample is admitted with any
-// higher one.
+// below unrestrictedFraction of the minimum limit, that some programs are always admitted, that a
+// higher priority is never rejected more often, and that a program admitted with one random sample
+// is admitted with any higher one.
 func TestAdmissionProperty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var controller AdmissionController
@@ -23,8 +23,8 @@
 			}
 			controller.UpdateLimit(nowMs, rapid.Float64Range(0, 200).Draw(t, "concurrency"), slots)
 		}
-		concurrency := rapid.Float64Range(0, 200).Draw(t, "now")
-		priorities := rapid.IntRange(1, 5).Draw(t, "ranks")
+		concurrency := rapid.Float64Range(0, 200).Draw(t, "current concurrency")
+		priorities := rapid.IntRange(1, 5).Draw(t, "priorities")
 		floor := max(float64(slots)/minLimitSlotDivisor, minLimit)
 		previous := 1.0
 		for position := range priorities {
@@ -36,7 +36,7 @@
 				t.Fatalf("%v rejected at %v requests per engine of %d slots", rejected, concurrency, slots)
 			}
 			previous = rejected
-			sample := rapid.Float64Range(0, 1).Draw(t, "draw")
+			sample := rapid.Float64Range(0, 1).Draw(t, "sample")
 			retryAfterMs, admitted := controller.Admit(concurrency, position, priorities, sample)
 			if admitted != (sample >= rejected) || admitted == (retryAfterMs > 0) {
 				t.Fatalf("sample %v with a rejected fraction of %v: admitted %v, retry after %d ms", sample, rejected, admitted, retryAfterMs)
--- a/internal/scheduling/board_test.go
+++ b/internal/scheduling/board_test.go
@@ -20,7 +20,7 @@
 		latest := map[string]report{}
 		nowMs := int64(1000)
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
-			nowMs += rapid.Int64Range(0, 900).Draw(t, "pause")
+			nowMs += rapid.Int64Range(0, 900).Draw(t, "elapsed ms")
 			gateway := fmt.Sprint("g", rapid.IntRange(0, 5).Draw(t, "gateway"))
 			inFlight := float64(rapid.IntRange(0, 4).Draw(t, "in flight")) / 3
 			aggregator.ReportLoads(gateway, []EngineLoad{{Engine: "e", InFlight: float32(inFlight)}}, nowMs)
--- a/internal/scheduling/choice.go
+++ b/internal/scheduling/choice.go
@@ -19,10 +19,11 @@
 	slowdown     float64
 }
 
-// SelectionInput holds what an engine is selected by.
+// SelectionInput holds the properties of a request and of its gateway by which an engine is
+// selected.
 type SelectionInput struct {
 	// IsStream reports whether the request generates events. Engines are then compared by the
-	// expected time of the stream, and otherwise by the load.
+	// expected cost of the stream, and otherwise by the affinity key or the expected latency.
 	IsStream bool
 	// RequestKind is the kind of the request; requests of one kind take a similar time.
 	RequestKind string
@@ -38,11 +39,11 @@
 	// AffinityKey is shared by requests that the same engine should serve; empty for none. It has
 	// no effect on streams.
 	AffinityKey string
-	// Zone is the zone of the gateway.
+	// Zone is the zone of the request, which is that of its gateway.
 	Zone string
 	// ZoneCosts are the costs of engines in other zones; nil stands for the default penalty.
 	ZoneCosts *ZoneCosts
-	// ShuffleSeed is a random number per request, which decides which engines are compared.
+	// ShuffleSeed is a random number per request, which determines the engines that are compared.
 	ShuffleSeed uint64
 	// ExcludedEngines are the engines that were already tried.
 	ExcludedEngines []string
@@ -86,7 +87,7 @@
 	// MoveReason is the reason why the session leaves its affine engine.
 	MoveReason MoveReason
 
-	// The keys are 0 or 1, and less compares them in this order.
+	// The keys are 0 or 1, where 0 is preferred, and less compares them in this order.
 	suspectKey, slowKey, fullKey, otherZoneKey int
 }
 
@@ -94,8 +95,9 @@
 // affinity key go to one engine of the zone (rendezvous hashing, Thaler and Ravishankar, 1998)
 // while it has free slots. For any other request, the affine engine and a few randomly sampled
 // engines are compared by expected cost, which includes the cost of the prefill to the requests
-// that run beside it. Invariant: gateways that share one view, which is always out of date, do not
-// all select the engine that looked best in it (Mitzenmacher, How Useful Is Old Information, 2000).
+// that run beside it. The sampling keeps gateways that share one view, which is always out of date,
+// from all selecting the engine that looked best in it (Mitzenmacher, How Useful Is Old
+// Information, 2000).
 func SelectEngine(model *LatencyModel, candidates []Candidate, input SelectionInput) (Selection, bool) {
 	var best, next Selection
 	hasBest, hasNext := false, false
@@ -219,7 +221,8 @@
 	return 0
 }
 
-// zoneCostMs returns the cost of an engine that is in another zone.
+// zoneCostMs returns the additional cost of an engine in another zone, and 0 for one in the
+// request's zone.
 func zoneCostMs(candidate Candidate, input SelectionInput) float64 {
 	if otherZoneKey(candidate, input) == 0 {
 		return 0
@@ -229,10 +232,11 @@
 
 // streamCostMs returns the expected time of a stream at an engine, plus its cost to the other
 // streams there. The prefill of a token delays all requests that run at the engine, and those that
-// wait for it. It is therefore charged as if it met the mean number of other requests, wherever it
-// runs. Load is balanced by the placement of new sessions. A session does not leave its affine
+// wait for a slot. It is therefore charged as if it met the mean number of other requests, wherever
+// it runs. Load is balanced by the placement of new sessions. A session does not leave its affine
 // engine because another engine has fewer requests for the moment, but only if its own engine is
-// slow or has no free slot: in an overload all engines are full, and repeated prefills add to it.
+// slow or has no free slot: in an overload all engines are full, and repeated prefills add to the
+// overload.
 //
 // KV cache that running requests lose to this request is prefilled again, at the same cost per
 // token. Where all engines are short of KV cache, the engine with the fewest preempted tokens is
@@ -269,9 +273,9 @@
 }
 
 // laterTurnsCostMs returns the additional cost of the later turns of a session that stays at an
-// engine of a slowdown, compared with the fastest engine that has a free slot. It is at most the
-// cost of moving the session at its next turn: a session that can move cheaply need not account for
-// later turns now.
+// engine with the given slowdown, compared with the fastest engine that has a free slot. It is at
+// most the cost of moving the session at its next turn: a session that can move cheaply need not
+// account for later turns now.
 func (i SelectionInput) laterTurnsCostMs(slowdown, unloadedMs, loadedTokenMs float64) float64 {
 	if i.RemainingTurns <= 1 || i.minSlowdown <= 0 || slowdown <= i.minSlowdown {
 		return 0
@@ -303,7 +307,9 @@
 // other requests.
 const interferenceWeight = 2
 
-// responseCostMs returns the expected time until the complete response.
+// responseCostMs returns the expected latency of a complete response at an engine, plus the cost of
+// another zone. The latency rises with the square of the slot utilization and with the wait for a
+// slot.
 func (m *LatencyModel) responseCostMs(candidate Candidate, input SelectionInput) float64 {
 	usualMs := m.usualResponseMs(input.RequestKind, input.NowMs)
 	ratio := candidate.Health.LatencyRatio(input.NowMs)
@@ -339,8 +345,9 @@
 }
 
 // uncachedTokens returns the number of prompt tokens that an engine must prefill: only the last
-// part at the affine engine, and the whole prompt elsewhere. Whether an engine has cached shared
-// first parts for other sessions is unknown, and makes no difference between the engines.
+// part at the affine engine, and the whole prompt elsewhere. Whether an engine has already cached
+// the leading parts for other sessions that share them is unknown, and makes no difference between
+// the engines.
 func uncachedTokens(candidate Candidate, input SelectionInput) int64 {
 	if len(input.Prompt) == 0 {
 		return 0
--- a/internal/scheduling/choice_test.go
+++ b/internal/scheduling/choice_test.go
@@ -36,7 +36,7 @@
 	return selection.Candidate
 }
 
-func TestChoose(t *testing.T) {
+func TestSelectEngine(t *testing.T) {
 	prompt := []PromptPart{{"shared", 12000}, {"own", 3000}, {"new", 800}}
 	stream := SelectionInput{IsStream: true, Zone: "near", MaxEvents: 10, Prompt: prompt, NowMs: 1000}
 	Convey("a stream goes to the engine that has its session's prefix cached", t, func() {
@@ -101,7 +101,7 @@
 			So(counts["e9"], ShouldBeLessThan, counts["e0"]/2)
 		}
 	})
-	Convey("any engine can be a session's affine engine, and engines that have failed are avoided", t, func() {
+	Convey("new sessions reach every engine except one where a request has failed, and a session stays at its affine engine in a large fleet", t, func() {
 		all := newCandidates(60)
 		all[3].Health.RecordFailure(1000)
 		seen := map[string]bool{}
@@ -177,7 +177,7 @@
 			So(selectCandidate(modelWithTokenMs(0.02, 1000), withReserved(39_000, 10_000), input).ID, ShouldEqual, "e1")
 		}
 	})
-	Convey("where all engines are short of KV cache, a new session goes where it preempts the fewest tokens", t, func() {
+	Convey("if all engines are short of KV cache, a new session goes where it preempts the fewest tokens", t, func() {
 		for number := range 30 {
 			input := input
 			input.ShuffleSeed = requestSeed(number)
--- a/internal/scheduling/closedloop_speed_test.go
+++ b/internal/scheduling/closedloop_speed_test.go
@@ -129,9 +129,9 @@
 		}
 		for _, population := range []int{108, 176} {
 			learnedTurns, _ := measureThroughput(1, population, false, learned(1))
-			blindTurns, _ := measureThroughput(1, population, false, withoutSpeeds)
-			t.Logf("%d programs: %d turns with the learned speeds, %d without the speeds", population, learnedTurns, blindTurns)
-			So(learnedTurns, ShouldBeGreaterThan, blindTurns)
+			turnsWithoutSpeeds, _ := measureThroughput(1, population, false, withoutSpeeds)
+			t.Logf("%d programs: %d turns with the learned speeds, %d without the speeds", population, learnedTurns, turnsWithoutSpeeds)
+			So(learnedTurns, ShouldBeGreaterThan, turnsWithoutSpeeds)
 		}
 	})
 }
--- a/internal/scheduling/closedloop_test.go
+++ b/internal/scheduling/closedloop_test.go
@@ -100,9 +100,9 @@
 	onTimePrograms   int
 	// slots is the number of requests that an engine serves at once.
 	slots int
-	// slowdowns are those of the engines, nil if all have the same speed. clocks are the parts of
-	// the virtual time that have passed at each engine, in microseconds: the clock of an engine
-	// that is slow or stalled runs slower.
+	// slowdowns are those of the engines, nil if all have the same speed. clocks are the virtual
+	// times at the engines, in microseconds. The clock of an engine that is slow or stalled runs
+	// slower.
 	slowdowns []float64
 	stalls    bool
 	clocks    []float64
@@ -163,7 +163,7 @@
 	}
 }
 
-// startProgram starts a program. Every fourth is a long one with short inputs.
+// startProgram starts a program, unless admission control is enabled and rejects it.
 func (l *loop) startProgram(nowMs int64) {
 	program := l.newProgram()
 	if l.admissionEnabled && !l.admit(program, nowMs) {
@@ -174,7 +174,8 @@
 	l.sendTurn(program, nowMs)
 }
 
-// newProgram returns a program that has not started.
+// newProgram returns a program that has not started. Every fourth has more turns and shorter
+// inputs.
 func (l *loop) newProgram() *loopProgram {
 	l.nextID++
 	program := &loopProgram{id: l.nextID, turnsLeft: 4, inputTokens: 1_030, affineEngine: -1}
@@ -279,7 +280,8 @@
 	}
 }
 
-// exchangeReports is the heartbeat of a gateway.
+// exchangeReports sends the reports of a gateway to the aggregator and applies the totals that it
+// returns, as in a heartbeat.
 func (l *loop) exchangeReports(gateway *loopGateway, nowMs int64) {
 	var loads []scheduling.EngineLoad
 	var usages []scheduling.EngineUsage
@@ -352,7 +354,7 @@
 	}
 }
 
-// earlierPolicy is the former policy of the gateways, before rounds 16 to 18 in
+// earlierPolicy is the policy of the gateways before rounds 16 to 18 in
 // docs/measurements/platform.md. It uses only a gateway's own requests, and constants measured on
 // the engines of the first users.
 func earlierPolicy(gateway *loopGateway, turn *loopTurn, _ int64) int {
@@ -391,7 +393,7 @@
 	fastPrefill := slowPrefill
 	fastPrefill.PrefillTokensPerSecond *= 5
 	fastPrefill.MaxSequences = 16
-	Convey("after a burst the times to first events soon return to normal on engines of any kind", t, func() {
+	Convey("8 s after a burst the median time to the first event is less than 2.5 times that before it, and fewer than a tenth of the turns move, on three kinds of engines", t, func() {
 		for name, hardware := range map[string]engine.Hardware{"slow prefill": slowPrefill, "half the KV cache": halfKVCache, "fast prefill": fastPrefill} {
 			for seed := range uint64(2) {
 				l := newLoop(seed, hardware, currentPolicy(rand.New(rand.NewPCG(seed, 4))))
@@ -403,7 +405,7 @@
 			}
 		}
 	})
-	Convey("with the earlier policy they do not return to normal on engines with a slow prefill", t, func() {
+	Convey("with the earlier policy the median stays above 3 times that before the burst on engines with a slow prefill", t, func() {
 		for seed := range uint64(2) {
 			l := newLoop(seed, slowPrefill, earlierPolicy)
 			l.run()
@@ -418,7 +420,7 @@
 // than they can serve, more programs end on time with it than without, and nobody is rejected while
 // the engines keep up.
 func TestAdmissionClosedLoop(t *testing.T) {
-	Convey("under sustained overload more programs are on time if some are rejected", t, func() {
+	Convey("under sustained overload more programs are on time with admission control than without", t, func() {
 		for seed := range uint64(3) {
 			onTime := map[bool]int{}
 			for _, enabled := range []bool{false, true} {
--- a/internal/scheduling/compared.go
+++ b/internal/scheduling/compared.go
@@ -10,14 +10,16 @@
 
 const (
 	// sameZoneSampleSize and otherZoneSampleSize are the numbers of engines that are compared from
-	// the request's zone and from all other zones, in addition to the session's affine engine.
+	// the request's zone and from all other zones, in addition to the session's affine engine. Few
+	// engines are compared, so that gateways with the same outdated view do not all select the same
+	// engine (see SelectEngine).
 	sameZoneSampleSize  = 2
 	otherZoneSampleSize = 1
 )
 
-// sampleCandidates returns the engines to compare for a request, without those that were already
-// tried. With an affinity key, or without sampling, these are all of them. Otherwise they are the
-// affine engine and a random sample from the request's zone and from the other zones.
+// sampleCandidates returns the engines to compare for a request, without those already tried: all
+// of them if the request has an affinity key or sampling is disabled, and otherwise the affine
+// engine and a random sample from the request's zone and from the other zones.
 func sampleCandidates(candidates []Candidate, input SelectionInput) []Candidate {
 	remaining := make([]Candidate, 0, len(candidates))
 	for _, candidate := range candidates {
@@ -38,9 +40,9 @@
 	return samplePerZone(remaining, input)
 }
 
-// slowdownOf returns the expected time of a stream's token at an engine as a multiple of the usual
-// time. It is the engine's long-term slowdown, or the recent latency ratio where that is higher and
-// has reached the slow threshold.
+// slowdownOf returns the expected time per token of a stream at an engine as a multiple of the
+// usual time, and 1 for other requests. It is the engine's long-term slowdown, or the recent
+// latency ratio if that is higher and has reached the slow threshold.
 func (i SelectionInput) slowdownOf(health *EngineHealth) float64 {
 	if !i.IsStream {
 		return 1
@@ -105,7 +107,8 @@
 const (
 	// minSlowRatio is the lower bound of the threshold as a multiple of the median ratio.
 	// slowDeviations is the number of standard deviations that the threshold lies above the median,
-	// and deviationPerMAD converts a median absolute deviation to a standard deviation.
+	// and deviationPerMAD converts a median absolute deviation to a standard deviation of normally
+	// distributed samples.
 	minSlowRatio    = 1.8
 	slowDeviations  = 4
 	deviationPerMAD = 1.4826
--- a/internal/scheduling/distance.go
+++ b/internal/scheduling/distance.go
@@ -2,8 +2,8 @@
 
 const (
 	// DefaultCrossZonePenaltyMs is the latency penalty of an engine in another zone in addition to
-	// the longer round trip. It stands for the cross-zone traffic of the request and for what its
-	// session keeps in the other zone.
+	// the longer round trip. It accounts for the cross-zone traffic of the request and for the
+	// state that its session keeps in the other zone.
 	DefaultCrossZonePenaltyMs = 25.0
 	// slowerRoundTripWeight is the fraction of the difference by which a longer round trip raises
 	// the estimate. Samples are delayed by busy processors at both ends, never shortened, so that a
@@ -20,7 +20,7 @@
 	roundTripMs map[string]float64
 }
 
-// ObserveRoundTrip records a measured round trip to an engine in a zone.
+// ObserveRoundTrip records a measured round trip to an engine in a zone. A negative one is ignored.
 func (z *ZoneCosts) ObserveRoundTrip(zone string, tookMs float64) {
 	if z.roundTripMs == nil {
 		z.roundTripMs = map[string]float64{}
--- a/internal/scheduling/distance_test.go
+++ b/internal/scheduling/distance_test.go
@@ -21,7 +21,7 @@
 		}
 		So(costs.CostMs("a", "b"), ShouldAlmostEqual, 22.4, 1)
 		So(costs.CostMs("b", "a"), ShouldEqual, 20)
-		Convey("a longer round trip is reflected after some dozens of samples", func() {
+		Convey("a longer round trip is reflected after 200 samples", func() {
 			for range 200 {
 				costs.ObserveRoundTrip("b", 16)
 			}
--- a/internal/scheduling/evidence.go
+++ b/internal/scheduling/evidence.go
@@ -74,7 +74,8 @@
 const (
 	// fitHalfLifeMs is the half-life of a sample of a fit.
 	fitHalfLifeMs = 15_000
-	// minFitSamples is the weight of the samples from which a slope is computed.
+	// minFitSamples is the minimum weight of the samples for a slope to be computed and for further
+	// samples to be clipped.
 	minFitSamples = 12
 	// clipDeviations limits the distance of a sample from the line, in standard deviations of the
 	// earlier samples.
@@ -134,9 +135,8 @@
 	return slope, max(varianceY-slope*covariance, 0), varianceX
 }
 
-// minVariance is the lower bound of the variance of x, in squared requests or tokens, for a slope
-// to be more than rounding. minRelativeVariance is added to it as a fraction of the squared mean of
-// x.
+// A slope is computed only if the variance of x exceeds minVariance, in squared requests or tokens,
+// plus minRelativeVariance times the squared mean of x. Below that it may be a rounding error.
 const (
 	minVariance         = 0.01
 	minRelativeVariance = 1e-6
--- a/internal/scheduling/fairshare_test.go
+++ b/internal/scheduling/fairshare_test.go
@@ -11,8 +11,9 @@
 	"github.com/ochrebay/ochrebay/internal/engine"
 )
 
-// The load of this test is a burst of all tenants, in which the hot tenant, which usually sends a
-// third of all requests, sends five times that share.
+// The load of this test is a burst in which all tenants start 1.5 times their usual programs. The
+// hot tenant usually starts about a third of all programs; in the burst it starts a further five
+// times as many.
 const (
 	fairTenants       = 20
 	fairSlots         = 8
@@ -23,9 +24,9 @@
 	fairFromMs        = 10_000
 	fairToMs          = 20_000
 	fairEndMs         = 24_000
-	// fairSettlingMs is how long the programs last that the hot tenant started before it was known
-	// to exceed its share: 2 s until all gateways have received the usage, plus the mean duration
-	// of a program.
+	// fairSettlingMs is the time after which the programs have ended that the hot tenant started
+	// before it was known to exceed its share: 2 s until all gateways have received the usage, plus
+	// the mean duration of a program.
 	fairSettlingMs = 6_000
 )
 
@@ -75,7 +76,8 @@
 	return f
 }
 
-// weight returns the rate of a tenant as a fraction of all requests; the hot tenant has a third.
+// weight returns the rate of a tenant as a fraction of all programs; the hot tenant has about a
+// third.
 func (f *fairLoop) weight(tenant int) float64 {
 	if tenant == 0 {
 		return fairHotFraction
@@ -144,7 +146,7 @@
 	return admitted
 }
 
-// heartbeat is the heartbeat of a gateway, including the usage of its tenants.
+// heartbeat exchanges the reports of a gateway, including the usage of its tenants.
 func (f *fairLoop) heartbeat(number int, nowMs int64) {
 	f.exchangeReports(f.gateways[number], nowMs)
 	f.usage.ReportUsage(f.gateways[number].name, f.meters[number].CollectUsage(nowMs, func(string) bool { return true }), nowMs)
@@ -186,12 +188,13 @@
 	return times[len(times)*95/100]
 }
 
-// TestFairShares checks four things during a burst with a hot tenant. Once the programs that the
-// hot tenant started before its usage was known have ended, the 95th percentile of the first events
-// of the others is at most 1.3 times that of the burst alone. Over the whole burst, shares remove
-// at least half of what the hot tenant adds to that percentile, and more programs of the others
-// start. Fewer than one in twenty-five of the others' programs is rejected although its tenant is
-// within its share. Without the hot tenant, fewer than one program in fifty is rejected.
+// TestFairShares checks the effect of fair shares during a burst with a hot tenant. Once the
+// programs that the hot tenant started before its usage was known have ended, the 95th percentile
+// of the first events of the others is at most 1.3 times that of the burst alone. Over the whole
+// burst, shares remove at least half of what the hot tenant adds to that percentile, and more
+// programs of the others start. Fewer than one in twenty-five of the others' programs is rejected
+// although its tenant is within its share. Without the hot tenant, fewer than one program in fifty
+// is rejected.
 func TestFairShares(t *testing.T) {
 	var burstOnly, withoutShares, withShares firstEventTimes
 	falseRejections, burstRejected, burstStarted := 0, 0, 0
@@ -206,12 +209,12 @@
 				f.loop.startedPrograms-f.startedByTenant[0], f.rejectedOthers, f.falseRejections)
 			return f
 		}
-		calm, unshared, shared := simulate(false, true, &burstOnly), simulate(true, false, &withoutShares), simulate(true, true, &withShares)
-		burstRejected += calm.rejectedOthers + calm.rejectedByTenant[0]
-		burstStarted += calm.loop.startedPrograms
-		startedWithout += unshared.loop.startedPrograms - unshared.startedByTenant[0]
-		startedWith += shared.loop.startedPrograms - shared.startedByTenant[0]
-		falseRejections += shared.falseRejections
+		withoutHot, hotWithoutShares, hotWithShares := simulate(false, true, &burstOnly), simulate(true, false, &withoutShares), simulate(true, true, &withShares)
+		burstRejected += withoutHot.rejectedOthers + withoutHot.rejectedByTenant[0]
+		burstStarted += withoutHot.loop.startedPrograms
+		startedWithout += hotWithoutShares.loop.startedPrograms - hotWithoutShares.startedByTenant[0]
+		startedWith += hotWithShares.loop.startedPrograms - hotWithShares.startedByTenant[0]
+		falseRejections += hotWithShares.falseRejections
 	}
 	t.Logf("p95 of others: %.0f ms without the hot tenant, %.0f with it, %.0f with shares; settled %.0f, %.0f, %.0f",
 		percentile95(burstOnly.all), percentile95(withoutShares.all), percentile95(withShares.all),
--- a/internal/scheduling/health.go
+++ b/internal/scheduling/health.go
@@ -43,15 +43,17 @@
 	// time doubles with each further failure, up to maxSuspicionMs.
 	initialSuspicionMs = 300
 	maxSuspicionMs     = 4_000
-	// failingWindowMs is slightly longer than the time between two reports of a gateway (0.7 s).
+	// failingWindowMs is how long a failure is reported. It is slightly longer than the time
+	// between two reports of a gateway (0.7 s).
 	failingWindowMs = 1_000
-	// sharedSuspicionMs is slightly longer than the time between two replies that report failures
-	// at other gateways (0.6 to 1.3 s).
+	// sharedSuspicionMs is how long an engine is avoided because of failures at other gateways. It
+	// is slightly longer than the time between two replies that report failures at other gateways
+	// (0.6 to 1.3 s).
 	sharedSuspicionMs = 1_500
 )
 
-// minWindow returns the minimum of every few samples, such as the gaps between events of any
-// streams.
+// minWindow computes the minimum of each window of successive samples, such as gaps between events.
+// The samples of one window may come from different streams.
 type minWindow struct {
 	minimum   float64
 	count     int
@@ -118,8 +120,8 @@
 	return nowMs < max(h.suspectUntilMs, h.sharedSuspectUntilMs)
 }
 
-// IsFailing reports whether a request of this gateway failed since its last one or two reports, and
-// none has succeeded since.
+// IsFailing reports whether a request of this gateway failed within failingWindowMs, which covers
+// its last one or two reports, and none has succeeded since.
 func (h *EngineHealth) IsFailing(nowMs int64) bool {
 	return h.consecutiveFailures > 0 && nowMs-h.lastFailureMs <= failingWindowMs
 }
@@ -136,8 +138,8 @@
 	h.unreportedRatios.Add(nowMs, ratio, 1)
 }
 
-// LatencyRatio returns the recent latencies at this engine as a multiple of those at the other
-// engines, from the samples of this gateway and of all gateways.
+// LatencyRatio returns the recent latencies at this engine as a multiple of the usual latency, from
+// the samples of this gateway and of all gateways. It is close to 1 while there are few samples.
 func (h *EngineHealth) LatencyRatio(nowMs int64) float64 {
 	merged := h.ownRatios
 	merged.Merge(nowMs, h.sharedRatios.DecayedTo(nowMs))
--- a/internal/scheduling/limits.go
+++ b/internal/scheduling/limits.go
@@ -24,12 +24,12 @@
 	return total / 1000 / int64(max(1, c.openSlots(pool)))
 }
 
-// queueAheadMs estimates how long the calls ahead of this one take, in milliseconds.
+// queueAheadMs estimates how long the calls ahead of a new call take, in milliseconds.
 func (c *CellScheduler) queueAheadMs(call *Call, nowMs int64) int64 {
 	var total int64
-	ownRank := c.effectiveRank(call, nowMs)
+	ownPriority := c.effectivePriority(call, nowMs)
 	for _, other := range c.Waiting {
-		if other.Pool == call.Pool && c.effectiveRank(other, nowMs) <= ownRank {
+		if other.Pool == call.Pool && c.effectivePriority(other, nowMs) <= ownPriority {
 			total += c.serviceMicros(other)
 		}
 	}
@@ -72,7 +72,8 @@
 }
 
 // TenantLimiter enforces the limits of tenants at one scheduler. Each of n schedulers allows 1/n of
-// a limit, but at least one, so that the sum holds without messages between schedulers.
+// a limit, but at least one call or token per second. A limit of at least n therefore holds over
+// all schedulers without messages between them.
 type TenantLimiter struct {
 	states map[string]*tenantState
 }
@@ -82,8 +83,8 @@
 	return &TenantLimiter{states: map[string]*tenantState{}}
 }
 
-// Acquire counts a call of a tenant or refuses it. Calls of tenants without a limit are also
-// counted, since a limit may be set while they run.
+// Acquire counts a call of a tenant or refuses it. schedulers is the number of schedulers. Calls of
+// tenants without a limit are also counted, since a limit may be set while they run.
 func (t *TenantLimiter) Acquire(tenant string, limits TenantLimits, tokens int64, schedulers int, nowMs int64) *result.Error {
 	state, ok := t.states[tenant]
 	if !ok {
@@ -101,7 +102,7 @@
 			state.limiter = rate.NewLimiter(rate.Limit(perSecond), int(perSecond))
 		}
 		now := time.UnixMilli(nowMs)
-		// A call with more tokens than a second's rate is charged one second.
+		// A call with more tokens than the rate allows in one second is charged for one second.
 		charged := min(tokens, perSecond)
 		if !state.limiter.AllowN(now, int(charged)) {
 			deficit := float64(charged) - state.limiter.TokensAt(now)
--- a/internal/scheduling/load.go
+++ b/internal/scheduling/load.go
@@ -14,8 +14,8 @@
 	LatencyRatios WeightedSum
 }
 
-// StreamLateness counts the streams of one back end that started, and those of them that started
-// later than their target.
+// StreamLateness holds the streams of one backend that started: the weight of Streams is their
+// number, and its sum the number of those that started later than their target.
 type StreamLateness struct {
 	//lint:ignore U1000 As above.
 	_msgpack struct{} `msgpack:",as_array"`
@@ -61,12 +61,12 @@
 }
 
 const (
-	// loadLifetimeMs is the age from which a reported load is ignored.
+	// loadLifetimeMs is the age above which a reported load is ignored.
 	loadLifetimeMs = 2_500
 	// loadExpiryIntervalMs is the interval at which expired loads are removed.
 	loadExpiryIntervalMs = 500
 	// sweepIntervalMs is the interval at which an aggregator removes engines without reports, and
-	// the age from which it does.
+	// the age of the last report above which it does.
 	sweepIntervalMs = 5_000
 )
 
@@ -102,7 +102,8 @@
 	e.resetIfEmpty()
 }
 
-// resetIfEmpty keeps the rounding errors of many additions from accumulating.
+// resetIfEmpty resets the total of an engine without requests in flight, so that the rounding
+// errors of many additions do not accumulate.
 func (e *engineAggregate) resetIfEmpty() {
 	if len(e.byGateway) == 0 {
 		e.totalInFlight = 0
@@ -120,11 +121,11 @@
 // ever a hint. Times are in milliseconds.
 type LoadAggregator struct {
 	engines map[string]*engineAggregate
-	// lateness holds the streams of each back end.
+	// lateness holds the streams of each backend.
 	lateness map[string]*DecayedMean
 	// failureReports holds, by engine, the gateways whose requests fail there.
 	failureReports map[string]map[string]failureReport
-	// usages holds the engine state with a longer lifetime than the loads.
+	// usages holds the usage of each engine, which is kept longer than its load.
 	usages  map[string]*usageAggregate
 	sweptMs int64
 	// expiredMs is when expired loads were last removed.
@@ -136,7 +137,7 @@
 	return &LoadAggregator{engines: map[string]*engineAggregate{}, lateness: map[string]*DecayedMean{}, failureReports: map[string]map[string]failureReport{}, usages: map[string]*usageAggregate{}}
 }
 
-// maxLatenessBackends limits the number of back ends in one report.
+// maxLatenessBackends limits the number of backends in one report.
 const maxLatenessBackends = 64
 
 // ReportStreamLateness adds the streams that a gateway has observed since its last report.
@@ -216,7 +217,7 @@
 	}
 }
 
-// Loads returns the load over all gateways of the engines named, without those that were not
+// Loads returns the load of the given engines over all gateways, without engines that were not
 // reported recently.
 func (a *LoadAggregator) Loads(engines []string, nowMs int64) []EngineLoad {
 	a.expire(nowMs)
--- a/internal/scheduling/mechanism.go
+++ b/internal/scheduling/mechanism.go
@@ -10,8 +10,7 @@
 const (
 	// MechanismSessionAffinity keeps a session at the engine that has its prompt prefix cached.
 	MechanismSessionAffinity Mechanism = "home"
-	// MechanismPrefillCost learns the prefill cost of a token. Without it a token keeps the cost
-	// that is assumed before any sample exists.
+	// MechanismPrefillCost learns the prefill cost of a token. Without it the default cost is used.
 	MechanismPrefillCost Mechanism = "reading"
 	// MechanismSharedState uses the engine state that other gateways have reported.
 	MechanismSharedState Mechanism = "shared"
@@ -41,7 +40,7 @@
 	MechanismWaitQueue Mechanism = "waiting"
 	// MechanismRetry limits how long an attempt may take and retries the request.
 	MechanismRetry Mechanism = "retry"
-	// MechanismFairShares limits tenants to their fair shares of an oversubscribed back end.
+	// MechanismFairShares limits tenants to their fair shares of an oversubscribed backend.
 	MechanismFairShares Mechanism = "shares"
 	// MechanismHistoryCache caches the turn histories of recently served sessions.
 	MechanismHistoryCache Mechanism = "chains"
@@ -50,8 +49,8 @@
 	// MechanismLookupRate lets callers query the directory as often as the directory can afford to
 	// answer.
 	MechanismLookupRate Mechanism = "look-ups"
-	// MechanismFreshnessWait lets requests wait for the first proof that the routing table is
-	// current after a stall of the gateway process.
+	// MechanismFreshnessWait makes requests that arrive shortly after a stall of the gateway
+	// process wait for the next confirmation that the routing table is current.
 	MechanismFreshnessWait Mechanism = "first-proof"
 )
 
--- a/internal/scheduling/mechanism_test.go
+++ b/internal/scheduling/mechanism_test.go
@@ -20,9 +20,10 @@
 		return count
 	}
 	stream := SelectionInput{IsStream: true, Zone: "near", MaxEvents: 10, NowMs: 1000, Prompt: []PromptPart{{"shared", 2000}, {"own", 3000}, {"new", 300}}}
-	Convey("each mechanism changes where requests go, and has no effect when it is disabled", t, func() {
+	Convey("each mechanism in the table changes where requests go, unless it is disabled", t, func() {
 		for mechanism, row := range map[Mechanism]struct {
 			prepare func(model *LatencyModel, all []Candidate, input *SelectionInput)
+			// on and off are the bounds of the count while the mechanism is enabled and disabled.
 			on, off [2]int
 		}{
 			MechanismSessionAffinity: {func(_ *LatencyModel, _ []Candidate, input *SelectionInput) { input.AffineEngine = "e0" }, [2]int{200, 200}, [2]int{0, 120}},
--- a/internal/scheduling/pool.go
+++ b/internal/scheduling/pool.go
@@ -1,7 +1,7 @@
 package scheduling
 
-// LatencyModel is what a gateway has learned from its own requests about the engines of one back
-// end: the prefill cost of a token, the interference of other requests, and the latencies at an
+// LatencyModel is what a gateway has learned from its own requests about the engines of one
+// backend: the prefill cost of a token, the interference of other requests, and the latencies at an
 // average engine. Times are in milliseconds.
 type LatencyModel struct {
 	// prefillFit fits the time to the first event to the number of tokens to prefill. waitFit fits
@@ -39,18 +39,19 @@
 	defaultTokenMs = 1.0
 	// maxRequestKinds limits the number of request kinds that are tracked separately.
 	maxRequestKinds = 512
-	// maxSampleRatio limits how many times the usual latency a sample may count.
+	// maxSampleRatio limits a latency sample to this multiple of the usual latency.
 	maxSampleRatio = 10
-	// minPrefillTokens is the number of tokens from which the time to the first event reveals the
-	// prefill cost of a token.
+	// minPrefillTokens is the minimum number of tokens to prefill for which the time to the first
+	// event shows the prefill cost of a token.
 	minPrefillTokens = 256
-	// gapSampleWeight is the weight of one gap, since the gaps of one stream carry nearly the same
-	// information.
+	// gapSampleWeight is the weight of one gap in samples. It is below 1 because the gaps of one
+	// stream carry nearly the same information.
 	gapSampleWeight = 0.2
 )
 
-// prefillTokenMs returns the prefill time of a token. Until the samples show a slope, the whole
-// time to the first event counts as prefill, which is an upper bound.
+// prefillTokenMs returns the prefill time of a token. Until the samples show a slope, it is the
+// whole time to the first event divided by the number of tokens, which is an upper bound, but at
+// most defaultTokenMs.
 func (m *LatencyModel) prefillTokenMs() float64 {
 	if slope, known := m.prefillFit.Slope(); known {
 		return slope
--- a/internal/scheduling/pool_test.go
+++ b/internal/scheduling/pool_test.go
@@ -35,7 +35,7 @@
 }
 
 func TestLinearFit(t *testing.T) {
-	Convey("the prefill cost of a token is found within a tenth at any engine speed", t, func() {
+	Convey("a prefill cost between 0.002 and 0.4 ms per token is found within a tenth", t, func() {
 		rapid.Check(t, func(t *rapid.T) {
 			tokenMs := math.Exp(rapid.Float64Range(math.Log(0.002), math.Log(0.4)).Draw(t, "token ms"))
 			firstMs := rapid.Float64Range(0, 200*tokenMs).Draw(t, "first ms")
@@ -69,7 +69,7 @@
 		_, found := fit.Slope()
 		So(found, ShouldBeFalse)
 	})
-	Convey("no input yields a negative cost or one that is not a number", t, func() {
+	Convey("no samples yield a negative cost or one that is not a number", t, func() {
 		rapid.Check(t, func(t *rapid.T) {
 			model := &LatencyModel{}
 			health := &EngineHealth{}
@@ -78,16 +78,16 @@
 				model.ObserveFirstEvent(health, now, rapid.Int64Range(0, 1e9).Draw(t, "tokens"), rapid.Float64Range(0, 1e9).Draw(t, "took"))
 				model.ObserveEventGap(health, now, rapid.Float64Range(0, 1e9).Draw(t, "gap"))
 				model.ObserveStreamLength(now, rapid.Int64Range(0, 1e9).Draw(t, "count"))
-				model.ObserveStreamPace(health, now, rapid.IntRange(-1, 20).Draw(t, "pauses"), rapid.Float64Range(0, 1e9).Draw(t, "shortest"))
+				model.ObserveStreamPace(health, now, rapid.IntRange(-1, 20).Draw(t, "gaps"), rapid.Float64Range(0, 1e9).Draw(t, "min gap ms"))
 				model.ObserveTurn("", rapid.IntRange(-1, 1000).Draw(t, "parts"))
 				health.ReserveKVCache(now, rapid.Int64Range(-1e9, 1e9).Draw(t, "tokens"))
 			}
 			input := SelectionInput{
 				IsStream: true, MaxEvents: rapid.Int64Range(0, 1e9).Draw(t, "events"), NowMs: rapid.Int64Range(-1e12, 1e12).Draw(t, "now"),
-				Prompt: []PromptPart{{"a", rapid.Int64Range(0, 1e9).Draw(t, "part")}}, RequiredKVCacheTokens: rapid.Int64Range(0, 1e9).Draw(t, "holds"),
+				Prompt: []PromptPart{{"a", rapid.Int64Range(0, 1e9).Draw(t, "part")}}, RequiredKVCacheTokens: rapid.Int64Range(0, 1e9).Draw(t, "required tokens"),
 				RemainingTurns: rapid.Float64Range(0, 1e3).Draw(t, "turns"),
 			}
-			selection, found := SelectEngine(model, []Candidate{{ID: "e", Health: health, Slots: 4, KVCacheCapacityTokens: rapid.Int64Range(0, 1e9).Draw(t, "memory")}}, input)
+			selection, found := SelectEngine(model, []Candidate{{ID: "e", Health: health, Slots: 4, KVCacheCapacityTokens: rapid.Int64Range(0, 1e9).Draw(t, "capacity tokens")}}, input)
 			if !found || math.IsNaN(selection.CostMs) || selection.CostMs < 0 {
 				t.Fatalf("found %v, cost %f", found, selection.CostMs)
 			}
@@ -171,8 +171,8 @@
 	})
 	Convey("invalid reports yield no invalid means", t, func() {
 		aggregator := NewLoadAggregator()
-		wrong := float32(math.NaN())
-		for _, sum := range []float32{wrong, float32(math.Inf(1)), -5} {
+		nan := float32(math.NaN())
+		for _, sum := range []float32{nan, float32(math.Inf(1)), -5} {
 			aggregator.ReportLoads("g", []EngineLoad{{Engine: "e", InFlight: sum, LatencyRatios: WeightedSum{Sum: sum, Weight: 1}}, {Engine: "e", LatencyRatios: WeightedSum{Sum: 1, Weight: sum}}}, 0)
 		}
 		health := &EngineHealth{}
@@ -182,28 +182,28 @@
 	})
 }
 
-// runStreams lets every engine run streams in parallel whose gaps between events are gap
-// milliseconds, except that some gaps are longest milliseconds because of the prefills of other
-// requests. overrides holds other values for some engines.
+// runStreams lets every engine run streams in parallel. Two thirds of the gaps between events take
+// gap milliseconds, and the others take longest milliseconds, because of the prefills of other
+// requests. overrides holds other values of gap and longest for some engines.
 func runStreams(model *LatencyModel, all []Candidate, gap, longest float64, overrides map[int][2]float64) {
 	for event := range 120 {
 		for number, candidate := range all {
-			pauses := [2]float64{gap, longest}
+			gapAndLongest := [2]float64{gap, longest}
 			if override, overridden := overrides[number]; overridden {
-				pauses = override
+				gapAndLongest = override
 			}
-			pause := pauses[0]
+			observedMs := gapAndLongest[0]
 			if event%3 == 0 {
-				pause = pauses[1]
+				observedMs = gapAndLongest[1]
 			}
-			model.ObserveEventGap(candidate.Health, 1000, pause)
+			model.ObserveEventGap(candidate.Health, 1000, observedMs)
 		}
 	}
 	model.ObserveStreamLength(1000, 10)
 }
 
 func TestSlowOrBusy(t *testing.T) {
-	Convey("a session stays at a busy engine and leaves a slow one at any prefill speed", t, func() {
+	Convey("a session stays at a busy engine and leaves a slow one, with a fast, a medium and a slow prefill", t, func() {
 		for _, row := range []struct {
 			tokenMs, gap, longest float64
 			stays                 bool
--- a/internal/scheduling/prompt.go
+++ b/internal/scheduling/prompt.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// PromptPart is one part of a prompt. Prompts that begin with the same parts share the prefix that
-// an engine has cached.
+// PromptPart is one part of a prompt. Prompts that begin with the same parts share a prefix that an
+// engine can cache.
 type PromptPart struct {
 	ID     string
 	Tokens int64
--- a/internal/scheduling/scheduling.go
+++ b/internal/scheduling/scheduling.go
@@ -1,6 +1,7 @@
-// Package scheduling decides which engine runs which call next (design section 8). It is pure: a
-// CellScheduler holds the engines and the waiting calls of one scheduler, and Decide returns the
-// calls to dispatch and to refuse.
+// Package scheduling decides which engine runs which call next (design section 8). A CellScheduler
+// holds the engines and the waiting calls of one scheduler, and Decide returns the calls to
+// dispatch and to refuse. SelectEngine selects the engine for a request at a gateway, by what the
+// gateways have learned about the engines. The package is pure: its callers pass the time.
 package scheduling
 
 import (
@@ -37,14 +38,15 @@
 	ID      uint64
 	Program string
 	Pool    string
-	// Priority is the rank of the service; lower is more urgent.
+	// Priority is the priority of the service; a lower number is more urgent.
 	Priority int
 	// AttainedServiceMs is the engine time that the program has used so far.
 	AttainedServiceMs int64
 	ArrivedMs         int64
-	DeadlineMs        int64
+	// DeadlineMs is 0 for a call without a deadline.
+	DeadlineMs int64
 	// PromptTokens is the length of the whole prompt, and OutputTokens the expected length of the
-	// answer.
+	// response.
 	PromptTokens int64
 	OutputTokens int64
 	// CachedTokens is the number of tokens of the prompt that each engine has cached.
@@ -56,7 +58,7 @@
 // Policy holds the parameters of the scheduler. The zero value of a switch leaves its mechanism
 // enabled.
 type Policy struct {
-	// AgeingMs is the waiting time after which a call counts as one rank more urgent.
+	// AgeingMs is the waiting time that raises the priority of a call by one; 0 disables ageing.
 	AgeingMs int64
 	// QueueLimit limits the number of waiting calls.
 	QueueLimit int
@@ -109,13 +111,13 @@
 	var decision Decision
 	c.sortWaiting(nowMs)
 	var waiting []*Call
-	full := map[string]bool{}
+	fullPools := map[string]bool{}
 	for _, call := range c.Waiting {
 		if refusal := c.deadlineError(call, nowMs); refusal != nil {
 			decision.Refusals = append(decision.Refusals, Refusal{call, refusal})
 			continue
 		}
-		if full[call.Pool] {
+		if fullPools[call.Pool] {
 			waiting = append(waiting, call)
 			continue
 		}
@@ -123,7 +125,7 @@
 		if engine == nil {
 			// A call that has excluded the engines with free slots says nothing about the other
 			// calls of the pool.
-			full[call.Pool] = !hasFreeSlot && len(call.ExcludedEngines) == 0
+			fullPools[call.Pool] = !hasFreeSlot && len(call.ExcludedEngines) == 0
 			waiting = append(waiting, call)
 			continue
 		}
@@ -148,16 +150,16 @@
 	e.PendingOutputTokens = max(0, e.PendingOutputTokens-call.OutputTokens)
 }
 
-// sortWaiting sorts the waiting calls by rank, within a rank by least attained service, and then by
-// arrival. The rank improves with the waiting time, so that calls of the lowest rank are not
+// sortWaiting sorts the waiting calls by priority, within a priority by least attained service, and
+// then by arrival. The priority rises with the waiting time, so that the least urgent calls are not
 // starved.
 func (c *CellScheduler) sortWaiting(nowMs int64) {
 	slices.SortStableFunc(c.Waiting, func(a, b *Call) int {
 		if c.Policy.FirstComeFirstServed {
 			return int(a.ArrivedMs - b.ArrivedMs)
 		}
-		if rankDifference := c.effectiveRank(a, nowMs) - c.effectiveRank(b, nowMs); rankDifference != 0 {
-			return rankDifference
+		if priorityDifference := c.effectivePriority(a, nowMs) - c.effectivePriority(b, nowMs); priorityDifference != 0 {
+			return priorityDifference
 		}
 		if serviceDifference := a.AttainedServiceMs - b.AttainedServiceMs; serviceDifference != 0 && !c.Policy.IgnoreAttainedService {
 			return int(min(max(serviceDifference, math.MinInt32), math.MaxInt32))
@@ -169,8 +171,8 @@
 	})
 }
 
-// effectiveRank returns the rank of a call, improved by its waiting time.
-func (c *CellScheduler) effectiveRank(call *Call, nowMs int64) int {
+// effectivePriority returns the priority of a call, raised by its waiting time.
+func (c *CellScheduler) effectivePriority(call *Call, nowMs int64) int {
 	if c.Policy.IgnorePriority {
 		return 0
 	}
@@ -224,8 +226,8 @@
 	if bestFree == nil {
 		return nil, hasFreeSlot, hasUsable
 	}
-	// A call waits for a busy engine, usually the one with its cached prefix, while starting
-	// elsewhere would end much later.
+	// A call waits for a busy engine, usually the one that has its prefix cached, if it would
+	// finish much later at the best engine with a free slot.
 	if bestAny != bestFree && float64(freeMicros) > c.Policy.MoveFactor*float64(anyMicros) {
 		return nil, hasFreeSlot, hasUsable
 	}
@@ -249,7 +251,8 @@
 	stepMicros := engine.StepMicros + int64(engine.InFlight+1)*engine.StepMicrosPerSequence
 	queueMicros := int64(0)
 	if engine.InFlight >= engine.Slots && engine.Slots > 0 {
-		// The call waits until one of the calls in flight ends.
+		// The call waits until one of the calls in flight ends, on average after half of their mean
+		// decoding time.
 		queueMicros = engine.PendingOutputTokens / int64(engine.InFlight) * stepMicros / 2
 	}
 	return queueMicros + prefillMicros + call.OutputTokens*stepMicros
--- a/internal/scheduling/scheduling_test.go
+++ b/internal/scheduling/scheduling_test.go
@@ -22,7 +22,7 @@
 	for id := range rapid.IntRange(0, 20).Draw(t, "calls") {
 		call := &Call{
 			ID: uint64(id), Program: fmt.Sprint("c", id), Pool: rapid.SampledFrom([]string{"p", "q"}).Draw(t, "pool"),
-			Priority: rapid.IntRange(0, 9).Draw(t, "rank"), ArrivedMs: rapid.Int64Range(0, 50_000).Draw(t, "arrived"),
+			Priority: rapid.IntRange(0, 9).Draw(t, "priority"), ArrivedMs: rapid.Int64Range(0, 50_000).Draw(t, "arrived"),
 			DeadlineMs: rapid.Int64Range(0, 120_000).Draw(t, "deadline"), AttainedServiceMs: rapid.Int64Range(0, 9000).Draw(t, "attained"),
 			PromptTokens: 1000, OutputTokens: 100, CachedTokens: map[string]int64{}, ExcludedEngines: map[string]bool{},
 		}
@@ -36,10 +36,11 @@
 	return scheduler
 }
 
-// TestDecideKeepsItsWord checks for any state of the scheduler that every call is dispatched,
-// refused or still waits, that nothing is dispatched to an engine that is closed, not ready or
-// full, and that a call is refused only after its deadline.
-func TestDecideKeepsItsWord(t *testing.T) {
+// TestDecideProperty checks for any state of the scheduler that every call is dispatched, refused
+// or still waiting, that nothing is dispatched to an engine that is closed, not ready or full, that
+// a call is refused only after its deadline, and that no call waits while an engine that it has not
+// excluded is idle.
+func TestDecideProperty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		scheduler := drawScheduler(t)
 		before := len(scheduler.Waiting)
@@ -75,10 +76,10 @@
 	})
 }
 
-// TestAgeingBoundsTheWaitOfTheLowestRank checks that a call of the lowest rank is dispatched after
-// a bounded wait, however many urgent calls keep arriving.
-func TestAgeingBoundsTheWaitOfTheLowestRank(t *testing.T) {
-	Convey("ageing limits the wait of the lowest rank", t, func() {
+// TestAgeingBoundsWaitOfLeastUrgent checks that the least urgent call is dispatched after a bounded
+// wait, however many urgent calls keep arriving.
+func TestAgeingBoundsWaitOfLeastUrgent(t *testing.T) {
+	Convey("the least urgent call waits for at most ten ageing intervals", t, func() {
 		scheduler := &CellScheduler{Policy: DefaultPolicy()}
 		engine := &Engine{Name: "e", Pool: "p", Ready: true, Slots: 1, PrefillTokensPerSecond: 10_000, StepMicros: 5000}
 		scheduler.Engines = []*Engine{engine}
@@ -101,8 +102,8 @@
 	})
 }
 
-// TestTenantLimits checks over any sequence of calls and limit changes that no call starts over its
-// limit, and that refusals carry a retry delay.
+// TestTenantLimits checks over any sequence of calls and limit changes that no call starts above
+// the scheduler's part of a limit, and that refusals carry a retry delay.
 func TestTenantLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limiter := NewTenantLimiter()
@@ -111,7 +112,7 @@
 		const rate, schedulers = 700, 3
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			limits := TenantLimits{MaxInFlight: rapid.Int64Range(0, 12).Draw(t, "in flight"), TokensPerSecond: rate}
-			nowMs += rapid.Int64Range(0, 900).Draw(t, "pause")
+			nowMs += rapid.Int64Range(0, 900).Draw(t, "elapsed ms")
 			if running > 0 && rapid.Bool().Draw(t, "end") {
 				limiter.Release("t")
 				running--
--- a/internal/scheduling/speed.go
+++ b/internal/scheduling/speed.go
@@ -2,8 +2,8 @@
 
 const (
 	// paceHalfLifeMs is the half-life of the samples of an engine's pace. It is many times as long
-	// as an engine that shares its machine is stalled at a stretch (0.6 s), so that such stalls
-	// average out, and short enough to follow an engine that was moved or throttled.
+	// as a stall of an engine that shares its machine (0.6 s), so that such stalls average out, and
+	// short enough to follow an engine that was moved or throttled.
 	paceHalfLifeMs = 8_000
 	// baselineHalfLifeMs is the half-life of the samples of all engines together.
 	baselineHalfLifeMs = 15_000
@@ -17,20 +17,23 @@
 	// against chance. The samples of one stall are not independent, and paceHalfLifeMs holds about
 	// this number of stalls.
 	maxIndependentSamples = 16
-	// paceVarianceMargin is how many times more than by chance the engines must differ before their
-	// speeds count at all.
+	// paceVarianceMargin is the factor by which the variance between the engines must exceed the
+	// variance expected by chance before their speeds count at all.
 	paceVarianceMargin = 4
-	// maxLoadCorrection limits the part of a sample that is attributed to other requests.
+	// maxLoadCorrection limits the factor by which a sample is corrected, upwards or downwards, for
+	// other requests.
 	maxLoadCorrection = 4.0
-	// slowdownIntervalMs limits how often the slowdowns of all engines are recomputed, which takes
-	// as many steps as there are engines. Their means only move with paceHalfLifeMs.
+	// slowdownIntervalMs is the minimum interval between two computations of the slowdowns, each of
+	// which takes as many steps as there are engines. It may be long because the means change only
+	// over paceHalfLifeMs.
 	slowdownIntervalMs = 50
-	// anchorWeight pulls the mean pace of all engines towards 1, so that the ratios that several
-	// gateways learn from each other do not drift together.
+	// anchorWeight is the weight, in samples, with which the mean pace of all engines is pulled
+	// towards 1, so that the ratios that several gateways learn from each other do not drift
+	// together.
 	anchorWeight = 2
 )
 
-// paceModel is the pace of streams over the engines of a back end.
+// paceModel is the pace of streams over the engines of a backend.
 type paceModel struct {
 	// minGapMs holds the means of the minimum gap of a stream by the number of its gaps, at an
 	// engine with a slowdown of 1. The minimum of many gaps is lower than that of a few.
@@ -86,10 +89,10 @@
 	return ratio / min(max(loadFactor, 1/maxLoadCorrection), maxLoadCorrection)
 }
 
-// updateSlowdowns brings the slowdowns of all engines up to nowMs. The mean of each engine is
-// shrunk towards the mean of all engines by as much as chance explains of their differences (James
-// and Stein, Estimation with Quadratic Loss, 1961). Engines that are alike stay alike, and a new
-// engine starts at the mean.
+// updateSlowdowns recomputes the slowdowns of all engines if they are out of date. The mean of each
+// engine is shrunk towards the mean of all engines to the extent that chance explains their
+// differences (James and Stein, Estimation with Quadratic Loss, 1961). Engines of the same speed
+// keep the same slowdown, and a new engine starts at the mean.
 func (m *LatencyModel) updateSlowdowns(candidates []Candidate, nowMs int64) {
 	if elapsedMs := nowMs - m.pace.updatedMs; elapsedMs >= 0 && elapsedMs < slowdownIntervalMs && m.pace.updatedEngines == len(candidates) {
 		return
@@ -125,7 +128,7 @@
 }
 
 // enginePace is the time that an engine takes for a token, as a multiple of the usual time at the
-// engines of its back end.
+// engines of its backend.
 type enginePace struct {
 	// own holds the samples of this gateway, unreported those of them that were not yet reported,
 	// and shared those of all gateways.
@@ -157,8 +160,8 @@
 	return 1, 0
 }
 
-// Slowdown returns how many times longer a token takes at this engine than at the usual engine of
-// its back end, as of the last selection.
+// Slowdown returns how many times longer a token takes at this engine than at an average engine of
+// its backend, as of the last selection.
 func (h *EngineHealth) Slowdown() float64 {
 	if h.pace.slowdown <= 0 {
 		return 1
--- a/internal/scheduling/suspicion.go
+++ b/internal/scheduling/suspicion.go
@@ -25,10 +25,10 @@
 	}
 }
 
-// FailingEngines returns those of the engines named at which requests of several gateways in a zone
-// fail. In a large fleet each gateway sends few requests to an engine, and would detect that the
-// engine is gone only by losing one of its own requests. Reports from other zones don't count,
-// because the network between the zones may be partitioned.
+// FailingEngines returns the given engines at which requests of at least minFailingGateways
+// gateways in a zone fail. In a large fleet each gateway sends few requests to an engine, and would
+// detect that the engine is gone only by losing one of its own requests. Reports from other zones
+// don't count, because the network between the zones may be partitioned.
 func (a *LoadAggregator) FailingEngines(engines []string, zone string, nowMs int64) []string {
 	var failing []string
 	for _, engine := range engines {
--- a/internal/scheduling/turns.go
+++ b/internal/scheduling/turns.go
@@ -14,7 +14,7 @@
 	total   float64
 }
 
-// ObserveTurn counts a turn that is sent.
+// ObserveTurn counts a turn that is sent with a prompt of a number of parts.
 func (m *LatencyModel) ObserveTurn(kind string, parts int) {
 	if parts <= 0 {
 		return
@@ -42,16 +42,16 @@
 	if !known || parts <= 0 {
 		return 1
 	}
-	class := min(parts, maxCountedParts-1)
+	bucket := min(parts, maxCountedParts-1)
 	longer := 0.0
-	for _, count := range counts.byParts[class+1:] {
+	for _, count := range counts.byParts[bucket+1:] {
 		longer += count
 	}
-	return 1 + longer/(counts.byParts[class]+1)
+	return 1 + longer/(counts.byParts[bucket]+1)
 }
 
-// entryForKind returns the entry of a kind of request. When there are too many kinds, it drops all
-// of them.
+// entryForKind returns the entry of a kind of request, which is created if necessary. If there are
+// too many kinds, all entries are dropped first.
 func entryForKind[T any](entries *map[string]*T, kind string) *T {
 	entry, known := (*entries)[kind]
 	if !known {
--- a/internal/scheduling/usage.go
+++ b/internal/scheduling/usage.go
@@ -2,9 +2,9 @@
 
 import "math"
 
-// EngineUsage is the state of one engine beyond its EngineLoad, as observed by one gateway since
-// its last report or by all gateways together. It is encoded as a map, so that processes of an
-// older or newer release can read the fields that they know.
+// EngineUsage is the pace and the KV cache use of one engine, as observed by one gateway since its
+// last report or by all gateways together. Unlike EngineLoad it is encoded as a map, so that
+// processes of an older or newer release can read the fields that they know.
 type EngineUsage struct {
 	Engine string `msgpack:"e"`
 	// Pace holds samples of the time per token at the engine as a multiple of the usual time.
@@ -33,24 +33,24 @@
 
 // add reserves tokens for a request that is sent, or with a negative number releases those of one
 // that has ended.
-func (t *kvCacheReservation) add(nowMs, tokens int64) {
-	t.integrate(nowMs)
-	t.ownTokens = max(t.ownTokens+tokens, 0)
+func (r *kvCacheReservation) add(nowMs, tokens int64) {
+	r.integrate(nowMs)
+	r.ownTokens = max(r.ownTokens+tokens, 0)
 }
 
 // integrate adds the reserved tokens up to nowMs to tokenMs.
-func (t *kvCacheReservation) integrate(nowMs int64) {
-	t.tokenMs += float64(t.ownTokens) * float64(max(nowMs-t.integratedMs, 0))
-	t.integratedMs = max(t.integratedMs, nowMs)
+func (r *kvCacheReservation) integrate(nowMs int64) {
+	r.tokenMs += float64(r.ownTokens) * float64(max(nowMs-r.integratedMs, 0))
+	r.integratedMs = max(r.integratedMs, nowMs)
 }
 
 // collectMean returns the mean number of reserved tokens since the last call.
-func (t *kvCacheReservation) collectMean(nowMs int64) float64 {
-	t.integrate(nowMs)
-	mean := t.tokenMs / float64(max(nowMs-t.reportedMs, 1))
-	t.tokenMs = 0
-	t.reportedMs = nowMs
-	t.reportedTokens = mean
+func (r *kvCacheReservation) collectMean(nowMs int64) float64 {
+	r.integrate(nowMs)
+	mean := r.tokenMs / float64(max(nowMs-r.reportedMs, 1))
+	r.tokenMs = 0
+	r.reportedMs = nowMs
+	r.reportedTokens = mean
 	return mean
 }
 
@@ -87,8 +87,8 @@
 	h.kvCache.sharedMs = nowMs
 }
 
-// RunningKVCacheTokens returns the part of ReservedKVCacheTokens that belongs to requests in one of
-// the slots.
+// RunningKVCacheTokens estimates the part of ReservedKVCacheTokens that belongs to requests that
+// occupy a slot, as if all requests had reserved the same number.
 func (h *EngineHealth) RunningKVCacheTokens(nowMs int64, slots int) float64 {
 	reserved, inFlight := h.ReservedKVCacheTokens(nowMs), h.EstimatedInFlight(nowMs)
 	if slots <= 0 || inFlight <= float64(slots) {
@@ -141,7 +141,7 @@
 	}
 }
 
-// Usages returns the usage over all gateways of the engines named.
+// Usages returns the usage of the given engines over all gateways, without engines that have none.
 func (a *LoadAggregator) Usages(engines []string, nowMs int64) []EngineUsage {
 	var usages []EngineUsage
 	for _, engine := range engines {
--- a/internal/scheduling/usage_test.go
+++ b/internal/scheduling/usage_test.go
@@ -110,7 +110,7 @@
 // TestUsageAcrossReleases covers processes of two releases that run side by side: a receiver
 // ignores fields that it doesn't know, and fields that an older sender omits are zero.
 func TestUsageAcrossReleases(t *testing.T) {
-	Convey("a receiver ignores unknown fields", t, func() {
+	Convey("a receiver ignores unknown fields, and omitted fields are zero", t, func() {
 		encoded, err := msgpack.Marshal(map[string]any{"e": "i-1", "p": []float32{6, 3}, "h": float32(40), "later": "x"})
 		So(err, ShouldBeNil)
 		var usage EngineUsage
@@ -132,7 +132,7 @@
 		aggregator, latest := NewLoadAggregator(), map[string]gatewayValue{}
 		nowMs := int64(1000)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
-			nowMs += rapid.Int64Range(0, 900).Draw(t, "pause")
+			nowMs += rapid.Int64Range(0, 900).Draw(t, "elapsed ms")
 			gateway := fmt.Sprint("g", rapid.IntRange(0, 5).Draw(t, "gateway"))
 			tokens := rapid.SampledFrom([]float64{0, 10, 5000, math.NaN(), math.Inf(1), -4}).Draw(t, "tokens")
 			aggregator.ReportUsage(gateway, []EngineUsage{{Engine: "e", ReservedKVCacheTokens: float32(tokens), Pace: WeightedSum{Sum: 1, Weight: 1}}}, nowMs)
