--- a/internal/daemon/caller.go
+++ b/internal/daemon/caller.go
@@ -9,99 +9,101 @@
 	"github.com/ochrebay/ochrebay/internal/protocol"
 )
 
-// ErrNoResponse means that a process did not answer in time or ended the connection.
-var ErrNoResponse = errors.New("daemon: no answer")
+// ErrNoResponse means that the connection ended before the reply arrived, or that the client is
+// closed.
+var ErrNoResponse = errors.New("daemon: no response")
 
-// Client keeps one connection to each process that this one asks.
+// Client sends requests to other processes over one connection for each address.
 type Client struct {
 	mutex       sync.Mutex
-	connections map[string]*callee
+	connections map[string]*clientConnection
 	closed      bool
 }
 
-// callee is one process's connection or the attempt to make it.
-type callee struct {
+// clientConnection is the connection to one address or the attempt to establish it.
+type clientConnection struct {
+	// done is closed when the attempt has ended and connection and err are set.
 	done       chan struct{}
 	connection *protocol.Connection
 	err        error
 }
 
-// NewClient returns a caller without connections.
-func NewClient() *Client { return &Client{connections: map[string]*callee{}} }
+// NewClient returns a client without connections.
+func NewClient() *Client { return &Client{connections: map[string]*clientConnection{}} }
 
-// connect returns the connection to an address; callers that come while it is made
-// wait for the same one.
+// connect returns the connection to an address. Concurrent calls share one attempt to
+// establish it.
 func (c *Client) connect(ctx context.Context, address string) (*protocol.Connection, error) {
 	c.mutex.Lock()
-	known := c.connections[address]
-	if known == nil && !c.closed {
-		known = &callee{done: make(chan struct{})}
-		c.connections[address] = known
-		go c.dial(address, known)
+	entry := c.connections[address]
+	if entry == nil && !c.closed {
+		entry = &clientConnection{done: make(chan struct{})}
+		c.connections[address] = entry
+		go c.dial(address, entry)
 	}
 	c.mutex.Unlock()
-	if known == nil {
+	if entry == nil {
 		return nil, ErrNoResponse
 	}
 	select {
-	case <-known.done:
-		return known.connection, known.err
+	case <-entry.done:
+		return entry.connection, entry.err
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
 }
 
-func (c *Client) dial(address string, made *callee) {
-	made.connection, made.err = protocol.Dial(address, dialTimeout, 0)
-	if made.err != nil {
-		c.forget(address, made)
-		close(made.done)
+func (c *Client) dial(address string, entry *clientConnection) {
+	entry.connection, entry.err = protocol.Dial(address, dialTimeout, 0)
+	if entry.err != nil {
+		c.remove(address, entry)
+		close(entry.done)
 		return
 	}
-	close(made.done)
-	made.connection.OnClose(func() { c.forget(address, made) })
+	close(entry.done)
+	entry.connection.OnClose(func() { c.remove(address, entry) })
 }
 
-func (c *Client) forget(address string, made *callee) {
+func (c *Client) remove(address string, entry *clientConnection) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.connections[address] == made {
+	if c.connections[address] == entry {
 		delete(c.connections, address)
 	}
 }
 
-// Disconnect closes the connection to an address, so that the next call makes a new one.
+// Disconnect closes the connection to an address, so that the next call dials a new one.
 func (c *Client) Disconnect(address string) {
 	c.mutex.Lock()
-	known := c.connections[address]
+	entry := c.connections[address]
 	delete(c.connections, address)
 	c.mutex.Unlock()
-	if known == nil {
+	if entry == nil {
 		return
 	}
 	go func() {
-		<-known.done
-		if known.connection != nil {
-			known.connection.Close()
+		<-entry.done
+		if entry.connection != nil {
+			entry.connection.Close()
 		}
 	}()
 }
 
-// Call sends a request and decodes its one answer into reply.
+// Call sends a request and decodes its first response frame into reply.
 func (c *Client) Call(ctx context.Context, address string, kind protocol.Kind, request, reply any) error {
 	connection, err := c.connect(ctx, address)
 	if err != nil {
 		return err
 	}
-	answers := make(chan protocol.Frame, 1)
+	replies := make(chan protocol.Frame, 1)
 	connection.Call(kind, request, func(frame protocol.Frame) {
 		select {
-		case answers <- frame:
+		case replies <- frame:
 		default:
 		}
 	})
 	select {
-	case frame := <-answers:
+	case frame := <-replies:
 		if frame.Kind == protocol.KindClosed {
 			return ErrNoResponse
 		}
@@ -111,37 +113,38 @@
 	}
 }
 
-// CallWithTimeout is Call with a bound on its time; a process that kept silent all that time
-// loses its connection, since it may be dark. One that answers others is only slow: to end
-// its connection would end their calls too.
-func (c *Client) CallWithTimeout(ctx context.Context, within time.Duration, address string, kind protocol.Kind, request, reply any) error {
-	bounded, cancel := context.WithTimeout(ctx, within)
+// CallWithTimeout is Call with a timeout. If the call times out and nothing was received from
+// the process meanwhile, its connection is closed, since the process may be unreachable. A
+// process that responds to other calls is only slow, and closing its connection would fail
+// those calls too.
+func (c *Client) CallWithTimeout(ctx context.Context, timeout time.Duration, address string, kind protocol.Kind, request, reply any) error {
+	bounded, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	began := time.Now()
+	startedAt := time.Now()
 	err := c.Call(bounded, address, kind, request, reply)
-	if err != nil && bounded.Err() != nil && ctx.Err() == nil && !c.heardSince(address, began) {
+	if err != nil && bounded.Err() != nil && ctx.Err() == nil && !c.receivedSince(address, startedAt) {
 		c.Disconnect(address)
 	}
 	return err
 }
 
-// heardSince reports whether a process has sent anything since a time.
-func (c *Client) heardSince(address string, since time.Time) bool {
+// receivedSince reports whether anything was received from an address since a time.
+func (c *Client) receivedSince(address string, since time.Time) bool {
 	c.mutex.Lock()
-	known := c.connections[address]
+	entry := c.connections[address]
 	c.mutex.Unlock()
-	if known == nil {
+	if entry == nil {
 		return false
 	}
 	select {
-	case <-known.done:
-		return known.connection != nil && known.connection.ReceivedSince(since)
+	case <-entry.done:
+		return entry.connection != nil && entry.connection.ReceivedSince(since)
 	default:
 		return false
 	}
 }
 
-// Close ends all connections.
+// Close closes all connections; later calls fail.
 func (c *Client) Close() {
 	c.mutex.Lock()
 	c.closed = true
--- a/internal/daemon/follower.go
+++ b/internal/daemon/follower.go
@@ -20,181 +20,189 @@
 )
 
 const (
-	syncHold    = 700 * time.Millisecond
-	syncTimeout = 1500 * time.Millisecond
-	// searchTimeout bounds a question to a process that has not answered as the leader yet. It
-	// is not held there, so that an answer takes a round of the quorum, some milliseconds; the
-	// rest is for a process whose share of the processor is used up.
-	searchTimeout = 500 * time.Millisecond
-	// proofDue is from when on a proof is asked for without waiting for news: just above the
-	// age that the rhythm of held heartbeats gives, two of them one after the other.
-	proofDue = 2*syncHold + 100*time.Millisecond
-	// loadsEvery is how often loads are asked for at most: well below the 1.5 s in which what
-	// is seen of an engine loses half of its weight. An answer holds an entry for each engine.
-	loadsEvery = 600 * time.Millisecond
-	// pausedFrom is how much later than due a timeout shows that this process stood still itself,
-	// so that it says nothing of the process asked.
-	pausedFrom    = 200 * time.Millisecond
-	firstPause    = 20 * time.Millisecond
-	longestPause  = 120 * time.Millisecond
-	leaderUnknown = ""
+	longPollTimeout = 700 * time.Millisecond
+	syncTimeout     = 1500 * time.Millisecond
+	// discoveryTimeout bounds a request to a process that is not known to be the leader. Such a
+	// request does not long-poll, so that a reply takes one quorum round trip, some milliseconds;
+	// the rest allows for a process that has used up its CPU quota.
+	discoveryTimeout = 500 * time.Millisecond
+	// confirmationDueAge is the age of the routing-table confirmation from which on heartbeats
+	// request a new one without long polling. It is just above the age that long polling itself
+	// leads to, the length of two successive heartbeats.
+	confirmationDueAge = 2*longPollTimeout + 100*time.Millisecond
+	// engineLoadsInterval is the minimum interval between requests for engine loads. It is well
+	// below the 1.5 s half-life of load observations. A reply has an entry for every engine, so
+	// that loads are not requested with each heartbeat.
+	engineLoadsInterval = 600 * time.Millisecond
+	// stallThreshold is the delay of a timeout beyond its due time from which on this process
+	// itself is taken to have stalled. Such a timeout is no evidence against the target.
+	stallThreshold = 200 * time.Millisecond
+	minRetryDelay  = 20 * time.Millisecond
+	maxRetryDelay  = 120 * time.Millisecond
+	leaderUnknown  = ""
 )
 
-// Follower keeps a process in step with control: it reports to the leader of the
-// settings group and takes its news of fleet and routing table.
+// Follower synchronizes a process with control: it sends heartbeats to the leader of the
+// settings group and applies the updates of the fleet view and the routing table.
 type Follower struct {
-	// Seeds are the inner addresses of control processes to ask first.
+	// Seeds are the inner addresses of the control processes used for initial discovery.
 	Seeds []string
-	// FillReport fills in what the process says of itself.
+	// FillReport fills in the process's own report in a heartbeat.
 	FillReport func(request *protocol.FleetSync)
-	// WithRouting asks for the routing table too.
+	// WithRouting makes heartbeats request the routing table as well.
 	WithRouting bool
-	// OnUpdate takes a new view or table. Invariant: nothing is handed on before a quorum has
-	// confirmed news since the process started.
+	// OnUpdate receives a new fleet view or routing table. Invariant: it is not called before a
+	// quorum has confirmed a reply since the process started.
 	OnUpdate func(view *membership.FleetView, table *routing.Table)
-	// OnEngineLoads takes what all gateways together have seen of engines, and those at which
-	// requests of several of them fail; nil where nobody asks.
+	// OnEngineLoads receives the engine loads aggregated over all gateways, and the engines at
+	// which requests of several gateways fail. If it is nil, loads are not requested.
 	OnEngineLoads func(loads []scheduling.EngineLoad, failing []string)
-	// OnEngineUsages takes what all gateways together know of the engines' use; nil where nobody asks.
+	// OnEngineUsages receives the engine usage aggregated over all gateways; it may be nil.
 	OnEngineUsages func(usages []scheduling.EngineUsage)
-	// OnStreamLateness takes what all gateways together have seen of streams; nil where nobody asks.
+	// OnStreamLateness receives the stream lateness aggregated over all gateways; it may be nil.
 	OnStreamLateness func(shares []scheduling.StreamLateness)
-	// OnBackendUsages takes what all gateways' tenants together use of back ends; nil where nobody asks.
+	// OnBackendUsages receives the tenants' usage of back ends aggregated over all gateways; it
+	// may be nil.
 	OnBackendUsages func(uses []admission.BackendUsage)
 	Logger          log.Logger
 
-	// proved is the latest proof.
-	proved atomic.Pointer[proof]
+	// latestConfirmation is the latest routing-table confirmation; it is never nil.
+	latestConfirmation atomic.Pointer[confirmation]
 
-	caller *Client
-	mutex  sync.Mutex
-	search leaderSearch
-	// told is the digest of the control processes that the leader last named.
-	told uint64
-	// answering is the leader whose answer came last, "" once it is lost.
-	answering string
-	view      *membership.FleetView
-	table     *routing.Table
-	confirmed bool
-	// loadsAt is when the last loads came; the goroutine of Run alone uses it.
-	loadsAt time.Time
-	// poke ends the held heartbeat, so that a changed report is told at once.
-	poke chan struct{}
+	client    *Client
+	mutex     sync.Mutex
+	discovery leaderDiscovery
+	// controlsDigest is the digest of the control addresses that the leader last sent.
+	controlsDigest uint64
+	// currentLeader is the process that last replied as the leader, "" after it has been lost.
+	currentLeader string
+	view          *membership.FleetView
+	table         *routing.Table
+	confirmed     bool
+	// engineLoadsReceivedAt is when the latest loads were received. Only the goroutine of Run
+	// uses it.
+	engineLoadsReceivedAt time.Time
+	// syncRequested cancels the long-polling heartbeat, so that a changed report is sent at once.
+	syncRequested chan struct{}
 }
 
-// proof says that no table newer than the one held had been acknowledged at a time.
-type proof struct {
-	// askedAt is when the question left whose answer is the proof, zero before the first.
-	askedAt time.Time
-	// next is closed once the next proof has come.
+// confirmation states that, at the time a request was sent, no routing table newer than the
+// local one had been acknowledged.
+type confirmation struct {
+	// requestSentAt is when the confirmed request was sent, zero before the first confirmation.
+	requestSentAt time.Time
+	// next is closed when the next confirmation replaces this one.
 	next chan struct{}
 }
 
-// NewFollower returns a follower that has heard nothing.
+// NewFollower returns a follower that has no fleet view and no routing table yet.
 func NewFollower(seeds []string, logger log.Logger) *Follower {
-	follower := &Follower{Seeds: seeds, Logger: logger, caller: NewClient(), search: leaderSearch{controls: slices.Clone(seeds)}, poke: make(chan struct{}, 1)}
-	follower.proved.Store(&proof{next: make(chan struct{})})
+	follower := &Follower{Seeds: seeds, Logger: logger, client: NewClient(), discovery: leaderDiscovery{controls: slices.Clone(seeds)}, syncRequested: make(chan struct{}, 1)}
+	follower.latestConfirmation.Store(&confirmation{next: make(chan struct{})})
 	return follower
 }
 
-// SetSeeds takes the seeds of a settings file that has changed.
+// SetSeeds replaces the seeds after the settings file has changed. Known control processes are
+// kept and new seeds are added to them.
 func (f *Follower) SetSeeds(seeds []string) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.Seeds = seeds
 	for _, seed := range seeds {
-		if !slices.Contains(f.search.controls, seed) {
-			f.search.controls = append(f.search.controls, seed)
+		if !slices.Contains(f.discovery.controls, seed) {
+			f.discovery.controls = append(f.discovery.controls, seed)
 		}
 	}
 }
 
-// SyncNow makes the follower report again at once.
+// SyncNow makes the follower send its next heartbeat at once.
 func (f *Follower) SyncNow() {
 	select {
-	case f.poke <- struct{}{}:
+	case f.syncRequested <- struct{}{}:
 	default:
 	}
 }
 
-// Run follows until ctx ends.
+// Run sends heartbeats until ctx is cancelled.
 func (f *Follower) Run(ctx context.Context) error {
-	defer f.caller.Close()
-	pause := firstPause
+	defer f.client.Close()
+	delay := minRetryDelay
 	for ctx.Err() == nil {
-		target := f.target()
+		target := f.nextTarget()
 		if f.syncOnce(ctx, target) {
-			pause = firstPause
+			delay = minRetryDelay
 			continue
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(pause + rand.N(firstPause)):
+		case <-time.After(delay + rand.N(minRetryDelay)):
 		}
-		pause = min(2*pause, longestPause)
+		delay = min(2*delay, maxRetryDelay)
 	}
 	return ctx.Err()
 }
 
-// target is the process to ask next.
-func (f *Follower) target() string {
+// nextTarget returns the process to send the next heartbeat to, "" if none is known.
+func (f *Follower) nextTarget() string {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return f.search.target(time.Now(), rand.Int())
+	return f.discovery.nextTarget(time.Now(), rand.Int())
 }
 
-// failed notes that a process did not answer as the leader; silent says that it did not answer
-// within its time.
-func (f *Follower) failed(target string, silent bool) {
+// recordFailure records that a process did not reply as the leader; unresponsive means that it
+// did not reply before the timeout.
+func (f *Follower) recordFailure(target string, unresponsive bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	if target == leaderUnknown {
 		return
 	}
-	if f.answering == target {
-		telemetry.Warn(f.Logger, "control leader lost", "leader", target, "silent", silent)
-		f.answering = leaderUnknown
+	if f.currentLeader == target {
+		telemetry.Warn(f.Logger, "control leader lost", "leader", target, "silent", unresponsive)
+		f.currentLeader = leaderUnknown
 	}
-	f.search.failed(target, silent, time.Now())
+	f.discovery.recordFailure(target, unresponsive, time.Now())
 }
 
-// proven reports whether a process was the last to answer as the leader.
-func (f *Follower) proven(target string) bool {
+// isCurrentLeader reports whether a process was the last one to reply as the leader.
+func (f *Follower) isCurrentLeader(target string) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return f.answering == target
+	return f.currentLeader == target
 }
 
-// syncOnce reports once and takes the answer; false where the target is no leader.
+// syncOnce sends one heartbeat and applies the reply. It returns false if the caller should
+// back off before the next heartbeat: the target is unknown, or it failed or is not the leader
+// and its redirect can't be followed.
 func (f *Follower) syncOnce(ctx context.Context, target string) bool {
 	if target == leaderUnknown {
 		return false
 	}
-	asked := time.Now()
-	request := f.request()
-	within := syncTimeout
-	if !f.proven(target) {
+	sentAt := time.Now()
+	request := f.newRequest()
+	timeout := syncTimeout
+	if !f.isCurrentLeader(target) {
 		request.LongPollMs = 0
-		within = searchTimeout
+		timeout = discoveryTimeout
 	}
-	bounded, cancel := context.WithTimeout(ctx, within)
+	bounded, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	go f.endOnPoke(bounded, cancel)
+	go f.cancelOnSyncNow(bounded, cancel)
 	var reply protocol.FleetSyncReply
-	err := f.caller.Call(bounded, target, protocol.KindFleetSync, request, &reply)
+	err := f.client.Call(bounded, target, protocol.KindFleetSync, request, &reply)
 	switch {
 	case err != nil && bounded.Err() == context.Canceled && ctx.Err() == nil:
 		return true
 	case err != nil:
-		f.caller.Disconnect(target)
-		f.failed(target, bounded.Err() != nil && time.Since(asked) < within+pausedFrom)
+		f.client.Disconnect(target)
+		f.recordFailure(target, bounded.Err() != nil && time.Since(sentAt) < timeout+stallThreshold)
 		return false
 	case reply.Error != nil:
-		f.failed(target, false)
-		return f.redirected(&reply)
+		f.recordFailure(target, false)
+		return f.followRedirect(&reply)
 	}
-	f.take(target, &reply)
-	f.noteProof(asked, &reply)
+	f.applyReply(target, &reply)
+	f.recordConfirmation(sentAt, &reply)
 	if f.OnStreamLateness != nil && len(reply.StreamLateness) > 0 {
 		f.OnStreamLateness(reply.StreamLateness)
 	}
@@ -202,7 +210,7 @@
 		f.OnBackendUsages(reply.BackendUsages.Value)
 	}
 	if f.OnEngineLoads != nil && reply.EngineLoads != nil {
-		f.loadsAt = time.Now()
+		f.engineLoadsReceivedAt = time.Now()
 		f.OnEngineLoads(reply.EngineLoads.Value, reply.FailingEngines)
 		if f.OnEngineUsages != nil && reply.EngineUsages != nil {
 			f.OnEngineUsages(reply.EngineUsages.Value)
@@ -211,10 +219,10 @@
 	return true
 }
 
-// noteProof remembers that no table newer than the one held had been acknowledged when the
-// question left. Invariant: it runs after the table that came with the answer is in force,
-// and a difference that did not fit proves nothing.
-func (f *Follower) noteProof(asked time.Time, reply *protocol.FleetSyncReply) {
+// recordConfirmation records that no routing table newer than the local one had been
+// acknowledged when the request was sent. Invariant: it runs after the table delta of the reply
+// has been applied, and a delta that could not be applied confirms nothing.
+func (f *Follower) recordConfirmation(sentAt time.Time, reply *protocol.FleetSyncReply) {
 	if !reply.IsConfirmed || !f.WithRouting {
 		return
 	}
@@ -227,36 +235,40 @@
 	if reply.Routing != nil && reply.Routing.Value.Generation > generation {
 		return
 	}
-	previous := f.proved.Swap(&proof{askedAt: asked, next: make(chan struct{})})
+	previous := f.latestConfirmation.Swap(&confirmation{requestSentAt: sentAt, next: make(chan struct{})})
 	close(previous.next)
 }
 
-// NextConfirmation returns a channel that is closed once a proof has come after the latest.
-func (f *Follower) NextConfirmation() <-chan struct{} { return f.proved.Load().next }
+// NextConfirmation returns a channel that is closed when a confirmation newer than the latest
+// one arrives.
+func (f *Follower) NextConfirmation() <-chan struct{} { return f.latestConfirmation.Load().next }
 
-// ConfirmationAge returns how long ago the table held was surely the newest that was acknowledged;
-// false where that was never so. It goes by the steady clock from before the question, so
-// that neither the way nor a pause of this process makes a proof look younger.
+// ConfirmationAge returns the time since the local routing table was last confirmed to be the
+// newest acknowledged one, false if it never was. The age counts on the monotonic clock from
+// before the request was sent, so that neither network latency nor a stall of this process
+// makes a confirmation look younger.
 func (f *Follower) ConfirmationAge() (time.Duration, bool) {
-	asked := f.proved.Load().askedAt
-	if asked.IsZero() {
+	sentAt := f.latestConfirmation.Load().requestSentAt
+	if sentAt.IsZero() {
 		return 0, false
 	}
-	return time.Since(asked), true
+	return time.Since(sentAt), true
 }
 
-func (f *Follower) endOnPoke(ctx context.Context, cancel context.CancelFunc) {
+// cancelOnSyncNow cancels a heartbeat in flight when SyncNow is called.
+// cancelOnSyncNow cancels a heartbeat in flight when SyncNow is called.
+func (f *Follower) cancelOnSyncNow(ctx context.Context, cancel context.CancelFunc) {
 	select {
-	case <-f.poke:
+	case <-f.syncRequested:
 		cancel()
 	case <-ctx.Done():
 	}
 }
 
-func (f *Follower) request() *protocol.FleetSync {
+func (f *Follower) newRequest() *protocol.FleetSync {
 	f.mutex.Lock()
-	request := &protocol.FleetSync{LongPollMs: syncHold.Milliseconds(), WithRouting: f.WithRouting, ConfirmNow: !f.confirmed, ControlsDigest: f.told}
-	request.WithLoads = f.OnEngineLoads != nil && time.Since(f.loadsAt) >= loadsEvery
+	request := &protocol.FleetSync{LongPollMs: longPollTimeout.Milliseconds(), WithRouting: f.WithRouting, ConfirmNow: !f.confirmed, ControlsDigest: f.controlsDigest}
+	request.WithLoads = f.OnEngineLoads != nil && time.Since(f.engineLoadsReceivedAt) >= engineLoadsInterval
 	if f.view != nil {
 		request.FleetVersion = f.view.Version
 	}
@@ -264,7 +276,7 @@
 		request.RoutingGeneration = f.table.Generation
 		request.ConfirmLeadership = f.table.RequiresKey
 	}
-	if age, known := f.ConfirmationAge(); request.ConfirmLeadership && (!known || age > proofDue) {
+	if age, hasAge := f.ConfirmationAge(); request.ConfirmLeadership && (!hasAge || age > confirmationDueAge) {
 		request.LongPollMs = 0
 	}
 	f.mutex.Unlock()
@@ -272,31 +284,32 @@
 	return request
 }
 
-// redirected follows the hint of a process that does not lead.
-func (f *Follower) redirected(reply *protocol.FleetSyncReply) bool {
+// followRedirect follows the redirect to the leader in the reply of a process that is not the
+// leader. It reports whether the next request should be sent at once.
+func (f *Follower) followRedirect(reply *protocol.FleetSyncReply) bool {
 	if reply.Error.Code != result.NotLeader {
 		return false
 	}
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return f.search.hinted(reply.Leader, time.Now())
+	return f.discovery.followRedirect(reply.Leader, time.Now())
 }
 
-// take puts the news in force. Invariant: neither fleet nor table ever steps back
-// within the life of the process.
-func (f *Follower) take(target string, reply *protocol.FleetSyncReply) {
+// applyReply applies the updates in a leader's reply. Invariant: neither the fleet version nor
+// the routing generation ever decreases while the process runs.
+func (f *Follower) applyReply(target string, reply *protocol.FleetSyncReply) {
 	f.mutex.Lock()
-	if f.answering != target {
+	if f.currentLeader != target {
 		telemetry.Info(f.Logger, "control leader found", "leader", target)
 	}
-	f.answering = target
-	f.search.found(target)
+	f.currentLeader = target
+	f.discovery.recordLeader(target)
 	if len(reply.ControlAddresses) > 0 {
-		f.told = protocol.ControlsDigest(reply.ControlAddresses)
-		f.search.controls = slices.Clone(reply.ControlAddresses)
+		f.controlsDigest = protocol.ControlsDigest(reply.ControlAddresses)
+		f.discovery.controls = slices.Clone(reply.ControlAddresses)
 		for _, seed := range f.Seeds {
-			if !slices.Contains(f.search.controls, seed) {
-				f.search.controls = append(f.search.controls, seed)
+			if !slices.Contains(f.discovery.controls, seed) {
+				f.discovery.controls = append(f.discovery.controls, seed)
 			}
 		}
 	}
--- a/internal/daemon/frontend.go
+++ b/internal/daemon/frontend.go
@@ -15,13 +15,14 @@
 	frontendIdleTimeout   = 60 * time.Second
 )
 
-// Frontend is an HTTP interface that a process offers besides its own.
+// Frontend is an additional HTTP endpoint of a process.
 type Frontend struct {
 	Address string
 	Handler http.Handler
 }
 
-// ServeFrontends serves until ctx ends; requests under way are then cut off.
+// ServeFrontends serves until ctx is cancelled or a server fails; requests in flight are then
+// aborted.
 func ServeFrontends(ctx context.Context, frontends []Frontend) error {
 	failures := make(chan error, len(frontends))
 	var servers []*http.Server
--- a/internal/daemon/group.go
+++ b/internal/daemon/group.go
@@ -7,30 +7,30 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// TaskGroup runs the tasks of a process until one of them fails or the process is to
-// stop, which drains first.
+// TaskGroup runs the tasks of a process until one of them fails or the process is stopped.
+// Before it stops, the process drains.
 type TaskGroup struct {
-	// Context ends when a task has failed or the drain is over.
+	// Context is cancelled when a task has failed or the drain has finished.
 	Context context.Context
 
 	tasks *errgroup.Group
 	stop  context.CancelFunc
 }
 
-// NewTaskGroup returns a group without tasks.
+// NewTaskGroup returns a task group without tasks.
 func NewTaskGroup() *TaskGroup {
-	running, stop := context.WithCancel(context.Background())
-	tasks, ctx := errgroup.WithContext(running)
+	parent, stop := context.WithCancel(context.Background())
+	tasks, ctx := errgroup.WithContext(parent)
 	return &TaskGroup{Context: ctx, tasks: tasks, stop: stop}
 }
 
-// Go starts a task; it ends when its context does.
+// Go starts a task, which must return when its context is cancelled.
 func (g *TaskGroup) Go(task func(ctx context.Context) error) {
 	g.tasks.Go(func() error { return task(g.Context) })
 }
 
-// Wait drains once ctx ends, stops the tasks and returns the first error that is not
-// the stop itself.
+// Wait waits until ctx is cancelled or a task fails. When ctx is cancelled it drains and then
+// stops the tasks. It returns the first error of a task, or nil if that is the cancellation.
 func (g *TaskGroup) Wait(ctx context.Context, drain func(ctx context.Context)) error {
 	g.tasks.Go(func() error {
 		select {
--- a/internal/daemon/links.go
+++ b/internal/daemon/links.go
@@ -8,54 +8,55 @@
 )
 
 const (
-	// dialTimeout is short: a machine without power says nothing, and the kernel would
-	// repeat the opening packet only after a second, when the machine may long be back.
+	// dialTimeout is short: a machine without power sends no reply, and the kernel retransmits
+	// a SYN only after a second, by which time the machine may be reachable again.
 	dialTimeout = 300 * time.Millisecond
-	redialPause = 50 * time.Millisecond
-	// waitingMessages and waitingBytes bound what is kept for a peer while its
-	// connection is made.
-	waitingMessages = 64
-	waitingBytes    = 1 << 20
+	redialDelay = 50 * time.Millisecond
+	// maxPendingMessages and maxPendingBytes bound the messages that are queued for a peer
+	// while its connection is being established.
+	maxPendingMessages = 64
+	maxPendingBytes    = 1 << 20
 )
 
-// outgoing is a message that waits for a connection.
-type outgoing struct {
+// pendingMessage is an encoded message queued until its connection is established.
+type pendingMessage struct {
 	kind protocol.Kind
 	body []byte
 }
 
-// Links are the connections to other processes for messages that need no answer;
-// they redial by themselves.
+// Links sends one-way messages to other processes. It dials their connections on demand
+// and redials those that have ended.
 type Links struct {
 	mutex sync.Mutex
 	links map[lane]*link
-	// address and delay describe a member.
+	// address returns the IP:port of a member, delay the latency to add to its connection.
 	address func(member string) string
 	delay   func(member string) time.Duration
 	closed  bool
 }
 
-// lane is one of the connections to a member. Invariant: bulk, which may be late and out of
-// order, never stands before heartbeats, votes and entries on a crowded link.
+// lane identifies one of the connections to a member. Invariant: bulk messages, which may
+// arrive late and out of order, never delay heartbeats, votes and entries on a congested link.
 type lane struct {
 	member string
 	bulk   bool
 }
 
-// NewLinks returns links to members by address; delay stands in for distance.
+// NewLinks returns links to members. address resolves a member to IP:port; delay returns the
+// latency to add to its connection, which emulates the distance between zones.
 func NewLinks(address func(member string) string, delay func(member string) time.Duration) *Links {
 	return &Links{links: map[lane]*link{}, address: address, delay: delay}
 }
 
-// Send sends a message. Where there is no connection, a few messages wait for it: the
-// first vote of a process that has just started must not be lost. What can't be sent
-// is dropped, since consensus repeats what matters.
+// Send sends a message. While a connection is being established, a few messages are queued
+// for it, because the first vote of a process that has just started must not be lost. A
+// message that can't be sent is dropped; consensus retransmits those that matter.
 func (l *Links) Send(member string, kind protocol.Kind, message any) {
 	l.send(lane{member: member}, kind, message)
 }
 
-// SendBulk is Send on a connection of its own, for messages that may be late and for which
-// no other may wait.
+// SendBulk is like Send but uses a separate connection. It is for messages that may arrive
+// late and must not delay others.
 func (l *Links) SendBulk(member string, kind protocol.Kind, message any) {
 	l.send(lane{member: member, bulk: true}, kind, message)
 }
@@ -77,7 +78,7 @@
 	}
 }
 
-// Close ends all connections.
+// Close closes all connections.
 func (l *Links) Close() {
 	l.mutex.Lock()
 	l.closed = true
@@ -89,7 +90,7 @@
 	}
 }
 
-// link is the connection to one other process.
+// link is one connection to another process, with the messages pending for it.
 type link struct {
 	address string
 	delay   time.Duration
@@ -97,9 +98,9 @@
 	current *protocol.Connection
 	dialing bool
 	closed  bool
-	waiting []outgoing
-	// waitingBytes is the size of what waits.
-	waitingBytes int
+	pending []pendingMessage
+	// pendingBytes is the total size of the bodies in pending.
+	pendingBytes int
 }
 
 func (p *link) send(kind protocol.Kind, body []byte) {
@@ -109,13 +110,13 @@
 		p.dialing = true
 		go p.dial()
 	}
-	if connection == nil && len(p.waiting) < waitingMessages && p.waitingBytes+len(body) <= waitingBytes {
-		p.waiting = append(p.waiting, outgoing{kind, body})
-		p.waitingBytes += len(body)
+	if connection == nil && len(p.pending) < maxPendingMessages && p.pendingBytes+len(body) <= maxPendingBytes {
+		p.pending = append(p.pending, pendingMessage{kind, body})
+		p.pendingBytes += len(body)
 	}
 	p.mutex.Unlock()
 	if connection != nil {
-		// What a full queue does not take is dropped, as said at Send.
+		// A message that the full send queue rejects is dropped (see Send).
 		_ = connection.SendRaw(kind, body)
 	}
 }
@@ -123,28 +124,28 @@
 func (p *link) dial() {
 	connection, err := protocol.Dial(p.address, dialTimeout, p.delay)
 	if err != nil {
-		time.Sleep(redialPause)
+		time.Sleep(redialDelay)
 	}
 	p.mutex.Lock()
 	p.dialing = false
 	keep := err == nil && !p.closed
 	if keep {
 		p.current = connection
-		for _, message := range p.waiting {
+		for _, message := range p.pending {
 			_ = connection.SendRaw(message.kind, message.body)
 		}
 	}
-	p.waiting = nil
-	p.waitingBytes = 0
+	p.pending = nil
+	p.pendingBytes = 0
 	p.mutex.Unlock()
 	if keep {
-		connection.OnClose(p.forget)
+		connection.OnClose(p.clearConnection)
 	} else if err == nil {
 		connection.Close()
 	}
 }
 
-func (p *link) forget() {
+func (p *link) clearConnection() {
 	p.mutex.Lock()
 	p.current = nil
 	p.mutex.Unlock()
--- a/internal/daemon/links_test.go
+++ b/internal/daemon/links_test.go
@@ -10,49 +10,49 @@
 	"github.com/ochrebay/ochrebay/internal/protocol"
 )
 
-// patience bounds every wait of these tests; it is no measure of anything.
-const patience = 60 * time.Second
+// testTimeout bounds every wait of these tests, so that a failing test ends.
+const testTimeout = 60 * time.Second
 
 func TestLinks(t *testing.T) {
-	Convey("messages sent while a connection is made arrive, and a peer that starts late is found", t, func() {
+	Convey("messages sent while a connection is being established arrive, and a peer that starts late is reached", t, func() {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		So(err, ShouldBeNil)
 		address := listener.Addr().String()
 		So(listener.Close(), ShouldBeNil)
 		links := NewLinks(func(string) string { return address }, func(string) time.Duration { return 0 })
 		defer links.Close()
-		links.Send("peer", protocol.KindPeer, protocol.PeerBatch{From: "before anybody listens"})
-		got := make(chan string, 1024)
+		links.Send("peer", protocol.KindPeer, protocol.PeerBatch{From: "before the peer listens"})
+		received := make(chan string, 1024)
 		server, err := protocol.Listen(address, func(_ *protocol.Connection, frame protocol.Frame) {
 			var batch protocol.PeerBatch
 			if protocol.Decode(frame.Body, &batch) == nil {
-				got <- batch.From
+				received <- batch.From
 			}
 		})
 		So(err, ShouldBeNil)
 		defer server.Close()
-		deadline := time.After(patience)
+		deadline := time.After(testTimeout)
 		for number := 0; ; number++ {
 			links.Send("peer", protocol.KindPeer, protocol.PeerBatch{From: "again"})
 			select {
-			case from := <-got:
+			case from := <-received:
 				So(from, ShouldNotBeBlank)
 				return
 			case <-deadline:
-				So("nothing arrived", ShouldBeEmpty)
+				So("no message received", ShouldBeEmpty)
 			case <-time.After(10 * time.Millisecond):
 			}
 		}
 	})
-	Convey("what is short arrives although its peer has stopped reading what is long", t, func() {
-		got := make(chan string, 16)
+	Convey("a regular message arrives although the peer has stopped reading bulk messages", t, func() {
+		received := make(chan string, 16)
 		stalled := make(chan struct{})
 		server, err := protocol.Listen("127.0.0.1:0", func(_ *protocol.Connection, frame protocol.Frame) {
 			var batch protocol.PeerBatch
 			if protocol.Decode(frame.Body, &batch) != nil {
 				return
 			}
-			got <- batch.From
+			received <- batch.From
 			if batch.From == "bulk" {
 				<-stalled
 			}
@@ -64,9 +64,9 @@
 		defer links.Close()
 		receive := func() string {
 			select {
-			case from := <-got:
+			case from := <-received:
 				return from
-			case <-time.After(patience):
+			case <-time.After(testTimeout):
 				return "nothing"
 			}
 		}
@@ -76,7 +76,7 @@
 		links.Send("peer", protocol.KindPeer, protocol.PeerBatch{From: "heartbeat"})
 		So(receive(), ShouldEqual, "heartbeat")
 	})
-	Convey("a call to a process that keeps silent ends in time, and the next one makes a new connection", t, func() {
+	Convey("a call to an unresponsive process times out, and the next call uses a new connection", t, func() {
 		calls := make(chan struct{}, 16)
 		server, err := protocol.Listen("127.0.0.1:0", func(connection *protocol.Connection, frame protocol.Frame) {
 			calls <- struct{}{}
@@ -91,7 +91,7 @@
 		var reply protocol.TurnReply
 		request := &protocol.TurnRequest{HistoryOf: "a"}
 		So(caller.CallWithTimeout(t.Context(), 50*time.Millisecond, server.Address(), protocol.KindTurn, request, &reply), ShouldNotBeNil)
-		So(caller.CallWithTimeout(t.Context(), patience, server.Address(), protocol.KindTurn, request, &reply), ShouldBeNil)
+		So(caller.CallWithTimeout(t.Context(), testTimeout, server.Address(), protocol.KindTurn, request, &reply), ShouldBeNil)
 		So(reply.Leader, ShouldEqual, "x")
 	})
 }
--- a/internal/daemon/loop.go
+++ b/internal/daemon/loop.go
@@ -1,6 +1,6 @@
-// Package daemon is the shell that ochrebay's processes share: the one goroutine
-// that owns a core, the links to other processes, the search for control's leader,
-// and a stop that drains first.
+// Package daemon has the parts that ochrebay's processes share: the event loop that owns a
+// core, connections to other processes, discovery of the control leader, and shutdown that
+// drains first.
 package daemon
 
 import (
@@ -12,51 +12,52 @@
 )
 
 const (
-	queuedEvents   = 8192
-	eventsPerFlush = 512
-	// queuedBytes bounds the size of the messages that wait for the loop, as while a
-	// disk is slow: what is beyond stays with its senders.
-	queuedBytes = 8 << 20
+	maxQueuedEvents   = 8192
+	maxEventsPerFlush = 512
+	// maxQueuedBytes bounds the total size of the messages queued for the loop, for example
+	// while a disk is slow. Senders of further messages block.
+	maxQueuedBytes = 8 << 20
 )
 
-// EventLoop is the one goroutine that owns a core: it carries out what is posted to it,
-// ticks, and flushes after each batch of events, so that one sync serves them all.
+// EventLoop is the single goroutine that owns a core. It runs posted events and ticks, and
+// flushes once after each batch of events, so that one disk sync covers the whole batch.
 type EventLoop struct {
-	// TickInterval is the time between ticks.
+	// TickInterval is the interval between calls of Tick.
 	TickInterval time.Duration
 	// Tick advances the core's clock.
 	Tick func()
-	// Flush carries out what the core has ready; an error ends the loop.
+	// Flush performs the core's pending output, such as writes and messages; an error ends
+	// the loop.
 	Flush func() error
-	// Publish is called after each flush, for snapshots that others read.
+	// Publish is called after each flush, to publish snapshots for other goroutines.
 	Publish func()
 
-	events chan func()
-	room   *semaphore.Weighted
+	events        chan func()
+	queueCapacity *semaphore.Weighted
 }
 
-// NewEventLoop returns a loop that is not running yet.
+// NewEventLoop returns a loop that Run has not started yet.
 func NewEventLoop(every time.Duration) *EventLoop {
-	return &EventLoop{TickInterval: every, events: make(chan func(), queuedEvents), room: semaphore.NewWeighted(queuedBytes)}
+	return &EventLoop{TickInterval: every, events: make(chan func(), maxQueuedEvents), queueCapacity: semaphore.NewWeighted(maxQueuedBytes)}
 }
 
-// Post hands an event to the loop; it blocks while the queue is full.
+// Post queues an event for the loop. It blocks while the queue is full.
 func (l *EventLoop) Post(event func()) { l.events <- event }
 
-// PostMessage hands a message of the given size to the loop; it blocks while the queue
-// is full, by number or by size.
+// PostMessage queues the event of a message of the given size in bytes. It blocks while the
+// queue is full by number of events or by total size.
 func (l *EventLoop) PostMessage(size int, event func()) {
-	weight := int64(min(size, queuedBytes))
-	if err := l.room.Acquire(context.Background(), weight); err != nil {
-		return // The context never ends.
+	weight := int64(min(size, maxQueuedBytes))
+	if err := l.queueCapacity.Acquire(context.Background(), weight); err != nil {
+		return // Unreachable: the context is never cancelled.
 	}
 	l.Post(func() {
-		l.room.Release(weight)
+		l.queueCapacity.Release(weight)
 		event()
 	})
 }
 
-// Run carries out events until ctx ends or a flush fails.
+// Run runs events and ticks until ctx is cancelled or a flush fails.
 func (l *EventLoop) Run(ctx context.Context) error {
 	ticker := time.NewTicker(l.TickInterval)
 	defer ticker.Stop()
@@ -68,18 +69,18 @@
 			l.Tick()
 		case event := <-l.events:
 			event()
-			l.takeWaiting()
+			l.runQueuedEvents()
 		}
 		if err := l.Flush(); err != nil {
-			return errorx.Decorate(err, "carrying out what the core has ready")
+			return errorx.Decorate(err, "flushing the core's output")
 		}
 		l.Publish()
 	}
 }
 
-// takeWaiting takes the events that have gathered meanwhile.
-func (l *EventLoop) takeWaiting() {
-	for range eventsPerFlush {
+// runQueuedEvents runs up to maxEventsPerFlush events that are already queued.
+func (l *EventLoop) runQueuedEvents() {
+	for range maxEventsPerFlush {
 		select {
 		case event := <-l.events:
 			event()
--- a/internal/daemon/loop_test.go
+++ b/internal/daemon/loop_test.go
@@ -8,8 +8,8 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-func TestLoop(t *testing.T) {
-	Convey("messages wait with their senders while the loop is held up, and all are carried out in the end", t, func() {
+func TestEventLoop(t *testing.T) {
+	Convey("senders of messages block while the loop is stalled, and all messages are processed in the end", t, func() {
 		loop := NewEventLoop(time.Hour)
 		loop.Tick = func() {}
 		loop.Publish = func() {}
@@ -19,11 +19,11 @@
 		posted := make(chan struct{}, messages)
 		for range messages {
 			go func() {
-				loop.PostMessage(queuedBytes/4, func() { done <- struct{}{} })
+				loop.PostMessage(maxQueuedBytes/4, func() { done <- struct{}{} })
 				posted <- struct{}{}
 			}()
 		}
-		// The loop does not run yet: what has been posted fits the bound.
+		// The loop is not running yet: only the messages within the bound have been queued.
 		for range 4 {
 			<-posted
 		}
@@ -34,7 +34,7 @@
 		for range messages {
 			<-done
 		}
-		loop.PostMessage(3*queuedBytes, func() { done <- struct{}{} })
+		loop.PostMessage(3*maxQueuedBytes, func() { done <- struct{}{} })
 		<-done
 	})
 }
--- a/internal/daemon/replies.go
+++ b/internal/daemon/replies.go
@@ -1,29 +1,29 @@
 package daemon
 
-// PendingReplies routes what a core answers to whoever asked. The loop that owns the core alone
-// uses it.
+// PendingReplies maps the ids of requests in flight at a core to the callbacks for their
+// replies. Only the event loop that owns the core may use it.
 type PendingReplies[ID ~uint64, Reply any] struct {
-	last    ID
-	waiting map[ID]func(Reply)
+	lastID    ID
+	callbacks map[ID]func(Reply)
 }
 
-// Register returns the number of a new request, whose answer goes to reply.
-func (r *PendingReplies[ID, Reply]) Register(reply func(Reply)) ID {
-	if r.waiting == nil {
-		r.waiting = map[ID]func(Reply){}
+// Register returns the id of a new request; its reply is passed to callback.
+func (r *PendingReplies[ID, Reply]) Register(callback func(Reply)) ID {
+	if r.callbacks == nil {
+		r.callbacks = map[ID]func(Reply){}
 	}
-	r.last++
-	r.waiting[r.last] = reply
-	return r.last
+	r.lastID++
+	r.callbacks[r.lastID] = callback
+	return r.lastID
 }
 
-// Deliver hands an answer to whoever expects it. Invariant: a request is answered once; what
-// comes after that goes nowhere.
-func (r *PendingReplies[ID, Reply]) Deliver(request ID, answer Reply) {
-	reply, expected := r.waiting[request]
-	if !expected {
+// Deliver passes a reply to the callback of its request. Invariant: each callback is called at
+// most once; later replies and replies to unknown requests are dropped.
+func (r *PendingReplies[ID, Reply]) Deliver(request ID, reply Reply) {
+	callback, registered := r.callbacks[request]
+	if !registered {
 		return
 	}
-	delete(r.waiting, request)
-	reply(answer)
+	delete(r.callbacks, request)
+	callback(reply)
 }
--- a/internal/daemon/replies_test.go
+++ b/internal/daemon/replies_test.go
@@ -6,19 +6,19 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// TestReplies holds that each answer goes to the request it answers, once.
-func TestReplies(t *testing.T) {
-	Convey("answers go to who asked, once, in any order", t, func() {
+// TestPendingReplies checks that each reply is delivered to the callback of its request, once.
+func TestPendingReplies(t *testing.T) {
+	Convey("each callback receives its reply once, in any order", t, func() {
 		var replies PendingReplies[uint64, string]
-		var heard []string
-		expect := func(name string) uint64 {
-			return replies.Register(func(answer string) { heard = append(heard, name+" "+answer) })
+		var received []string
+		register := func(name string) uint64 {
+			return replies.Register(func(reply string) { received = append(received, name+" "+reply) })
 		}
-		first, second := expect("first"), expect("second")
+		first, second := register("first"), register("second")
 		replies.Deliver(second, "2")
 		replies.Deliver(first, "1")
 		replies.Deliver(first, "again")
-		replies.Deliver(99, "nobody's")
-		So(heard, ShouldResemble, []string{"second 2", "first 1"})
+		replies.Deliver(99, "unknown request")
+		So(received, ShouldResemble, []string{"second 2", "first 1"})
 	})
 }
--- a/internal/daemon/search.go
+++ b/internal/daemon/search.go
@@ -3,43 +3,45 @@
 import "time"
 
 const (
-	// silentFor is how long a control process that let a question run out of time is asked only
-	// where no other is left: a machine that is frozen or cut off stays so for seconds, and each
-	// question to it costs searchTimeout.
-	silentFor = 4 * time.Second
-	// hintIgnoredFor is how long a hint to a silent process is not followed: the others name it
-	// until they have elected a successor, which takes less.
-	hintIgnoredFor = time.Second
-	// maxRedirects bounds the hints followed between two answers of leaders: while processes
-	// disagree, hints lead in circles.
+	// unresponsivePeriod is how long a control process whose request timed out is tried only if
+	// no other process is left: a machine that is frozen or partitioned stays so for seconds, and
+	// each request to it costs discoveryTimeout.
+	unresponsivePeriod = 4 * time.Second
+	// ignoreRedirectPeriod is how long redirects to an unresponsive process are ignored. The other
+	// processes name it as the leader until they have elected a successor, which takes less time.
+	ignoreRedirectPeriod = time.Second
+	// maxRedirects bounds the redirects followed between two replies from leaders: while
+	// processes disagree about the leader, redirects can form a loop.
 	maxRedirects = 2
 )
 
-// leaderSearch chooses which control process to ask next. It has no clock and no random source.
+// leaderDiscovery selects the control process for the next request. The caller supplies the
+// time and the random numbers.
 //
-// Invariant: a process that was silent lately is not asked at random while another is left, and
-// not for a hint before its successor can be elected: a follower that kept asking it would miss
-// what the successor puts in force.
-type leaderSearch struct {
-	// controls are the processes known.
+// Invariant: a recently unresponsive process is not selected at random while another one is
+// left, nor because of a redirect before its successor can have been elected. A follower that
+// kept trying it would miss the updates of its successor.
+type leaderDiscovery struct {
+	// controls are the addresses of the known control processes.
 	controls []string
-	// leader is the process taken for the leader, "" where none is.
+	// leader is the presumed leader, "" if there is none.
 	leader string
-	// redirects counts the hints followed since the last answer of a leader.
+	// redirects counts the redirects since the last reply from a leader.
 	redirects int
-	// silent are the processes that let a question run out of time, with when.
-	silent map[string]time.Time
+	// unresponsiveAt holds the time of the last request timeout by process.
+	unresponsiveAt map[string]time.Time
 }
 
-// target returns the process to ask: the leader where it is known, else one that draw, at least
-// 0, picks among those that were not silent lately; "" where no process is known.
-func (s *leaderSearch) target(now time.Time, draw int) string {
+// nextTarget returns the process for the next request: the presumed leader, or else one selected
+// by random, a non-negative number, among the processes that were not unresponsive recently. It
+// returns "" if no process is known.
+func (s *leaderDiscovery) nextTarget(now time.Time, random int) string {
 	if s.leader != leaderUnknown {
 		return s.leader
 	}
 	candidates := make([]string, 0, len(s.controls))
 	for _, control := range s.controls {
-		if !s.silentWithin(silentFor, control, now) {
+		if !s.wasUnresponsiveWithin(unresponsivePeriod, control, now) {
 			candidates = append(candidates, control)
 		}
 	}
@@ -49,33 +51,34 @@
 	if len(candidates) == 0 {
 		return leaderUnknown
 	}
-	return candidates[draw%len(candidates)]
+	return candidates[random%len(candidates)]
 }
 
-// silentWithin reports whether a process let a question run out of time within a span.
-func (s *leaderSearch) silentWithin(span time.Duration, control string, now time.Time) bool {
-	since, known := s.silent[control]
-	return known && now.Sub(since) < span
+// wasUnresponsiveWithin reports whether a request to a process timed out within the last period.
+func (s *leaderDiscovery) wasUnresponsiveWithin(period time.Duration, control string, now time.Time) bool {
+	at, known := s.unresponsiveAt[control]
+	return known && now.Sub(at) < period
 }
 
-// failed notes that a process did not answer as the leader; silent says that it did not answer
-// at all within its time.
-func (s *leaderSearch) failed(control string, silent bool, now time.Time) {
+// recordFailure records that a process did not reply as the leader; unresponsive means that it
+// did not reply at all before the timeout.
+func (s *leaderDiscovery) recordFailure(control string, unresponsive bool, now time.Time) {
 	if s.leader == control {
 		s.leader = leaderUnknown
 	}
-	if !silent {
+	if !unresponsive {
 		return
 	}
-	if s.silent == nil {
-		s.silent = map[string]time.Time{}
+	if s.unresponsiveAt == nil {
+		s.unresponsiveAt = map[string]time.Time{}
 	}
-	s.silent[control] = now
+	s.unresponsiveAt[control] = now
 }
 
-// hinted takes the leader that another process names; false where the hint is not followed.
-func (s *leaderSearch) hinted(leader string, now time.Time) bool {
-	if leader == leaderUnknown || s.silentWithin(hintIgnoredFor, leader, now) {
+// followRedirect makes the process that another one names the presumed leader. It returns false
+// if the redirect is ignored or maxRedirects is exceeded.
+func (s *leaderDiscovery) followRedirect(leader string, now time.Time) bool {
+	if leader == leaderUnknown || s.wasUnresponsiveWithin(ignoreRedirectPeriod, leader, now) {
 		return false
 	}
 	s.redirects++
@@ -83,9 +86,9 @@
 	return s.redirects <= maxRedirects
 }
 
-// found notes the answer of a leader.
-func (s *leaderSearch) found(leader string) {
+// recordLeader records a reply from the leader.
+func (s *leaderDiscovery) recordLeader(leader string) {
 	s.leader = leader
 	s.redirects = 0
-	delete(s.silent, leader)
+	delete(s.unresponsiveAt, leader)
 }
--- a/internal/daemon/search_test.go
+++ b/internal/daemon/search_test.go
@@ -7,77 +7,77 @@
 	"time"
 )
 
-// searchUntilFound plays the search for a new leader from the loss of one whose machine froze,
-// in virtual time, and returns how long it took. The other processes name the frozen one as the
-// leader for hintedFor.
-func searchUntilFound(seed uint64, hintedFor time.Duration) time.Duration {
+// simulateLeaderDiscovery simulates, in virtual time, the discovery of a new leader after the
+// machine of the previous one froze, and returns how long it takes. The other processes redirect
+// to the frozen one for staleRedirectsFor.
+func simulateLeaderDiscovery(seed uint64, staleRedirectsFor time.Duration) time.Duration {
 	const (
 		frozen, successor = "a", "b"
-		answerTakes       = 5 * time.Millisecond
-		giveUp            = time.Minute
+		responseTime      = 5 * time.Millisecond
+		searchLimit       = time.Minute
 	)
 	random := rand.New(rand.NewPCG(seed, 1))
-	began := time.Unix(0, 0)
-	now := began
-	search := leaderSearch{controls: []string{frozen, successor, "c", "d", "e"}, leader: frozen}
-	search.failed(frozen, true, now)
-	for now.Sub(began) < giveUp {
-		switch target := search.target(now, random.Int()); {
+	startedAt := time.Unix(0, 0)
+	now := startedAt
+	discovery := leaderDiscovery{controls: []string{frozen, successor, "c", "d", "e"}, leader: frozen}
+	discovery.recordFailure(frozen, true, now)
+	for now.Sub(startedAt) < searchLimit {
+		switch target := discovery.nextTarget(now, random.Int()); {
 		case target == frozen:
-			now = now.Add(searchTimeout)
-			search.failed(target, true, now)
-		case target == successor && now.Sub(began) >= hintedFor:
-			return now.Sub(began)
+			now = now.Add(discoveryTimeout)
+			discovery.recordFailure(target, true, now)
+		case target == successor && now.Sub(startedAt) >= staleRedirectsFor:
+			return now.Sub(startedAt)
 		default:
-			hint := successor
-			if now.Sub(began) < hintedFor {
-				hint = frozen
+			redirect := successor
+			if now.Sub(startedAt) < staleRedirectsFor {
+				redirect = frozen
 			}
-			now = now.Add(answerTakes)
-			search.failed(target, false, now)
-			if search.hinted(hint, now) {
+			now = now.Add(responseTime)
+			discovery.recordFailure(target, false, now)
+			if discovery.followRedirect(redirect, now) {
 				continue
 			}
 		}
-		now = now.Add(longestPause + firstPause)
+		now = now.Add(maxRetryDelay + minRetryDelay)
 	}
-	return giveUp
+	return searchLimit
 }
 
-// TestLeaderSearchPassesFrozenProcess freezes the leader among five control processes: no
-// follower asks the frozen one again while others answer, whatever they say of it, so that all
-// of some hundred followers find the next leader within a few questions of its election.
-func TestLeaderSearchPassesFrozenProcess(t *testing.T) {
+// TestLeaderDiscoverySkipsFrozenProcess freezes the leader among five control processes. No
+// follower may try the frozen process again while others reply, even if they redirect to it, so
+// that all of some hundred followers find the next leader within a few requests after its election.
+func TestLeaderDiscoverySkipsFrozenProcess(t *testing.T) {
 	const electedAfter = 800 * time.Millisecond
-	const soon = electedAfter + 1500*time.Millisecond
+	const foundWithin = electedAfter + 1500*time.Millisecond
 	for seed := range uint64(2000) {
-		if took := searchUntilFound(seed, electedAfter); took > soon {
-			t.Fatalf("seed %d: the next leader was found after %s, it was elected after %s", seed, took, electedAfter)
+		if took := simulateLeaderDiscovery(seed, electedAfter); took > foundWithin {
+			t.Fatalf("seed %d: the next leader was found after %s although it was elected after %s", seed, took, electedAfter)
 		}
 	}
 }
 
-// TestLeaderSearchAsksSilentProcessesWhenNoneIsLeft holds that silence is no reason to ask
-// nobody, and that it is forgotten.
-func TestLeaderSearchAsksSilentProcessesWhenNoneIsLeft(t *testing.T) {
+// TestLeaderDiscoveryFallsBackToUnresponsiveProcesses checks that unresponsive processes are tried
+// if no other process is left, and that redirects to them are followed again after a while.
+func TestLeaderDiscoveryFallsBackToUnresponsiveProcesses(t *testing.T) {
 	now := time.Unix(0, 0)
-	search := leaderSearch{controls: []string{"a", "b"}}
-	search.failed("a", true, now)
-	search.failed("b", true, now)
-	asked := []string{search.target(now, 0), search.target(now, 1)}
+	discovery := leaderDiscovery{controls: []string{"a", "b"}}
+	discovery.recordFailure("a", true, now)
+	discovery.recordFailure("b", true, now)
+	asked := []string{discovery.nextTarget(now, 0), discovery.nextTarget(now, 1)}
 	if !slices.Contains(asked, "a") || !slices.Contains(asked, "b") {
-		t.Fatalf("asked %v of two silent processes", asked)
+		t.Fatalf("requests went to %v, not to both unresponsive processes", asked)
 	}
-	search.found("b")
-	search.failed("b", false, now)
-	if target := search.target(now, 0); target != "b" {
-		t.Fatalf("asked %q, which is silent, where b has answered", target)
+	discovery.recordLeader("b")
+	discovery.recordFailure("b", false, now)
+	if target := discovery.nextTarget(now, 0); target != "b" {
+		t.Fatalf("the next target is %q, which is unresponsive, although b has replied", target)
 	}
-	if search.hinted("a", now) {
-		t.Fatal("followed a hint to a silent process")
+	if discovery.followRedirect("a", now) {
+		t.Fatal("followed a redirect to an unresponsive process")
 	}
-	later := now.Add(hintIgnoredFor)
-	if !search.hinted("a", later) || search.target(later, 0) != "a" {
-		t.Fatal("the silence is never forgotten")
+	later := now.Add(ignoreRedirectPeriod)
+	if !discovery.followRedirect("a", later) || discovery.nextTarget(later, 0) != "a" {
+		t.Fatal("redirects to an unresponsive process stay ignored")
 	}
 }
