--- a/internal/protocol/codec.go
+++ b/internal/protocol/codec.go
@@ -1,7 +1,7 @@
 // Package protocol is the inner protocol between ochrebay's own processes:
-// msgpack messages in length-prefixed frames over TCP, with many calls at once
-// on a connection (design section 3). It holds the message types, the codec and
-// the transport, and no decision.
+// msgpack messages in length-prefixed frames over TCP, with concurrent calls on a connection
+// (design section 3). It contains the message types, the codec and the transport, but no
+// scheduling or control logic.
 package protocol
 
 import (
@@ -14,22 +14,22 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// MaxFrameBytes bounds one frame; a longer one ends the connection.
+// MaxFrameBytes is the maximum length of a frame; a longer one ends the connection.
 const MaxFrameBytes = 256 << 20
 
 const (
 	lengthBytes = 4
-	// wholeFrameBytes is the length up to which memory is taken for a frame before its
-	// bytes have arrived.
-	wholeFrameBytes = 64 << 10
+	// maxPreallocatedBytes is the length up to which the memory for a frame is allocated before
+	// its bytes have arrived.
+	maxPreallocatedBytes = 64 << 10
 )
 
-// ErrFrameTooLong means that a peer announced a frame over MaxFrameBytes.
-var ErrFrameTooLong = errors.New("protocol: frame over the limit")
+// ErrFrameTooLong means that a peer announced a frame longer than MaxFrameBytes.
+var ErrFrameTooLong = errors.New("protocol: frame exceeds the maximum length")
 
 // Frame is one message of one call on a connection.
 type Frame struct {
-	// Call numbers the call on this connection; zero is for one-way messages.
+	// Call is the number of the call on this connection, zero for one-way messages.
 	Call uint64
 	Kind Kind
 	// Last marks the final frame of a call.
@@ -38,17 +38,17 @@
 	Body []byte
 }
 
-var encoders = sync.Pool{New: func() any {
+var encoderPool = sync.Pool{New: func() any {
 	encoder := msgpack.NewEncoder(nil)
 	encoder.UseCompactInts(true)
 	return encoder
 }}
 
-// Encode returns a message in the inner protocol's encoding.
+// Encode encodes a message for the inner protocol.
 func Encode(message any) ([]byte, error) {
 	var buffer bytes.Buffer
-	encoder := encoders.Get().(*msgpack.Encoder)
-	defer encoders.Put(encoder)
+	encoder := encoderPool.Get().(*msgpack.Encoder)
+	defer encoderPool.Put(encoder)
 	encoder.ResetWriter(&buffer)
 	encoder.UseCompactInts(true)
 	if err := encoder.Encode(message); err != nil {
@@ -57,7 +57,7 @@
 	return buffer.Bytes(), nil
 }
 
-// Decode reads a message; it returns an error, never panics, on any input.
+// Decode decodes a message. For invalid input it returns an error and never panics.
 func Decode(body []byte, message any) error {
 	return msgpack.Unmarshal(body, message)
 }
@@ -73,8 +73,8 @@
 	return buffer
 }
 
-func boolByte(value bool) byte {
-	if value {
+func boolByte(condition bool) byte {
+	if condition {
 		return 1
 	}
 	return 0
@@ -90,14 +90,15 @@
 	if size > MaxFrameBytes {
 		return Frame{}, ErrFrameTooLong
 	}
-	if size <= wholeFrameBytes {
+	if size <= maxPreallocatedBytes {
 		body := make([]byte, size)
 		if _, err := io.ReadFull(reader, body); err != nil {
 			return Frame{}, err
 		}
 		return ParseFrame(body)
 	}
-	// The buffer grows with what arrives, so that a length alone costs nothing.
+	// The buffer grows as bytes arrive, so that a peer that only announces a large frame causes
+	// no large allocation.
 	var body bytes.Buffer
 	if _, err := io.CopyN(&body, reader, int64(size)); err != nil {
 		return Frame{}, err
@@ -105,7 +106,7 @@
 	return ParseFrame(body.Bytes())
 }
 
-// ParseFrame reads a frame from its wire form without the length.
+// ParseFrame parses a frame in its wire form without the length prefix.
 func ParseFrame(raw []byte) (Frame, error) {
 	call, used := binary.Uvarint(raw)
 	if used <= 0 || len(raw) < used+2 {
--- a/internal/protocol/compat_test.go
+++ b/internal/protocol/compat_test.go
@@ -6,7 +6,7 @@
 	"github.com/ochrebay/ochrebay/internal/compat"
 )
 
-// TestEarlierReleases holds what this package sends and stores against earlier releases.
+// TestEarlierReleases checks the compatibility of the package's messages with earlier releases.
 func TestEarlierReleases(t *testing.T) {
 	compat.CheckTypes(t, map[string]any{
 		"PeerBatch": &PeerBatch{}, "Hello": &Hello{},
@@ -25,8 +25,8 @@
 	})
 }
 
-// TestFramesOfEarlierReleases holds the form of frames and the numbers of messages: a process
-// of another release takes a message by its number.
+// TestFramesOfEarlierReleases checks that the encoding of frames and the numbers of message kinds
+// do not change: a process of another release identifies a message by its number.
 func TestFramesOfEarlierReleases(t *testing.T) {
 	var raw []byte
 	for _, kind := range []Kind{
--- a/internal/protocol/dial.go
+++ b/internal/protocol/dial.go
@@ -9,14 +9,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// redialEvery is after how long a further connection is tried beside one that has not come
-// up. The kernel repeats an opening packet only after a second; a machine that is just
-// getting power, or a link that loses packets, answers the next one sooner. It is far above
-// a round trip between zones (1 to 3 ms).
-const redialEvery = 60 * time.Millisecond
+// hedgeInterval is the delay after which another connection attempt is started beside those
+// that are still pending. The kernel retransmits a SYN only after a second; a machine that is
+// just booting, or a link that loses packets, replies to a new attempt sooner. The interval is
+// far above a round trip between zones (1 to 3 ms).
+const hedgeInterval = 60 * time.Millisecond
 
-// Dial connects to a peer by IP:port; a timeout of zero is none. delay is added to each
-// direction, to stand in for the distance between zones.
+// Dial connects to a peer at IP:port; a timeout of zero means none. delay is added in each
+// direction, to emulate the distance between zones.
 func Dial(address string, timeout, delay time.Duration) (*Connection, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -24,8 +24,8 @@
 		ctx, cancel = context.WithTimeout(ctx, timeout)
 		defer cancel()
 	}
-	dialer := net.Dialer{Control: giveUpOnSilence}
-	socket, err := dialHedged(ctx, redialEvery, func(ctx context.Context) (net.Conn, error) {
+	dialer := net.Dialer{Control: setUserTimeout}
+	socket, err := dialHedged(ctx, hedgeInterval, func(ctx context.Context) (net.Conn, error) {
 		return dialer.DialContext(ctx, "tcp", address)
 	})
 	if err != nil {
@@ -37,32 +37,33 @@
 	return connection, nil
 }
 
-// dialed is how one attempt to connect ended.
-type dialed struct {
+// dialResult is the result of one connection attempt.
+type dialResult struct {
 	socket net.Conn
 	err    error
 }
 
-// dialHedged tries to connect, and again every so often beside the attempts before, until
-// one of them ends or ctx does. Sockets of attempts that come up later are closed.
-func dialHedged(ctx context.Context, every time.Duration, dial func(context.Context) (net.Conn, error)) (net.Conn, error) {
-	attempts, cancel := context.WithCancel(ctx)
+// dialHedged starts a connection attempt at every interval, beside those still pending, until
+// one attempt succeeds or fails or ctx is cancelled. It returns the result of that attempt; the
+// sockets of attempts that succeed later are closed.
+func dialHedged(ctx context.Context, interval time.Duration, dial func(context.Context) (net.Conn, error)) (net.Conn, error) {
+	attemptsCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	results := make(chan dialed)
-	try := func() {
-		socket, err := dial(attempts)
+	results := make(chan dialResult)
+	attempt := func() {
+		socket, err := dial(attemptsCtx)
 		select {
-		case results <- dialed{socket, err}:
-		case <-attempts.Done():
+		case results <- dialResult{socket, err}:
+		case <-attemptsCtx.Done():
 			if err == nil {
 				_ = socket.Close()
 			}
 		}
 	}
-	ticker := time.NewTicker(every)
+	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for {
-		go try()
+		go attempt()
 		select {
 		case first := <-results:
 			return first.socket, first.err
@@ -73,12 +74,13 @@
 	}
 }
 
-// giveUpOnSilence makes the kernel end a connection whose peer acknowledges
-// nothing: a machine without power or behind a cut says nothing.
-func giveUpOnSilence(_, _ string, socket syscall.RawConn) error {
+// setUserTimeout makes the kernel end a connection whose peer acknowledges no data for
+// userTimeout: a machine without power or behind a network partition sends nothing, not even a
+// reset.
+func setUserTimeout(_, _ string, socket syscall.RawConn) error {
 	var failure error
 	err := socket.Control(func(descriptor uintptr) {
-		failure = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(silenceTimeout.Milliseconds()))
+		failure = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
--- a/internal/protocol/dial_test.go
+++ b/internal/protocol/dial_test.go
@@ -10,43 +10,43 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// closeNoted is a socket that tells when it is closed.
-type closeNoted struct {
+// closeRecorder is a socket that signals when it is closed.
+type closeRecorder struct {
 	net.Conn
 	closed chan struct{}
 }
 
-func (c *closeNoted) Close() error {
+func (c *closeRecorder) Close() error {
 	close(c.closed)
 	return nil
 }
 
-// TestDialHedged holds that a connection whose opening packet was lost is not waited for.
+// TestDialHedged checks that dialing does not wait for an attempt whose SYN was lost.
 func TestDialHedged(t *testing.T) {
-	Convey("connecting to a machine that is just getting power", t, func() {
+	Convey("dialing a machine that is just booting", t, func() {
 		ctx, cancel := context.WithCancel(context.Background())
 		Reset(cancel)
-		Convey("a further attempt comes up while the first hangs, and the first is given up", func() {
-			up := &closeNoted{closed: make(chan struct{})}
-			numbers := make(chan int, 1)
-			numbers <- 1
-			given := make(chan struct{})
+		Convey("a later attempt succeeds while the first one hangs, and the first one is cancelled", func() {
+			connected := &closeRecorder{closed: make(chan struct{})}
+			attemptNumbers := make(chan int, 1)
+			attemptNumbers <- 1
+			firstCancelled := make(chan struct{})
 			socket, err := dialHedged(ctx, time.Millisecond, func(ctx context.Context) (net.Conn, error) {
-				number := <-numbers
-				numbers <- number + 1
+				number := <-attemptNumbers
+				attemptNumbers <- number + 1
 				if number == 1 {
 					<-ctx.Done()
-					close(given)
+					close(firstCancelled)
 					return nil, ctx.Err()
 				}
-				return up, nil
+				return connected, nil
 			})
 			So(err, ShouldBeNil)
-			So(socket, ShouldEqual, up)
-			<-given
+			So(socket, ShouldEqual, connected)
+			<-firstCancelled
 		})
-		Convey("a socket that comes up too late is closed", func() {
-			late := &closeNoted{closed: make(chan struct{})}
+		Convey("the socket of an attempt that succeeds too late is closed", func() {
+			late := &closeRecorder{closed: make(chan struct{})}
 			returned := make(chan struct{})
 			_, err := dialHedged(ctx, time.Hour, func(context.Context) (net.Conn, error) {
 				cancel()
@@ -57,7 +57,7 @@
 			So(errors.Is(err, context.Canceled), ShouldBeTrue)
 			<-late.closed
 		})
-		Convey("a refusal ends it at once", func() {
+		Convey("a refused connection ends dialing at once", func() {
 			refused := errors.New("refused")
 			_, err := dialHedged(ctx, time.Hour, func(context.Context) (net.Conn, error) { return nil, refused })
 			So(err, ShouldEqual, refused)
--- a/internal/protocol/feed.go
+++ b/internal/protocol/feed.go
@@ -6,7 +6,8 @@
 	"github.com/ochrebay/ochrebay/internal/settings"
 )
 
-// NewFeed returns what a follower at a revision lacks of a tree.
+// NewFeed returns the update that brings a follower from a revision to the tree's revision: the
+// changes, or a snapshot if they are no longer retained.
 func NewFeed(tree *settings.Tree, revision uint64) Feed {
 	var feed Feed
 	changes, ok := tree.ChangesSince(revision)
@@ -20,14 +21,14 @@
 	return feed
 }
 
-// ApplyTo returns a follower's tree with the feed's news. Invariant: the revision
-// only grows, whoever sent the feed; backwards lets it fall, for runs that show
-// what the check is for.
-func (f Feed) ApplyTo(tree *settings.Tree, backwards bool) *settings.Tree {
+// ApplyTo applies the feed to a follower's tree and returns the tree. Invariant: the revision
+// never decreases, whichever process sent the feed. allowRollback disables this check, for runs
+// that demonstrate its purpose.
+func (f Feed) ApplyTo(tree *settings.Tree, allowRollback bool) *settings.Tree {
 	if len(f.Snapshot) > 0 {
-		fresh := settings.NewTree()
-		if fresh.Restore(f.Snapshot) == nil && (fresh.Revision() > tree.Revision() || backwards) {
-			tree = fresh
+		restored := settings.NewTree()
+		if restored.Restore(f.Snapshot) == nil && (restored.Revision() > tree.Revision() || allowRollback) {
+			tree = restored
 		}
 	}
 	for _, accepted := range f.Changes {
--- a/internal/protocol/fleet.go
+++ b/internal/protocol/fleet.go
@@ -14,74 +14,82 @@
 	"github.com/ochrebay/ochrebay/internal/scheduling"
 )
 
-// FleetRequest asks the leader of the settings group for one thing; exactly one part
-// is set.
+// FleetRequest is a request about the fleet or the routing table to the leader of the settings
+// group; exactly one operation is set.
 type FleetRequest struct {
-	// Report is an engine's report of itself.
+	// Report is an engine's report.
 	Report *membership.ServingEngine `msgpack:"e,omitempty"`
-	// LeaveEngine names an engine that ends, LeaveBorn its incarnation where it says so.
+	// LeaveEngine is the id of an engine that is shutting down, and LeaveStartedMs identifies its
+	// incarnation if the engine sent it.
 	LeaveEngine    string `msgpack:"l,omitempty"`
 	LeaveStartedMs int64  `msgpack:"b,omitempty"`
-	// SupportsIncarnations says that the sender reads from reports which incarnation they are of.
+	// SupportsIncarnations means that the sender reads the engine's incarnation from reports.
 	SupportsIncarnations bool `msgpack:"i,omitempty"`
-	// Routing is a whole routing table to put in force.
+	// Routing is a complete routing table to apply.
 	Routing *routing.Table `msgpack:"r,omitempty"`
-	// ReadRouting asks for the table in force, confirmed by a quorum.
+	// ReadRouting requests the current routing table, confirmed by a quorum.
 	ReadRouting bool `msgpack:"d,omitempty"`
-	// RetireLedgerHost names a ledger host to be emptied, RetireState one to ask about.
+	// RetireLedgerHost names a ledger host to drain of its replicas, and RetirementStatusOf one
+	// whose retirement status is requested.
 	RetireLedgerHost   string `msgpack:"t,omitempty"`
 	RetirementStatusOf string `msgpack:"s,omitempty"`
 }
 
-// FleetReply answers a FleetOrder.
+// FleetReply is the reply to a FleetRequest.
 type FleetReply struct {
 	Error  *result.Error `msgpack:"e,omitempty"`
 	Leader string        `msgpack:"l,omitempty"`
-	// Routing answers ReadRouting; nil before the first table.
+	// Routing is the reply to ReadRouting, nil before the first table.
 	Routing *routing.Table `msgpack:"r,omitempty"`
-	// IsRetired answers RetireState.
+	// IsRetired is the reply to RetirementStatusOf.
 	IsRetired bool `msgpack:"d,omitempty"`
-	// IsNewIncarnation says that a report which was taken is of a new incarnation of a known engine.
+	// IsNewIncarnation means that the accepted report is from a new incarnation of a known engine.
 	IsNewIncarnation bool `msgpack:"n,omitempty"`
-	// IgnoredReason names why a report or leave that is acknowledged changed nothing (membership.Verdict).
+	// IgnoredReason is why an acknowledged report or leave request changed nothing
+	// (membership.ReportOutcome).
 	IgnoredReason string `msgpack:"v,omitempty"`
 }
 
-// FleetSync is the heartbeat of a gateway or ledger host; the reply is held until
-// there is news, or until HoldMs have passed.
+// FleetSync is the long-polling heartbeat of a gateway or ledger host. The reply is sent when
+// there are changes, or after LongPollMs at the latest.
 type FleetSync struct {
 	Gateway *membership.Gateway      `msgpack:"g,omitempty"`
 	Ledger  *membership.LedgerReport `msgpack:"d,omitempty"`
-	// EngineLoads is what the gateway has seen of engines since its last heartbeat.
+	// EngineLoads is the gateway's observations of engine load since its last heartbeat.
 	EngineLoads []scheduling.EngineLoad `msgpack:"o,omitempty"`
-	// EngineUsages is what it has seen of their speed; releases that know nothing of it pass it over.
+	// EngineUsages is the gateway's observations of engine speed; releases without this field
+	// ignore it.
 	EngineUsages []scheduling.EngineUsage `msgpack:"x,omitempty"`
 	// FailingEngines are the engines at which the gateway's requests fail.
 	FailingEngines []string `msgpack:"k,omitempty"`
-	// StreamLateness is what the gateway has seen of streams since its last heartbeat.
+	// StreamLateness is the gateway's observations of streams since its last heartbeat.
 	StreamLateness []scheduling.StreamLateness `msgpack:"t,omitempty"`
-	// BackendUsages is what the gateway's tenants use of back ends that are short of room.
+	// BackendUsages is the usage by the gateway's tenants of oversubscribed back ends.
 	BackendUsages []admission.BackendUsage `msgpack:"uses,omitempty"`
-	// FleetVersion and Generation are the fleet and the routing table in force at the
-	// sender; WithRouting says that it wants the table at all.
+	// FleetVersion and RoutingGeneration identify the sender's fleet view and routing table;
+	// WithRouting requests updates of the routing table.
 	FleetVersion      uint64 `msgpack:"v"`
 	RoutingGeneration uint64 `msgpack:"n"`
 	WithRouting       bool   `msgpack:"r,omitempty"`
-	// ControlsDigest is the digest of the control processes that the sender knows (ControlsDigest).
+	// ControlsDigest is the digest of the control addresses known to the sender (see the
+	// function ControlsDigest).
 	ControlsDigest uint64 `msgpack:"c,omitempty"`
-	// WithLoads asks for what all gateways together have seen of engines.
+	// WithLoads requests the engine loads aggregated over all gateways.
 	WithLoads  bool  `msgpack:"l,omitempty"`
 	LongPollMs int64 `msgpack:"w"`
-	// ConfirmNow asks that the reply be confirmed by a quorum: a process's first sync.
+	// ConfirmNow requests a reply that is confirmed by a quorum and sent without long polling;
+	// processes set it until they have received a confirmed reply.
 	ConfirmNow bool `msgpack:"f,omitempty"`
-	// ConfirmLeadership asks that a quorum confirm, after the request has come, that its receiver leads:
-	// the reply then proves that no table newer than what it leads to was acknowledged
-	// before the request was sent. Unlike Fresh it lets the reply be held.
+	// ConfirmLeadership requests that a quorum confirm, after the request has arrived, that its
+	// receiver is the leader. The reply then proves that no routing table newer than the one
+	// after applying the reply was acknowledged before the request was sent. Unlike ConfirmNow
+	// it permits long polling.
 	ConfirmLeadership bool `msgpack:"p,omitempty"`
 }
 
-// ControlsDigest is by what a heartbeat names the control processes that its sender was told of;
-// 0 for none. The list would otherwise make up most of an answer without news.
+// ControlsDigest returns the digest by which a heartbeat identifies the sender's list of control
+// addresses, 0 for an empty list. Without it, the list would make up most of a reply that has no
+// changes.
 func ControlsDigest(controls []string) uint64 {
 	if len(controls) == 0 {
 		return 0
@@ -89,71 +97,77 @@
 	return xxhash.Sum64String(strings.Join(controls, "\n"))
 }
 
-// FleetSyncReply carries the news.
+// FleetSyncReply carries the changes since the state that a FleetSync names.
 type FleetSyncReply struct {
 	Error  *result.Error                  `msgpack:"e,omitempty"`
 	Leader string                         `msgpack:"l,omitempty"`
 	Fleet  *Shared[membership.FleetDelta] `msgpack:"f,omitempty"`
-	// Routing leads from the sender's generation to the one in force.
+	// Routing is the delta from the sender's generation to the current one.
 	Routing *Shared[routing.Delta] `msgpack:"r,omitempty"`
-	// EngineLoads is what all gateways together have seen of engines, where it was asked for.
+	// EngineLoads is the load of engines aggregated over all gateways, if it was requested.
 	EngineLoads *Shared[[]scheduling.EngineLoad] `msgpack:"o,omitempty"`
-	// EngineUsages is what all gateways together know of their speed; it comes with Loads.
+	// EngineUsages is the usage of engines aggregated over all gateways; it accompanies
+	// EngineLoads.
 	EngineUsages *Shared[[]scheduling.EngineUsage] `msgpack:"x,omitempty"`
-	// FailingEngines are the engines at which requests of several gateways fail; it comes with Loads.
+	// FailingEngines are the engines at which requests of several gateways fail; it accompanies
+	// EngineLoads.
 	FailingEngines []string `msgpack:"k,omitempty"`
-	// StreamLateness is what all gateways together have seen of streams, with every answer to one.
+	// StreamLateness is the stream lateness aggregated over all gateways, in every reply to a
+	// gateway.
 	StreamLateness []scheduling.StreamLateness `msgpack:"t,omitempty"`
-	// BackendUsages is what all gateways' tenants together use of back ends that are short of room; it
-	// comes with Loads, where the routing table has tenants.
+	// BackendUsages is the tenants' usage of oversubscribed back ends aggregated over all
+	// gateways; it accompanies EngineLoads if the routing table has tenants.
 	BackendUsages *Shared[[]admission.BackendUsage] `msgpack:"uses,omitempty"`
-	// ControlAddresses are the inner addresses of the control processes, where the sender knows others.
+	// ControlAddresses are the inner addresses of the control processes, set if the sender's
+	// list differs.
 	ControlAddresses []string `msgpack:"c,omitempty"`
-	// IsConfirmed says that a quorum confirmed the reply after the request had come.
+	// IsConfirmed means that a quorum confirmed the reply after the request had arrived.
 	IsConfirmed bool `msgpack:"q,omitempty"`
 }
 
-// TurnRequest asks the leader of a ledger group for one thing; exactly one of Reserve,
-// Settle, Find, Contents, Quota and Probe is set. Any replica that has them may answer Contents.
+// TurnRequest is a request to the leader of a ledger group; exactly one of Reserve, Settle,
+// HistoryOf, ContentsOf, Quota and ProbeLeader is set. Any replica that stores the contents may
+// reply to ContentsOf.
 type TurnRequest struct {
 	Group   uint32           `msgpack:"g"`
 	Reserve *program.Reserve `msgpack:"r,omitempty"`
-	// CachedTurn names the turn up to which the sender has the chain that Reserve goes on
-	// from; the reply carries only what follows.
+	// CachedTurn is the turn up to which the sender has cached the history that Reserve
+	// continues; the reply has only the turns after it.
 	CachedTurn string          `msgpack:"h,omitempty"`
 	Settle     *program.Settle `msgpack:"s,omitempty"`
-	// Zone is where the sender is. Where another replica is in that zone, the reply to
-	// Reserve names the older turns of the chain, to be asked of that replica.
+	// Zone is the sender's zone. If another replica is in that zone, the reply to Reserve lists
+	// the older turns of the history by id, to be requested from that replica.
 	Zone string `msgpack:"z,omitempty"`
-	// HistoryOf asks for the chain of a turn, confirmed by a quorum.
+	// HistoryOf is the turn whose history is requested, confirmed by a quorum.
 	HistoryOf string `msgpack:"f,omitempty"`
-	// ContentsOf asks for the content of turns, joined in the order given.
+	// ContentsOf are the turns whose contents are requested, concatenated in this order.
 	ContentsOf []string `msgpack:"c,omitempty"`
-	// Quota asks for one request of a tenant.
+	// Quota requests a quota grant for one request of a tenant.
 	Quota *quota.Request `msgpack:"q,omitempty"`
-	// ProbeLeader asks whether the receiver leads the group.
+	// ProbeLeader asks whether the receiver is the leader of the group.
 	ProbeLeader bool `msgpack:"p,omitempty"`
-	// TimeoutMs is how long the sender waits for this answer; a request that has waited
-	// longer before it is taken up is dropped. Zero is no bound.
+	// TimeoutMs is how long the sender waits for the reply; a request that has been queued
+	// longer than that is dropped instead of processed. Zero means no timeout.
 	TimeoutMs int64 `msgpack:"w,omitempty"`
 }
 
-// TurnReply answers a TurnRequest.
+// TurnReply is the reply to a TurnRequest.
 type TurnReply struct {
 	Error  *result.Error `msgpack:"e,omitempty"`
 	Leader string        `msgpack:"l,omitempty"`
-	// History is the content of the turns up to the one named, oldest first: the whole
-	// line, or with Continued what follows the turn that the sender knows.
+	// History is the content of the turns up to the requested one, oldest first: all turns, or
+	// only those after the sender's cached turn if IsContinuation is set.
 	History        []byte `msgpack:"c,omitempty"`
 	IsContinuation bool   `msgpack:"n,omitempty"`
-	// OlderTurns are the turns whose content goes before Chain, oldest first, and which a
-	// replica in the sender's zone is to be asked for.
+	// OlderTurns are the turns whose content precedes History, oldest first; they are to be
+	// requested from a replica in the sender's zone.
 	OlderTurns []string `msgpack:"o,omitempty"`
-	// AffineEngine most likely holds what the turn's session has read.
+	// AffineEngine is the engine most likely to hold the session's prefix in its cache.
 	AffineEngine string `msgpack:"g,omitempty"`
-	// IsFirstTurn says, of a reserved turn with a budget, that nothing of its program has run yet.
+	// IsFirstTurn means, for a reserved turn with a budget, that no turn of its program has run.
 	IsFirstTurn bool `msgpack:"f,omitempty"`
-	// Grant answers Quota; Queued does where the request waits and is to be asked for again.
+	// Grant is the reply to Quota. If the request is queued instead, QueuePosition is set and the
+	// sender has to repeat the request.
 	Grant         *quota.Grant         `msgpack:"q,omitempty"`
 	QueuePosition *quota.QueuePosition `msgpack:"u,omitempty"`
 }
--- a/internal/protocol/fuzz_test.go
+++ b/internal/protocol/fuzz_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func messages() []any {
+func emptyMessages() []any {
 	return []any{
 		&PeerBatch{}, &Hello{}, &LedgerRequest{}, &LedgerReply{}, &SyncRequest{}, &SyncReply{}, &EndedProgramsRequest{}, &EndedProgramsReply{},
 		&PermitRequest{}, &PermitReply{}, &SettingsRequest{}, &SettingsReply{}, &ReadRequest{}, &ReadReply{}, &CallRequest{},
@@ -15,10 +15,10 @@
 	}
 }
 
-// FuzzDecode feeds the decoder of every message whatever comes: it must not panic,
-// and what it takes must survive a second trip.
+// FuzzDecode decodes arbitrary bytes as every message type: decoding must not panic, and a
+// decoded message must survive another round trip.
 func FuzzDecode(f *testing.F) {
-	for _, message := range messages() {
+	for _, message := range emptyMessages() {
 		raw, err := Encode(message)
 		if err != nil {
 			f.Fatal(err)
@@ -26,24 +26,24 @@
 		f.Add(raw)
 	}
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		for _, message := range messages() {
+		for _, message := range emptyMessages() {
 			if Decode(raw, message) != nil {
 				continue
 			}
-			again, err := Encode(message)
+			reencoded, err := Encode(message)
 			if err != nil {
-				t.Fatalf("%T was decoded and can't be encoded: %v", message, err)
+				t.Fatalf("%T was decoded but can't be encoded: %v", message, err)
 			}
 			second := reflect.New(reflect.TypeOf(message).Elem()).Interface()
-			if err := Decode(again, second); err != nil {
-				t.Fatalf("%T does not survive a second trip: %v", message, err)
+			if err := Decode(reencoded, second); err != nil {
+				t.Fatalf("%T does not survive a second round trip: %v", message, err)
 			}
 		}
 	})
 }
 
-// FuzzFrame reads frames from arbitrary bytes and checks that frames come back as
-// they were written.
+// FuzzFrame reads frames from arbitrary bytes and checks that a frame that is written and read
+// again is unchanged.
 func FuzzFrame(f *testing.F) {
 	f.Add(AppendFrame(nil, Frame{Call: 7, Kind: KindCall, Last: true, Body: []byte("x")}))
 	f.Add([]byte{0, 0, 0, 200, 1})
@@ -52,9 +52,9 @@
 		if err != nil {
 			return
 		}
-		again, err := ReadFrame(bytes.NewReader(AppendFrame(nil, frame)))
-		if err != nil || again.Call != frame.Call || again.Kind != frame.Kind || again.Last != frame.Last || !bytes.Equal(again.Body, frame.Body) {
-			t.Fatalf("%+v came back as %+v, %v", frame, again, err)
+		reencoded, err := ReadFrame(bytes.NewReader(AppendFrame(nil, frame)))
+		if err != nil || reencoded.Call != frame.Call || reencoded.Kind != frame.Kind || reencoded.Last != frame.Last || !bytes.Equal(reencoded.Body, frame.Body) {
+			t.Fatalf("%+v was read back as %+v, error %v", frame, reencoded, err)
 		}
 	})
 }
--- a/internal/protocol/kinds.go
+++ b/internal/protocol/kinds.go
@@ -1,7 +1,6 @@
 package protocol
 
-// NewRequest returns an empty request of a kind, nil where there is
-// none.
+// NewRequest returns an empty request of the type for a kind, nil if the kind has none.
 func NewRequest(kind Kind) any {
 	switch kind {
 	case KindLedger:
@@ -26,7 +25,7 @@
 	return nil
 }
 
-// NewReply returns an empty reply to a request of a kind, nil where there is none.
+// NewReply returns an empty reply of the type for a kind of request, nil if the kind has none.
 func NewReply(kind Kind) any {
 	switch kind {
 	case KindLedger:
--- a/internal/protocol/messages.go
+++ b/internal/protocol/messages.go
@@ -8,13 +8,13 @@
 	"github.com/ochrebay/ochrebay/internal/settings"
 )
 
-// Kind numbers the messages; the numbers are never reused.
+// Kind is the number of a message type; numbers are never reused.
 type Kind uint8
 
 // The messages of the inner protocol.
 const (
-	// KindClosed is never sent: the transport gives it to every open call when
-	// its connection ends.
+	// KindClosed is never sent: the transport passes it to the handler of every open call when
+	// the connection ends.
 	KindClosed Kind = 0
 
 	KindPeer          Kind = 1
@@ -40,15 +40,15 @@
 	KindResponse  Kind = 40
 )
 
-// PeerMessage is one consensus message of one group, or a part of a snapshot.
+// PeerMessage is a consensus message of one group, or a part of a snapshot.
 type PeerMessage struct {
 	Group   uint32            `msgpack:"g"`
 	Message consensus.Message `msgpack:"m,omitempty"`
 	Part    *SnapshotPart     `msgpack:"p,omitempty"`
 }
 
-// SnapshotPart carries some of the records that belong to a snapshot, or the answer of
-// the replica that receives them.
+// SnapshotPart carries some of the records of a snapshot, or the acknowledgement by the replica
+// that receives them.
 type SnapshotPart struct {
 	From consensus.ReplicaID `msgpack:"f"`
 	To   consensus.ReplicaID `msgpack:"o"`
@@ -56,9 +56,9 @@
 	Term         uint64 `msgpack:"t"`
 	Index        uint64 `msgpack:"i"`
 	SnapshotTerm uint64 `msgpack:"l,omitempty"`
-	// Number counts the parts from 0; of an answer it is the part wanted next.
+	// Number is the part's number, from 0; in an acknowledgement it is the next part expected.
 	Number int `msgpack:"n"`
-	// IsLast marks the last part, Answer an answer.
+	// IsLast marks the last part, IsAcknowledgement an acknowledgement.
 	IsLast            bool `msgpack:"e,omitempty"`
 	IsAcknowledgement bool `msgpack:"a,omitempty"`
 	// Records is the encoded list of records.
@@ -68,27 +68,27 @@
 // PeerBatch carries all groups' messages from one control process to another.
 type PeerBatch struct {
 	From string `msgpack:"f"`
-	// Revision is the settings revision in force at the sender.
+	// Revision is the sender's settings revision.
 	Revision uint64        `msgpack:"r,omitempty"`
 	Messages []PeerMessage `msgpack:"m,omitempty"`
-	// EngineLiveness goes between control processes with the messages that they send in any case.
+	// EngineLiveness is exchanged between control processes along with the other messages.
 	EngineLiveness *EngineLiveness `msgpack:"e,omitempty"`
-	// SupportsIncarnations says that the sender's replicas know incarnations of engines.
+	// SupportsIncarnations means that the sender's replicas distinguish incarnations of engines.
 	SupportsIncarnations bool `msgpack:"i,omitempty"`
 }
 
-// EngineLiveness tells the leader of the settings group which engines have reported to the
-// sender, and the sender that it has come.
+// EngineLiveness is a batch of engines that have reported to the sender, for the leader of the
+// settings group, or the leader's acknowledgement of such a batch.
 type EngineLiveness struct {
-	// BatchNumber counts the sender's lists, 0 for a message that holds none, and Heard are the
-	// ids of the engines that have reported since the list before.
+	// BatchNumber is the number of the sender's batch, 0 for a message without one, and
+	// ReportedEngines are the ids of the engines that have reported since the previous batch.
 	BatchNumber     uint64   `msgpack:"n,omitempty"`
 	ReportedEngines []string `msgpack:"h,omitempty"`
-	// AcknowledgedBatch is the number of the receiver's newest list that the leader has.
+	// AcknowledgedBatch is the number of the receiver's newest batch that the leader has received.
 	AcknowledgedBatch uint64 `msgpack:"r,omitempty"`
 }
 
-// IsBulk reports whether a batch holds parts of snapshots alone, which may be late.
+// IsBulk reports whether a batch has only parts of snapshots, which may arrive late.
 func (b *PeerBatch) IsBulk() bool {
 	for position := range b.Messages {
 		if b.Messages[position].Part == nil {
@@ -98,17 +98,16 @@
 	return len(b.Messages) > 0
 }
 
-// Hello asks a control process what it knows of the cluster, before the asker
-// takes part in it.
+// Hello asks a control process about the state of the cluster, before the sender joins it.
 type Hello struct {
 	From    string              `msgpack:"f"`
 	Replica consensus.ReplicaID `msgpack:"r"`
-	// HasClusterState says that the sender's disk has been part of a cluster.
+	// HasClusterState means that the sender's disk has been part of a cluster.
 	HasClusterState bool                    `msgpack:"b"`
 	Bootstrap       consensus.Configuration `msgpack:"c"`
-	// IsJoining says that not every group counts the sender's replica as a voter.
+	// IsJoining means that the sender's replica is not yet a voter in every group.
 	IsJoining bool `msgpack:"j,omitempty"`
-	// IsForwarded says that another process than the one named sent it on.
+	// IsForwarded means that the message was forwarded by a process other than From.
 	IsForwarded bool `msgpack:"w,omitempty"`
 }
 
@@ -116,97 +115,100 @@
 type LedgerRequest struct {
 	Group   uint32          `msgpack:"g"`
 	Command program.Command `msgpack:"c"`
-	// CachedTurn bounds the records returned with a grant.
+	// CachedTurn is the last turn that the sender has cached; a grant returns only later records.
 	CachedTurn uint64 `msgpack:"k,omitempty"`
 }
 
-// LedgerReply answers a LedgerRequest, from the group's leader or with the code
-// NotLeader and a hint.
+// LedgerReply is the reply to a LedgerRequest: the result from the group's leader, or the code
+// NotLeader with the presumed leader.
 type LedgerReply struct {
 	Reply  program.Reply `msgpack:"r"`
 	Leader string        `msgpack:"l,omitempty"`
-	// Records are encoded program.TurnRecords: the history after KnownTurn for a
-	// grant, the one turn for a request that was answered before.
+	// Records are encoded program.TurnRecords: the history after CachedTurn for a grant, or the
+	// turn itself for a request that was completed before.
 	Records [][]byte `msgpack:"h,omitempty"`
 }
 
-// SyncRequest is a scheduler's heartbeat; the reply is held until there is
-// something newer than Revision and Directory, or until HoldMs have passed.
+// SyncRequest is a scheduler's long-polling heartbeat. The reply is sent when there is something
+// newer than Revision and DirectoryVersion, or after LongPollMs at the latest.
 type SyncRequest struct {
 	Heartbeat        membership.Heartbeat `msgpack:"h"`
 	Revision         uint64               `msgpack:"r"`
 	DirectoryVersion uint64               `msgpack:"d"`
 	LongPollMs       int64                `msgpack:"w"`
-	// ConfirmNow asks that the reply be confirmed by a quorum: a daemon's first sync.
+	// ConfirmNow requests a reply that is confirmed by a quorum and sent without long polling;
+	// schedulers set it in their first sync.
 	ConfirmNow bool `msgpack:"f,omitempty"`
 }
 
-// SyncReply carries settings and directory to a scheduler.
+// SyncReply carries updates of the settings and the directory to a scheduler.
 type SyncReply struct {
 	Error  *result.Error `msgpack:"e,omitempty"`
 	Leader string        `msgpack:"l,omitempty"`
 	Feed   Feed          `msgpack:"f"`
-	// Engines are the scheduler's own, where EnginesChanged is set.
+	// Engines are the engines that the scheduler owns; valid if EnginesChanged is set.
 	Engines        []membership.Engine `msgpack:"g,omitempty"`
 	EnginesChanged bool                `msgpack:"n,omitempty"`
 }
 
-// Feed is the news that fans out from control to schedulers to sidecars.
+// Feed is the update of settings and scheduler roster that fans out from control to schedulers
+// to sidecars.
 type Feed struct {
-	// Snapshot is a whole tree (settings.Tree.FollowerState), where the changes
-	// since the follower's revision are no longer kept.
+	// Snapshot is a complete tree (settings.Tree.FollowerState); it is sent if the changes since
+	// the follower's revision are no longer retained.
 	Snapshot []byte                    `msgpack:"s,omitempty"`
 	Changes  []settings.AcceptedChange `msgpack:"c,omitempty"`
-	// Roster tells of schedulers that came, changed or went.
+	// Roster is the delta of schedulers that were added, changed or removed.
 	Roster membership.RosterDelta `msgpack:"d"`
 	// Groups is the number of ledger groups.
 	Groups uint32 `msgpack:"g"`
 }
 
-// EndedProgramsRequest asks a ledger group which programs have ended.
+// EndedProgramsRequest asks a ledger group which of the given programs have ended.
 type EndedProgramsRequest struct {
 	Group    uint32   `msgpack:"g"`
 	Programs []string `msgpack:"p"`
 }
 
-// EndedProgramsReply answers a ReleasedRequest.
+// EndedProgramsReply is the reply to an EndedProgramsRequest: the programs that have ended or are
+// unknown.
 type EndedProgramsReply struct {
 	Error          *result.Error `msgpack:"e,omitempty"`
 	Leader         string        `msgpack:"l,omitempty"`
 	EndedOrUnknown []string      `msgpack:"r,omitempty"`
 }
 
-// PermitRequest asks the leader of the settings group for leave to take one
-// engine of a pool out of service for a load.
+// PermitRequest asks the leader of the settings group for a permit to take one engine of a pool
+// out of service for a model load.
 type PermitRequest struct {
 	Scheduler string `msgpack:"s"`
 	Engine    string `msgpack:"e"`
 	Pool      string `msgpack:"p"`
-	// Release gives a permit back.
+	// Release returns a permit.
 	Release bool `msgpack:"r,omitempty"`
 }
 
-// PermitReply answers a PermitRequest.
+// PermitReply is the reply to a PermitRequest.
 type PermitReply struct {
 	Error   *result.Error `msgpack:"e,omitempty"`
 	Leader  string        `msgpack:"l,omitempty"`
 	Granted bool          `msgpack:"g"`
 }
 
-// SettingsRequest proposes a change of the tree.
+// SettingsRequest proposes a change of the settings tree.
 type SettingsRequest struct {
 	Change settings.Change `msgpack:"c"`
-	// Validate only checks the change.
+	// Validate requests that the change is only validated, not applied.
 	Validate bool `msgpack:"v,omitempty"`
 }
 
-// SettingsReply answers a SettingsRequest.
+// SettingsReply is the reply to a SettingsRequest.
 type SettingsReply struct {
 	Leader string         `msgpack:"l,omitempty"`
 	Reply  settings.Reply `msgpack:"r"`
 }
 
-// ReadTopic names what a ReadRequest wants.
+// ReadTopic is the subject of a ReadRequest.
 type ReadTopic uint8
 
 // The topics of reads.
@@ -220,7 +222,7 @@
 	ReadTree
 )
 
-// ReadRequest asks a group's leader for a linearizable read.
+// ReadRequest requests a linearizable read from a group's leader.
 type ReadRequest struct {
 	Topic   ReadTopic `msgpack:"t"`
 	Path    string    `msgpack:"p,omitempty"`
@@ -229,7 +231,7 @@
 	Group   uint32    `msgpack:"n,omitempty"`
 }
 
-// ReadReply answers a ReadRequest; Body is JSON for operators.
+// ReadReply is the reply to a ReadRequest; Body is JSON for operators.
 type ReadReply struct {
 	Error   *result.Error `msgpack:"e,omitempty"`
 	Leader  string        `msgpack:"l,omitempty"`
@@ -237,7 +239,7 @@
 	Records [][]byte      `msgpack:"h,omitempty"`
 }
 
-// CallRequest is one call of a program, from sidecar to scheduler.
+// CallRequest is a call of a program, sent by a sidecar to a scheduler.
 type CallRequest struct {
 	Program      string            `msgpack:"p"`
 	Create       bool              `msgpack:"c,omitempty"`
@@ -250,23 +252,24 @@
 	EndsProgram  bool              `msgpack:"e,omitempty"`
 	Messages     []program.Message `msgpack:"m"`
 	MaxTokens    int64             `msgpack:"x,omitempty"`
-	// BudgetTokens lowers the service token budget when the program is created.
+	// BudgetTokens lowers the service's token budget when the program is created.
 	BudgetTokens int64 `msgpack:"b,omitempty"`
-	// TimeoutMs is the time left, milliseconds.
+	// TimeoutMs is the time left for the call.
 	TimeoutMs int64 `msgpack:"d"`
-	// ResumeOffset is how many bytes of the answer the sidecar has already.
+	// ResumeOffset is the number of response bytes that the sidecar has already received.
 	ResumeOffset int `msgpack:"f,omitempty"`
-	// Attempt numbers the sidecar's sends of this request, from 0.
+	// Attempt is the number of the sidecar's attempt at this request, from 0.
 	Attempt int `msgpack:"n,omitempty"`
 }
 
-// CallChunk is a part of an answer; Offset is its first byte's place in the answer.
+// CallChunk is a part of a call's response; Offset is the position of its first byte in the
+// response.
 type CallChunk struct {
 	Offset int    `msgpack:"o"`
 	Text   string `msgpack:"t"`
 }
 
-// CallReply is the final message of a call.
+// CallReply is the final message of a call's response.
 type CallReply struct {
 	Error        *result.Error `msgpack:"e,omitempty"`
 	Content      string        `msgpack:"c,omitempty"`
@@ -274,18 +277,18 @@
 	Turn         uint64        `msgpack:"t,omitempty"`
 	Engine       string        `msgpack:"g,omitempty"`
 	ProgramEnded bool          `msgpack:"d,omitempty"`
-	// RemainingTokens is the program's budget after the call, tokens.
+	// RemainingTokens is the program's token budget after the call.
 	RemainingTokens int64 `msgpack:"r,omitempty"`
 }
 
-// Cancel tells a scheduler that the caller of a request has gone.
+// Cancel notifies a scheduler that the caller of a request has disconnected.
 type Cancel struct {
 	Program string `msgpack:"p"`
 	Request string `msgpack:"r"`
 }
 
-// FollowRequest is a sidecar's heartbeat to its scheduler; like a SyncRequest
-// it is held until there is news.
+// FollowRequest is a sidecar's long-polling heartbeat to its scheduler. As for a SyncRequest,
+// the reply is sent when there are changes, or after LongPollMs at the latest.
 type FollowRequest struct {
 	Sidecar          string `msgpack:"s"`
 	Revision         uint64 `msgpack:"r"`
@@ -293,21 +296,21 @@
 	LongPollMs       int64  `msgpack:"w"`
 }
 
-// FollowReply answers a FollowRequest.
+// FollowReply is the reply to a FollowRequest.
 type FollowReply struct {
 	Error *result.Error `msgpack:"e,omitempty"`
 	Feed  Feed          `msgpack:"f"`
 }
 
-// ProgramRequest asks a scheduler for a program's header or history.
+// ProgramRequest requests a program's header or history from a scheduler.
 type ProgramRequest struct {
 	Program string `msgpack:"p"`
 	Tenant  string `msgpack:"t,omitempty"`
-	// End ends the program.
+	// End requests that the program be ended.
 	End bool `msgpack:"e,omitempty"`
 }
 
-// ProgramReply answers a ProgramRequest; Body is JSON.
+// ProgramReply is the reply to a ProgramRequest; Body is JSON.
 type ProgramReply struct {
 	Error *result.Error `msgpack:"e,omitempty"`
 	Body  []byte        `msgpack:"b,omitempty"`
--- a/internal/protocol/queue.go
+++ b/internal/protocol/queue.go
@@ -8,49 +8,50 @@
 
 const (
 	sendQueueFrames = 4096
-	// oneWayQueueBytes is how much may wait to be written before one-way messages are
-	// dropped, and sendQueueBytes before the connection is ended: a peer that reads
-	// slowly must not fill the sender's memory.
+	// oneWayQueueBytes is the queue size from which on one-way messages are dropped, and
+	// sendQueueBytes the size from which on the connection is closed: a peer that reads slowly
+	// must not exhaust the sender's memory.
 	oneWayQueueBytes = 1 << 20
 	sendQueueBytes   = 4 << 20
 )
 
-// errQueueOverflow means that the connection must be ended: its peer doesn't read.
-var errQueueOverflow = errors.New("protocol: the peer does not read")
+// errQueueOverflow means that the connection must be closed because its peer doesn't read.
+var errQueueOverflow = errors.New("protocol: send queue overflow because the peer does not read")
 
-type queued struct {
+// queuedFrame is a frame that is to be written at dueAt.
+type queuedFrame struct {
 	frame Frame
-	due   time.Time
+	dueAt time.Time
 }
 
-// sendQueue holds the frames that wait to be written to a connection. An empty one holds
-// no memory.
+// sendQueue holds the frames to be written to a connection. An empty queue retains no memory
+// for frames.
 type sendQueue struct {
-	// ready has a token while frames wait.
+	// ready holds a token while frames are queued.
 	ready chan struct{}
 
 	mutex  sync.Mutex
-	frames []queued
-	// bytes is the size of the bodies that wait or are being written.
-	bytes int
+	frames []queuedFrame
+	// bodyBytes is the total size of the bodies that are queued or being written.
+	bodyBytes int
 }
 
 func newSendQueue() *sendQueue { return &sendQueue{ready: make(chan struct{}, 1)} }
 
-// put adds a frame and never blocks; it returns ErrQueueFull where a one-way message is
-// dropped, and errQueueOverflow.
-func (q *sendQueue) put(next queued) error {
+// put adds a frame without blocking. It returns ErrQueueFull if a one-way message was dropped,
+// and errQueueOverflow if the connection must be closed.
+func (q *sendQueue) put(next queuedFrame) error {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	size := len(next.frame.Body)
-	if next.frame.Call == 0 && q.bytes > 0 && q.bytes+size > oneWayQueueBytes {
+	if next.frame.Call == 0 && q.bodyBytes > 0 && q.bodyBytes+size > oneWayQueueBytes {
 		return ErrQueueFull
 	}
-	if q.bytes > sendQueueBytes || len(q.frames) >= sendQueueFrames {
+	if q.bodyBytes > sendQueueBytes || len(q.frames) >= sendQueueFrames {
 		return errQueueOverflow
 	}
 	q.frames = append(q.frames, next)
-	q.bytes += size
+	q.bodyBytes += size
 	select {
 	case q.ready <- struct{}{}:
 	default:
@@ -58,8 +59,8 @@
 	return nil
 }
 
-// take returns all frames that wait, in order.
-func (q *sendQueue) take() []queued {
+// takeAll removes and returns all queued frames, in order.
+func (q *sendQueue) takeAll() []queuedFrame {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	frames := q.frames
@@ -67,9 +68,9 @@
 	return frames
 }
 
-// written says that bodies of a size were written.
-func (q *sendQueue) written(size int) {
+// recordWritten subtracts bodies of the given total size that were written.
+func (q *sendQueue) recordWritten(size int) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	q.bytes -= size
+	q.bodyBytes -= size
 }
--- a/internal/protocol/shared.go
+++ b/internal/protocol/shared.go
@@ -2,18 +2,18 @@
 
 import "github.com/vmihailenco/msgpack/v5"
 
-// Shared is a part of a message that goes to many receivers: it is encoded once, however
-// many messages carry it. The value must not change after the first encoding, and one
-// goroutine at a time may encode.
+// Shared is a part of a message that is sent to many receivers. It is encoded only once,
+// however many messages contain it. The value must not change after the first encoding, and
+// only one goroutine at a time may encode it.
 type Shared[T any] struct {
 	Value   T
 	encoded msgpack.RawMessage
 }
 
-// NewShared returns a value to be sent to many.
+// NewShared returns a shared part with the given value.
 func NewShared[T any](value T) *Shared[T] { return &Shared[T]{Value: value} }
 
-// EncodeMsgpack writes the value's encoding.
+// EncodeMsgpack writes the cached encoding of the value.
 func (s *Shared[T]) EncodeMsgpack(encoder *msgpack.Encoder) error {
 	if s.encoded == nil {
 		encoded, err := Encode(&s.Value)
@@ -25,7 +25,7 @@
 	return encoder.Encode(s.encoded)
 }
 
-// DecodeMsgpack reads the value.
+// DecodeMsgpack decodes the value.
 func (s *Shared[T]) DecodeMsgpack(decoder *msgpack.Decoder) error {
 	return decoder.Decode(&s.Value)
 }
--- a/internal/protocol/transport.go
+++ b/internal/protocol/transport.go
@@ -11,49 +11,48 @@
 )
 
 const (
-	// readBufferBytes is what each connection reads at once; longer frames bypass the
-	// buffer. writeBatchBytes is how much is gathered for one write, keptBatchBytes the
-	// largest buffer that is kept for the next one. A process may have hundreds of
-	// connections, most of them idle, so that an idle one must cost little.
-	readBufferBytes = 4 << 10
-	writeBatchBytes = 64 << 10
-	keptBatchBytes  = 8 << 10
-	writeTimeout    = 10 * time.Second
-	silenceTimeout  = 2 * time.Second
+	// readBufferBytes is the size of each connection's read buffer; longer reads bypass it.
+	// writeBatchBytes is the size from which on a write batch is flushed, and
+	// maxRetainedBatchBytes the largest buffer that is kept for the next batch. A process may
+	// have hundreds of connections, most of them idle, so that an idle one must use little memory.
+	readBufferBytes       = 4 << 10
+	writeBatchBytes       = 64 << 10
+	maxRetainedBatchBytes = 8 << 10
+	writeTimeout          = 10 * time.Second
+	userTimeout           = 2 * time.Second
 )
 
 // Errors of a connection.
 var (
-	// ErrClosed means that the connection has ended.
+	// ErrClosed means that the connection is closed.
 	ErrClosed = errors.New("protocol: connection closed")
-	// ErrQueueFull means that a one-way message was dropped: too much waits to be
-	// written.
-	ErrQueueFull = errors.New("protocol: too much waits to be written")
+	// ErrQueueFull means that a one-way message was dropped because the send queue is full.
+	ErrQueueFull = errors.New("protocol: send queue full")
 )
 
-// Counters count what a process has sent and received, for /metrics.
+// Counters count the bytes and messages that a process has sent and received, for /metrics.
 type Counters struct {
 	BytesOut    atomic.Int64
 	BytesIn     atomic.Int64
 	MessagesOut atomic.Int64
 	MessagesIn  atomic.Int64
-	// Dropped counts one-way messages that a full queue did not take.
+	// Dropped counts one-way messages that were dropped because a send queue was full.
 	Dropped atomic.Int64
 }
 
-// Traffic counts all inner connections of this process.
+// Traffic counts over all inner connections of this process.
 var Traffic Counters
 
-// Connection is one TCP connection with a writer and a reader of its own.
-// Handlers run on the reader's goroutine and must not block.
+// Connection is one TCP connection with its own writer and reader goroutines. Handlers run on
+// the reader goroutine and must not block.
 type Connection struct {
-	socket net.Conn
-	delay  time.Duration
-	queue  *sendQueue
-	done   chan struct{}
-	once   sync.Once
-	// heard is when a frame was last received, Unix nanoseconds.
-	heard atomic.Int64
+	socket    net.Conn
+	delay     time.Duration
+	queue     *sendQueue
+	done      chan struct{}
+	closeOnce sync.Once
+	// lastReceivedNs is when a frame was last received, in Unix nanoseconds.
+	lastReceivedNs atomic.Int64
 
 	mutex    sync.Mutex
 	nextCall uint64
@@ -74,9 +73,9 @@
 	return c.socket.RemoteAddr().String()
 }
 
-// Close ends the connection; every open call gets KindClosed.
+// Close closes the connection; the handler of every open call receives KindClosed.
 func (c *Connection) Close() {
-	c.once.Do(func() {
+	c.closeOnce.Do(func() {
 		close(c.done)
 		_ = c.socket.Close()
 		c.mutex.Lock()
@@ -94,13 +93,16 @@
 	})
 }
 
-// Closed is closed when the connection has ended.
+// Closed returns a channel that is closed when the connection has ended.
 func (c *Connection) Closed() <-chan struct{} { return c.done }
 
 // ReceivedSince reports whether a frame was received at or after a time.
-func (c *Connection) ReceivedSince(since time.Time) bool { return c.heard.Load() >= since.UnixNano() }
+func (c *Connection) ReceivedSince(since time.Time) bool {
+	return c.lastReceivedNs.Load() >= since.UnixNano()
+}
 
-// OnClose runs hook once when the connection ends, at once if it has.
+// OnClose registers hook to run once when the connection ends; if it has ended already, hook
+// runs at once.
 func (c *Connection) OnClose(hook func()) {
 	c.mutex.Lock()
 	ended := c.calls == nil
@@ -113,8 +115,8 @@
 	}
 }
 
-// Call sends a request; handler gets each frame of the answer, the last one
-// marked, or KindClosed where the connection ends first.
+// Call sends a request and returns its call number. handler receives each frame of the response,
+// the last one marked, or KindClosed if the connection ends first.
 func (c *Connection) Call(kind Kind, request any, handler func(Frame)) uint64 {
 	body, err := Encode(request)
 	if err != nil {
@@ -124,7 +126,7 @@
 	return c.CallRaw(kind, body, handler)
 }
 
-// CallRaw is Call with a request that is encoded already.
+// CallRaw is Call with an encoded request.
 func (c *Connection) CallRaw(kind Kind, body []byte, handler func(Frame)) uint64 {
 	c.mutex.Lock()
 	if c.calls == nil {
@@ -136,12 +138,12 @@
 	call := c.nextCall
 	c.calls[call] = handler
 	c.mutex.Unlock()
-	// Where the frame can't be queued, Close has told the handler.
+	// If the frame can't be queued, Close has already called the handler.
 	_ = c.enqueue(Frame{Call: call, Kind: kind, Body: body})
 	return call
 }
 
-// Send sends a one-way message; it returns ErrQueueFull where the message was dropped.
+// Send sends a one-way message; it returns ErrQueueFull if the message was dropped.
 func (c *Connection) Send(kind Kind, message any) error {
 	body, err := Encode(message)
 	if err != nil {
@@ -150,13 +152,12 @@
 	return c.SendRaw(kind, body)
 }
 
-// SendRaw sends a one-way message that is encoded already; it returns ErrQueueFull
-// where the message was dropped.
+// SendRaw sends an encoded one-way message; it returns ErrQueueFull if the message was dropped.
 func (c *Connection) SendRaw(kind Kind, body []byte) error {
 	return c.enqueue(Frame{Kind: kind, Last: true, Body: body})
 }
 
-// Reply sends a frame of a call that the peer has made.
+// Reply sends a response frame for a call made by the peer.
 func (c *Connection) Reply(call uint64, kind Kind, message any, last bool) error {
 	body, err := Encode(message)
 	if err != nil {
@@ -165,14 +166,15 @@
 	return c.enqueue(Frame{Call: call, Kind: kind, Last: last, Body: body})
 }
 
-// enqueue closes a connection whose peer doesn't read: a sender never blocks.
+// enqueue queues a frame without blocking. If the queue overflows because the peer doesn't
+// read, it closes the connection.
 func (c *Connection) enqueue(frame Frame) error {
 	select {
 	case <-c.done:
 		return ErrClosed
 	default:
 	}
-	err := c.queue.put(queued{frame: frame, due: time.Now().Add(c.delay)})
+	err := c.queue.put(queuedFrame{frame: frame, dueAt: time.Now().Add(c.delay)})
 	if errors.Is(err, ErrQueueFull) {
 		Traffic.Dropped.Add(1)
 	}
@@ -183,7 +185,7 @@
 	return err
 }
 
-// writeLoop writes what waits; frames that wait together go out together.
+// writeLoop writes queued frames; frames that are queued together are written as one batch.
 func (c *Connection) writeLoop() {
 	batch := batchWriter{connection: c}
 	for {
@@ -192,7 +194,7 @@
 			return
 		case <-c.queue.ready:
 		}
-		for _, next := range c.queue.take() {
+		for _, next := range c.queue.takeAll() {
 			if err := batch.add(next); err != nil {
 				c.Close()
 				return
@@ -205,23 +207,23 @@
 	}
 }
 
-// batchWriter gathers frames for one write.
+// batchWriter collects frames for one write.
 type batchWriter struct {
 	connection *Connection
 	buffer     []byte
-	// size is that of the bodies gathered.
-	size int
+	// bodyBytes is the total size of the bodies in buffer.
+	bodyBytes int
 }
 
-func (b *batchWriter) add(next queued) error {
+func (b *batchWriter) add(next queuedFrame) error {
 	if b.connection.delay > 0 {
 		if err := b.flush(); err != nil {
 			return err
 		}
-		time.Sleep(time.Until(next.due))
+		time.Sleep(time.Until(next.dueAt))
 	}
 	b.buffer = AppendFrame(b.buffer, next.frame)
-	b.size += len(next.frame.Body)
+	b.bodyBytes += len(next.frame.Body)
 	Traffic.MessagesOut.Add(1)
 	if len(b.buffer) >= writeBatchBytes {
 		return b.flush()
@@ -236,10 +238,10 @@
 	Traffic.BytesOut.Add(int64(len(b.buffer)))
 	_ = b.connection.socket.SetWriteDeadline(time.Now().Add(writeTimeout))
 	_, err := b.connection.socket.Write(b.buffer)
-	b.connection.queue.written(b.size)
-	b.size = 0
+	b.connection.queue.recordWritten(b.bodyBytes)
+	b.bodyBytes = 0
 	b.buffer = b.buffer[:0]
-	if cap(b.buffer) > keptBatchBytes {
+	if cap(b.buffer) > maxRetainedBatchBytes {
 		b.buffer = nil
 	}
 	return err
@@ -249,10 +251,10 @@
 	defer c.Close()
 	deliver := dispatch
 	if c.delay > 0 {
-		delayed := make(chan queued, sendQueueFrames)
+		delayed := make(chan queuedFrame, sendQueueFrames)
 		defer close(delayed)
 		go deliverDelayed(delayed, dispatch)
-		deliver = func(frame Frame) { delayed <- queued{frame, time.Now().Add(c.delay)} }
+		deliver = func(frame Frame) { delayed <- queuedFrame{frame, time.Now().Add(c.delay)} }
 	}
 	reader := bufio.NewReaderSize(c.socket, readBufferBytes)
 	for {
@@ -260,16 +262,16 @@
 		if err != nil {
 			return
 		}
-		c.heard.Store(time.Now().UnixNano())
+		c.lastReceivedNs.Store(time.Now().UnixNano())
 		Traffic.BytesIn.Add(int64(len(frame.Body)) + lengthBytes)
 		Traffic.MessagesIn.Add(1)
 		deliver(frame)
 	}
 }
 
-func deliverDelayed(delayed <-chan queued, dispatch func(Frame)) {
+func deliverDelayed(delayed <-chan queuedFrame, dispatch func(Frame)) {
 	for next := range delayed {
-		time.Sleep(time.Until(next.due))
+		time.Sleep(time.Until(next.dueAt))
 		dispatch(next.frame)
 	}
 }
@@ -286,26 +288,27 @@
 	}
 }
 
-// Handler takes one request; it answers with connection.Reply, now or later.
+// Handler handles one request; it responds with connection.Reply, immediately or later.
 type Handler func(connection *Connection, frame Frame)
 
 // Server accepts inner connections.
 type Server struct {
-	listener net.Listener
-	handler  Handler
-	mutex    sync.Mutex
-	open     map[*Connection]bool
+	listener    net.Listener
+	handler     Handler
+	mutex       sync.Mutex
+	connections map[*Connection]bool
 }
 
-// Listen binds to IP:port; port 0 lets the kernel choose.
+// Listen binds to IP:port and starts accepting connections; port 0 lets the kernel choose a
+// port.
 func Listen(address string, handler Handler) (*Server, error) {
-	config := net.ListenConfig{Control: giveUpOnSilence}
+	config := net.ListenConfig{Control: setUserTimeout}
 	listener, err := config.Listen(context.Background(), "tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	server := &Server{listener: listener, handler: handler, open: map[*Connection]bool{}}
-	go server.accept()
+	server := &Server{listener: listener, handler: handler, connections: map[*Connection]bool{}}
+	go server.acceptLoop()
 	return server, nil
 }
 
@@ -314,7 +317,7 @@
 	return s.listener.Addr().String()
 }
 
-func (s *Server) accept() {
+func (s *Server) acceptLoop() {
 	for {
 		socket, err := s.listener.Accept()
 		if err != nil {
@@ -322,11 +325,11 @@
 		}
 		connection := newConnection(socket, 0)
 		s.mutex.Lock()
-		s.open[connection] = true
+		s.connections[connection] = true
 		s.mutex.Unlock()
 		connection.OnClose(func() {
 			s.mutex.Lock()
-			delete(s.open, connection)
+			delete(s.connections, connection)
 			s.mutex.Unlock()
 		})
 		go connection.writeLoop()
@@ -334,16 +337,16 @@
 	}
 }
 
-// Close stops accepting and ends every connection.
+// Close stops accepting and closes every connection.
 func (s *Server) Close() {
 	_ = s.listener.Close()
 	s.mutex.Lock()
-	var open []*Connection
-	for connection := range s.open {
-		open = append(open, connection)
+	var connections []*Connection
+	for connection := range s.connections {
+		connections = append(connections, connection)
 	}
 	s.mutex.Unlock()
-	for _, connection := range open {
+	for _, connection := range connections {
 		connection.Close()
 	}
 }
--- a/internal/protocol/transport_test.go
+++ b/internal/protocol/transport_test.go
@@ -9,15 +9,15 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// waiting is the size of the bodies that wait or are being written.
-func (q *sendQueue) waiting() int {
+// pendingBytes returns the total size of the bodies that are queued or being written.
+func (q *sendQueue) pendingBytes() int {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	return q.bytes
+	return q.bodyBytes
 }
 
-// connected returns a connection and the socket of its peer.
-func connected() (*Connection, net.Conn) {
+// dialPair returns a connection and the socket of its peer.
+func dialPair() (*Connection, net.Conn) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	So(err, ShouldBeNil)
 	defer listener.Close()
@@ -28,16 +28,16 @@
 	return connection, socket
 }
 
-// TestSlowPeer holds that a peer which does not read can't fill the sender's memory: a
-// ledger host of the court's site was killed over its memory while a link lost packets.
+// TestSlowPeer checks that a peer that does not read can't exhaust the sender's memory. A ledger
+// host was killed for its memory use while a link lost packets.
 func TestSlowPeer(t *testing.T) {
-	Convey("one-way messages to a peer that does not read are dropped beyond a bound, and flow again once it reads", t, func() {
-		connection, socket := connected()
+	Convey("one-way messages to a peer that does not read are dropped beyond a bound, and are sent again once it reads", t, func() {
+		connection, socket := dialPair()
 		defer connection.Close()
 		defer socket.Close()
 		body := make([]byte, 128<<10)
 		dropped, sent := 0, 0
-		// Socket buffers take some megabytes before the queue fills.
+		// Socket buffers absorb some megabytes before the queue fills.
 		for range 1000 {
 			switch err := connection.SendRaw(KindPeer, body); {
 			case err == nil:
@@ -47,7 +47,7 @@
 			default:
 				So(err, ShouldBeNil)
 			}
-			So(connection.queue.waiting(), ShouldBeLessThanOrEqualTo, oneWayQueueBytes)
+			So(connection.queue.pendingBytes(), ShouldBeLessThanOrEqualTo, oneWayQueueBytes)
 		}
 		So(dropped, ShouldBeGreaterThan, 0)
 		reader := bufio.NewReader(socket)
@@ -61,13 +61,13 @@
 		So(err, ShouldBeNil)
 		So(string(frame.Body), ShouldEqual, "again")
 	})
-	Convey("an idle connection holds little memory", t, func() {
+	Convey("an idle connection uses little memory", t, func() {
 		connection := newConnection(nil, 0)
 		So(cap(connection.queue.frames), ShouldEqual, 0)
-		So(readBufferBytes+keptBatchBytes, ShouldBeLessThanOrEqualTo, 16<<10)
+		So(readBufferBytes+maxRetainedBatchBytes, ShouldBeLessThanOrEqualTo, 16<<10)
 	})
-	Convey("a message above the bound goes out where nothing waits", t, func() {
-		connection, socket := connected()
+	Convey("a message larger than the bound is sent if the queue is empty", t, func() {
+		connection, socket := dialPair()
 		defer connection.Close()
 		defer socket.Close()
 		So(connection.SendRaw(KindPeer, make([]byte, 2*oneWayQueueBytes)), ShouldBeNil)
