--- a/internal/storage/bench_test.go
+++ b/internal/storage/bench_test.go
@@ -24,7 +24,7 @@
 	}
 }
 
-// BenchmarkWriteContent measures one synced write of a turn's content; every hundredth
+// BenchmarkWriteContent measures one synced write of a turn's content; every hundredth write
 // compacts the log and moves the content into records.
 func BenchmarkWriteContent(b *testing.B) {
 	const compactEvery = 100
--- a/internal/storage/compat_test.go
+++ b/internal/storage/compat_test.go
@@ -11,18 +11,19 @@
 	"github.com/ochrebay/ochrebay/internal/consensus"
 )
 
-// TestEarlierReleases holds what this package sends and stores against earlier releases.
+// TestEarlierReleases checks the compatibility of the package's stored types with earlier releases.
 func TestEarlierReleases(t *testing.T) {
 	compat.CheckTypes(t, map[string]any{
 		"journalRecords": &[]journalRecord{}, "Snapshot": &consensus.Snapshot{}, "Configuration": &consensus.Configuration{}, "Record": &Record{},
 	})
 }
 
-// TestJournalOfEarlierReleases holds a journal both ways: a process may start on the disk that
-// another release wrote, also an older one after a newer one.
+// TestJournalOfEarlierReleases checks the compatibility of the journal in both directions: a
+// process may start on a disk written by another release, also an older release after a newer
+// one.
 func TestJournalOfEarlierReleases(t *testing.T) {
-	folder := t.TempDir()
-	store, err := Open(folder)
+	directory := t.TempDir()
+	store, err := Open(directory)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -36,27 +37,27 @@
 	if err := errors.Join(store.Write(writes[:1]), store.Write(writes[1:]), store.Close()); err != nil {
 		t.Fatal(err)
 	}
-	names, err := filepath.Glob(filepath.Join(folder, segmentPattern))
+	names, err := filepath.Glob(filepath.Join(directory, segmentPattern))
 	if err != nil || len(names) != 1 {
-		t.Fatalf("%d segments: %v", len(names), err)
+		t.Fatalf("found %d segments, want 1: %v", len(names), err)
 	}
 	written, err := os.ReadFile(names[0])
 	if err != nil {
 		t.Fatal(err)
 	}
 	for release, old := range compat.CheckBytes(t, "journal", written) {
-		folder := t.TempDir()
-		if err := os.WriteFile(filepath.Join(folder, filepath.Base(names[0])), old, fileMode); err != nil {
+		directory := t.TempDir()
+		if err := os.WriteFile(filepath.Join(directory, filepath.Base(names[0])), old, fileMode); err != nil {
 			t.Fatal(err)
 		}
-		store, err := Open(folder)
+		store, err := Open(directory)
 		if err != nil {
 			t.Fatal(err)
 		}
 		for _, write := range writes {
 			restored, err := store.Load(write.Group)
 			if err != nil || !reflect.DeepEqual(restored.Entries, write.Entries) {
-				t.Errorf("%s: group %d holds %v: %v", release, write.Group, restored.Entries, err)
+				t.Errorf("%s: group %d has entries %v, error %v", release, write.Group, restored.Entries, err)
 			}
 		}
 		_ = store.Close()
--- a/internal/storage/journal.go
+++ b/internal/storage/journal.go
@@ -23,75 +23,76 @@
 const (
 	segmentPattern = "journal-*"
 	segmentFormat  = "journal-%016d"
-	// segmentBytes is how much is appended to a segment before the next one begins.
+	// segmentBytes is the number of bytes appended to a segment before the next one is started.
 	segmentBytes = 8 << 20
-	// frameHeadBytes are a frame's length (4 bytes) and checksum (8 bytes).
-	frameHeadBytes = 12
-	maxFrameBytes  = 1 << 30
-	// imageFrameBytes is how many bytes of entries one frame of an image holds, but for
-	// an entry that is larger by itself.
-	imageFrameBytes = 256 << 10
+	// frameHeaderBytes is the size of a frame's length (4 bytes) and checksum (8 bytes).
+	frameHeaderBytes = 12
+	maxFrameBytes    = 1 << 30
+	// checkpointFrameBytes is the maximum size of the entries in one frame of a checkpoint,
+	// except for a single entry that is larger.
+	checkpointFrameBytes = 256 << 10
 )
 
-// errTorn means that a segment ends, or goes on with bytes that were not written whole.
-var errTorn = errors.New("storage: a frame of the journal is not whole")
+// errTornFrame means that a segment ends, or continues with a frame that was written only in
+// part.
+var errTornFrame = errors.New("storage: incomplete frame in journal")
 
-// journal is the log of all groups in one file that is only appended to: a write costs
-// one sync, where a transaction costs two and a page for each entry. A segment begins with
-// an image of all that lives, so that older segments can go. The image is written in
-// parts: encoded as one, it would need several times the memory of all that lives.
+// journal is the append-only log of all groups: a write costs one sync, whereas a transaction
+// costs two and a page for each entry. Each segment starts with a checkpoint of all live logs,
+// so that older segments can be deleted. The checkpoint is written in several frames: encoded as
+// one, it would need several times the memory of the live logs.
 //
-// Invariant: what append has returned for is in the newest segment that begins with a
-// whole image.
+// Invariant: all records for which append has returned without error are in the newest segment
+// that starts with a complete checkpoint.
 type journal struct {
-	folder   string
-	segment  segment
-	sequence uint64
-	// end is where the next frame goes: behind the last one that was synced. appended
-	// counts the bytes that follow the segment's image.
-	end      int64
-	appended int
-	live     map[GroupID]*liveLog
-	buffer   bytes.Buffer
+	directory string
+	segment   segment
+	sequence  uint64
+	// nextOffset is the offset of the next frame, after the last synced one. appendedBytes counts
+	// the bytes after the segment's checkpoint.
+	nextOffset    int64
+	appendedBytes int
+	logs          map[GroupID]*groupLog
+	buffer        bytes.Buffer
 }
 
-// segment is the file of a segment.
+// segment is the file of a journal segment.
 type segment interface {
 	io.WriterAt
 	io.Closer
-	// Sync returns once all that was written lasts.
+	// Sync returns when all bytes written are durable.
 	Sync() error
 }
 
-// segmentFile is a segment on disk. Its length lasts with its content.
+// segmentFile is a segment on disk. Syncing its content also syncs its length.
 type segmentFile struct{ *os.File }
 
-// Sync syncs the content, and of the file's attributes only what reading it needs.
+// Sync syncs the content and only those attributes of the file that are needed to read it.
 func (f segmentFile) Sync() error { return unix.Fdatasync(int(f.Fd())) }
 
-// liveLog is a group's hard state and the entries after its snapshot.
-type liveLog struct {
+// groupLog is a group's hard state and the entries after its snapshot.
+type groupLog struct {
 	hard    consensus.HardState
 	entries []consensus.Entry
 }
 
-// journalRecord is what one write adds to a group.
+// journalRecord is the part of one write that belongs to one group.
 type journalRecord struct {
 	Group     GroupID              `msgpack:"g"`
 	HardState *consensus.HardState `msgpack:"h,omitempty"`
-	// Reset drops all entries before Entries are added: a snapshot has replaced them.
+	// Reset drops all entries before Entries are added, since a snapshot has replaced them.
 	Reset bool `msgpack:"r,omitempty"`
 	// Entries overwrite the log from their first index on.
 	Entries []consensus.Entry `msgpack:"e,omitempty"`
-	// Partial says that the record is of an image and that more of it follows.
+	// Partial means that the record belongs to a checkpoint that continues after it.
 	Partial bool `msgpack:"p,omitempty"`
 }
 
-// openJournal reads the newest whole segment and begins a new one, so that nothing is
-// ever appended behind a torn frame.
-func openJournal(folder string) (*journal, error) {
-	j := &journal{folder: folder, live: map[GroupID]*liveLog{}}
-	names, err := filepath.Glob(filepath.Join(folder, segmentPattern))
+// openJournal reads the newest segment with a complete checkpoint and starts a new segment, so
+// that no frame is ever appended after a torn one.
+func openJournal(directory string) (*journal, error) {
+	j := &journal{directory: directory, logs: map[GroupID]*groupLog{}}
+	names, err := filepath.Glob(filepath.Join(directory, segmentPattern))
 	if err != nil {
 		return nil, err
 	}
@@ -99,22 +100,22 @@
 	for _, name := range slices.Backward(names) {
 		var sequence uint64
 		if _, err := fmt.Sscanf(filepath.Base(name), segmentFormat, &sequence); err != nil {
-			return nil, errorx.IllegalFormat.New("%s is no segment of a journal", name)
+			return nil, errorx.IllegalFormat.New("%s is not a journal segment", name)
 		}
 		j.sequence = max(j.sequence, sequence)
-		whole, err := j.read(name)
+		complete, err := j.read(name)
 		if err != nil {
 			return nil, errorx.Decorate(err, "reading %s", name)
 		}
-		if whole {
+		if complete {
 			break
 		}
 	}
-	return j, whileRefused(j.rotate)
+	return j, retryWrite(j.rotate)
 }
 
-// read takes a segment in; false where not even its image is whole, and then nothing of
-// it counts.
+// read loads a segment. It returns false if the segment's checkpoint is incomplete; then nothing
+// of the segment is loaded.
 func (j *journal) read(name string) (bool, error) {
 	file, err := os.Open(name)
 	if err != nil {
@@ -122,64 +123,65 @@
 	}
 	defer file.Close()
 	reader := bufio.NewReader(file)
-	for whole := false; ; {
+	for complete := false; ; {
 		records, err := readFrame(reader)
-		if errors.Is(err, errTorn) {
-			if !whole {
-				j.live = map[GroupID]*liveLog{}
+		if errors.Is(err, errTornFrame) {
+			if !complete {
+				j.logs = map[GroupID]*groupLog{}
 			}
-			return whole, nil
+			return complete, nil
 		}
 		if err != nil {
 			return false, err
 		}
-		whole = whole || len(records) == 0 || !records[0].Partial
+		complete = complete || len(records) == 0 || !records[0].Partial
 		for position := range records {
 			j.apply(&records[position])
 		}
 	}
 }
 
-// readFrame reads one frame; errTorn means that the segment ends here.
+// readFrame reads one frame; errTornFrame means that the segment ends here.
 func readFrame(reader io.Reader) ([]journalRecord, error) {
-	var head [frameHeadBytes]byte
-	if _, err := io.ReadFull(reader, head[:]); err != nil {
-		return nil, tornOr(err)
+	var header [frameHeaderBytes]byte
+	if _, err := io.ReadFull(reader, header[:]); err != nil {
+		return nil, asTornFrame(err)
 	}
-	length := binary.BigEndian.Uint32(head[:4])
+	length := binary.BigEndian.Uint32(header[:4])
 	if length > maxFrameBytes {
-		return nil, errTorn
+		return nil, errTornFrame
 	}
 	body := make([]byte, length)
 	if _, err := io.ReadFull(reader, body); err != nil {
-		return nil, tornOr(err)
+		return nil, asTornFrame(err)
 	}
-	if xxhash.Sum64(body) != binary.BigEndian.Uint64(head[4:]) {
-		return nil, errTorn
+	if xxhash.Sum64(body) != binary.BigEndian.Uint64(header[4:]) {
+		return nil, errTornFrame
 	}
 	var records []journalRecord
 	err := msgpack.Unmarshal(body, &records)
 	return records, err
 }
 
-func tornOr(err error) error {
+// asTornFrame returns errTornFrame for an unexpected end of file, and other errors unchanged.
+func asTornFrame(err error) error {
 	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
-		return errTorn
+		return errTornFrame
 	}
 	return err
 }
 
-func (j *journal) of(group GroupID) *liveLog {
-	known, ok := j.live[group]
+func (j *journal) logOf(group GroupID) *groupLog {
+	log, ok := j.logs[group]
 	if !ok {
-		known = &liveLog{}
-		j.live[group] = known
+		log = &groupLog{}
+		j.logs[group] = log
 	}
-	return known
+	return log
 }
 
 func (j *journal) apply(record *journalRecord) {
-	log := j.of(record.Group)
+	log := j.logOf(record.Group)
 	if record.HardState != nil {
 		log.hard = *record.HardState
 	}
@@ -189,7 +191,7 @@
 	if len(record.Entries) == 0 {
 		return
 	}
-	// Invariant: no entry of an older term stays behind the ones written.
+	// Invariant: no old entry remains at or after the first index written.
 	first := record.Entries[0].Index
 	keep := len(log.entries)
 	for keep > 0 && log.entries[keep-1].Index >= first {
@@ -198,9 +200,9 @@
 	log.entries = append(log.entries[:keep], record.Entries...)
 }
 
-// compact forgets a group's entries up to an index, which its snapshot covers.
+// compact drops a group's entries up to an index that its snapshot covers.
 func (j *journal) compact(group GroupID, index uint64) {
-	log := j.of(group)
+	log := j.logOf(group)
 	covered := 0
 	for covered < len(log.entries) && log.entries[covered].Index <= index {
 		covered++
@@ -208,103 +210,104 @@
 	log.entries = slices.Clone(log.entries[covered:])
 }
 
-// append adds records and returns after the sync.
+// append appends records and returns after the sync.
 func (j *journal) append(records []journalRecord) error {
 	if len(records) == 0 {
 		return nil
 	}
-	written, err := j.writeSynced(j.segment, j.end, records)
+	written, err := j.writeSynced(j.segment, j.nextOffset, records)
 	if err != nil {
 		return err
 	}
-	j.end += int64(written)
+	j.nextOffset += int64(written)
 	for position := range records {
 		j.apply(&records[position])
 	}
-	if j.appended += written; j.appended > segmentBytes {
-		// Where no new segment can be had now, the present one goes on.
+	if j.appendedBytes += written; j.appendedBytes > segmentBytes {
+		// If no new segment can be created now, the current one stays in use.
 		if err := j.rotate(); err != nil {
-			j.appended = segmentBytes / 2
+			j.appendedBytes = segmentBytes / 2
 		}
 	}
 	return nil
 }
 
-// writeSynced writes a frame at an offset and returns after the sync. A frame that was not
-// written whole is overwritten by the next one at that place.
-func (j *journal) writeSynced(into segment, offset int64, records []journalRecord) (int, error) {
-	written, err := j.writeFrame(into, offset, records)
+// writeSynced writes a frame at an offset and returns after the sync. A frame that was written
+// only in part is overwritten by the next one at the same offset.
+func (j *journal) writeSynced(target segment, offset int64, records []journalRecord) (int, error) {
+	written, err := j.writeFrame(target, offset, records)
 	if err != nil {
 		return 0, err
 	}
-	return written, into.Sync()
+	return written, target.Sync()
 }
 
-// writeFrame writes a frame at an offset, which lasts once the segment is synced.
-func (j *journal) writeFrame(into segment, offset int64, records []journalRecord) (int, error) {
-	var head [frameHeadBytes]byte
+// writeFrame writes a frame at an offset; it is durable when the segment has been synced.
+func (j *journal) writeFrame(target segment, offset int64, records []journalRecord) (int, error) {
+	var head [frameHeaderBytes]byte
 	j.buffer.Reset()
 	j.buffer.Write(head[:])
 	if err := msgpack.NewEncoder(&j.buffer).Encode(records); err != nil {
 		return 0, err
 	}
 	frame := j.buffer.Bytes()
-	body := frame[frameHeadBytes:]
+	body := frame[frameHeaderBytes:]
 	binary.BigEndian.PutUint32(frame[:4], uint32(len(body)))
 	binary.BigEndian.PutUint64(frame[4:], xxhash.Sum64(body))
-	return into.WriteAt(frame, offset)
+	return target.WriteAt(frame, offset)
 }
 
-// writeImage writes all that lives from the beginning of a segment on, and returns its
-// length after the sync. Its last frame is empty: only with that one the image is whole.
-func (j *journal) writeImage(into segment) (int64, error) {
+// writeCheckpoint writes all live logs at the start of a segment, and returns the length of the
+// checkpoint after the sync. Its last frame is empty; only with that frame the checkpoint is
+// complete.
+func (j *journal) writeCheckpoint(target segment) (int64, error) {
 	end := int64(0)
-	for _, group := range slices.Sorted(maps.Keys(j.live)) {
-		for _, part := range imageOf(group, j.live[group]) {
-			written, err := j.writeFrame(into, end, []journalRecord{part})
+	for _, group := range slices.Sorted(maps.Keys(j.logs)) {
+		for _, part := range checkpointRecords(group, j.logs[group]) {
+			written, err := j.writeFrame(target, end, []journalRecord{part})
 			if err != nil {
 				return 0, err
 			}
 			end += int64(written)
 		}
 	}
-	written, err := j.writeSynced(into, end, []journalRecord{})
+	written, err := j.writeSynced(target, end, []journalRecord{})
 	return end + int64(written), err
 }
 
-// imageOf returns a group's part of an image, in records of bounded size.
-func imageOf(group GroupID, log *liveLog) []journalRecord {
+// checkpointRecords returns a group's part of a checkpoint, in records of bounded size.
+func checkpointRecords(group GroupID, log *groupLog) []journalRecord {
 	parts := []journalRecord{{Group: group, HardState: &log.hard, Reset: true, Partial: true}}
-	begin, size := 0, 0
+	start, size := 0, 0
 	for position := range log.entries {
-		if size += len(log.entries[position].Data); size < imageFrameBytes && position < len(log.entries)-1 {
+		if size += len(log.entries[position].Data); size < checkpointFrameBytes && position < len(log.entries)-1 {
 			continue
 		}
-		parts = append(parts, journalRecord{Group: group, Partial: true, Entries: log.entries[begin : position+1]})
-		begin, size = position+1, 0
+		parts = append(parts, journalRecord{Group: group, Partial: true, Entries: log.entries[start : position+1]})
+		start, size = position+1, 0
 	}
 	return parts
 }
 
-// rotate begins a new segment with an image of what lives, and removes the older ones
-// once it lasts.
+// rotate starts a new segment with a checkpoint of the live logs, and deletes the older segments
+// when it is durable.
 func (j *journal) rotate() error {
-	older, err := filepath.Glob(filepath.Join(j.folder, segmentPattern))
+	olderNames, err := filepath.Glob(filepath.Join(j.directory, segmentPattern))
 	if err != nil {
 		return err
 	}
 	j.sequence++
-	name := filepath.Join(j.folder, fmt.Sprintf(segmentFormat, j.sequence))
+	name := filepath.Join(j.directory, fmt.Sprintf(segmentFormat, j.sequence))
 	file, err := os.OpenFile(name, os.O_CREATE|os.O_EXCL|os.O_WRONLY, fileMode)
 	if err != nil {
 		return err
 	}
-	end, err := j.writeImage(segmentFile{file})
+	end, err := j.writeCheckpoint(segmentFile{file})
 	if err == nil {
-		err = syncFolder(j.folder)
+		err = syncDirectory(j.directory)
 	}
 	if err != nil {
-		// Invariant: a segment that is not whole never takes the place of an older one.
+		// Invariant: an incomplete segment never replaces an older one.
 		_ = file.Close()
 		_ = os.Remove(name)
 		return err
@@ -313,9 +316,9 @@
 		_ = j.segment.Close()
 	}
 	j.segment = segmentFile{file}
-	j.end = end
-	j.appended = 0
-	for _, old := range older {
+	j.nextOffset = end
+	j.appendedBytes = 0
+	for _, old := range olderNames {
 		if err := os.Remove(old); err != nil {
 			return err
 		}
@@ -325,9 +328,9 @@
 
 func (j *journal) close() error { return j.segment.Close() }
 
-// syncFolder makes the names in a folder last.
-func syncFolder(folder string) error {
-	opened, err := os.Open(folder)
+// syncDirectory makes the entries of a directory durable.
+func syncDirectory(directory string) error {
+	opened, err := os.Open(directory)
 	if err != nil {
 		return err
 	}
--- a/internal/storage/journal_test.go
+++ b/internal/storage/journal_test.go
@@ -16,24 +16,24 @@
 	"github.com/ochrebay/ochrebay/internal/consensus"
 )
 
-// segments returns the paths of a folder's segments, oldest first.
-func segments(folder string) []string {
-	names, err := filepath.Glob(filepath.Join(folder, segmentPattern))
+// segments returns the paths of a directory's segments, oldest first.
+func segments(directory string) []string {
+	names, err := filepath.Glob(filepath.Join(directory, segmentPattern))
 	So(err, ShouldBeNil)
 	return names
 }
 
 // lastSegment returns the newest segment and its bytes.
-func lastSegment(folder string) (string, []byte) {
-	names := segments(folder)
+func lastSegment(directory string) (string, []byte) {
+	names := segments(directory)
 	So(names, ShouldNotBeEmpty)
 	raw, err := os.ReadFile(names[len(names)-1])
 	So(err, ShouldBeNil)
 	return names[len(names)-1], raw
 }
 
-func open(folder string) *Store {
-	store, err := Open(folder)
+func open(directory string) *Store {
+	store, err := Open(directory)
 	So(err, ShouldBeNil)
 	return store
 }
@@ -48,45 +48,46 @@
 	return text
 }
 
-// refusingSegment writes a part of a frame and refuses the rest, as a full disk does.
-type refusingSegment struct {
+// failingSegment writes only half of a frame and then fails like a full disk, for the given number
+// of writes.
+type failingSegment struct {
 	segment
-	refusals int
+	failures int
 }
 
-func (r *refusingSegment) WriteAt(raw []byte, offset int64) (int, error) {
-	if r.refusals == 0 {
+func (r *failingSegment) WriteAt(raw []byte, offset int64) (int, error) {
+	if r.failures == 0 {
 		return r.segment.WriteAt(raw, offset)
 	}
-	r.refusals--
+	r.failures--
 	written, _ := r.segment.WriteAt(raw[:len(raw)/2], offset)
 	return written, unix.ENOSPC
 }
 
 func TestJournal(t *testing.T) {
 	Convey("a store with two writes", t, func() {
-		folder := t.TempDir()
-		store := open(folder)
+		directory := t.TempDir()
+		store := open(directory)
 		hard := consensus.HardState{Term: 2, Vote: 9, Commit: 1}
 		So(store.Write([]GroupWrite{{Group: 1, HardState: &hard, Entries: []consensus.Entry{entry(1, 1, "a")}}}), ShouldBeNil)
-		_, before := lastSegment(folder)
+		_, before := lastSegment(directory)
 		So(store.Write([]GroupWrite{{Group: 1, Entries: []consensus.Entry{entry(2, 1, "b")}}}), ShouldBeNil)
-		name, after := lastSegment(folder)
+		name, after := lastSegment(directory)
 		So(len(after), ShouldBeGreaterThan, len(before))
 		Convey("reads both back, with the hard state", func() {
 			So(store.Close(), ShouldBeNil)
-			again := open(folder)
-			defer again.Close()
-			So(entriesOf(again, 1), ShouldEqual, "ab")
-			restored, _ := again.Load(1)
+			reopened := open(directory)
+			defer reopened.Close()
+			So(entriesOf(reopened, 1), ShouldEqual, "ab")
+			restored, _ := reopened.Load(1)
 			So(restored.HardState, ShouldResemble, hard)
-			So(len(segments(folder)), ShouldEqual, 1)
+			So(len(segments(directory)), ShouldEqual, 1)
 		})
-		Convey("loses only a write that was torn, wherever it is torn, and goes on behind it", func() {
+		Convey("loses only a torn write, at whatever byte it is torn, and accepts further writes", func() {
 			So(store.Close(), ShouldBeNil)
 			for length := len(before); length < len(after); length++ {
 				copied := t.TempDir()
-				database, err := os.ReadFile(filepath.Join(folder, fileName))
+				database, err := os.ReadFile(filepath.Join(directory, fileName))
 				So(err, ShouldBeNil)
 				So(os.WriteFile(filepath.Join(copied, fileName), database, fileMode), ShouldBeNil)
 				So(os.WriteFile(filepath.Join(copied, filepath.Base(name)), after[:length], fileMode), ShouldBeNil)
@@ -94,75 +95,75 @@
 				So(entriesOf(torn, 1), ShouldEqual, "a")
 				So(torn.Write([]GroupWrite{{Group: 1, Entries: []consensus.Entry{entry(2, 2, "c")}}}), ShouldBeNil)
 				So(torn.Close(), ShouldBeNil)
-				whole := open(copied)
-				So(entriesOf(whole, 1), ShouldEqual, "ac")
-				So(whole.Close(), ShouldBeNil)
+				complete := open(copied)
+				So(entriesOf(complete, 1), ShouldEqual, "ac")
+				So(complete.Close(), ShouldBeNil)
 			}
 		})
-		Convey("loses only a write whose bytes are wrong", func() {
+		Convey("loses only a write whose bytes are corrupt", func() {
 			So(store.Close(), ShouldBeNil)
 			after[len(after)-1] ^= 1
 			So(os.WriteFile(name, after, fileMode), ShouldBeNil)
-			again := open(folder)
-			defer again.Close()
-			So(entriesOf(again, 1), ShouldEqual, "a")
+			reopened := open(directory)
+			defer reopened.Close()
+			So(entriesOf(reopened, 1), ShouldEqual, "a")
 		})
-		Convey("goes back to the segment before where the image of the newest is torn", func() {
+		Convey("falls back to the previous segment if the checkpoint of the newest is torn", func() {
 			So(store.Close(), ShouldBeNil)
-			newer := filepath.Join(folder, fmt.Sprintf(segmentFormat, 99))
-			for _, length := range []int{0, 5, frameHeadBytes, len(before) / 2} {
+			newer := filepath.Join(directory, fmt.Sprintf(segmentFormat, 99))
+			for _, length := range []int{0, 5, frameHeaderBytes, len(before) / 2} {
 				So(os.WriteFile(newer, before[:length], fileMode), ShouldBeNil)
-				again := open(folder)
-				So(entriesOf(again, 1), ShouldEqual, "ab")
-				So(again.Close(), ShouldBeNil)
+				reopened := open(directory)
+				So(entriesOf(reopened, 1), ShouldEqual, "ab")
+				So(reopened.Close(), ShouldBeNil)
 			}
 		})
-		Convey("takes the newest segment where an older one is back after a loss of power", func() {
+		Convey("reads the newest segment if an older one reappears after a power loss", func() {
 			So(store.Close(), ShouldBeNil)
-			again := open(folder)
-			So(again.Write([]GroupWrite{{Group: 1, Entries: []consensus.Entry{entry(2, 3, "B")}}}), ShouldBeNil)
-			So(again.Close(), ShouldBeNil)
+			reopened := open(directory)
+			So(reopened.Write([]GroupWrite{{Group: 1, Entries: []consensus.Entry{entry(2, 3, "B")}}}), ShouldBeNil)
+			So(reopened.Close(), ShouldBeNil)
 			So(os.WriteFile(name, after, fileMode), ShouldBeNil)
-			third := open(folder)
-			defer third.Close()
-			So(entriesOf(third, 1), ShouldEqual, "aB")
-			So(len(segments(folder)), ShouldEqual, 1)
+			reopenedAgain := open(directory)
+			defer reopenedAgain.Close()
+			So(entriesOf(reopenedAgain, 1), ShouldEqual, "aB")
+			So(len(segments(directory)), ShouldEqual, 1)
 		})
-		Convey("drops the log that a snapshot of another replica replaces", func() {
+		Convey("drops the log when a snapshot of another replica replaces it", func() {
 			snapshot := consensus.Snapshot{Index: 1, Term: 5}
 			So(store.Write([]GroupWrite{{Group: 1, Snapshot: &snapshot, PromoteStaged: true}}), ShouldBeNil)
 			So(entriesOf(store, 1), ShouldEqual, "")
 			So(store.Close(), ShouldBeNil)
-			again := open(folder)
-			defer again.Close()
-			So(entriesOf(again, 1), ShouldEqual, "")
+			reopened := open(directory)
+			defer reopened.Close()
+			So(entriesOf(reopened, 1), ShouldEqual, "")
 		})
 		Reset(func() { _ = store.Close() })
 	})
-	Convey("a write that the disk refuses for a while is repeated, and is there once", t, func() {
-		folder := t.TempDir()
-		store := open(folder)
+	Convey("a write that fails while the disk is full is retried and takes effect once", t, func() {
+		directory := t.TempDir()
+		store := open(directory)
 		So(store.Write([]GroupWrite{{Group: 1, Entries: []consensus.Entry{entry(1, 1, "a")}}}), ShouldBeNil)
-		refusing := &refusingSegment{segment: store.journal.segment, refusals: 3}
-		store.journal.segment = refusing
+		failing := &failingSegment{segment: store.journal.segment, failures: 3}
+		store.journal.segment = failing
 		So(store.Write([]GroupWrite{{Group: 1, Entries: []consensus.Entry{entry(2, 1, "a longer one")}}}), ShouldBeNil)
-		So(refusing.refusals, ShouldEqual, 0)
+		So(failing.failures, ShouldEqual, 0)
 		So(store.Write([]GroupWrite{{Group: 1, Entries: []consensus.Entry{entry(3, 1, "c")}}}), ShouldBeNil)
 		So(entriesOf(store, 1), ShouldEqual, "aa longer onec")
 		So(store.Close(), ShouldBeNil)
-		again := open(folder)
-		defer again.Close()
-		So(entriesOf(again, 1), ShouldEqual, "aa longer onec")
+		reopened := open(directory)
+		defer reopened.Close()
+		So(entriesOf(reopened, 1), ShouldEqual, "aa longer onec")
 	})
-	Convey("another failure of the disk is told at once", t, func() {
+	Convey("any other disk error is returned at once", t, func() {
 		failure := errors.New("gone")
-		tries := 0
-		So(whileRefused(func() error { tries++; return failure }), ShouldEqual, failure)
-		So(tries, ShouldEqual, 1)
+		attempts := 0
+		So(retryWrite(func() error { attempts++; return failure }), ShouldEqual, failure)
+		So(attempts, ShouldEqual, 1)
 	})
-	Convey("a journal that grows begins new segments and keeps one", t, func() {
-		folder := t.TempDir()
-		store := open(folder)
+	Convey("a growing journal starts new segments and keeps one", t, func() {
+		directory := t.TempDir()
+		store := open(directory)
 		data := make([]byte, 256<<10)
 		const writes = 100
 		for index := uint64(1); index <= writes; index++ {
@@ -173,26 +174,26 @@
 			So(store.Write([]GroupWrite{write}), ShouldBeNil)
 		}
 		So(store.Close(), ShouldBeNil)
-		names := segments(folder)
+		names := segments(directory)
 		So(len(names), ShouldEqual, 1)
 		So(filepath.Base(names[0]), ShouldNotEqual, fmt.Sprintf(segmentFormat, 1))
-		information, err := os.Stat(names[0])
+		fileInfo, err := os.Stat(names[0])
 		So(err, ShouldBeNil)
-		So(information.Size(), ShouldBeLessThan, 2*segmentBytes)
-		again := open(folder)
-		defer again.Close()
-		restored, err := again.Load(1)
+		So(fileInfo.Size(), ShouldBeLessThan, 2*segmentBytes)
+		reopened := open(directory)
+		defer reopened.Close()
+		restored, err := reopened.Load(1)
 		So(err, ShouldBeNil)
 		So(len(restored.Entries), ShouldEqual, 3)
 		So(restored.Entries[2].Index, ShouldEqual, writes)
 	})
 }
 
-func TestImageInParts(t *testing.T) {
+func TestCheckpointInFrames(t *testing.T) {
 	const entries, entryBytes = 30, 60 << 10
-	Convey("a store with logs far larger than one part of an image", t, func() {
-		folder := t.TempDir()
-		store := open(folder)
+	Convey("a store with logs far larger than one frame of a checkpoint", t, func() {
+		directory := t.TempDir()
+		store := open(directory)
 		want := map[GroupID]string{}
 		for group := GroupID(1); group <= 2; group++ {
 			for index := uint64(1); index <= entries; index++ {
@@ -202,40 +203,40 @@
 			}
 		}
 		So(store.Close(), ShouldBeNil)
-		older, olderBytes := lastSegment(folder)
-		So(open(folder).Close(), ShouldBeNil)
-		newer, image := lastSegment(folder)
+		older, olderBytes := lastSegment(directory)
+		So(open(directory).Close(), ShouldBeNil)
+		newer, checkpoint := lastSegment(directory)
 		So(newer, ShouldNotEqual, older)
-		ends := frameEnds(image)
+		ends := frameEnds(checkpoint)
 
-		Convey("writes no frame that is much larger than a part", func() {
-			So(len(ends), ShouldBeGreaterThan, 2*entries*entryBytes/imageFrameBytes)
-			begin := 0
+		Convey("writes no frame much larger than the maximum size of a checkpoint frame", func() {
+			So(len(ends), ShouldBeGreaterThan, 2*entries*entryBytes/checkpointFrameBytes)
+			start := 0
 			for _, end := range ends {
-				So(end-begin, ShouldBeLessThan, imageFrameBytes+2*entryBytes)
-				begin = end
+				So(end-start, ShouldBeLessThan, checkpointFrameBytes+2*entryBytes)
+				start = end
 			}
 		})
-		Convey("goes back to the segment before wherever the image ends too early, or a part of it is missing", func() {
+		Convey("falls back to the previous segment wherever the checkpoint is truncated or a frame of it is missing", func() {
 			for _, end := range ends[:len(ends)-1] {
-				hole := slices.Clone(image)
-				clear(hole[end : end+frameHeadBytes])
-				for _, spoiled := range [][]byte{image[:end], image[:end+frameHeadBytes/2], hole} {
+				zeroed := slices.Clone(checkpoint)
+				clear(zeroed[end : end+frameHeaderBytes])
+				for _, contents := range [][]byte{checkpoint[:end], checkpoint[:end+frameHeaderBytes/2], zeroed} {
 					damaged := t.TempDir()
-					copyDatabase(folder, damaged)
+					copyDatabase(directory, damaged)
 					So(os.WriteFile(filepath.Join(damaged, filepath.Base(older)), olderBytes, fileMode), ShouldBeNil)
-					So(os.WriteFile(filepath.Join(damaged, filepath.Base(newer)), spoiled, fileMode), ShouldBeNil)
-					again := open(damaged)
+					So(os.WriteFile(filepath.Join(damaged, filepath.Base(newer)), contents, fileMode), ShouldBeNil)
+					reopened := open(damaged)
 					for group := range want {
-						So(entriesOf(again, group) == want[group], ShouldBeTrue)
+						So(entriesOf(reopened, group) == want[group], ShouldBeTrue)
 					}
-					So(again.Close(), ShouldBeNil)
+					So(reopened.Close(), ShouldBeNil)
 				}
 			}
 		})
-		Convey("reads a segment whose image is one frame, as earlier versions wrote it", func() {
+		Convey("reads a segment whose checkpoint is one frame, as written by earlier versions", func() {
 			earlier := t.TempDir()
-			copyDatabase(folder, earlier)
+			copyDatabase(directory, earlier)
 			file, err := os.Create(filepath.Join(earlier, fmt.Sprintf(segmentFormat, 7)))
 			So(err, ShouldBeNil)
 			_, err = (&journal{}).writeSynced(segmentFile{file}, 0, []journalRecord{
@@ -243,18 +244,18 @@
 			})
 			So(err, ShouldBeNil)
 			So(file.Close(), ShouldBeNil)
-			again := open(earlier)
-			So(entriesOf(again, 1), ShouldEqual, "old")
-			So(again.Close(), ShouldBeNil)
+			reopened := open(earlier)
+			So(entriesOf(reopened, 1), ShouldEqual, "old")
+			So(reopened.Close(), ShouldBeNil)
 		})
 	})
 }
 
-// frameEnds returns where the frames of a segment end.
+// frameEnds returns the end offsets of the frames of a segment.
 func frameEnds(segment []byte) []int {
 	var ends []int
-	for end := 0; end+frameHeadBytes <= len(segment); {
-		end += frameHeadBytes + int(binary.BigEndian.Uint32(segment[end:]))
+	for end := 0; end+frameHeaderBytes <= len(segment); {
+		end += frameHeaderBytes + int(binary.BigEndian.Uint32(segment[end:]))
 		ends = append(ends, end)
 	}
 	return ends
--- a/internal/storage/records.go
+++ b/internal/storage/records.go
@@ -6,31 +6,31 @@
 	"go.etcd.io/bbolt"
 )
 
-// A group has two buckets for records: one holds the records in force, the other one
-// those of a snapshot that is being received. recordsPlaceKey says which is in force,
-// so that a received snapshot takes effect without its records being copied.
+// A group has two buckets for records: one for the active records, the other for the staged
+// records of a snapshot that is being received. The value of activeRecordsKey selects the active
+// bucket, so that a received snapshot takes effect without copying its records.
 var (
-	recordsBuckets  = [2][]byte{[]byte("records"), []byte("records-2")}
-	recordsPlaceKey = []byte("records-place")
+	recordsBuckets   = [2][]byte{[]byte("records"), []byte("records-2")}
+	activeRecordsKey = []byte("records-place")
 )
 
-// turnKeyBytes is the length of a record's key after the program's name.
-const turnKeyBytes = 9
+// turnSuffixBytes is the length of a record's key after the program's name.
+const turnSuffixBytes = 9
 
-// Record is one turn record of a program.
+// Record is a turn record of a program.
 type Record struct {
 	Program string `msgpack:"p"`
 	Turn    uint64 `msgpack:"t"`
 	Value   []byte `msgpack:"v"`
 }
 
-// RecordKey names a record within its group.
+// RecordKey is the key of a record within its group.
 type RecordKey struct {
 	Program string
 	Turn    uint64
 }
 
-// Key returns the record's name within its group.
+// Key returns the record's key within its group.
 func (r Record) Key() RecordKey { return RecordKey{Program: r.Program, Turn: r.Turn} }
 
 func (k RecordKey) encode() []byte {
@@ -39,7 +39,7 @@
 }
 
 func decodeRecord(key, value []byte) Record {
-	split := len(key) - turnKeyBytes
+	split := len(key) - turnSuffixBytes
 	return Record{
 		Program: string(key[:split]),
 		Turn:    binary.BigEndian.Uint64(key[split+1:]),
@@ -47,37 +47,37 @@
 	}
 }
 
-// recordsPlace returns the position in recordsBuckets of the records in force.
-func recordsPlace(group *bbolt.Bucket) int {
-	if raw := group.Get(recordsPlaceKey); len(raw) == 1 && raw[0] == 1 {
+// activeBucketIndex returns the index in recordsBuckets of the active records.
+func activeBucketIndex(group *bbolt.Bucket) int {
+	if raw := group.Get(activeRecordsKey); len(raw) == 1 && raw[0] == 1 {
 		return 1
 	}
 	return 0
 }
 
 func writeRecords(group *bbolt.Bucket, write *GroupWrite) error {
-	place := recordsPlace(group)
+	active := activeBucketIndex(group)
 	if write.ResetStaged {
-		if err := dropBucket(group, recordsBuckets[1-place]); err != nil {
+		if err := deleteBucket(group, recordsBuckets[1-active]); err != nil {
 			return err
 		}
 	}
-	if err := putRecords(group, recordsBuckets[1-place], write.Staged); err != nil {
+	if err := putRecords(group, recordsBuckets[1-active], write.Staged); err != nil {
 		return err
 	}
 	if write.PromoteStaged {
-		if err := dropBucket(group, recordsBuckets[place]); err != nil {
+		if err := deleteBucket(group, recordsBuckets[active]); err != nil {
 			return err
 		}
-		place = 1 - place
-		if err := group.Put(recordsPlaceKey, []byte{byte(place)}); err != nil {
+		active = 1 - active
+		if err := group.Put(activeRecordsKey, []byte{byte(active)}); err != nil {
 			return err
 		}
 	}
-	return putRecords(group, recordsBuckets[place], write.Records)
+	return putRecords(group, recordsBuckets[active], write.Records)
 }
 
-func dropBucket(group *bbolt.Bucket, name []byte) error {
+func deleteBucket(group *bbolt.Bucket, name []byte) error {
 	if group.Bucket(name) == nil {
 		return nil
 	}
@@ -106,11 +106,11 @@
 	return nil
 }
 
-// Records returns a program's turn records after the turn given, in order.
+// Records returns a program's turn records after the given turn, in turn order.
 func (s *Store) Records(id GroupID, program string, after uint64) ([]Record, error) {
 	var records []Record
 	err := s.database.View(func(tx *bbolt.Tx) error {
-		bucket := recordsOf(tx, id)
+		bucket := activeRecords(tx, id)
 		if bucket == nil {
 			return nil
 		}
@@ -127,12 +127,12 @@
 	return records, err
 }
 
-// RecordsAfter returns the records of a group that follow a key, in the order of their
-// keys, until they hold maxBytes (at least one record); more says that others follow.
-// The zero key precedes all.
+// RecordsAfter returns the records of a group after a key, in key order, up to maxBytes but at
+// least one record; more reports whether further records follow. The zero key precedes all
+// records.
 func (s *Store) RecordsAfter(id GroupID, after RecordKey, maxBytes int) (records []Record, more bool, err error) {
 	err = s.database.View(func(tx *bbolt.Tx) error {
-		bucket := recordsOf(tx, id)
+		bucket := activeRecords(tx, id)
 		if bucket == nil {
 			return nil
 		}
@@ -151,10 +151,10 @@
 	return records, more, err
 }
 
-func recordsOf(tx *bbolt.Tx, id GroupID) *bbolt.Bucket {
+func activeRecords(tx *bbolt.Tx, id GroupID) *bbolt.Bucket {
 	group := tx.Bucket(groupsBucket).Bucket(groupKey(id))
 	if group == nil {
 		return nil
 	}
-	return group.Bucket(recordsBuckets[recordsPlace(group)])
+	return group.Bucket(recordsBuckets[activeBucketIndex(group)])
 }
--- a/internal/storage/storage.go
+++ b/internal/storage/storage.go
@@ -1,8 +1,7 @@
-// Package storage keeps what must survive a process: the logs and hard states of its
-// log groups in a journal that is only appended to, and their snapshots and the turn
-// records of programs in one bbolt file, both under the data folder. One Write is one
-// sync for all groups, and a transaction more where it brings a snapshot or records
-// (design section 5).
+// Package storage is the durable state of a process: the logs and hard states of its log
+// groups in an append-only journal, and their snapshots and the turn records of programs in
+// one bbolt file, both in the data directory. One Write costs one sync for all groups, and a
+// transaction in addition if it contains a snapshot or records (design section 5).
 package storage
 
 import (
@@ -23,67 +22,67 @@
 	"github.com/ochrebay/ochrebay/internal/consensus"
 )
 
-// ErrInUse means that another process holds the data folder.
-var ErrInUse = errors.New("storage: another process uses the data folder")
+// ErrInUse means that another process has the data directory open.
+var ErrInUse = errors.New("storage: another process uses the data directory")
 
 const (
-	fileName    = "ochrebay.db"
-	lockTimeout = 300 * time.Millisecond
-	fileMode    = 0o600
-	folderMode  = 0o750
+	fileName      = "ochrebay.db"
+	lockTimeout   = 300 * time.Millisecond
+	fileMode      = 0o600
+	directoryMode = 0o750
 )
 
 var (
-	metaBucket   = []byte("meta")
-	groupsBucket = []byte("groups")
-	notesBucket  = []byte("notes")
-	replicaKey   = []byte("replica")
-	snapshotKey  = []byte("snapshot")
-	bootstrapKey = []byte("bootstrap")
+	metaBucket     = []byte("meta")
+	groupsBucket   = []byte("groups")
+	metadataBucket = []byte("notes")
+	replicaKey     = []byte("replica")
+	snapshotKey    = []byte("snapshot")
+	bootstrapKey   = []byte("bootstrap")
 )
 
-// GroupID numbers a log group; 0 is the settings group.
+// GroupID is the number of a log group; 0 is the settings group.
 type GroupID uint32
 
-// GroupWrite is what one group adds in one Write.
+// GroupWrite is the part of a Write that belongs to one group.
 type GroupWrite struct {
 	Group     GroupID
 	HardState *consensus.HardState
 	Snapshot  *consensus.Snapshot
 	// Entries overwrite the log from their first index on.
 	Entries []consensus.Entry
-	// Records are turn records by key; a nil value deletes.
+	// Records are turn records to write; a nil value deletes the record.
 	Records []Record
-	// ResetStaged forgets the staged records before Staged are added to them. Staged
-	// records are those of a snapshot that is still being received.
+	// ResetStaged deletes the staged records before Staged are added. Staged records belong to
+	// a snapshot that is still being received.
 	ResetStaged bool
 	Staged      []Record
-	// PromoteStaged puts the staged records in the place of the group's records, before
-	// Records are written. Snapshot is then one from another replica, which takes the
-	// place of the whole log.
+	// PromoteStaged replaces the group's records by the staged ones before Records are written.
+	// Snapshot then comes from another replica and replaces the whole log.
 	PromoteStaged bool
 }
 
-// inTransaction reports whether the write brings something that the journal doesn't keep.
-func (w *GroupWrite) inTransaction() bool {
+// needsTransaction reports whether the write contains anything that is stored in bbolt instead of
+// the journal.
+func (w *GroupWrite) needsTransaction() bool {
 	return w.Snapshot != nil || len(w.Records) > 0 || w.ResetStaged || len(w.Staged) > 0 || w.PromoteStaged
 }
 
-// Store is one process's durable state. One goroutine may write; Load is for the time
-// before the first write.
+// Store is the durable state of one process. Only one goroutine may write, and Load must only
+// be called before the first write.
 type Store struct {
 	database *bbolt.DB
 	journal  *journal
 	replica  consensus.ReplicaID
 }
 
-// Open opens or creates the store below folder, and returns ErrInUse where
-// another process has it open.
-func Open(folder string) (*Store, error) {
-	if err := os.MkdirAll(folder, folderMode); err != nil {
-		return nil, errorx.Decorate(err, "creating the data folder")
+// Open opens or creates the store in directory. It returns ErrInUse if another process has the
+// store open.
+func Open(directory string) (*Store, error) {
+	if err := os.MkdirAll(directory, directoryMode); err != nil {
+		return nil, errorx.Decorate(err, "creating the data directory")
 	}
-	database, err := bbolt.Open(filepath.Join(folder, fileName), fileMode, &bbolt.Options{
+	database, err := bbolt.Open(filepath.Join(directory, fileName), fileMode, &bbolt.Options{
 		Timeout: lockTimeout, FreelistType: bbolt.FreelistMapType, NoFreelistSync: true,
 	})
 	if errors.Is(err, berrors.ErrTimeout) {
@@ -93,31 +92,31 @@
 		return nil, errorx.Decorate(err, "opening the store")
 	}
 	store := &Store{database: database}
-	if err := store.initialise(folder); err != nil {
+	if err := store.initialise(directory); err != nil {
 		_ = database.Close()
 		return nil, err
 	}
 	return store, nil
 }
 
-// initialise makes the replica's identity where the disk has none, and opens the journal.
-// Invariant: the names of all files last before the store is used.
-func (s *Store) initialise(folder string) error {
-	if err := whileRefused(s.identify); err != nil {
+// initialise creates the replica id if the disk has none, and opens the journal. Invariant: the
+// directory entries of all files are durable before the store is used.
+func (s *Store) initialise(directory string) error {
+	if err := retryWrite(s.ensureReplicaID); err != nil {
 		return err
 	}
-	if err := syncFolder(filepath.Dir(folder)); err != nil {
-		return errorx.Decorate(err, "syncing the folder above the data folder")
+	if err := syncDirectory(filepath.Dir(directory)); err != nil {
+		return errorx.Decorate(err, "syncing the parent of the data directory")
 	}
 	var err error
-	if s.journal, err = openJournal(folder); err != nil {
+	if s.journal, err = openJournal(directory); err != nil {
 		return errorx.Decorate(err, "opening the journal")
 	}
 	return nil
 }
 
-// identify makes the replica id that is bound to this disk at the first open.
-func (s *Store) identify() error {
+// ensureReplicaID reads the replica id of this disk, and creates it at the first open.
+func (s *Store) ensureReplicaID() error {
 	return s.database.Update(func(tx *bbolt.Tx) error {
 		meta, err := tx.CreateBucketIfNotExists(metaBucket)
 		if err != nil {
@@ -130,17 +129,17 @@
 			s.replica = consensus.ReplicaID(binary.BigEndian.Uint64(existing))
 			return nil
 		}
-		identity := make([]byte, 8)
-		if _, err := rand.Read(identity); err != nil {
+		replicaID := make([]byte, 8)
+		if _, err := rand.Read(replicaID); err != nil {
 			return err
 		}
-		identity[7] |= 1
-		s.replica = consensus.ReplicaID(binary.BigEndian.Uint64(identity))
-		return meta.Put(replicaKey, identity)
+		replicaID[7] |= 1
+		s.replica = consensus.ReplicaID(binary.BigEndian.Uint64(replicaID))
+		return meta.Put(replicaKey, replicaID)
 	})
 }
 
-// Close releases the data folder.
+// Close closes the store and releases the data directory.
 func (s *Store) Close() error {
 	return errors.Join(s.journal.close(), s.database.Close())
 }
@@ -150,8 +149,8 @@
 	return s.replica
 }
 
-// Bootstrap returns the configuration by which the groups were first made;
-// false where this disk has not been part of a cluster.
+// Bootstrap returns the initial configuration of the groups, false if this disk has not been
+// part of a cluster.
 func (s *Store) Bootstrap() (consensus.Configuration, bool, error) {
 	var configuration consensus.Configuration
 	found := false
@@ -166,8 +165,8 @@
 	return configuration, found, err
 }
 
-// SetBootstrap records the first configuration; an empty one marks a replica
-// that joins groups which others made.
+// SetBootstrap stores the initial configuration. An empty one marks a replica that joined
+// existing groups.
 func (s *Store) SetBootstrap(configuration consensus.Configuration) error {
 	raw, err := msgpack.Marshal(&configuration)
 	if err != nil {
@@ -178,25 +177,25 @@
 	})
 }
 
-// PutMetadata keeps a small value by name and returns after the sync.
+// PutMetadata stores a small value under a name and returns after the sync.
 func (s *Store) PutMetadata(name string, value []byte) error {
-	return whileRefused(func() error {
+	return retryWrite(func() error {
 		return s.database.Update(func(tx *bbolt.Tx) error {
-			notes, err := tx.CreateBucketIfNotExists(notesBucket)
+			metadata, err := tx.CreateBucketIfNotExists(metadataBucket)
 			if err != nil {
 				return err
 			}
-			return notes.Put([]byte(name), value)
+			return metadata.Put([]byte(name), value)
 		})
 	})
 }
 
-// GetMetadata returns a value that was kept by name, nil where there is none.
+// GetMetadata returns the value stored under a name, nil if there is none.
 func (s *Store) GetMetadata(name string) ([]byte, error) {
 	var value []byte
 	err := s.database.View(func(tx *bbolt.Tx) error {
-		if notes := tx.Bucket(notesBucket); notes != nil {
-			value = slices.Clone(notes.Get([]byte(name)))
+		if metadata := tx.Bucket(metadataBucket); metadata != nil {
+			value = slices.Clone(metadata.Get([]byte(name)))
 		}
 		return nil
 	})
@@ -209,8 +208,8 @@
 
 // Write stores the writes of all groups and returns after the sync.
 func (s *Store) Write(writes []GroupWrite) error {
-	if slices.ContainsFunc(writes, func(write GroupWrite) bool { return write.inTransaction() }) {
-		if err := whileRefused(func() error { return s.writeTransaction(writes) }); err != nil {
+	if slices.ContainsFunc(writes, func(write GroupWrite) bool { return write.needsTransaction() }) {
+		if err := retryWrite(func() error { return s.writeTransaction(writes) }); err != nil {
 			return err
 		}
 	}
@@ -224,36 +223,36 @@
 			records = append(records, journalRecord{Group: write.Group, HardState: write.HardState, Reset: write.PromoteStaged, Entries: write.Entries})
 		}
 	}
-	return whileRefused(func() error { return s.journal.append(records) })
+	return retryWrite(func() error { return s.journal.append(records) })
 }
 
 const (
-	// refusedPatience is how long a disk may refuse to write before the process gives up,
-	// and refusedPause the pause between two tries.
-	refusedPatience = 10 * time.Second
-	refusedPause    = 50 * time.Millisecond
+	// writeRetryTimeout is how long writes with transient errors are retried before the process
+	// gives up, and writeRetryDelay the delay between attempts.
+	writeRetryTimeout = 10 * time.Second
+	writeRetryDelay   = 50 * time.Millisecond
 )
 
-// whileRefused repeats a write that the disk refuses, as a full one does: nothing was
-// acknowledged yet, and a process that ends and starts again meets the same disk. A write
-// that fails leaves nothing behind that counts.
-func whileRefused(write func() error) error {
-	for tries := refusedPatience / refusedPause; ; tries-- {
+// retryWrite retries a write that fails with a disk error that may be transient, such as a full
+// disk: nothing has been acknowledged yet, and a restarted process would find the same disk.
+// A failed write has no effect on the state that is read back.
+func retryWrite(write func() error) error {
+	for retriesLeft := writeRetryTimeout / writeRetryDelay; ; retriesLeft-- {
 		err := write()
-		refused := errors.Is(err, unix.ENOSPC) || errors.Is(err, unix.EDQUOT) || errors.Is(err, unix.EIO)
-		if !refused || tries == 0 {
+		transient := errors.Is(err, unix.ENOSPC) || errors.Is(err, unix.EDQUOT) || errors.Is(err, unix.EIO)
+		if !transient || retriesLeft == 0 {
 			return err
 		}
-		time.Sleep(refusedPause)
+		time.Sleep(writeRetryDelay)
 	}
 }
 
-// writeTransaction stores snapshots and records.
+// writeTransaction writes the snapshots and records of all groups in one transaction.
 func (s *Store) writeTransaction(writes []GroupWrite) error {
 	return s.database.Update(func(tx *bbolt.Tx) error {
 		for position := range writes {
 			write := &writes[position]
-			if !write.inTransaction() {
+			if !write.needsTransaction() {
 				continue
 			}
 			if err := writeGroup(tx, write); err != nil {
@@ -281,7 +280,7 @@
 	return writeRecords(group, write)
 }
 
-// Load returns what the disk holds of a group; the snapshot's data included.
+// Load returns the persisted state of a group, including the snapshot's data.
 func (s *Store) Load(id GroupID) (consensus.PersistedState, error) {
 	var restored consensus.PersistedState
 	err := s.database.View(func(tx *bbolt.Tx) error {
@@ -298,13 +297,13 @@
 	if err != nil {
 		return consensus.PersistedState{}, errorx.Decorate(err, "loading group %d", id)
 	}
-	log := s.journal.of(id)
+	log := s.journal.logOf(id)
 	restored.HardState = log.hard
 	return restored, restoreEntries(&restored, log.entries)
 }
 
-// restoreEntries takes the entries that follow the snapshot. Entries of an older term
-// than its own are of a log that it has replaced.
+// restoreEntries adds the entries that follow the snapshot. Entries whose term is older than the
+// snapshot's belong to a log that the snapshot has replaced.
 func restoreEntries(restored *consensus.PersistedState, entries []consensus.Entry) error {
 	for _, entry := range entries {
 		if entry.Index <= restored.Snapshot.Index {
@@ -315,7 +314,7 @@
 			return nil
 		}
 		if entry.Index != expected {
-			return errorx.IllegalState.New("log has %d where %d is due", entry.Index, expected)
+			return errorx.IllegalState.New("log has entry %d where entry %d is expected", entry.Index, expected)
 		}
 		restored.Entries = append(restored.Entries, entry)
 	}
--- a/internal/storage/storage_test.go
+++ b/internal/storage/storage_test.go
@@ -13,12 +13,12 @@
 }
 
 func TestStore(t *testing.T) {
-	Convey("what was written is read back after reopening", t, func() {
-		folder := t.TempDir()
-		store, err := Open(folder)
+	Convey("written data is read back after reopening", t, func() {
+		directory := t.TempDir()
+		store, err := Open(directory)
 		So(err, ShouldBeNil)
-		identity := store.Replica()
-		So(identity, ShouldNotEqual, consensus.None)
+		replicaID := store.Replica()
+		So(replicaID, ShouldNotEqual, consensus.None)
 		hard := consensus.HardState{Term: 3, Vote: 7, Commit: 2}
 		So(store.Write([]GroupWrite{
 			{Group: 1, HardState: &hard, Entries: []consensus.Entry{entry(1, 1, "a"), entry(2, 1, "b"), entry(3, 1, "c")}},
@@ -27,7 +27,7 @@
 				{Program: "p2", Turn: 1, Value: []byte("not p")},
 			}},
 		}), ShouldBeNil)
-		Convey("a conflicting suffix is replaced whole", func() {
+		Convey("a conflicting suffix is replaced completely", func() {
 			So(store.Write([]GroupWrite{{Group: 1, Entries: []consensus.Entry{entry(2, 2, "B")}}}), ShouldBeNil)
 			restored, err := store.Load(1)
 			So(err, ShouldBeNil)
@@ -35,7 +35,7 @@
 			So(string(restored.Entries[1].Data), ShouldEqual, "B")
 			So(restored.HardState, ShouldResemble, hard)
 		})
-		Convey("a snapshot takes the place of the entries that it covers", func() {
+		Convey("a snapshot replaces the entries that it covers", func() {
 			snapshot := consensus.Snapshot{Index: 2, Term: 1, Data: []byte("state")}
 			So(store.Write([]GroupWrite{{Group: 1, Snapshot: &snapshot}}), ShouldBeNil)
 			restored, err := store.Load(1)
@@ -43,7 +43,7 @@
 			So(string(restored.Snapshot.Data), ShouldEqual, "state")
 			So(len(restored.Entries), ShouldEqual, 1)
 		})
-		Convey("records come back in turn order for one program only", func() {
+		Convey("records are returned in turn order for one program only", func() {
 			records, err := store.Records(2, "p", 0)
 			So(err, ShouldBeNil)
 			So(len(records), ShouldEqual, 2)
@@ -56,7 +56,7 @@
 			So(more, ShouldBeFalse)
 			So(len(all), ShouldEqual, 3)
 		})
-		Convey("records come page by page, each at least one", func() {
+		Convey("records are returned in pages of at least one record", func() {
 			var names []string
 			after, more := RecordKey{}, true
 			for more {
@@ -70,7 +70,7 @@
 			}
 			So(names, ShouldResemble, []string{"one", "two", "not p"})
 		})
-		Convey("staged records take effect together, and those before them are gone", func() {
+		Convey("staged records take effect together and replace the previous records", func() {
 			staged := []Record{{Program: "q", Turn: 1, Value: []byte("new")}}
 			So(store.Write([]GroupWrite{{Group: 2, ResetStaged: true, Staged: staged}}), ShouldBeNil)
 			records, err := store.Records(2, "q", 0)
@@ -78,28 +78,28 @@
 			So(records, ShouldBeEmpty)
 			So(store.Write([]GroupWrite{{Group: 2, PromoteStaged: true, Records: []Record{{Program: "r", Turn: 1, Value: []byte("later")}}}}), ShouldBeNil)
 			So(store.Close(), ShouldBeNil)
-			store, err = Open(folder)
+			store, err = Open(directory)
 			So(err, ShouldBeNil)
 			all, _, err := store.RecordsAfter(2, RecordKey{}, 1000)
 			So(err, ShouldBeNil)
 			So(len(all), ShouldEqual, 2)
 			So(string(all[0].Value), ShouldEqual, "new")
 			So(string(all[1].Value), ShouldEqual, "later")
-			Convey("and again, in the place of the first", func() {
+			Convey("and a second promotion replaces them again", func() {
 				So(store.Write([]GroupWrite{{Group: 2, ResetStaged: true, PromoteStaged: true}}), ShouldBeNil)
 				all, _, err := store.RecordsAfter(2, RecordKey{}, 1000)
 				So(err, ShouldBeNil)
 				So(all, ShouldBeEmpty)
 			})
 		})
-		Convey("a second process is kept out, and the identity stays", func() {
-			_, err := Open(folder)
+		Convey("a second process is rejected, and the replica id persists", func() {
+			_, err := Open(directory)
 			So(err, ShouldEqual, ErrInUse)
 			So(store.Close(), ShouldBeNil)
-			again, err := Open(folder)
+			reopened, err := Open(directory)
 			So(err, ShouldBeNil)
-			So(again.Replica(), ShouldEqual, identity)
-			store = again
+			So(reopened.Replica(), ShouldEqual, replicaID)
+			store = reopened
 		})
 		Reset(func() { _ = store.Close() })
 	})
