--- a/internal/settings/compat_test.go
+++ b/internal/settings/compat_test.go
@@ -6,7 +6,7 @@
 	"github.com/ochrebay/ochrebay/internal/compat"
 )
 
-// TestEarlierReleases holds what this package sends and stores against earlier releases.
+// TestEarlierReleases checks the compatibility of the package's encoded types with earlier releases.
 func TestEarlierReleases(t *testing.T) {
 	compat.CheckTypes(t, map[string]any{
 		"snapshot": &snapshot{}, "Change": &Change{},
--- a/internal/settings/fields.go
+++ b/internal/settings/fields.go
@@ -1,7 +1,7 @@
-// Package settings is the tree by which operators drive ochrebay (design
-// section 6): nodes by path, each inheriting every field of its parent and
-// overriding only what differs. The package is a deterministic state machine,
-// replicated by the settings group; it also computes the effective node.
+// Package settings is the tree of settings with which operators configure ochrebay (design
+// section 6): nodes by path, each of which inherits all fields of its parent and overrides those
+// that it sets. The package is a deterministic state machine, replicated by the settings group;
+// it also computes the effective fields of a node.
 package settings
 
 import (
@@ -12,8 +12,8 @@
 	"strings"
 )
 
-// Fields are what a node may set. A nil field is inherited. Times are in
-// milliseconds, sizes in tokens unless the name says otherwise.
+// Fields are the settings of a node. A nil field is inherited. Times are in milliseconds, sizes
+// in tokens unless the name states another unit.
 type Fields struct {
 	// Services: nodes /services/NAME.
 	Pool            *string `json:"pool,omitempty" yaml:"pool" msgpack:"a,omitempty"`
@@ -48,7 +48,7 @@
 
 func pointer[T any](value T) *T { return &value }
 
-// Defaults are in force where no node sets a field.
+// Defaults returns the fields that apply where no node sets them.
 func Defaults() Fields {
 	return Fields{
 		Priority:          pointer(int64(5)),
@@ -74,10 +74,10 @@
 	}
 }
 
-// overlay returns base with every field that over sets.
-func overlay(base, over Fields) Fields {
+// overlay returns base with every field that is set in overrides replaced.
+func overlay(base, overrides Fields) Fields {
 	target := reflect.ValueOf(&base).Elem()
-	source := reflect.ValueOf(over)
+	source := reflect.ValueOf(overrides)
 	for position := range source.NumField() {
 		if !source.Field(position).IsNil() {
 			target.Field(position).Set(source.Field(position))
@@ -86,7 +86,7 @@
 	return base
 }
 
-// ParseFields decodes a JSON object strictly; an unknown field is an error.
+// ParseFields decodes a JSON object; an unknown field is an error.
 func ParseFields(raw []byte) (Fields, error) {
 	var fields Fields
 	decoder := json.NewDecoder(bytes.NewReader(raw))
@@ -97,22 +97,22 @@
 	return fields, nil
 }
 
-// check returns an error that names the first field out of its range.
-func (f Fields) check() error {
+// validate returns an error that names the first field with a value that is not allowed.
+func (f Fields) validate() error {
 	value := reflect.ValueOf(f)
 	for position := range value.NumField() {
 		field := value.Type().Field(position)
 		if value.Field(position).IsNil() {
 			continue
 		}
-		if err := checkField(field, value.Field(position).Elem()); err != nil {
+		if err := validateField(field, value.Field(position).Elem()); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func checkField(field reflect.StructField, value reflect.Value) error {
+func validateField(field reflect.StructField, value reflect.Value) error {
 	name, _, _ := strings.Cut(field.Tag.Get("json"), ",")
 	if value.Kind() == reflect.String {
 		allowed := field.Tag.Get("oneof")
--- a/internal/settings/fuzz_test.go
+++ b/internal/settings/fuzz_test.go
@@ -2,8 +2,9 @@
 
 import "testing"
 
-// FuzzChange feeds operators' JSON for a node: whatever is taken leaves a tree
-// whose effective node is whole and in range, and whose snapshot restores.
+// FuzzChange applies arbitrary JSON for a node: after an accepted change the effective fields are
+// within their ranges and the tree can be restored from its snapshot; a rejected change leaves
+// the revision as it was.
 func FuzzChange(f *testing.F) {
 	f.Add("/services/s", []byte(`{"rank":3,"pool":"p"}`))
 	f.Add("/tenants/t", []byte(`{"tenant_in_flight":-1}`))
@@ -17,19 +18,19 @@
 		reply := tree.Apply(Change{Operator: "o", Number: 1, Nodes: []NodeChange{{Path: path, Version: AnyVersion, Fields: fields}}})
 		if reply.Error != nil {
 			if tree.Revision() != 0 {
-				t.Fatal("refused, but the revision moved")
+				t.Fatal("the change was rejected, but the revision changed")
 			}
 			return
 		}
-		if err := tree.EffectiveFields(path).check(); err != nil {
-			t.Fatalf("taken out of range: %v", err)
+		if err := tree.EffectiveFields(path).validate(); err != nil {
+			t.Fatalf("a change with an invalid field was accepted: %v", err)
 		}
 		data, err := tree.Snapshot()
 		if err != nil {
 			t.Fatal(err)
 		}
 		if restored := NewTree(); restored.Restore(data) != nil || restored.Revision() != tree.Revision() {
-			t.Fatal("the snapshot does not restore")
+			t.Fatal("the tree can't be restored from its snapshot")
 		}
 	})
 }
--- a/internal/settings/tree.go
+++ b/internal/settings/tree.go
@@ -17,10 +17,10 @@
 const AnyVersion = ^uint64(0)
 
 const (
-	keptChanges       = 2000
-	keptPerOperator   = 64
-	maxPathDepth      = 8
-	maxNodesPerChange = 100_000
+	maxChanges            = 2000
+	maxRepliesPerOperator = 64
+	maxPathDepth          = 8
+	maxNodesPerChange     = 100_000
 )
 
 // NodeChange sets or deletes one node.
@@ -33,32 +33,32 @@
 	Delete  bool   `json:"delete,omitempty" msgpack:"d,omitempty"`
 }
 
-// Change is what an operator asks for; its nodes are changed together or not
-// at all. Operator and Number identify it for resends.
+// Change is a change requested by an operator; its nodes are changed atomically. Operator and
+// Number identify it when it is resent.
 type Change struct {
 	Operator string       `json:"operator" msgpack:"o"`
 	Number   uint64       `json:"number" msgpack:"n"`
 	AtMs     int64        `json:"at_ms" msgpack:"a"`
 	Nodes    []NodeChange `json:"nodes" msgpack:"c"`
-	// Routing replaces the routing table where its generation is above the one in
-	// force; a change carries either nodes or a table.
+	// Routing replaces the routing table if its generation is higher than the current one; a
+	// change has either nodes or a table.
 	Routing *routing.Table `json:"routing,omitempty" msgpack:"t,omitempty"`
 }
 
-// digest identifies the content of a change, its time aside.
+// digest returns a digest of the change without its time.
 func (c Change) digest() uint64 {
 	c.AtMs = 0
 	raw, _ := msgpack.Marshal(&c)
 	return xxhash.Sum64(raw)
 }
 
-// AcceptedChange is a change with the revision at which it came into force.
+// AcceptedChange is a change with the revision at which it took effect.
 type AcceptedChange struct {
 	Revision uint64 `json:"revision" msgpack:"r"`
 	Change   Change `json:"change" msgpack:"c"`
 }
 
-// Node is one node of the tree.
+// Node is a node of the tree.
 type Node struct {
 	Path string `json:"path" msgpack:"p"`
 	// Version is the revision of the node's last change.
@@ -67,36 +67,36 @@
 	Fields   Fields `json:"fields" msgpack:"f"`
 }
 
-// Reply answers one change.
+// Reply is the reply to a change.
 type Reply struct {
 	Error    *result.Error `json:"error,omitempty" msgpack:"e,omitempty"`
 	Revision uint64        `json:"revision" msgpack:"r"`
-	// Winner is the node as it stands, where the change lost a race.
+	// Winner is the current node, if the change conflicts with an earlier one.
 	Winner *Node `json:"winner,omitempty" msgpack:"w,omitempty"`
 }
 
-// numbered remembers the answer to one numbered change of an operator.
-type numbered struct {
+// recordedReply is the reply to an operator's change, recorded for resends.
+type recordedReply struct {
 	Number uint64 `msgpack:"n"`
 	Digest uint64 `msgpack:"d"`
 	Reply  Reply  `msgpack:"r"`
 }
 
-// state is what a snapshot holds.
+// state is the part of a tree that a snapshot contains.
 type state struct {
 	Revision  uint64
 	Nodes     map[string]*Node
 	Changes   []AcceptedChange
-	Operators map[string][]numbered
-	// Routing is the table in force, nil before the first.
+	Operators map[string][]recordedReply
+	// Routing is the current routing table, nil before the first.
 	Routing *routing.Table
 }
 
 // Tree is the replicated settings tree.
 type Tree struct {
 	state
-	// DisableVersionCheck lets an older version overwrite a newer one, for runs
-	// that show what the check is for.
+	// DisableVersionCheck lets a change against an old version overwrite a newer one, for runs
+	// that demonstrate the purpose of the check.
 	DisableVersionCheck bool
 }
 
@@ -104,30 +104,31 @@
 func NewTree() *Tree {
 	return &Tree{state: state{
 		Nodes:     map[string]*Node{"/": {Path: "/"}},
-		Operators: map[string][]numbered{},
+		Operators: map[string][]recordedReply{},
 	}}
 }
 
-// Revision returns the revision in force; it grows with each accepted change.
+// Revision returns the current revision, which increases with each accepted change.
 func (t *Tree) Revision() uint64 { return t.state.Revision }
 
-// Apply carries out one change.
+// Apply applies a change, or returns the recorded reply if the change is a resend.
 func (t *Tree) Apply(change Change) Reply {
 	if change.Routing != nil {
 		return t.replaceRouting(change.Routing)
 	}
-	if reply, done := t.resent(change); done {
+	if reply, done := t.replyToResend(change); done {
 		return reply
 	}
-	reply := t.apply(change)
-	t.remember(change, reply)
+	reply := t.applyNew(change)
+	t.recordReply(change, reply)
 	return reply
 }
 
-// resent answers a change whose number the operator has used before.
-func (t *Tree) resent(change Change) (Reply, bool) {
-	known := t.Operators[change.Operator]
-	for _, earlier := range known {
+// replyToResend returns the reply to a change whose number the operator has already used, or
+// whose number is older than all recorded ones; false if the change is new.
+func (t *Tree) replyToResend(change Change) (Reply, bool) {
+	recorded := t.Operators[change.Operator]
+	for _, earlier := range recorded {
 		if earlier.Number != change.Number {
 			continue
 		}
@@ -143,43 +144,43 @@
 		}
 		return reply, true
 	}
-	if len(known) == keptPerOperator && change.Number < known[0].Number {
+	if len(recorded) == maxRepliesPerOperator && change.Number < recorded[0].Number {
 		return Reply{
-			Error:    result.New(result.ChangeNumberReuse, "number %d is older than all that is kept of operator %s", change.Number, change.Operator),
+			Error:    result.New(result.ChangeNumberReuse, "number %d is older than all recorded numbers of operator %s", change.Number, change.Operator),
 			Revision: t.state.Revision,
 		}, true
 	}
 	return Reply{}, false
 }
 
-func (t *Tree) remember(change Change, reply Reply) {
-	known := append(t.Operators[change.Operator], numbered{change.Number, change.digest(), reply})
-	slices.SortFunc(known, func(a, b numbered) int { return int(int64(a.Number) - int64(b.Number)) })
-	if len(known) > keptPerOperator {
-		known = known[1:]
+func (t *Tree) recordReply(change Change, reply Reply) {
+	recorded := append(t.Operators[change.Operator], recordedReply{change.Number, change.digest(), reply})
+	slices.SortFunc(recorded, func(a, b recordedReply) int { return int(int64(a.Number) - int64(b.Number)) })
+	if len(recorded) > maxRepliesPerOperator {
+		recorded = recorded[1:]
 	}
-	t.Operators[change.Operator] = known
+	t.Operators[change.Operator] = recorded
 }
 
-func (t *Tree) apply(change Change) Reply {
+func (t *Tree) applyNew(change Change) Reply {
 	if winner, err := t.Validate(change); err != nil {
 		return Reply{Error: err, Revision: t.state.Revision, Winner: winner}
 	}
 	t.state.Revision++
 	for _, node := range change.Nodes {
-		t.put(node, change.Operator)
+		t.putNode(node, change.Operator)
 	}
 	t.Changes = append(t.Changes, AcceptedChange{Revision: t.state.Revision, Change: change})
 	t.TrimChanges()
 	return Reply{Revision: t.state.Revision}
 }
 
-// Routing returns the routing table in force, nil before the first.
+// Routing returns the current routing table, nil before the first.
 func (t *Tree) Routing() *routing.Table { return t.state.Routing }
 
-// replaceRouting puts a table in force as a whole. Invariant: the generation only
-// grows; one that is not above the one in force changes nothing, whatever it holds.
-// The history keeps no tables: followers get differences between generations.
+// replaceRouting replaces the routing table. Invariant: the generation never decreases; a table
+// whose generation is not higher than the current one changes nothing, whatever its content.
+// The history has no tables: followers receive deltas between generations.
 func (t *Tree) replaceRouting(table *routing.Table) Reply {
 	if failure := table.Validate(); failure != nil {
 		return Reply{Error: failure, Revision: t.state.Revision}
@@ -190,7 +191,7 @@
 	return Reply{Revision: t.state.Revision}
 }
 
-func (t *Tree) put(change NodeChange, operator string) {
+func (t *Tree) putNode(change NodeChange, operator string) {
 	if change.Delete {
 		delete(t.Nodes, change.Path)
 		return
@@ -198,8 +199,8 @@
 	t.Nodes[change.Path] = &Node{Path: change.Path, Version: t.state.Revision, Operator: operator, Fields: change.Fields}
 }
 
-// ApplyAccepted applies an accepted change as a follower of the tree does; it reports
-// false where the change doesn't come right after the revision in force.
+// ApplyAccepted applies an accepted change to a follower's tree. It returns false, without
+// applying the change, if the change is not the direct successor of the current revision.
 func (t *Tree) ApplyAccepted(accepted AcceptedChange) bool {
 	if accepted.Revision != t.state.Revision+1 {
 		return false
@@ -207,33 +208,34 @@
 	t.state.Revision = accepted.Revision
 	t.Changes = append(t.Changes, accepted)
 	for _, node := range accepted.Change.Nodes {
-		t.put(node, accepted.Change.Operator)
+		t.putNode(node, accepted.Change.Operator)
 	}
 	return true
 }
 
-// TrimChanges bounds the changes that a follower keeps for its own followers.
+// TrimChanges bounds the number of retained changes, which serve the history and followers.
 func (t *Tree) TrimChanges() {
-	if len(t.Changes) > keptChanges {
-		t.Changes = slices.Clone(t.Changes[len(t.Changes)-keptChanges/2:])
+	if len(t.Changes) > maxChanges {
+		t.Changes = slices.Clone(t.Changes[len(t.Changes)-maxChanges/2:])
 	}
 }
 
-// ChangesSince returns the accepted changes after a revision; false where the oldest
-// of them is no longer kept, so that the follower needs a snapshot.
+// ChangesSince returns the accepted changes after a revision. It returns false if some of them
+// are no longer retained or the revision is higher than the current one, so that the follower
+// needs a snapshot.
 func (t *Tree) ChangesSince(revision uint64) ([]AcceptedChange, bool) {
 	if revision > t.state.Revision {
 		return nil, false
 	}
-	missing := int(t.state.Revision - revision)
-	if missing > len(t.Changes) {
+	count := int(t.state.Revision - revision)
+	if count > len(t.Changes) {
 		return nil, false
 	}
-	return t.Changes[len(t.Changes)-missing:], true
+	return t.Changes[len(t.Changes)-count:], true
 }
 
-// History returns the kept changes that touched a path, newest last; "/" and
-// "" give all.
+// History returns the retained changes that affect a path, newest last; for "/" and "" it
+// returns all.
 func (t *Tree) History(path string) []AcceptedChange {
 	var found []AcceptedChange
 	for _, accepted := range t.Changes {
@@ -247,7 +249,7 @@
 	return found
 }
 
-// Get returns a node as it was set.
+// Get returns a node with only its own fields, without inheritance.
 func (t *Tree) Get(path string) (Node, bool) {
 	node, ok := t.Nodes[path]
 	if !ok {
@@ -256,11 +258,11 @@
 	return *node, true
 }
 
-// Paths returns the paths of the nodes below a prefix, in ascending order.
+// Paths returns the paths of the nodes at and below a prefix, in ascending order.
 func (t *Tree) Paths(prefix string) []string {
 	var paths []string
 	for path := range t.Nodes {
-		if isBelow(path, prefix) {
+		if isWithin(path, prefix) {
 			paths = append(paths, path)
 		}
 	}
@@ -268,14 +270,14 @@
 	return paths
 }
 
-func isBelow(path, prefix string) bool {
+func isWithin(path, prefix string) bool {
 	return prefix == "/" || path == prefix || strings.HasPrefix(path, prefix+"/")
 }
 
-// EffectiveFields returns the node's fields with all that it inherits. A path that
-// has no node of its own inherits everything.
+// EffectiveFields returns the fields of a path including all inherited ones. A path without a
+// node inherits every field.
 func (t *Tree) EffectiveFields(path string) Fields {
-	return effective(t.lookup, path)
+	return effectiveFields(t.lookup, path)
 }
 
 func (t *Tree) lookup(path string) (Fields, bool) {
@@ -286,9 +288,9 @@
 	return node.Fields, true
 }
 
-func effective(lookup func(string) (Fields, bool), path string) Fields {
+func effectiveFields(lookup func(string) (Fields, bool), path string) Fields {
 	fields := Defaults()
-	for _, ancestor := range ancestry(path) {
+	for _, ancestor := range pathWithAncestors(path) {
 		if own, ok := lookup(ancestor); ok {
 			fields = overlay(fields, own)
 		}
@@ -296,8 +298,8 @@
 	return fields
 }
 
-// ancestry returns a path and all above it, the root first.
-func ancestry(path string) []string {
+// pathWithAncestors returns a path and all its ancestors, the root first.
+func pathWithAncestors(path string) []string {
 	paths := []string{"/"}
 	for position, character := range path {
 		if character == '/' && position > 0 {
@@ -312,15 +314,15 @@
 
 var pathPattern = regexp.MustCompile(`^/([A-Za-z0-9_.-]+(/[A-Za-z0-9_.-]+)*)?$`)
 
-// Validate validates a change against the tree as a whole and changes nothing. It
-// returns the node that won where a version is older than the tree's.
+// Validate validates a change against the whole tree without applying it. If a node's version is
+// not the current one, it returns the current node along with the error.
 func (t *Tree) Validate(change Change) (*Node, *result.Error) {
 	if change.Operator == "" || len(change.Nodes) == 0 || len(change.Nodes) > maxNodesPerChange {
 		return nil, result.New(result.SettingsInvalid, "a change needs an operator and 1 to %d nodes", maxNodesPerChange)
 	}
 	changed := map[string]NodeChange{}
 	for _, node := range change.Nodes {
-		if err := t.checkNode(node); err != nil {
+		if err := t.validateNode(node); err != nil {
 			return nil, err
 		}
 		if winner, ok := t.versionConflict(node); ok {
@@ -328,10 +330,10 @@
 		}
 		changed[node.Path] = node
 	}
-	return nil, t.checkReferences(changed)
+	return nil, t.validateReferences(changed)
 }
 
-func (t *Tree) checkNode(node NodeChange) *result.Error {
+func (t *Tree) validateNode(node NodeChange) *result.Error {
 	if !pathPattern.MatchString(node.Path) || strings.Count(node.Path, "/") > maxPathDepth {
 		return result.New(result.SettingsInvalid, "%q is not a path", node.Path)
 	}
@@ -341,7 +343,7 @@
 	if node.Delete && len(t.Paths(node.Path)) > 1 {
 		return result.New(result.SettingsInvalid, "%s: has children", node.Path)
 	}
-	if err := node.Fields.check(); err != nil {
+	if err := node.Fields.validate(); err != nil {
 		return result.New(result.SettingsInvalid, "%s: %v", node.Path, err)
 	}
 	return nil
@@ -358,17 +360,17 @@
 	return current, current.Version != node.Version
 }
 
-// checkReferences holds every service to a pool, and every pool to a model, as
-// they would be after the change.
-func (t *Tree) checkReferences(changed map[string]NodeChange) *result.Error {
+// validateReferences checks that, after the change, every service would have an existing pool
+// and every pool a model.
+func (t *Tree) validateReferences(changed map[string]NodeChange) *result.Error {
 	lookup := func(path string) (Fields, bool) {
 		if node, ok := changed[path]; ok {
 			return node.Fields, !node.Delete
 		}
 		return t.lookup(path)
 	}
-	for _, path := range t.pathsAfter(changed, "/services") {
-		pool := effective(lookup, path).Pool
+	for _, path := range t.childPathsAfter(changed, "/services") {
+		pool := effectiveFields(lookup, path).Pool
 		if pool == nil {
 			return result.New(result.SettingsInvalid, "%s: field pool: a service needs one", path)
 		}
@@ -376,8 +378,8 @@
 			return result.New(result.SettingsInvalid, "%s: field pool: there is no /pools/%s", path, *pool)
 		}
 	}
-	for _, path := range t.pathsAfter(changed, "/pools") {
-		model := effective(lookup, path).Model
+	for _, path := range t.childPathsAfter(changed, "/pools") {
+		model := effectiveFields(lookup, path).Model
 		if model == nil || *model == "" {
 			return result.New(result.SettingsInvalid, "%s: field model: a pool needs one", path)
 		}
@@ -385,8 +387,8 @@
 	return nil
 }
 
-// pathsAfter lists the children of a branch as they would be after the change.
-func (t *Tree) pathsAfter(changed map[string]NodeChange, branch string) []string {
+// childPathsAfter returns the paths of the children that a branch would have after the change.
+func (t *Tree) childPathsAfter(changed map[string]NodeChange, branch string) []string {
 	var paths []string
 	for _, name := range t.Children(branch) {
 		path := branch + "/" + name
@@ -404,7 +406,7 @@
 	return paths
 }
 
-// Children returns the names right below a branch of the root.
+// Children returns the names of the direct children of a branch.
 func (t *Tree) Children(branch string) []string {
 	var names []string
 	for path := range t.Nodes {
@@ -417,8 +419,7 @@
 	return names
 }
 
-// snapshot is the encoded form of a tree, in an order that is the same on every
-// replica.
+// snapshot is the encoded form of a tree. Its order is the same on every replica.
 type snapshot struct {
 	Revision  uint64           `msgpack:"r"`
 	Nodes     []*Node          `msgpack:"n"`
@@ -428,8 +429,8 @@
 }
 
 type operatorState struct {
-	Name    string     `msgpack:"n"`
-	Changes []numbered `msgpack:"c"`
+	Name    string          `msgpack:"n"`
+	Changes []recordedReply `msgpack:"c"`
 }
 
 // Snapshot encodes the tree.
@@ -445,7 +446,7 @@
 	return msgpack.Marshal(&encoded)
 }
 
-// Restore replaces the tree by a snapshot; empty data gives an empty tree.
+// Restore replaces the tree by a snapshot; empty data results in an empty tree.
 func (t *Tree) Restore(data []byte) error {
 	var encoded snapshot
 	if len(data) > 0 {
@@ -453,22 +454,22 @@
 			return fmt.Errorf("settings: %w", err)
 		}
 	}
-	fresh := NewTree().state
-	fresh.Revision = encoded.Revision
-	fresh.Changes = encoded.Changes
-	fresh.Routing = encoded.Routing
+	restored := NewTree().state
+	restored.Revision = encoded.Revision
+	restored.Changes = encoded.Changes
+	restored.Routing = encoded.Routing
 	for _, node := range encoded.Nodes {
-		fresh.Nodes[node.Path] = node
+		restored.Nodes[node.Path] = node
 	}
 	for _, operator := range encoded.Operators {
-		fresh.Operators[operator.Name] = operator.Changes
+		restored.Operators[operator.Name] = operator.Changes
 	}
-	t.state = fresh
+	t.state = restored
 	return nil
 }
 
-// FollowerState encodes what a daemon needs that follows the tree: its nodes
-// and revision without the changes and operators.
+// FollowerState encodes the part of the tree that follower processes need: its nodes and
+// revision, without the changes and operators.
 func (t *Tree) FollowerState() ([]byte, error) {
 	follower := Tree{state: state{Revision: t.state.Revision, Nodes: t.Nodes}}
 	return follower.Snapshot()
--- a/internal/settings/tree_test.go
+++ b/internal/settings/tree_test.go
@@ -10,7 +10,7 @@
 	"github.com/ochrebay/ochrebay/internal/result"
 )
 
-func base() *Tree {
+func baseTree() *Tree {
 	tree := NewTree()
 	tree.Apply(Change{Operator: "setup", Number: 1, Nodes: []NodeChange{
 		{Path: "/pools/agents", Fields: Fields{Model: pointer("m")}},
@@ -19,36 +19,36 @@
 	return tree
 }
 
-func setRank(operator string, number, version uint64, path string, rank int64) Change {
-	return Change{Operator: operator, Number: number, Nodes: []NodeChange{{Path: path, Version: version, Fields: Fields{Priority: &rank, Pool: pointer("agents")}}}}
+func setPriority(operator string, number, version uint64, path string, priority int64) Change {
+	return Change{Operator: operator, Number: number, Nodes: []NodeChange{{Path: path, Version: version, Fields: Fields{Priority: &priority, Pool: pointer("agents")}}}}
 }
 
 func TestTree(t *testing.T) {
-	Convey("a child inherits what it doesn't set", t, func() {
-		tree := base()
+	Convey("a child inherits the fields that it doesn't set", t, func() {
+		tree := baseTree()
 		So(*tree.EffectiveFields("/services/triage/night").Priority, ShouldEqual, 2)
 		So(*tree.EffectiveFields("/services/other").Priority, ShouldEqual, 5)
 		So(tree.Apply(Change{Operator: "a", Number: 1, Nodes: []NodeChange{{Path: "/", Fields: Fields{MaxTurns: pointer(int64(9))}}}}).Error, ShouldBeNil)
 		So(*tree.EffectiveFields("/services/triage").MaxTurns, ShouldEqual, 9)
 	})
-	Convey("a resent change gets the first answer, and another under its number a conflict", t, func() {
-		tree := base()
-		first := tree.Apply(setRank("a", 7, 1, "/services/triage", 3))
+	Convey("a resent change receives the first reply, and a different change with the same number is rejected", t, func() {
+		tree := baseTree()
+		first := tree.Apply(setPriority("a", 7, 1, "/services/triage", 3))
 		So(first.Error, ShouldBeNil)
-		So(tree.Apply(setRank("a", 7, 1, "/services/triage", 3)), ShouldResemble, first)
-		So(tree.Apply(setRank("a", 7, 2, "/services/triage", 4)).Error.Code, ShouldEqual, result.ChangeNumberReuse)
+		So(tree.Apply(setPriority("a", 7, 1, "/services/triage", 3)), ShouldResemble, first)
+		So(tree.Apply(setPriority("a", 7, 2, "/services/triage", 4)).Error.Code, ShouldEqual, result.ChangeNumberReuse)
 		So(tree.Revision(), ShouldEqual, first.Revision)
 	})
-	Convey("of two operators with the same version and number one wins and is shown", t, func() {
-		tree := base()
-		So(tree.Apply(setRank("a", 7, 1, "/services/triage", 3)).Error, ShouldBeNil)
-		lost := tree.Apply(setRank("b", 7, 1, "/services/triage", 4))
-		So(lost.Error.Code, ShouldEqual, result.SettingsConflict)
-		So(lost.Winner.Operator, ShouldEqual, "a")
+	Convey("of two operators with the same version and number one wins, and the other receives the winner", t, func() {
+		tree := baseTree()
+		So(tree.Apply(setPriority("a", 7, 1, "/services/triage", 3)).Error, ShouldBeNil)
+		conflict := tree.Apply(setPriority("b", 7, 1, "/services/triage", 4))
+		So(conflict.Error.Code, ShouldEqual, result.SettingsConflict)
+		So(conflict.Winner.Operator, ShouldEqual, "a")
 	})
-	Convey("an invalid change changes nothing and names path and field", t, func() {
-		tree := base()
-		bad := []Change{
+	Convey("an invalid change has no effect, and an unknown field is named in the error", t, func() {
+		tree := baseTree()
+		invalid := []Change{
 			{Operator: "a", Number: 1, Nodes: []NodeChange{{Path: "/services/x", Fields: Fields{Pool: pointer("nowhere")}}}},
 			{Operator: "a", Number: 2, Nodes: []NodeChange{{Path: "/pools/agents", Version: 1, Delete: true}}},
 			{Operator: "a", Number: 3, Nodes: []NodeChange{{Path: "/pools/b"}}},
@@ -57,7 +57,7 @@
 			{Operator: "a", Number: 6},
 			{Operator: "a", Number: 7, Nodes: []NodeChange{{Path: "/", Delete: true}}},
 		}
-		for _, change := range bad {
+		for _, change := range invalid {
 			reply := tree.Apply(change)
 			So(reply.Error, ShouldNotBeNil)
 			So(reply.Error.Code, ShouldEqual, result.SettingsInvalid)
@@ -66,8 +66,8 @@
 		_, err := ParseFields([]byte(`{"rnak": 3}`))
 		So(err.Error(), ShouldContainSubstring, "rnak")
 	})
-	Convey("a follower takes each change once, in order, and nothing older", t, func() {
-		tree := base()
+	Convey("a follower applies each change once, in order, and rejects older ones", t, func() {
+		tree := baseTree()
 		follower := NewTree()
 		changes, ok := tree.ChangesSince(0)
 		So(ok, ShouldBeTrue)
@@ -77,13 +77,14 @@
 	})
 }
 
-// TestRaces: whatever operators send and resend, in any order, each number of
-// each operator takes effect at most once and versions only grow.
-func TestRaces(t *testing.T) {
+// TestConcurrentOperators checks that each number of each operator takes effect at most once,
+// whatever operators send and resend in any order, and that followers and restored trees reach
+// the same state.
+func TestConcurrentOperators(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		tree := base()
+		tree := baseTree()
 		follower := NewTree()
-		effects := map[string]uint64{}
+		appliedRevisions := map[string]uint64{}
 		var sent []Change
 		for range rapid.IntRange(1, 60).Draw(t, "changes") {
 			var change Change
@@ -93,7 +94,7 @@
 				path := rapid.SampledFrom([]string{"/services/triage", "/services/b"}).Draw(t, "path")
 				node, _ := tree.Get(path)
 				version := node.Version - uint64(rapid.IntRange(0, 1).Draw(t, "staleness"))
-				change = setRank(rapid.SampledFrom([]string{"a", "b"}).Draw(t, "operator"),
+				change = setPriority(rapid.SampledFrom([]string{"a", "b"}).Draw(t, "operator"),
 					uint64(rapid.IntRange(1, 12).Draw(t, "number")), version, path, int64(rapid.IntRange(0, 9).Draw(t, "rank")))
 			}
 			sent = append(sent, change)
@@ -101,27 +102,27 @@
 			reply := tree.Apply(change)
 			key := fmt.Sprint(change.Operator, change.Number)
 			if tree.Revision() != before {
-				if effects[key] != 0 {
+				if appliedRevisions[key] != 0 {
 					t.Fatalf("%s took effect twice", key)
 				}
-				effects[key] = reply.Revision
+				appliedRevisions[key] = reply.Revision
 			}
-			if reply.Error == nil && effects[key] != reply.Revision {
-				t.Fatalf("%s was answered with revision %d, in force is %d", key, reply.Revision, effects[key])
+			if reply.Error == nil && appliedRevisions[key] != reply.Revision {
+				t.Fatalf("%s received revision %d in its reply, but took effect at revision %d", key, reply.Revision, appliedRevisions[key])
 			}
 		}
 		changes, ok := tree.ChangesSince(0)
 		if !ok {
-			t.Fatal("changes are missing")
+			t.Fatal("accepted changes are missing")
 		}
 		for _, accepted := range changes {
 			if !follower.ApplyAccepted(accepted) {
-				t.Fatal("follower refused a change in order")
+				t.Fatal("the follower rejected a change in order")
 			}
 		}
-		own, _ := tree.FollowerState()
-		other, _ := follower.FollowerState()
-		if string(own) != string(other) {
+		leaderState, _ := tree.FollowerState()
+		followerState, _ := follower.FollowerState()
+		if string(leaderState) != string(followerState) {
 			t.Fatal("the follower's tree differs")
 		}
 		data, _ := tree.Snapshot()
@@ -129,8 +130,8 @@
 		if err := restored.Restore(data); err != nil {
 			t.Fatal(err)
 		}
-		again, _ := restored.Snapshot()
-		if string(again) != string(data) {
+		restoredData, _ := restored.Snapshot()
+		if string(restoredData) != string(data) {
 			t.Fatal("a restored tree differs from its snapshot")
 		}
 	})
