--- a/internal/reconcile/planner.go
+++ b/internal/reconcile/planner.go
@@ -1,13 +1,14 @@
 package reconcile
 
-// Fence orders the orders for one engine: first by owner epoch, then by settings
-// revision. An engine refuses an order whose fence is lower than its highest.
+// Fence is the fencing token of an order to an engine. Fences are compared first by owner epoch,
+// then by settings revision. An engine rejects an order whose fence is lower than the highest one
+// it has accepted.
 type Fence struct {
 	Epoch    uint64 `json:"epoch"`
 	Revision uint64 `json:"revision"`
 }
 
-// Less reports whether f comes before other.
+// Less reports whether f is lower than other.
 func (f Fence) Less(other Fence) bool {
 	if f.Epoch != other.Epoch {
 		return f.Epoch < other.Epoch
@@ -15,7 +16,7 @@
 	return f.Revision < other.Revision
 }
 
-// Target is what an engine should serve, or serves.
+// Target describes the model that an engine serves or should serve.
 type Target struct {
 	Model   string `json:"model"`
 	Adapter string `json:"adapter"`
@@ -23,7 +24,7 @@
 	Role    string `json:"role"`
 }
 
-// ObservedEngine is what the planner knows of one engine.
+// ObservedEngine is the state of an engine as observed by its scheduler.
 type ObservedEngine struct {
 	Name      string
 	Pool      string
@@ -32,30 +33,30 @@
 	IsLeaving bool
 	InFlight  int
 	Fence     Fence
-	// HasPermit says that the engine holds a permit; Draining that it takes no new
-	// work already.
+	// HasPermit means that the engine has a permit to load; IsDraining means that it receives no
+	// new work.
 	HasPermit  bool
 	IsDraining bool
 }
 
-// StepKind is what to do next with an engine.
+// StepKind is the next step for an engine.
 type StepKind uint8
 
-// The steps of bringing one engine into line, in their order.
+// The steps that bring an engine to its target, in the order in which they are taken.
 const (
-	// StepNone leaves the engine alone.
+	// StepNone means that there is nothing to do now.
 	StepNone StepKind = iota
-	// StepPermit asks the leader for a permit.
+	// StepPermit requests a permit from the leader of the settings group.
 	StepPermit
-	// StepDrain stops new work to the engine.
+	// StepDrain stops sending new work to the engine.
 	StepDrain
 	// StepOrder sends the fenced order.
 	StepOrder
-	// StepRelease gives the permit back and lets work in again.
+	// StepRelease returns the permit and resumes sending work to the engine.
 	StepRelease
 )
 
-// NextStep returns the next step that brings an engine to its target.
+// NextStep returns the next step for bringing an engine to its target.
 func NextStep(observed ObservedEngine, target Target) StepKind {
 	if observed.Current == target && !observed.IsLoading {
 		if observed.HasPermit || observed.IsDraining {
--- a/internal/reconcile/reconcile_test.go
+++ b/internal/reconcile/reconcile_test.go
@@ -7,9 +7,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestFloorHolds: engines that load under permits, in any interleaving of asking,
-// loading and crashing, never leave fewer ready than the pool's floor.
-func TestFloorHolds(t *testing.T) {
+// TestReadyFloorIsKept checks that engines that load with permits, in any interleaving of requests,
+// loads and crashes, never reduce the number of ready engines below the pool's floor.
+func TestReadyFloorIsKept(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		engines := rapid.IntRange(1, 8).Draw(t, "engines")
 		floor := rapid.IntRange(0, 9).Draw(t, "floor")
@@ -26,28 +26,28 @@
 				permits.Release(name)
 				continue
 			}
-			// Reports lag: an engine that holds a permit may still be counted as ready.
+			// Reports are delayed: an engine that has a permit may still be counted as ready.
 			limits.ReadyEngines = engines - rapid.IntRange(0, len(loading)).Draw(t, "seen loading")
 			if !permits.Grant(name, "p", limits, nowMs) {
 				continue
 			}
 			if nowMs < InitialGrantDelayMs {
-				t.Fatalf("a grant %d ms after the leader began", nowMs)
+				t.Fatalf("a permit was granted %d ms after the leader was elected", nowMs)
 			}
 			loading[number] = true
 			if ready := engines - len(loading); ready < min(floor, engines-1) {
-				t.Fatalf("%d of %d engines ready, the floor is %d", ready, engines, floor)
+				t.Fatalf("%d of %d engines are ready, the floor is %d", ready, engines, floor)
 			}
 			if len(loading) > limits.MaxConcurrentLoads {
-				t.Fatalf("%d load at once, %d may", len(loading), limits.MaxConcurrentLoads)
+				t.Fatalf("%d engines load concurrently, the limit is %d", len(loading), limits.MaxConcurrentLoads)
 			}
 		}
 	})
 }
 
-// TestPlanOrder: an engine is never ordered before it has a permit, is closed to
-// new work and is empty, and is let in again once it serves its target.
-func TestPlanOrder(t *testing.T) {
+// TestStepOrder checks that an engine receives an order only when it has a permit, is draining and
+// has no request in flight, and that it is released when it serves its target.
+func TestStepOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		target := Target{Model: "m", Version: "2"}
 		observed := ObservedEngine{
@@ -56,15 +56,15 @@
 			InFlight: rapid.IntRange(0, 2).Draw(t, "in flight"), HasPermit: rapid.Bool().Draw(t, "permit"), IsDraining: rapid.Bool().Draw(t, "draining"),
 		}
 		step := NextStep(observed, target)
-		serves := observed.Current == target && !observed.IsLoading
-		ready := observed.HasPermit && observed.IsDraining && observed.InFlight == 0 && !observed.IsLoading && !observed.IsLeaving
+		atTarget := observed.Current == target && !observed.IsLoading
+		mayOrder := observed.HasPermit && observed.IsDraining && observed.InFlight == 0 && !observed.IsLoading && !observed.IsLeaving
 		switch {
-		case step == StepOrder && (serves || !ready):
-			t.Fatalf("ordered: %+v", observed)
-		case serves && step != StepNone && step != StepRelease:
-			t.Fatalf("disturbed though it serves its target: %+v: %d", observed, step)
-		case serves && (observed.HasPermit || observed.IsDraining) && step != StepRelease:
-			t.Fatalf("kept out: %+v", observed)
+		case step == StepOrder && (atTarget || !mayOrder):
+			t.Fatalf("an order was sent too early or to an engine at its target: %+v", observed)
+		case atTarget && step != StepNone && step != StepRelease:
+			t.Fatalf("step other than release for an engine at its target: %+v: %d", observed, step)
+		case atTarget && (observed.HasPermit || observed.IsDraining) && step != StepRelease:
+			t.Fatalf("an engine at its target was not released: %+v", observed)
 		}
 	})
 }
