--- a/internal/telemetry/sink.go
+++ b/internal/telemetry/sink.go
@@ -12,28 +12,28 @@
 )
 
 const (
-	// queuedLines bounds the lines that wait to be written, and batchBytes what one
-	// write takes of them.
-	queuedLines = 4096
-	batchBytes  = 32 << 10
-	// keptOneIn is the share of calm requests whose lines are written while the queue
-	// is more than half full: one in so many, the same ids in every process.
-	keptOneIn = 8
+	// maxQueuedLines bounds the lines queued for writing, and maxBatchBytes the size from which
+	// on a batch takes no further lines.
+	maxQueuedLines = 4096
+	maxBatchBytes  = 32 << 10
+	// sampleOneIn is the sampling rate for successful requests while the queue is at least half
+	// full: the lines of one request in sampleOneIn are written, the same ids in every process.
+	sampleOneIn = 8
 )
 
-// LogSink writes lines in the background. A caller never waits: where the queue is full
-// a line is dropped and counted, and the number is written once there is room.
+// LogSink writes log lines in the background. Callers never block: if the queue is full, a line is
+// dropped and counted, and the count is logged when lines can be written again.
 type LogSink struct {
-	lines   chan []byte
-	flush   chan chan struct{}
-	dropped atomic.Int64
-	thinned atomic.Int64
-	once    sync.Once
+	lines      chan []byte
+	flush      chan chan struct{}
+	dropped    atomic.Int64
+	sampledOut atomic.Int64
+	flushOnce  sync.Once
 }
 
-// NewLogSink returns a sink before a writer that may be slow or stuck.
+// NewLogSink returns a sink that writes to writer, which may be slow or blocked.
 func NewLogSink(writer io.Writer) *LogSink {
-	sink := &LogSink{lines: make(chan []byte, queuedLines), flush: make(chan chan struct{})}
+	sink := &LogSink{lines: make(chan []byte, maxQueuedLines), flush: make(chan chan struct{})}
 	go sink.run(writer)
 	return sink
 }
@@ -48,14 +48,14 @@
 	return len(line), nil
 }
 
-// Dropped returns how many lines found the queue full, and Thinned how many of calm
-// requests were left out before that.
+// Dropped returns the number of lines that were dropped because the queue was full.
 func (s *LogSink) Dropped() int64 { return s.dropped.Load() }
 
-// SampledOut returns how many lines of calm requests were left out.
-func (s *LogSink) SampledOut() int64 { return s.thinned.Load() }
+// SampledOut returns the number of lines of successful requests that were left out by sampling
+// and so never reached the queue.
+func (s *LogSink) SampledOut() int64 { return s.sampledOut.Load() }
 
-// Flush waits until what is queued has been written; the writer must not be stuck.
+// Flush waits until all queued lines have been written; the writer must not be blocked.
 func (s *LogSink) Flush() {
 	done := make(chan struct{})
 	s.flush <- done
@@ -63,34 +63,34 @@
 }
 
 func (s *LogSink) run(writer io.Writer) {
-	told := int64(0)
+	reportedDrops := int64(0)
 	var batch []byte
 	for {
 		batch = batch[:0]
-		var waiting chan struct{}
+		var flushed chan struct{}
 		select {
 		case line := <-s.lines:
 			batch = append(batch, line...)
-		case waiting = <-s.flush:
+		case flushed = <-s.flush:
 		}
-		batch = s.gather(batch)
-		if dropped := s.dropped.Load(); dropped != told {
-			batch = fmt.Appendf(batch, "level=warn msg=\"log lines dropped\" count=%d total=%d\n", dropped-told, dropped)
-			told = dropped
+		batch = s.appendQueued(batch)
+		if dropped := s.dropped.Load(); dropped != reportedDrops {
+			batch = fmt.Appendf(batch, "level=warn msg=\"log lines dropped\" count=%d total=%d\n", dropped-reportedDrops, dropped)
+			reportedDrops = dropped
 		}
 		_, _ = writer.Write(batch)
-		if waiting != nil {
+		if flushed != nil {
 			for len(s.lines) > 0 {
-				_, _ = writer.Write(s.gather(nil))
+				_, _ = writer.Write(s.appendQueued(nil))
 			}
-			close(waiting)
+			close(flushed)
 		}
 	}
 }
 
-// gather appends the lines that wait already.
-func (s *LogSink) gather(batch []byte) []byte {
-	for len(batch) < batchBytes {
+// appendQueued appends queued lines to batch until it has maxBatchBytes or the queue is empty.
+func (s *LogSink) appendQueued(batch []byte) []byte {
+	for len(batch) < maxBatchBytes {
 		select {
 		case line := <-s.lines:
 			batch = append(batch, line...)
@@ -101,45 +101,47 @@
 	return batch
 }
 
-// keeps reports whether the line of a calm request is to be written.
-func (s *LogSink) keeps(request string) bool {
-	if len(s.lines) < queuedLines/2 || xxhash.Sum64String(request)%keptOneIn == 0 {
+// shouldLog reports whether the line of a successful request is to be written.
+func (s *LogSink) shouldLog(request string) bool {
+	if len(s.lines) < maxQueuedLines/2 || xxhash.Sum64String(request)%sampleOneIn == 0 {
 		return true
 	}
-	s.thinned.Add(1)
+	s.sampledOut.Add(1)
 	return false
 }
 
-// processSink is the sink of this process's log, nil before it is made.
-var processSink atomic.Pointer[LogSink]
+// processLogSink is the sink of this process's log, nil before SetLogOutput.
+var processLogSink atomic.Pointer[LogSink]
 
-// SetLogOutput makes the sink of this process's log.
+// SetLogOutput creates the sink of this process's log.
 func SetLogOutput(writer io.Writer) *LogSink {
 	sink := NewLogSink(writer)
-	processSink.Store(sink)
+	processLogSink.Store(sink)
 	return sink
 }
 
-// FlushLog waits until this process's log has been written.
+// FlushLog waits, at its first call, until this process's queued log lines have been written.
 func FlushLog() {
-	if sink := processSink.Load(); sink != nil {
-		sink.once.Do(sink.Flush)
+	if sink := processLogSink.Load(); sink != nil {
+		sink.flushOnce.Do(sink.Flush)
 	}
 }
 
-// LostLogLines returns how many lines of this process's log were dropped and thinned.
-func LostLogLines() (dropped, thinned int64) {
-	sink := processSink.Load()
+// LostLogLines returns the numbers of lines of this process's log that were dropped and that were
+// left out by sampling.
+func LostLogLines() (dropped, sampledOut int64) {
+	sink := processLogSink.Load()
 	if sink == nil {
 		return 0, 0
 	}
 	return sink.Dropped(), sink.SampledOut()
 }
 
-// InfoSampled logs an event of a request that went well. Under load such lines are left out
-// first, by the request's id, so that what is kept of a request is whole.
+// InfoSampled logs an event of a successful request. Under load such lines are sampled by the
+// request's id before any other line is dropped, so that the lines of a sampled request are
+// complete.
 func InfoSampled(logger log.Logger, request, message string, keyValues ...any) {
-	if sink := processSink.Load(); sink != nil && !sink.keeps(request) {
+	if sink := processLogSink.Load(); sink != nil && !sink.shouldLog(request) {
 		return
 	}
 	Info(logger, message, keyValues...)
--- a/internal/telemetry/sink_test.go
+++ b/internal/telemetry/sink_test.go
@@ -9,8 +9,8 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-func TestSink(t *testing.T) {
-	Convey("lines arrive whole and in order", t, func() {
+func TestLogSink(t *testing.T) {
+	Convey("lines are written completely and in order", t, func() {
 		var buffer bytes.Buffer
 		sink := NewLogSink(&buffer)
 		for number := range 1000 {
@@ -20,23 +20,23 @@
 		So(strings.Count(buffer.String(), "\n"), ShouldEqual, 1000)
 		So(sink.Dropped(), ShouldEqual, 0)
 	})
-	Convey("a pipe that nobody reads holds nobody up; what was lost is counted and told", t, func() {
+	Convey("a pipe that is not read blocks no caller, and lost lines are counted and logged", t, func() {
 		reader, writer, err := os.Pipe()
 		So(err, ShouldBeNil)
 		sink := NewLogSink(writer)
 		line := []byte(strings.Repeat("y", 200) + "\n")
-		for range 3 * queuedLines {
+		for range 3 * maxQueuedLines {
 			_, _ = sink.Write(line)
 		}
 		So(sink.Dropped(), ShouldBeGreaterThan, 0)
-		kept := 0
+		logged := 0
 		for number := range 800 {
-			if sink.keeps(strings.Repeat("r", number)) {
-				kept++
+			if sink.shouldLog(strings.Repeat("r", number)) {
+				logged++
 			}
 		}
-		So(kept, ShouldBeBetween, 20, 300)
-		So(sink.SampledOut(), ShouldEqual, 800-kept)
+		So(logged, ShouldBeBetween, 20, 300)
+		So(sink.SampledOut(), ShouldEqual, 800-logged)
 		lines := make(chan string, 1)
 		go func() {
 			var all bytes.Buffer
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -1,5 +1,4 @@
-// Package telemetry gives every daemon its logfmt events, its metrics and the
-// three HTTP paths by which it is watched.
+// Package telemetry provides logfmt logging, metrics and the monitoring endpoints of all daemons.
 package telemetry
 
 import (
@@ -19,25 +18,25 @@
 	"github.com/ochrebay/ochrebay/internal/protocol"
 )
 
-// NewLogger returns a logger that writes one logfmt line an event, with the
-// constant keys ts, level, component, process, msg and err.
+// NewLogger returns a logger that writes one logfmt line for each event at or above the minimum
+// level, with the constant keys ts, level, component, process, msg and err.
 func NewLogger(writer io.Writer, component, process, minimum string) log.Logger {
 	logger := log.NewLogfmtLogger(writer)
 	logger = level.NewFilter(logger, level.Allow(level.ParseDefault(minimum, level.InfoValue())))
 	return log.With(logger, "ts", log.DefaultTimestampUTC, "component", component, "process", process)
 }
 
-// Info logs an event that operators may want to see.
+// Info logs an event at level info, for events of interest to operators.
 func Info(logger log.Logger, message string, keyValues ...any) {
 	_ = level.Info(logger).Log(append([]any{"msg", message}, keyValues...)...)
 }
 
-// Warn logs an event that operators should see.
+// Warn logs an event at level warn, for events that need the attention of operators.
 func Warn(logger log.Logger, message string, keyValues ...any) {
 	_ = level.Warn(logger).Log(append([]any{"msg", message}, keyValues...)...)
 }
 
-// Debug logs an event of one call.
+// Debug logs an event at level debug, for events of single calls.
 func Debug(logger log.Logger, message string, keyValues ...any) {
 	_ = level.Debug(logger).Log(append([]any{"msg", message}, keyValues...)...)
 }
@@ -45,15 +44,15 @@
 // Monitor serves /metrics, /healthz and /readyz.
 type Monitor struct {
 	Registry *prometheus.Registry
-	ready    func() bool
+	isReady  func() bool
 	metrics  fasthttp.RequestHandler
-	// views answer operators in JSON, by path.
+	// views are the JSON views for operators, by path.
 	views map[string]func() any
 }
 
-// NewMonitor returns a monitor with the process's own metrics; ready tells
-// whether the daemon can do its work.
-func NewMonitor(ready func() bool) *Monitor {
+// NewMonitor returns a monitor with the metrics of the process; isReady reports whether the daemon
+// can do its work.
+func NewMonitor(isReady func() bool) *Monitor {
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	counter := func(name, help string, value func() int64) {
@@ -67,16 +66,16 @@
 	counter("inner_messages_received_total", "Messages received over the inner protocol.", protocol.Traffic.MessagesIn.Load)
 	counter("inner_messages_dropped_total", "One-way messages that a full queue did not take.", protocol.Traffic.Dropped.Load)
 	counter("log_lines_dropped_total", "Log lines that found the queue full.", func() int64 { dropped, _ := LostLogLines(); return dropped })
-	counter("log_lines_thinned_total", "Log lines of calm requests left out under load.", func() int64 { _, thinned := LostLogLines(); return thinned })
+	counter("log_lines_thinned_total", "Log lines of calm requests left out under load.", func() int64 { _, sampledOut := LostLogLines(); return sampledOut })
 	handler := promhttp.HandlerFor(registry, promhttp.HandlerOpts{})
-	return &Monitor{Registry: registry, ready: ready, metrics: fasthttpadaptor.NewFastHTTPHandler(handler), views: map[string]func() any{}}
+	return &Monitor{Registry: registry, isReady: isReady, metrics: fasthttpadaptor.NewFastHTTPHandler(handler), views: map[string]func() any{}}
 }
 
-// RegisterView has a path answer operators with what view returns; it is called before the first request
-// is served.
+// RegisterView makes a path respond with the result of view as JSON. It must be called before the
+// first request is served.
 func (m *Monitor) RegisterView(path string, view func() any) { m.views[path] = view }
 
-// Handler serves the monitor's paths for processes that use net/http.
+// Handler returns a net/http handler for the monitor's paths.
 func (m *Monitor) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("/metrics", promhttp.HandlerFor(m.Registry, promhttp.HandlerOpts{}))
@@ -88,7 +87,7 @@
 	}
 	mux.HandleFunc("/healthz", func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok\n") })
 	mux.HandleFunc("/readyz", func(w http.ResponseWriter, _ *http.Request) {
-		if !m.ready() {
+		if !m.isReady() {
 			http.Error(w, "not ready", http.StatusServiceUnavailable)
 			return
 		}
@@ -97,10 +96,10 @@
 	return mux
 }
 
-// latencyBuckets are in seconds, from what a hop costs to what callers give up at.
+// latencyBuckets are in seconds, from the latency of a network hop to the timeouts of callers.
 var latencyBuckets = []float64{.001, .0025, .005, .01, .025, .05, .1, .25, .5, 1, 2.5, 5, 10}
 
-// RegisterLatencyHistogram registers a histogram of seconds with labels.
+// RegisterLatencyHistogram registers a histogram in seconds with labels.
 func (m *Monitor) RegisterLatencyHistogram(name, help string, labels ...string) *prometheus.HistogramVec {
 	histogram := prometheus.NewHistogramVec(prometheus.HistogramOpts{
 		Namespace: "ochrebay", Name: name, Help: help, Buckets: latencyBuckets,
@@ -109,7 +108,7 @@
 	return histogram
 }
 
-// RegisterGauge registers a metric whose value is read when it is asked for.
+// RegisterGauge registers a gauge whose value is read at each scrape.
 func (m *Monitor) RegisterGauge(name, help string, value func() float64) {
 	m.Registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: "ochrebay", Name: name, Help: help}, value))
 }
@@ -121,7 +120,7 @@
 	return counters
 }
 
-// Serve answers the monitor's paths and reports whether the path was one.
+// Serve handles a request for one of the monitor's paths; it returns false for any other path.
 func (m *Monitor) Serve(ctx *fasthttp.RequestCtx) bool {
 	switch string(ctx.Path()) {
 	case "/metrics":
@@ -129,7 +128,7 @@
 	case "/healthz":
 		ctx.SetBodyString("ok\n")
 	case "/readyz":
-		if !m.ready() {
+		if !m.isReady() {
 			ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
 			ctx.SetBodyString("not ready\n")
 			return true
@@ -146,7 +145,7 @@
 	return true
 }
 
-// OneLine joins a multi-line error for a log or terminal.
+// OneLine returns the text of an error on one line, for a log or terminal.
 func OneLine(err error) string {
 	return strings.ReplaceAll(err.Error(), "\n", "; ")
 }
