--- a/internal/result/result.go
+++ b/internal/result/result.go
@@ -1,7 +1,6 @@
-// Package result defines the numbered result codes that every process of
-// ochrebay uses towards callers, operators and its own peers. Each code states
-// whether the call it answers ran (design section 9). docs/RESULT-CODES.md is
-// the table for people; a test holds the two together.
+// Package result defines the numbered result codes that all processes of ochrebay return to
+// callers, operators and each other. Each code states whether the call was run (design section
+// 9). docs/RESULT-CODES.md has the same table for readers; a test compares the two.
 package result
 
 import (
@@ -11,12 +10,12 @@
 	"github.com/joomcode/errorx"
 )
 
-// Outcome says what became of the call that an error answers.
+// Outcome states whether the call that returned an error was run.
 type Outcome string
 
-// The three outcomes an error can state.
+// The outcomes of a call that returned an error.
 const (
-	// NotRun means that no engine started the call, now or later.
+	// NotRun means that no engine has started the call or will start it later.
 	NotRun Outcome = "not_run"
 	// Ran means that an engine ran the call.
 	Ran Outcome = "ran"
@@ -79,15 +78,15 @@
 	TooFewLeft        Code = 1406
 )
 
-// Entry describes one code.
+// Entry describes a code.
 type Entry struct {
 	Code    Code
 	Name    string
 	Outcome Outcome
-	// HTTPStatus is the status sent to callers and operators.
+	// HTTPStatus is the HTTP status sent to callers and operators.
 	HTTPStatus int
-	// RetryAfter is the default time after which coming back is worth it; zero
-	// means that the same request will not succeed later.
+	// RetryAfter is the default delay before a retry; zero means that the same request will not
+	// succeed later.
 	RetryAfter time.Duration
 	Meaning    string
 }
@@ -141,7 +140,7 @@
 	{TooFewLeft, "too_few_left", NotRun, 409, 0, "Too few ledger hosts would be left to hold every group."},
 }
 
-var entries = func() map[Code]Entry {
+var entryByCode = func() map[Code]Entry {
 	byCode := make(map[Code]Entry, len(Table))
 	for _, entry := range Table {
 		byCode[entry.Code] = entry
@@ -149,12 +148,11 @@
 	return byCode
 }()
 
-// Describe returns the entry of a code; a code that is not in the table is
-// described as Internal.
+// Describe returns the entry of a code, that of Internal if the code is not in the table.
 func Describe(code Code) Entry {
-	entry, ok := entries[code]
+	entry, ok := entryByCode[code]
 	if !ok {
-		return entries[Internal]
+		return entryByCode[Internal]
 	}
 	return entry
 }
@@ -167,7 +165,7 @@
 	return Describe(c).Name
 }
 
-// Error is the typed error that crosses process boundaries.
+// Error is the error that is sent between processes and to callers.
 type Error struct {
 	Code         Code    `json:"code" msgpack:"c"`
 	Type         string  `json:"type" msgpack:"-"`
@@ -176,7 +174,7 @@
 	RetryAfterMs int64   `json:"retry_after_ms" msgpack:"r"`
 }
 
-// New returns an error with the code's own outcome and retry time.
+// New returns an error with the code's default outcome and retry delay.
 func New(code Code, format string, arguments ...any) *Error {
 	entry := Describe(code)
 	return &Error{
@@ -188,37 +186,37 @@
 	}
 }
 
-// WithOutcome returns a copy that states another outcome.
+// WithOutcome returns a copy of the error with another outcome.
 func (e *Error) WithOutcome(outcome Outcome) *Error {
 	changed := *e
 	changed.Outcome = outcome
 	return &changed
 }
 
-// WithRetryAfter returns a copy that tells the caller when to come back.
+// WithRetryAfter returns a copy of the error with another retry delay.
 func (e *Error) WithRetryAfter(wait time.Duration) *Error {
 	changed := *e
 	changed.RetryAfterMs = wait.Milliseconds()
 	return &changed
 }
 
-// Error returns name, number and message in one line.
+// Error returns the code's name and number and the message on one line.
 func (e *Error) Error() string {
 	return fmt.Sprintf("%s (%d): %s", e.Code, int(e.Code), e.Message)
 }
 
-// HTTPStatus returns the status that goes with the error.
+// HTTPStatus returns the HTTP status of the error's code.
 func (e *Error) HTTPStatus() int {
 	return Describe(e.Code).HTTPStatus
 }
 
-// Body is the JSON shape of an error answer.
+// Body is the JSON body of an error response.
 type Body struct {
 	Error *Error `json:"error"`
 }
 
-// From returns the result carried anywhere in err's chain, and Internal where
-// there is none. A nil err gives nil.
+// From returns the first Error in err's chain, or an error with the code Internal if there is
+// none. For a nil err it returns nil.
 func From(err error) *Error {
 	if err == nil {
 		return nil
--- a/internal/result/result_test.go
+++ b/internal/result/result_test.go
@@ -14,7 +14,7 @@
 var documentRow = regexp.MustCompile("(?m)^\\| (\\d{4}) \\| `([a-z_]+)` \\| (\\w+) \\| (\\d{3}) \\| (\\d+) \\| (.+) \\|$")
 
 func TestTableMatchesDocument(t *testing.T) {
-	Convey("docs/RESULT-CODES.md has the rows of the table, in order, and no other", t, func() {
+	Convey("docs/RESULT-CODES.md has exactly the rows of the table, in order", t, func() {
 		text, err := os.ReadFile("../../docs/RESULT-CODES.md")
 		So(err, ShouldBeNil)
 		rows := documentRow.FindAllString(string(text), -1)
@@ -42,8 +42,8 @@
 			previous = entry.Code
 		}
 	})
-	Convey("a result survives decoration", t, func() {
-		decorated := errorx.Decorate(New(BudgetExhausted, "left 3"), "while beginning a turn")
+	Convey("the code is found in decorated and wrapped errors", t, func() {
+		decorated := errorx.Decorate(New(BudgetExhausted, "left 3"), "starting a turn")
 		So(CodeOf(decorated), ShouldEqual, BudgetExhausted)
 		So(CodeOf(fmt.Errorf("wrapped: %w", New(TurnOpen, "x"))), ShouldEqual, TurnOpen)
 		So(CodeOf(fmt.Errorf("plain")), ShouldEqual, Internal)
