--- a/internal/logreport/logreport.go
+++ b/internal/logreport/logreport.go
@@ -1,6 +1,6 @@
-// Package logreport turns the lines that gateways write at the end of each request into
-// figures over time: how many were served and how the others ended, and how long they
-// took. It knows the lines' keys (docs/LOGS.md) and nothing of files or plots.
+// Package logreport aggregates the log lines that gateways write at the end of each request: the
+// numbers of served requests and of failures by outcome, and latency percentiles, over time, by
+// route and by result code. docs/LOGS.md documents the keys of the lines.
 package logreport
 
 import (
@@ -10,33 +10,34 @@
 	"time"
 )
 
-// The messages of a gateway that end a request.
+// The messages that gateways log at the end of a request.
 const (
 	messageServed = "served"
 	messageFailed = "failed"
-	// Served is the outcome of a request that an engine answered.
+	// Served is the outcome of a request that an engine completed.
 	Served = "served"
 )
 
-// Request is one request as its last line tells it.
+// Request is a request as described by its last log line.
 type Request struct {
 	At       time.Time
 	Route    string
 	Duration time.Duration
-	// Outcome is Served, or what the line of a failure says: not_run, ran, unknown.
+	// Outcome is Served, or the outcome of a failure: not_run, ran, unknown.
 	Outcome string
 	// Code is the result code of a failure, 0 for none.
 	Code int
 }
 
-// Report gathers requests.
+// Report collects requests.
 type Report struct {
 	requests []Request
-	// Dropped counts the lines that the processes say they could not write.
+	// Dropped counts the log lines that the processes reported as dropped.
 	Dropped int
 }
 
-// AddLine takes one line by its keys; lines that end no request are passed over.
+// AddLine adds a log line, given by its keys; lines that don't end a request are ignored, except
+// for reports of dropped lines.
 func (r *Report) AddLine(keys map[string]string) {
 	switch keys["msg"] {
 	case "log lines dropped":
@@ -60,22 +61,22 @@
 	r.requests = append(r.requests, request)
 }
 
-// Len returns how many requests were gathered.
+// Len returns the number of requests collected.
 func (r *Report) Len() int { return len(r.requests) }
 
-// SecondStats is one second of the report.
+// SecondStats are the statistics of one second of the report.
 type SecondStats struct {
-	// Offset counts from the first request's second.
+	// Offset is the number of seconds since the second of the first request.
 	Offset int
-	// Outcomes counts the requests that ended in this second by outcome.
+	// Outcomes counts the requests that ended in this second, by outcome.
 	Outcomes map[string]int
-	// P50 and Late are the 50th and 99th percentile of the served requests' times,
-	// zero where none was served.
+	// P50 and P99 are the 50th and 99th percentile of the durations of served requests, zero if
+	// none was served.
 	P50 time.Duration
 	P99 time.Duration
 }
 
-// Seconds returns every second from the first request to the last.
+// Seconds returns the statistics of every second from the first request to the last.
 func (r *Report) Seconds() []SecondStats {
 	if len(r.requests) == 0 {
 		return nil
@@ -83,7 +84,7 @@
 	first := slices.MinFunc(r.requests, func(a, b Request) int { return a.At.Compare(b.At) }).At.Truncate(time.Second)
 	last := slices.MaxFunc(r.requests, func(a, b Request) int { return a.At.Compare(b.At) }).At
 	seconds := make([]SecondStats, int(last.Sub(first).Seconds())+1)
-	times := make([][]time.Duration, len(seconds))
+	durations := make([][]time.Duration, len(seconds))
 	for position := range seconds {
 		seconds[position] = SecondStats{Offset: position, Outcomes: map[string]int{}}
 	}
@@ -91,17 +92,18 @@
 		position := int(request.At.Sub(first).Seconds())
 		seconds[position].Outcomes[request.Outcome]++
 		if request.Outcome == Served {
-			times[position] = append(times[position], request.Duration)
+			durations[position] = append(durations[position], request.Duration)
 		}
 	}
 	for position := range seconds {
-		seconds[position].P50 = percentile(times[position], 50)
-		seconds[position].P99 = percentile(times[position], 99)
+		seconds[position].P50 = percentile(durations[position], 50)
+		seconds[position].P99 = percentile(durations[position], 99)
 	}
 	return seconds
 }
 
-// Row is a group of requests: a route, or a way to fail.
+// Row has the statistics of a group of requests: those of a route, or those with the same result
+// code and outcome. P50 and P99 are percentiles of all durations in the group.
 type Row struct {
 	Name   string
 	Count  int
@@ -112,23 +114,24 @@
 
 // Routes returns a row for each route, the busiest first.
 func (r *Report) Routes() []Row {
-	return r.rows(func(request Request) (string, bool) { return request.Route, true })
+	return r.groupRows(func(request Request) (string, bool) { return request.Route, true })
 }
 
-// Failures returns a row for each result code, the most frequent first.
+// Failures returns a row for each result code and outcome, the most frequent first.
 func (r *Report) Failures() []Row {
-	return r.rows(func(request Request) (string, bool) {
+	return r.groupRows(func(request Request) (string, bool) {
 		return strconv.Itoa(request.Code) + " " + request.Outcome, request.Outcome != Served
 	})
 }
 
-// rows groups requests by the name that of gives those which it takes.
-func (r *Report) rows(of func(request Request) (name string, taken bool)) []Row {
+// groupRows groups requests by the name that groupName returns; requests that it does not include
+// are left out.
+func (r *Report) groupRows(groupName func(request Request) (name string, included bool)) []Row {
 	rows := map[string]*Row{}
-	times := map[string][]time.Duration{}
+	durations := map[string][]time.Duration{}
 	for _, request := range r.requests {
-		name, taken := of(request)
-		if !taken {
+		name, included := groupName(request)
+		if !included {
 			continue
 		}
 		if rows[name] == nil {
@@ -138,11 +141,11 @@
 		if request.Outcome == Served {
 			rows[name].Served++
 		}
-		times[name] = append(times[name], request.Duration)
+		durations[name] = append(durations[name], request.Duration)
 	}
 	sorted := make([]Row, 0, len(rows))
 	for name, row := range rows {
-		row.P50, row.P99 = percentile(times[name], 50), percentile(times[name], 99)
+		row.P50, row.P99 = percentile(durations[name], 50), percentile(durations[name], 99)
 		sorted = append(sorted, *row)
 	}
 	slices.SortFunc(sorted, func(a, b Row) int {
@@ -151,12 +154,12 @@
 	return sorted
 }
 
-// percentile returns the nearest-rank percentile, zero of nothing.
-func percentile(times []time.Duration, percent int) time.Duration {
-	if len(times) == 0 {
+// percentile returns the nearest-rank percentile, zero for an empty slice.
+func percentile(durations []time.Duration, percent int) time.Duration {
+	if len(durations) == 0 {
 		return 0
 	}
-	sorted := slices.Sorted(slices.Values(times))
+	sorted := slices.Sorted(slices.Values(durations))
 	rank := (len(sorted)*percent + 99) / 100
 	return sorted[max(rank, 1)-1]
 }
--- a/internal/logreport/logreport_test.go
+++ b/internal/logreport/logreport_test.go
@@ -8,7 +8,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-func line(report *Report, pairs ...string) {
+func addLine(report *Report, pairs ...string) {
 	keys := map[string]string{}
 	for position := 0; position+1 < len(pairs); position += 2 {
 		keys[pairs[position]] = pairs[position+1]
@@ -17,15 +17,15 @@
 }
 
 func TestReport(t *testing.T) {
-	Convey("lines of requests become figures by second, route and result code", t, func() {
+	Convey("log lines of requests are aggregated by second, route and result code", t, func() {
 		report := &Report{}
-		line(report, "msg", "served", "ts", "2026-12-02T10:00:00.5Z", "route", "a", "took", "10ms")
-		line(report, "msg", "served", "ts", "2026-12-02T10:00:00.9Z", "route", "a", "took", "30ms")
-		line(report, "msg", "served", "ts", "2026-12-02T10:00:02.1Z", "route", "b", "took", "1.5s")
-		line(report, "msg", "failed", "ts", "2026-12-02T10:00:02.2Z", "route", "a", "took", "5ms", "outcome", "not_run", "code", "1309")
-		line(report, "msg", "turn opened", "ts", "2026-12-02T10:00:09Z", "took", "1ms")
-		line(report, "msg", "served", "ts", "no time", "took", "1ms")
-		line(report, "msg", "log lines dropped", "count", "7")
+		addLine(report, "msg", "served", "ts", "2026-12-02T10:00:00.5Z", "route", "a", "took", "10ms")
+		addLine(report, "msg", "served", "ts", "2026-12-02T10:00:00.9Z", "route", "a", "took", "30ms")
+		addLine(report, "msg", "served", "ts", "2026-12-02T10:00:02.1Z", "route", "b", "took", "1.5s")
+		addLine(report, "msg", "failed", "ts", "2026-12-02T10:00:02.2Z", "route", "a", "took", "5ms", "outcome", "not_run", "code", "1309")
+		addLine(report, "msg", "turn opened", "ts", "2026-12-02T10:00:09Z", "took", "1ms")
+		addLine(report, "msg", "served", "ts", "no time", "took", "1ms")
+		addLine(report, "msg", "log lines dropped", "count", "7")
 		So(report.Len(), ShouldEqual, 4)
 		So(report.Dropped, ShouldEqual, 7)
 		seconds := report.Seconds()
@@ -40,7 +40,7 @@
 			{Name: "b", Count: 1, Served: 1, P50: 1500 * time.Millisecond, P99: 1500 * time.Millisecond},
 		})
 		So(report.Failures(), ShouldResemble, []Row{{Name: "1309 not_run", Count: 1, P50: 5 * time.Millisecond, P99: 5 * time.Millisecond}})
-		Convey("and one page with two plots that needs nothing beside it", func() {
+		Convey("and rendered as one self-contained page with two plots", func() {
 			var written strings.Builder
 			So(report.WriteHTML(&written), ShouldBeNil)
 			So(strings.Count(written.String(), "<svg"), ShouldEqual, 2)
@@ -49,9 +49,9 @@
 			So(written.String(), ShouldNotContainSubstring, "<?xml")
 		})
 	})
-	Convey("what routes are called can't become markup", t, func() {
+	Convey("names of routes are escaped in the page", t, func() {
 		report := &Report{}
-		line(report, "msg", "served", "ts", "2026-12-02T10:00:00Z", "route", "<script>", "took", "1ms")
+		addLine(report, "msg", "served", "ts", "2026-12-02T10:00:00Z", "route", "<script>", "took", "1ms")
 		var written strings.Builder
 		So(report.WriteHTML(&written), ShouldBeNil)
 		So(written.String(), ShouldNotContainSubstring, "<script>")
--- a/internal/logreport/page.go
+++ b/internal/logreport/page.go
@@ -14,13 +14,14 @@
 const (
 	plotWidth  = 24 * vg.Centimeter
 	plotHeight = 8 * vg.Centimeter
-	// headRoom is how much higher than its lines a plot is, for the legend.
-	headRoom = 1.25
-	// millisecondsPerSecond turns seconds into the plots' unit.
+	// legendHeadroom is the ratio of a plot's height to its highest value; the space above is for
+	// the legend.
+	legendHeadroom = 1.25
+	// millisecondsPerSecond converts seconds to the plots' unit.
 	millisecondsPerSecond = 1000
 )
 
-// page is what the template shows.
+// page is the data of the template.
 type page struct {
 	Requests, Dropped int
 	Outcomes, Times   template.HTML
@@ -31,24 +32,24 @@
 <meta charset="utf-8"><title>ochrebay report</title>
 <style>body{font-family:sans-serif;max-width:60em;margin:2em auto}td,th{padding:.2em .8em;text-align:right}td:first-child,th:first-child{text-align:left}svg{max-width:100%;height:auto}</style>
 <h1>Requests</h1>
-<p>{{.Requests}} requests whose end was logged. Lines of calm requests are thinned under load{{if .Dropped}}, and {{.Dropped}} lines were dropped{{end}}: failures are complete sooner than successes.</p>
-<h2>Outcomes a second</h2>{{.Outcomes}}
-<h2>Time of served requests, ms</h2>{{.Times}}
+<p>{{.Requests}} requests with a logged end. Log lines of successful requests are sampled under load{{if .Dropped}}, and {{.Dropped}} lines were dropped{{end}}; failures are logged more completely than successes.</p>
+<h2>Outcomes per second</h2>{{.Outcomes}}
+<h2>Duration of served requests, ms</h2>{{.Times}}
 <h2>Routes</h2>
 <table><tr><th>route<th>requests<th>served<th>p50<th>p99</tr>{{range .Routes}}<tr><td>{{.Name}}<td>{{.Count}}<td>{{.Served}}<td>{{.P50}}<td>{{.P99}}</tr>{{end}}</table>
 <h2>Failures by result code</h2>
 <table><tr><th>code, outcome<th>requests<th>p50<th>p99</tr>{{range .Failures}}<tr><td>{{.Name}}<td>{{.Count}}<td>{{.P50}}<td>{{.P99}}</tr>{{end}}</table>
-<p>docs/RESULT-CODES.md says what a code means, <code>ochrebay trace ID FILE...</code> what became of one request.</p>
+<p>The result codes are described in docs/RESULT-CODES.md; <code>ochrebay trace ID FILE...</code> shows the course of one request.</p>
 `))
 
-// WriteHTML writes the report as one page that needs nothing beside it.
+// WriteHTML writes the report as one self-contained page.
 func (r *Report) WriteHTML(output io.Writer) error {
 	seconds := r.Seconds()
-	outcomes, err := drawOutcomes(seconds)
+	outcomes, err := plotOutcomes(seconds)
 	if err != nil {
 		return err
 	}
-	times, err := drawTimes(seconds)
+	times, err := plotDurations(seconds)
 	if err != nil {
 		return err
 	}
@@ -57,7 +58,7 @@
 	})
 }
 
-func drawOutcomes(seconds []SecondStats) (template.HTML, error) {
+func plotOutcomes(seconds []SecondStats) (template.HTML, error) {
 	names := map[string]bool{}
 	for _, second := range seconds {
 		for name := range second.Outcomes {
@@ -69,19 +70,19 @@
 		if !names[name] {
 			continue
 		}
-		lines = append(lines, name, points(seconds, func(second SecondStats) float64 { return float64(second.Outcomes[name]) }))
+		lines = append(lines, name, pointsOf(seconds, func(second SecondStats) float64 { return float64(second.Outcomes[name]) }))
 	}
-	return draw("requests a second", lines)
+	return renderPlot("requests per second", lines)
 }
 
-func drawTimes(seconds []SecondStats) (template.HTML, error) {
-	return draw("ms", []any{
-		"p50", points(seconds, func(second SecondStats) float64 { return second.P50.Seconds() * millisecondsPerSecond }),
-		"p99", points(seconds, func(second SecondStats) float64 { return second.P99.Seconds() * millisecondsPerSecond }),
+func plotDurations(seconds []SecondStats) (template.HTML, error) {
+	return renderPlot("ms", []any{
+		"p50", pointsOf(seconds, func(second SecondStats) float64 { return second.P50.Seconds() * millisecondsPerSecond }),
+		"p99", pointsOf(seconds, func(second SecondStats) float64 { return second.P99.Seconds() * millisecondsPerSecond }),
 	})
 }
 
-func points(seconds []SecondStats, value func(second SecondStats) float64) plotter.XYs {
+func pointsOf(seconds []SecondStats, value func(second SecondStats) float64) plotter.XYs {
 	line := make(plotter.XYs, len(seconds))
 	for position, second := range seconds {
 		line[position].X = float64(second.Offset)
@@ -90,19 +91,19 @@
 	return line
 }
 
-// draw returns a plot of named lines as SVG.
-func draw(unit string, lines []any) (template.HTML, error) {
-	drawing := plot.New()
-	drawing.X.Label.Text = "s"
-	drawing.Y.Label.Text = unit
-	drawing.Y.Min = 0
-	if err := plotutil.AddLines(drawing, lines...); err != nil {
+// renderPlot returns a plot of named lines as SVG.
+func renderPlot(unit string, lines []any) (template.HTML, error) {
+	figure := plot.New()
+	figure.X.Label.Text = "s"
+	figure.Y.Label.Text = unit
+	figure.Y.Min = 0
+	if err := plotutil.AddLines(figure, lines...); err != nil {
 		return "", err
 	}
-	// The legend stands above the lines.
-	drawing.Legend.Top = true
-	drawing.Y.Max *= headRoom
-	writer, err := drawing.WriterTo(plotWidth, plotHeight, "svg")
+	// The legend is placed above the lines.
+	figure.Legend.Top = true
+	figure.Y.Max *= legendHeadroom
+	writer, err := figure.WriterTo(plotWidth, plotHeight, "svg")
 	if err != nil {
 		return "", err
 	}
@@ -110,10 +111,10 @@
 	if _, err := writer.WriteTo(&image); err != nil {
 		return "", err
 	}
-	// The XML head has no place within a page.
+	// The XML declaration is not allowed inside an HTML page.
 	raw := image.Bytes()
 	if start := bytes.Index(raw, []byte("<svg")); start > 0 {
 		raw = raw[start:]
 	}
-	return template.HTML(raw), nil //nolint:gosec // The plot is our own.
+	return template.HTML(raw), nil //nolint:gosec // The SVG is generated here.
 }
