--- a/internal/daemon/caller.go
+++ b/internal/daemon/caller.go
@@ -118,11 +118,11 @@
 // process that responds to other calls is only slow, and closing its connection would fail
 // those calls too.
 func (c *Client) CallWithTimeout(ctx context.Context, timeout time.Duration, address string, kind protocol.Kind, request, reply any) error {
-	bounded, cancel := context.WithTimeout(ctx, timeout)
+	callCtx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	startedAt := time.Now()
-	err := c.Call(bounded, address, kind, request, reply)
-	if err != nil && bounded.Err() != nil && ctx.Err() == nil && !c.receivedSince(address, startedAt) {
+	err := c.Call(callCtx, address, kind, request, reply)
+	if err != nil && callCtx.Err() != nil && ctx.Err() == nil && !c.receivedSince(address, startedAt) {
 		c.Disconnect(address)
 	}
 	return err
--- a/internal/daemon/follower.go
+++ b/internal/daemon/follower.go
@@ -20,6 +20,8 @@
 )
 
 const (
+	// longPollTimeout is how long the leader may delay its reply to a heartbeat if there are no
+	// changes, and syncTimeout the timeout of a heartbeat to the current leader.
 	longPollTimeout = 700 * time.Millisecond
 	syncTimeout     = 1500 * time.Millisecond
 	// discoveryTimeout bounds a request to a process that is not known to be the leader. Such a
@@ -60,10 +62,10 @@
 	// OnEngineUsages receives the engine usage aggregated over all gateways; it may be nil.
 	OnEngineUsages func(usages []scheduling.EngineUsage)
 	// OnStreamLateness receives the stream lateness aggregated over all gateways; it may be nil.
-	OnStreamLateness func(shares []scheduling.StreamLateness)
+	OnStreamLateness func(lateness []scheduling.StreamLateness)
 	// OnBackendUsages receives the tenants' usage of back ends aggregated over all gateways; it
 	// may be nil.
-	OnBackendUsages func(uses []admission.BackendUsage)
+	OnBackendUsages func(usages []admission.BackendUsage)
 	Logger          log.Logger
 
 	// latestConfirmation is the latest routing-table confirmation; it is never nil.
@@ -185,17 +187,17 @@
 		request.LongPollMs = 0
 		timeout = discoveryTimeout
 	}
-	bounded, cancel := context.WithTimeout(ctx, timeout)
+	requestCtx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	go f.cancelOnSyncNow(bounded, cancel)
+	go f.cancelOnSyncNow(requestCtx, cancel)
 	var reply protocol.FleetSyncReply
-	err := f.client.Call(bounded, target, protocol.KindFleetSync, request, &reply)
+	err := f.client.Call(requestCtx, target, protocol.KindFleetSync, request, &reply)
 	switch {
-	case err != nil && bounded.Err() == context.Canceled && ctx.Err() == nil:
+	case err != nil && requestCtx.Err() == context.Canceled && ctx.Err() == nil:
 		return true
 	case err != nil:
 		f.client.Disconnect(target)
-		f.recordFailure(target, bounded.Err() != nil && time.Since(sentAt) < timeout+stallThreshold)
+		f.recordFailure(target, requestCtx.Err() != nil && time.Since(sentAt) < timeout+stallThreshold)
 		return false
 	case reply.Error != nil:
 		f.recordFailure(target, false)
@@ -255,7 +257,6 @@
 	return time.Since(sentAt), true
 }
 
-// cancelOnSyncNow cancels a heartbeat in flight when SyncNow is called.
 // cancelOnSyncNow cancels a heartbeat in flight when SyncNow is called.
 func (f *Follower) cancelOnSyncNow(ctx context.Context, cancel context.CancelFunc) {
 	select {
@@ -315,14 +316,14 @@
 	}
 	changed := false
 	if reply.Fleet != nil {
-		var news bool
-		f.view, news = f.view.ApplyDelta(reply.Fleet.Value)
-		changed = changed || news
+		var updated bool
+		f.view, updated = f.view.ApplyDelta(reply.Fleet.Value)
+		changed = changed || updated
 	}
 	if reply.Routing != nil {
-		var news bool
-		f.table, news = reply.Routing.Value.Apply(f.table)
-		changed = changed || news
+		var updated bool
+		f.table, updated = reply.Routing.Value.Apply(f.table)
+		changed = changed || updated
 	}
 	if reply.IsConfirmed && !f.confirmed {
 		f.confirmed = true
--- a/internal/daemon/follower_test.go
+++ b/internal/daemon/follower_test.go
@@ -16,9 +16,9 @@
 	"github.com/ochrebay/ochrebay/internal/scheduling"
 )
 
-// TestFollowerAsksForLoads checks that engine loads, which are large, are not requested with
+// TestFollowerRequestsLoads checks that engine loads, which are large, are not requested with
 // every heartbeat.
-func TestFollowerAsksForLoads(t *testing.T) {
+func TestFollowerRequestsLoads(t *testing.T) {
 	Convey("a follower", t, func() {
 		follower := NewFollower(nil, log.NewNopLogger())
 		follower.FillReport = func(*protocol.FleetSync) {}
--- a/internal/daemon/links.go
+++ b/internal/daemon/links.go
@@ -128,8 +128,8 @@
 	}
 	p.mutex.Lock()
 	p.dialing = false
-	keep := err == nil && !p.closed
-	if keep {
+	usable := err == nil && !p.closed
+	if usable {
 		p.current = connection
 		for _, message := range p.pending {
 			_ = connection.SendRaw(message.kind, message.body)
@@ -138,7 +138,7 @@
 	p.pending = nil
 	p.pendingBytes = 0
 	p.mutex.Unlock()
-	if keep {
+	if usable {
 		connection.OnClose(p.clearConnection)
 	} else if err == nil {
 		connection.Close()
--- a/internal/daemon/search_test.go
+++ b/internal/daemon/search_test.go
@@ -64,9 +64,9 @@
 	discovery := leaderDiscovery{controls: []string{"a", "b"}}
 	discovery.recordFailure("a", true, now)
 	discovery.recordFailure("b", true, now)
-	asked := []string{discovery.nextTarget(now, 0), discovery.nextTarget(now, 1)}
-	if !slices.Contains(asked, "a") || !slices.Contains(asked, "b") {
-		t.Fatalf("requests went to %v, not to both unresponsive processes", asked)
+	targets := []string{discovery.nextTarget(now, 0), discovery.nextTarget(now, 1)}
+	if !slices.Contains(targets, "a") || !slices.Contains(targets, "b") {
+		t.Fatalf("requests went to %v, not to both unresponsive processes", targets)
 	}
 	discovery.recordLeader("b")
 	discovery.recordFailure("b", false, now)
--- a/internal/storage/journal.go
+++ b/internal/storage/journal.go
@@ -191,7 +191,8 @@
 	if len(record.Entries) == 0 {
 		return
 	}
-	// Invariant: no old entry remains at or after the first index written.
+	// The new entries replace all entries from their first index on, so that no entry of an
+	// older term remains after them.
 	first := record.Entries[0].Index
 	keep := len(log.entries)
 	for keep > 0 && log.entries[keep-1].Index >= first {
@@ -244,9 +245,9 @@
 
 // writeFrame writes a frame at an offset; it is durable when the segment has been synced.
 func (j *journal) writeFrame(target segment, offset int64, records []journalRecord) (int, error) {
-	var head [frameHeaderBytes]byte
+	var header [frameHeaderBytes]byte
 	j.buffer.Reset()
-	j.buffer.Write(head[:])
+	j.buffer.Write(header[:])
 	if err := msgpack.NewEncoder(&j.buffer).Encode(records); err != nil {
 		return 0, err
 	}
@@ -330,10 +331,10 @@
 
 // syncDirectory makes the entries of a directory durable.
 func syncDirectory(directory string) error {
-	opened, err := os.Open(directory)
+	file, err := os.Open(directory)
 	if err != nil {
 		return err
 	}
-	defer opened.Close()
-	return opened.Sync()
+	defer file.Close()
+	return file.Sync()
 }
--- a/internal/storage/storage.go
+++ b/internal/storage/storage.go
@@ -68,8 +68,8 @@
 	return w.Snapshot != nil || len(w.Records) > 0 || w.ResetStaged || len(w.Staged) > 0 || w.PromoteStaged
 }
 
-// Store is the durable state of one process. Only one goroutine may write, and Load must only
-// be called before the first write.
+// Store is the durable state of one process. Only one goroutine may write; Load is intended for
+// use before the first write.
 type Store struct {
 	database *bbolt.DB
 	journal  *journal
