--- a/internal/ledger/bench_test.go
+++ b/internal/ledger/bench_test.go
@@ -24,7 +24,8 @@
 	benchGroups = 4
 )
 
-func benchAddress(b *testing.B) string {
+// freeAddress returns a loopback address with a free port.
+func freeAddress(b *testing.B) string {
 	listener, err := net.Listen("tcp", "127.0.0.3:0")
 	if err != nil {
 		b.Fatal(err)
@@ -33,18 +34,18 @@
 	return listener.Addr().String()
 }
 
-// benchCluster runs ledger daemons over loopback and real disks, without control: their
-// placement is told once.
+// benchCluster runs ledger daemons over loopback and real disks. There is no control; the daemons
+// receive their placement once.
 func benchCluster(b *testing.B) []string {
 	ctx, cancel := context.WithCancel(context.Background())
 	b.Cleanup(cancel)
 	var daemons []*Daemon
-	var news membership.FleetDelta
+	var delta membership.FleetDelta
 	initial := consensus.Configuration{}
 	var members []string
 	for number := range benchHosts {
 		process := config.Process{Role: "ledger", Name: fmt.Sprintf("ledger-%d", number), Zone: fmt.Sprintf("z%d", number)}
-		process.Listen.Address, process.Listen.HTTP = benchAddress(b), benchAddress(b)
+		process.Listen.Address, process.Listen.HTTP = freeAddress(b), freeAddress(b)
 		process.Data.Path = b.TempDir()
 		host, err := NewDaemon(process, log.NewNopLogger())
 		if err != nil {
@@ -58,34 +59,34 @@
 		daemons = append(daemons, host)
 		members = append(members, process.Listen.Address)
 		initial = initial.With(consensus.Replica{ID: host.store.Replica(), Member: process.Listen.Address})
-		news.Ledgers = append(news.Ledgers, membership.LedgerHost{Member: process.Listen.Address, Name: process.Name, Zone: process.Zone, Replica: host.store.Replica()})
+		delta.Ledgers = append(delta.Ledgers, membership.LedgerHost{Member: process.Listen.Address, Name: process.Name, Zone: process.Zone, Replica: host.store.Replica()})
 	}
 	for group := range benchGroups {
-		news.Groups = append(news.Groups, membership.Placement{Group: uint32(group + 1), Members: members, Initial: initial})
+		delta.Groups = append(delta.Groups, membership.Placement{Group: uint32(group + 1), Members: members, Initial: initial})
 	}
-	news.Version, news.IsFull = 1, true
+	delta.Version, delta.IsFull = 1, true
 	var view *membership.FleetView
-	view, _ = view.ApplyDelta(news)
+	view, _ = view.ApplyDelta(delta)
 	for _, host := range daemons {
-		host.follow(view, nil)
+		host.applyView(view, nil)
 	}
 	return members
 }
 
-// askLeader asks the hosts in turn until the group's leader answers.
-func askLeader(b *testing.B, caller *daemon.Client, members []string, leader map[uint32]string, request *protocol.TurnRequest) {
-	for try := 0; ; try++ {
-		target := leader[request.Group]
+// callLeader calls the hosts in turn until the leader of the group replies.
+func callLeader(b *testing.B, client *daemon.Client, members []string, leaders map[uint32]string, request *protocol.TurnRequest) {
+	for attempt := 0; ; attempt++ {
+		target := leaders[request.Group]
 		if target == "" {
-			target = members[try%len(members)]
+			target = members[attempt%len(members)]
 		}
 		reply := &protocol.TurnReply{}
-		err := caller.CallWithTimeout(context.Background(), time.Second, target, protocol.KindTurn, request, reply)
+		err := client.CallWithTimeout(context.Background(), time.Second, target, protocol.KindTurn, request, reply)
 		if err == nil && reply.Error == nil {
-			leader[request.Group] = target
+			leaders[request.Group] = target
 			return
 		}
-		leader[request.Group] = ""
+		leaders[request.Group] = ""
 		if err == nil && reply.Error.Code != result.NotLeader {
 			b.Fatal(reply.Error)
 		}
@@ -93,26 +94,26 @@
 	}
 }
 
-// BenchmarkTurn measures a reservation and its charge through five hosts on real disks;
-// its processor time is that of all of them.
+// BenchmarkTurn measures a reservation and its settlement on five hosts with real disks. Its CPU
+// time is that of all hosts.
 func BenchmarkTurn(b *testing.B) {
 	members := benchCluster(b)
-	caller := daemon.NewClient()
-	defer caller.Close()
-	leader := map[uint32]string{}
+	client := daemon.NewClient()
+	defer client.Close()
+	leaders := map[uint32]string{}
 	turn := 0
 	for b.Loop() {
 		turn++
 		group := uint32(turn%benchGroups + 1)
 		id := fmt.Sprint("turn-", turn)
 		programID := fmt.Sprint("program-", turn)
-		askLeader(b, caller, members, leader, &protocol.TurnRequest{Group: group, Reserve: &program.Reserve{
+		callLeader(b, client, members, leaders, &protocol.TurnRequest{Group: group, Reserve: &program.Reserve{
 			Program: programID, Request: id, BudgetTokens: 5000, MaxTokens: 575, Session: "s",
 		}})
 		settle := &program.Settle{Program: programID, Request: id, UsedTokens: 200, Session: "s", Engine: "i-1"}
 		go func() {
 			reply := &protocol.TurnReply{}
-			_ = caller.CallWithTimeout(context.Background(), time.Second, leader[group], protocol.KindTurn, &protocol.TurnRequest{Group: group, Settle: settle}, reply)
+			_ = client.CallWithTimeout(context.Background(), time.Second, leaders[group], protocol.KindTurn, &protocol.TurnRequest{Group: group, Settle: settle}, reply)
 		}()
 		time.Sleep(5 * time.Millisecond)
 	}
--- a/internal/ledger/cluster_test.go
+++ b/internal/ledger/cluster_test.go
@@ -17,39 +17,42 @@
 )
 
 const (
-	stepMs     = 10
-	testBudget = 1000
-	testMost   = 100
+	stepMs           = 10
+	testBudgetTokens = 1000
+	testMaxTokens    = 100
 
 	testQuotaWindowMs = 5000
 )
 
-// memoryDisk is a disk whose writes are atomic and last.
+// memoryDisk is an in-memory disk with atomic and durable writes.
 type memoryDisk struct {
 	replica  consensus.ReplicaID
-	restored map[storage.GroupID]*consensus.PersistedState
+	groups   map[storage.GroupID]*consensus.PersistedState
 	records  map[storage.GroupID]map[string][]byte
 	staged   map[storage.GroupID]map[string][]byte
-	notes    map[string][]byte
+	metadata map[string][]byte
 }
 
 func newMemoryDisk(replica consensus.ReplicaID) *memoryDisk {
 	return &memoryDisk{
-		replica: replica, restored: map[storage.GroupID]*consensus.PersistedState{},
-		records: map[storage.GroupID]map[string][]byte{}, staged: map[storage.GroupID]map[string][]byte{}, notes: map[string][]byte{},
+		replica: replica, groups: map[storage.GroupID]*consensus.PersistedState{},
+		records: map[storage.GroupID]map[string][]byte{}, staged: map[storage.GroupID]map[string][]byte{}, metadata: map[string][]byte{},
 	}
 }
 
-func (d *memoryDisk) Replica() consensus.ReplicaID                { return d.replica }
-func (d *memoryDisk) PutMetadata(name string, value []byte) error { d.notes[name] = value; return nil }
-func (d *memoryDisk) GetMetadata(name string) ([]byte, error)     { return d.notes[name], nil }
+func (d *memoryDisk) Replica() consensus.ReplicaID { return d.replica }
+func (d *memoryDisk) PutMetadata(name string, value []byte) error {
+	d.metadata[name] = value
+	return nil
+}
+func (d *memoryDisk) GetMetadata(name string) ([]byte, error) { return d.metadata[name], nil }
 func (d *memoryDisk) group(id storage.GroupID) *consensus.PersistedState {
-	if d.restored[id] == nil {
-		d.restored[id] = &consensus.PersistedState{}
+	if d.groups[id] == nil {
+		d.groups[id] = &consensus.PersistedState{}
 		d.records[id] = map[string][]byte{}
 		d.staged[id] = map[string][]byte{}
 	}
-	return d.restored[id]
+	return d.groups[id]
 }
 
 func (d *memoryDisk) Write(writes []storage.GroupWrite) error {
@@ -101,7 +104,7 @@
 	if !ok {
 		return nil, nil
 	}
-	return []storage.Record{{Program: name, Turn: contentRecord, Value: value}}, nil
+	return []storage.Record{{Program: name, Turn: contentRecordNumber, Value: value}}, nil
 }
 
 func (d *memoryDisk) RecordsAfter(id storage.GroupID, after storage.RecordKey, maxBytes int) (page []storage.Record, more bool, err error) {
@@ -115,55 +118,58 @@
 		if size += len(value); size > maxBytes && len(page) > 0 {
 			return page, true, nil
 		}
-		page = append(page, storage.Record{Program: name, Turn: contentRecord, Value: value})
+		page = append(page, storage.Record{Program: name, Turn: contentRecordNumber, Value: value})
 	}
 	return page, false, nil
 }
 
 // node is one ledger host of a test cluster.
 type node struct {
-	cluster *cluster
-	host    membership.LedgerHost
-	disk    *memoryDisk
-	core    *Core
-	replies map[RequestID]func(*protocol.TurnReply)
-	next    RequestID
-	cut     bool
+	cluster       *cluster
+	host          membership.LedgerHost
+	disk          *memoryDisk
+	core          *Core
+	replies       map[RequestID]func(*protocol.TurnReply)
+	lastRequestID RequestID
+	partitioned   bool
 }
 
-// cluster runs cores over a network that delays and loses messages.
+// cluster runs cores over a simulated network that delays and loses messages.
 type cluster struct {
-	t      *testing.T
-	random *rand.Rand
-	nowMs  int64
-	nodes  []*node
-	groups []membership.Placement
-	flying []delivery
-	nextID consensus.ReplicaID
-	// kept is what was acknowledged: the content of the chain up to each turn.
-	kept    map[string]string
-	granted map[string]int
-	version uint64
-	// longest is the longest message sent between hosts, bytes; snapshots counts those
-	// of whole snapshots.
-	longest   int
-	snapshots int
-	// appends counts the messages between hosts that carry an append, and commits those
+	t             *testing.T
+	random        *rand.Rand
+	nowMs         int64
+	nodes         []*node
+	groups        []membership.Placement
+	inFlight      []delivery
+	lastReplicaID consensus.ReplicaID
+	// acknowledged holds, for each turn whose retention was acknowledged, the content of its chain
+	// up to and including the turn. granted counts the acknowledgements of each reserved turn.
+	acknowledged map[string]string
+	granted      map[string]int
+	viewVersion  uint64
+	// longestMessageBytes is the size of the longest batch sent between hosts. snapshots counts the
+	// snapshot messages.
+	longestMessageBytes int
+	snapshots           int
+	// appendMessages counts the messages between hosts that carry an append, and commits those
 	// whose appends bring no entry.
-	appends int
-	commits int
+	appendMessages      int
+	emptyAppendMessages int
 }
 
+// delivery is a batch in flight.
 type delivery struct {
-	atMs int64
-	run  func()
+	deliverAtMs int64
+	deliver     func()
 }
 
+// newCluster starts hosts, of which the first ones hold the replicas of group 1.
 func newCluster(t *testing.T, seed uint64, hosts, replicas int) *cluster {
-	c := &cluster{t: t, random: rand.New(rand.NewPCG(seed, 1)), nowMs: 1000, kept: map[string]string{}, granted: map[string]int{}}
+	c := &cluster{t: t, random: rand.New(rand.NewPCG(seed, 1)), nowMs: 1000, acknowledged: map[string]string{}, granted: map[string]int{}}
 	for number := range hosts {
-		c.nextID++
-		host := membership.LedgerHost{Member: fmt.Sprintf("m%d", number), Name: fmt.Sprintf("ledger-%d", number), Zone: fmt.Sprint(number), Replica: c.nextID}
+		c.lastReplicaID++
+		host := membership.LedgerHost{Member: fmt.Sprintf("m%d", number), Name: fmt.Sprintf("ledger-%d", number), Zone: fmt.Sprint(number), Replica: c.lastReplicaID}
 		c.nodes = append(c.nodes, &node{cluster: c, host: host, disk: newMemoryDisk(host.Replica)})
 	}
 	placement := membership.Placement{Group: 1}
@@ -175,19 +181,19 @@
 	for _, node := range c.nodes {
 		node.start()
 	}
-	c.tellView()
+	c.distributeView()
 	return c
 }
 
-// tellView does what control does: every host hears of all disks and placements.
-func (c *cluster) tellView() {
-	c.version++
-	news := membership.FleetDelta{Version: c.version, IsFull: true, Groups: c.groups}
+// distributeView sends all disks and placements to every running host, as control does.
+func (c *cluster) distributeView() {
+	c.viewVersion++
+	delta := membership.FleetDelta{Version: c.viewVersion, IsFull: true, Groups: c.groups}
 	for _, node := range c.nodes {
-		news.Ledgers = append(news.Ledgers, node.host)
+		delta.Ledgers = append(delta.Ledgers, node.host)
 	}
 	var view *membership.FleetView
-	view, _ = view.ApplyDelta(news)
+	view, _ = view.ApplyDelta(delta)
 	for _, node := range c.nodes {
 		if node.core != nil {
 			if err := node.core.ApplyView(view, c.nowMs); err != nil {
@@ -197,6 +203,7 @@
 	}
 }
 
+// start starts the host from its disk.
 func (n *node) start() {
 	n.replies = map[RequestID]func(*protocol.TurnReply){}
 	options := DefaultOptions(n.host.Member, n.host.Name, n.host.Zone)
@@ -208,29 +215,29 @@
 	}
 }
 
-// wipe replaces the disk by an empty one.
-func (n *node) wipe() {
-	n.cluster.nextID++
-	n.host.Replica = n.cluster.nextID
+// replaceDisk replaces the disk with an empty one, which has a new replica ID.
+func (n *node) replaceDisk() {
+	n.cluster.lastReplicaID++
+	n.host.Replica = n.cluster.lastReplicaID
 	n.disk = newMemoryDisk(n.host.Replica)
 }
 
-// Send carries a batch as the wire would, late and now and then not at all.
+// Send implements Transport. It delivers a batch after a random delay and loses one in a hundred.
 func (n *node) Send(member string, batch protocol.PeerBatch) {
 	raw, err := protocol.Encode(&batch)
 	if err != nil {
 		n.cluster.t.Fatal(err)
 	}
-	n.cluster.longest = max(n.cluster.longest, len(raw))
-	n.cluster.count(batch)
+	n.cluster.longestMessageBytes = max(n.cluster.longestMessageBytes, len(raw))
+	n.cluster.countMessages(batch)
 	for _, other := range n.cluster.nodes {
-		if other.host.Member != member || n.cut || n.cluster.random.IntN(100) == 0 {
+		if other.host.Member != member || n.partitioned || n.cluster.random.IntN(100) == 0 {
 			continue
 		}
-		at := n.cluster.nowMs + int64(1+n.cluster.random.IntN(8))
-		n.cluster.flying = append(n.cluster.flying, delivery{at, func() {
+		deliverAtMs := n.cluster.nowMs + int64(1+n.cluster.random.IntN(8))
+		n.cluster.inFlight = append(n.cluster.inFlight, delivery{deliverAtMs, func() {
 			var decoded protocol.PeerBatch
-			if other.core == nil || other.cut || protocol.Decode(raw, &decoded) != nil {
+			if other.core == nil || other.partitioned || protocol.Decode(raw, &decoded) != nil {
 				return
 			}
 			other.core.HandlePeerBatch(decoded, n.cluster.nowMs)
@@ -238,8 +245,8 @@
 	}
 }
 
-// count notes what kinds of messages a batch brings.
-func (c *cluster) count(batch protocol.PeerBatch) {
+// countMessages counts a batch by the kinds of its messages.
+func (c *cluster) countMessages(batch protocol.PeerBatch) {
 	appends, entries := 0, 0
 	for _, message := range batch.Messages {
 		switch message.Message.Kind {
@@ -251,39 +258,40 @@
 		}
 	}
 	if appends > 0 {
-		c.appends++
+		c.appendMessages++
 	}
 	if appends > 0 && entries == 0 {
-		c.commits++
+		c.emptyAppendMessages++
 	}
 }
 
-// Reply routes an answer to whoever asked.
+// Reply implements Transport. It passes a reply to the sender of the request.
 func (n *node) Reply(request RequestID, reply *protocol.TurnReply) {
-	if answer, ok := n.replies[request]; ok {
+	if onReply, ok := n.replies[request]; ok {
 		delete(n.replies, request)
-		answer(reply)
+		onReply(reply)
 	}
 }
 
-func (n *node) ask(request *protocol.TurnRequest, answer func(*protocol.TurnReply)) {
-	n.next++
-	n.replies[n.next] = answer
-	n.core.HandleRequest(n.next, request, n.cluster.nowMs)
+// sendRequest sends a request to the host. onReply receives the reply.
+func (n *node) sendRequest(request *protocol.TurnRequest, onReply func(*protocol.TurnReply)) {
+	n.lastRequestID++
+	n.replies[n.lastRequestID] = onReply
+	n.core.HandleRequest(n.lastRequestID, request, n.cluster.nowMs)
 }
 
-// run lets time pass.
+// run advances the virtual time.
 func (c *cluster) run(durationMs int64) {
 	for end := c.nowMs + durationMs; c.nowMs < end; {
 		c.nowMs += stepMs
-		due := c.flying
-		c.flying = nil
-		for _, next := range due {
-			if next.atMs > c.nowMs {
-				c.flying = append(c.flying, next)
+		inFlight := c.inFlight
+		c.inFlight = nil
+		for _, next := range inFlight {
+			if next.deliverAtMs > c.nowMs {
+				c.inFlight = append(c.inFlight, next)
 				continue
 			}
-			next.run()
+			next.deliver()
 		}
 		for _, node := range c.nodes {
 			if node.core == nil {
@@ -297,9 +305,10 @@
 	}
 }
 
+// leader returns a running, connected host that leads the group, or nil if there is none.
 func (c *cluster) leader() *node {
 	for _, node := range c.nodes {
-		if node.core == nil || node.cut {
+		if node.core == nil || node.partitioned {
 			continue
 		}
 		if group := node.core.host.FindGroup(1); group != nil && group.IsLeader() {
@@ -309,8 +318,8 @@
 	return nil
 }
 
-// until runs until a condition holds, at most for 30 s of virtual time.
-func (c *cluster) until(what string, condition func() bool) {
+// runUntil runs until a condition holds, for at most 30 s of virtual time.
+func (c *cluster) runUntil(description string, condition func() bool) {
 	c.t.Helper()
 	for range 300 {
 		if condition() {
@@ -318,33 +327,34 @@
 		}
 		c.run(100)
 	}
-	c.t.Fatalf("%d ms: %s did not happen", c.nowMs, what)
+	c.t.Fatalf("%d ms: timed out waiting for %s", c.nowMs, description)
 }
 
-// keep has a turn kept that goes on from another; it notes what was acknowledged.
-func (c *cluster) keep(request, previous string) {
+// retainTurn asks the leader to retain a turn that continues another, and records the
+// acknowledgement.
+func (c *cluster) retainTurn(request, previous string) {
 	leader := c.leader()
 	if leader == nil {
 		return
 	}
 	content := "<" + request + ">"
-	leader.ask(&protocol.TurnRequest{Group: 1, Settle: &program.Settle{
+	leader.sendRequest(&protocol.TurnRequest{Group: 1, Settle: &program.Settle{
 		Program: "p", Request: request, PreviousRequest: previous, Retain: true, Content: []byte(content), RetentionMs: 3_600_000,
 	}}, func(reply *protocol.TurnReply) {
 		if reply.Error == nil {
-			c.kept[request] = c.kept[previous] + content
+			c.acknowledged[request] = c.acknowledged[previous] + content
 		}
 	})
 }
 
-// spend reserves a turn that nobody settles.
-func (c *cluster) spend(request string) {
+// reserveTurn reserves a turn that is never settled.
+func (c *cluster) reserveTurn(request string) {
 	leader := c.leader()
 	if leader == nil {
 		return
 	}
-	leader.ask(&protocol.TurnRequest{Group: 1, Reserve: &program.Reserve{
-		Program: "budget", Request: request, BudgetTokens: testBudget, MaxTokens: testMost,
+	leader.sendRequest(&protocol.TurnRequest{Group: 1, Reserve: &program.Reserve{
+		Program: "budget", Request: request, BudgetTokens: testBudgetTokens, MaxTokens: testMaxTokens,
 	}}, func(reply *protocol.TurnReply) {
 		if reply.Error == nil {
 			c.granted[request]++
@@ -352,15 +362,15 @@
 	})
 }
 
-// check holds that all that was acknowledged is there, whole and in order, and that
-// no more was granted than the budget allows.
-func (c *cluster) check() {
+// checkInvariants checks that every acknowledged turn is readable with its whole chain in order, and
+// that the granted turns do not exceed the budget.
+func (c *cluster) checkInvariants() {
 	c.t.Helper()
-	for request, content := range c.kept {
+	for request, content := range c.acknowledged {
 		got, answered := "", false
-		c.until("an answer about "+request, func() bool {
+		c.runUntil("a reply about turn "+request, func() bool {
 			if leader := c.leader(); leader != nil {
-				leader.ask(&protocol.TurnRequest{Group: 1, HistoryOf: request}, func(reply *protocol.TurnReply) {
+				leader.sendRequest(&protocol.TurnRequest{Group: 1, HistoryOf: request}, func(reply *protocol.TurnReply) {
 					if reply.Error == nil || reply.Error.Code == result.UnknownTurn {
 						got, answered = string(reply.History), true
 					}
@@ -370,15 +380,17 @@
 			return answered
 		})
 		if got != content {
-			c.t.Fatalf("turn %s: kept %q, found %q", request, content, got)
+			c.t.Fatalf("turn %s: want content %q, got %q", request, content, got)
 		}
 	}
-	if len(c.granted) > testBudget/testMost {
-		c.t.Fatalf("%d turns of %d granted from a budget of %d", len(c.granted), testMost, testBudget)
+	if len(c.granted) > testBudgetTokens/testMaxTokens {
+		c.t.Fatalf("%d turns of %d tokens were granted from a budget of %d", len(c.granted), testMaxTokens, testBudgetTokens)
 	}
 }
 
-func (c *cluster) settled() bool {
+// matchesPlacement reports whether the configuration of the group equals its placement, with the
+// current disks as voters.
+func (c *cluster) matchesPlacement() bool {
 	leader := c.leader()
 	if leader == nil {
 		return false
@@ -389,28 +401,28 @@
 		current[node.host.Member] = node.host.Replica
 	}
 	configuration := group.Node.Configuration()
-	return len(configuration.Replicas) == len(c.groups[0].Members) && allVote(configuration, c.groups[0].Members, current)
+	return len(configuration.Replicas) == len(c.groups[0].Members) && allMembersVote(configuration, c.groups[0].Members, current)
 }
 
-// keepMany keeps turns of a few kilobytes each, none of which goes on from another.
-func (c *cluster) keepMany(name string, turns int) {
+// retainTurns retains turns of about 8 KiB each, none of which continues another.
+func (c *cluster) retainTurns(name string, turns int) {
 	c.t.Helper()
 	const contentBytes = 8 << 10
 	for number := range turns {
 		request := fmt.Sprintf("%s-%d", name, number)
 		content := strings.Repeat(request+" ", contentBytes/len(request))
-		c.until("a kept turn", func() bool {
+		c.runUntil("a retained turn", func() bool {
 			if leader := c.leader(); leader != nil {
-				leader.ask(&protocol.TurnRequest{Group: 1, Settle: &program.Settle{
+				leader.sendRequest(&protocol.TurnRequest{Group: 1, Settle: &program.Settle{
 					Program: "p", Request: request, Retain: true, Content: []byte(content), RetentionMs: 3_600_000,
 				}}, func(reply *protocol.TurnReply) {
 					if reply.Error == nil {
-						c.kept[request] = content
+						c.acknowledged[request] = content
 					}
 				})
 				c.run(30)
 			}
-			return c.kept[request] != ""
+			return c.acknowledged[request] != ""
 		})
 	}
 }
--- a/internal/ledger/compat_test.go
+++ b/internal/ledger/compat_test.go
@@ -6,9 +6,10 @@
 	"github.com/ochrebay/ochrebay/internal/compat"
 )
 
-// TestEarlierReleases holds what this package sends and stores against earlier releases.
+// TestEarlierReleases checks that the encodings of this package are compatible with earlier
+// releases.
 func TestEarlierReleases(t *testing.T) {
 	compat.CheckTypes(t, map[string]any{
-		"groupSnapshot": &groupSnapshot{}, "placementNoted": &placementNoted{},
+		"groupSnapshot": &groupSnapshot{}, "placementNoted": &savedPlacement{},
 	})
 }
--- a/internal/ledger/core.go
+++ b/internal/ledger/core.go
@@ -1,7 +1,7 @@
-// Package ledger is the process that holds the turns of programs on machines of
-// its own: replicas of ledger groups, each placed on several hosts by the leader of
-// the settings group. Core is its state without goroutine, clock or socket; Daemon
-// runs it over TCP and a real disk.
+// Package ledger implements the ledger host, a process that stores the turns of programs on
+// machines of its own. It holds replicas of ledger groups. The leader of the settings group places
+// each group on several hosts. Core is the state of a host without goroutines, clocks or sockets;
+// Daemon runs a Core over TCP and a real disk.
 package ledger
 
 import (
@@ -18,151 +18,161 @@
 	"github.com/ochrebay/ochrebay/internal/storage"
 )
 
-// RequestID names a request whose reply the shell will route.
+// RequestID identifies a request, so that the daemon can route its reply.
 type RequestID uint64
 
-// Storage is the disk as the core sees it.
+// Storage is the disk interface of a Core.
 type Storage interface {
 	replication.Storage
-	// PutMetadata keeps a small value by name, and NoteOf returns it, nil where there is none.
+	// PutMetadata stores a small value under a name.
 	PutMetadata(name string, value []byte) error
+	// GetMetadata returns the value stored under a name, or nil if there is none.
 	GetMetadata(name string) ([]byte, error)
 }
 
-// placementNote is the name under which the last view of the fleet is kept.
-const placementNote = "placement"
+// placementMetadataKey is the metadata name of the latest placement that this host received.
+const placementMetadataKey = "placement"
 
-// Transport takes what the core sends. Its methods must not call back.
+// Transport sends the messages and replies of a Core. Its methods must not call the core.
 type Transport interface {
+	// Send sends consensus messages to another ledger host.
 	Send(member string, batch protocol.PeerBatch)
+	// Reply sends the reply to a request. The reply may share memory with the core's state.
 	Reply(request RequestID, reply *protocol.TurnReply)
 }
 
 // Options configure a Core. Times are in milliseconds.
 type Options struct {
-	// Member is the process's inner address, its name in configurations.
+	// Member is the address of this process for other processes of the fleet. It is also the
+	// member name in group configurations.
 	Member string
 	Name   string
 	Zone   string
 	TickMs int64
-	// Replication holds the timings of the groups.
+	// Replication holds the timings and limits of the groups.
 	Replication replication.Options
-	// QuotaWindowMs is the span over which tenants' limits are counted (config.Limits).
+	// QuotaWindowMs is the length of the window in which a tenant's requests are counted
+	// (config.Limits).
 	QuotaWindowMs int64
-	// QuotaTolerance is what programs under way may use beyond a limit (config.Limits).
+	// QuotaTolerance is by how much programs in progress may exceed a limit (config.Limits).
 	QuotaTolerance quota.Tolerance
-	// DisableBudget turns the check of budgets off, for runs that show what it is
-	// for.
+	// DisableBudget turns the check of token budgets off, for test runs that show which
+	// failures the check prevents.
 	DisableBudget bool
 }
 
 const (
-	// defaultTickMs is the length of a consensus tick: some round trips between zones (1 to
-	// 3 ms) and syncs (1 ms), so that a tick decides on what the one before has sent.
+	// defaultTickMs is the interval between consensus ticks. It covers several round trips
+	// between zones (1 to 3 ms) and syncs (1 ms), so that the responses to the messages of one
+	// tick have arrived before the next tick.
 	defaultTickMs = 50
-	// electionTicks is the shortest election timeout, 300 ms: a leader that misses two of
-	// its heartbeats, one each heartbeatTicks, is not replaced yet. startTicks is that of a
-	// replica that has known no leader since its start.
-	electionTicks  = 6
-	startTicks     = 3
-	heartbeatTicks = 2
-	// maxAppendBytes and maxInflight bound what is on its way to one follower, bytes of one
-	// message and messages. A heartbeat waits behind one such message for 0.02 s on a link of
-	// 47 Mbit/s, against an election timeout of 0.3 s; 1 MiB took most of that.
+	// electionTicks is the minimum election timeout, 300 ms. A leader sends a heartbeat every
+	// heartbeatTicks and is not replaced after two missed heartbeats. initialElectionTicks is
+	// the minimum election timeout of a replica that has had no leader since it started.
+	electionTicks        = 6
+	initialElectionTicks = 3
+	heartbeatTicks       = 2
+	// maxAppendBytes bounds the size of one append message, and maxInflight the number of
+	// append messages in flight to one follower. On a link of 47 Mbit/s a heartbeat is delayed
+	// by 0.02 s behind one message of this size, against an election timeout of 0.3 s. A message
+	// of 1 MiB would delay it for most of the election timeout.
 	maxAppendBytes = 128 << 10
 	maxInflight    = 64
-	// proposalWaitMs is longer than a gateway waits for one answer (0.45 s).
-	proposalWaitMs = 3000
-	// compactEntries and compactBytes are how much of the log stays at most, so that a host
-	// that was away briefly needs no snapshot.
-	compactEntries = 2000
-	compactBytes   = 2 << 20
-	// reconcileEveryMs is how often groups are compared with the placement, sweepEveryMs how
-	// often turns that have expired are looked for.
-	reconcileEveryMs = 100
-	sweepEveryMs     = 1000
-	// forgetGroupAfterMs is how long a replica without a leader, and without a place in the
-	// placement, is kept: the vote that takes it out may still be under way.
-	forgetGroupAfterMs = 5000
-	// caughtUpLag is how many entries a learner may lack when it becomes a voter.
-	caughtUpLag = 8
-	// balanceAfterMs is how long a host leads before it may hand a group over for balance,
-	// balanceEveryMs the least time between two of these.
-	balanceAfterMs = 5000
-	balanceEveryMs = 1000
+	// proposalTimeoutMs is longer than a gateway waits for one reply (0.45 s).
+	proposalTimeoutMs = 3000
+	// compactAfterEntries and compactAfterBytes bound the log in entries and bytes. They are
+	// large enough that a host needs no snapshot after a short outage.
+	compactAfterEntries = 2000
+	compactAfterBytes   = 2 << 20
+	// reconcileIntervalMs is the interval at which the groups are compared with their placement,
+	// and sweepIntervalMs the interval at which expired turns are removed.
+	reconcileIntervalMs = 100
+	sweepIntervalMs     = 1000
+	// removeOrphanAfterMs is how long a replica is kept that has no leader and is not part of
+	// the placement: the configuration change that removes it may still be in progress.
+	removeOrphanAfterMs = 5000
+	// maxLearnerLagEntries is how many entries a learner may lag behind when it becomes a voter.
+	maxLearnerLagEntries = 8
+	// balanceMinLeadMs is how long a host leads a group before it may transfer the leadership to
+	// balance the load. balanceIntervalMs is the minimum time between two such transfers.
+	balanceMinLeadMs  = 5000
+	balanceIntervalMs = 1000
 )
 
-// DefaultOptions returns the timings of a fleet whose zones are a few milliseconds
-// apart.
+// DefaultOptions returns options for a fleet whose zones are a few milliseconds apart.
 func DefaultOptions(member, name, zone string) Options {
 	return Options{
 		Member: member, Name: name, Zone: zone, TickMs: defaultTickMs,
 		Replication: replication.Options{
-			Name: member, InitialElectionTicks: startTicks, ElectionTicks: electionTicks, HeartbeatTicks: heartbeatTicks,
-			MaxAppendBytes: maxAppendBytes, MaxInflight: maxInflight, ProposalTimeoutMs: proposalWaitMs,
-			CompactAfterEntries: compactEntries, CompactAfterBytes: compactBytes,
+			Name: member, InitialElectionTicks: initialElectionTicks, ElectionTicks: electionTicks, HeartbeatTicks: heartbeatTicks,
+			MaxAppendBytes: maxAppendBytes, MaxInflight: maxInflight, ProposalTimeoutMs: proposalTimeoutMs,
+			CompactAfterEntries: compactAfterEntries, CompactAfterBytes: compactAfterBytes,
 		},
 	}
 }
 
 // Core is the state of one ledger host.
 type Core struct {
-	options Options
-	storage Storage
-	outlet  Transport
-	host    *replication.Host
-	nowMs   int64
-	view    *membership.FleetView
+	options   Options
+	storage   Storage
+	transport Transport
+	host      *replication.Host
+	nowMs     int64
+	fleetView *membership.FleetView
 
 	lastTickMs      int64
 	lastReconcileMs int64
 	lastSweepMs     int64
-	// leaderlessMs is since when a hosted group has no known leader.
-	leaderlessMs map[storage.GroupID]int64
-	// preferred are the members that are to lead the groups.
-	preferred map[uint32]string
-	// ledSinceMs is since when this host leads a group, lastBalanceMs when it last handed
-	// one over for balance.
+	// leaderlessSinceMs is the time since which a hosted group that is not placed here has had
+	// no known leader.
+	leaderlessSinceMs map[storage.GroupID]int64
+	// preferredLeader holds the member that should lead each group.
+	preferredLeader map[uint32]string
+	// ledSinceMs is the time since which this host has led a group, and lastBalanceMs the time
+	// of its latest leadership transfer for load balancing.
 	ledSinceMs    map[storage.GroupID]int64
 	lastBalanceMs int64
-	// settles are the charges that wait for the next entry of their group.
-	settles map[storage.GroupID][]waitingSettle
-	// quotas grant the requests of tenants in the groups led here.
-	quotas map[storage.GroupID]*quotaOwner
-	// kinds is what was learnt of the kinds of tenants' programs, in all groups led here.
-	kinds    *admission.ProgramKinds
-	draining bool
-
-	quotasGranted atomic.Int64
-	quotasDenied  atomic.Int64
-
-	// noted is the placement as the disk remembers it.
-	noted []byte
+	// deferredSettles holds the settlements that wait for the next proposal in their group.
+	deferredSettles map[storage.GroupID][]deferredSettle
+	// quotaOwners grant the requests of the tenants that belong to the groups led here.
+	quotaOwners map[storage.GroupID]*quotaOwner
+	// programKinds holds the learned statistics of the kinds of tenants' programs, over all
+	// groups led here.
+	programKinds *admission.ProgramKinds
+	draining     bool
+
+	grantedRequests atomic.Int64
+	deniedRequests  atomic.Int64
+
+	// encodedPlacement is the placement as it was last written to disk.
+	encodedPlacement []byte
 }
 
-// NewCore returns a core that hosts nothing until it hears of its placement.
-func NewCore(options Options, disk Storage, outlet Transport, nowMs int64) *Core {
+// NewCore returns a core that hosts no groups until Restore or ApplyView.
+func NewCore(options Options, store Storage, transport Transport, nowMs int64) *Core {
 	core := &Core{
-		options: options, storage: disk, outlet: outlet, nowMs: nowMs, lastTickMs: nowMs,
-		leaderlessMs: map[storage.GroupID]int64{}, settles: map[storage.GroupID][]waitingSettle{}, ledSinceMs: map[storage.GroupID]int64{},
-		quotas: map[storage.GroupID]*quotaOwner{}, kinds: admission.NewProgramKinds(),
+		options: options, storage: store, transport: transport, nowMs: nowMs, lastTickMs: nowMs,
+		leaderlessSinceMs: map[storage.GroupID]int64{}, deferredSettles: map[storage.GroupID][]deferredSettle{}, ledSinceMs: map[storage.GroupID]int64{},
+		quotaOwners: map[storage.GroupID]*quotaOwner{}, programKinds: admission.NewProgramKinds(),
 	}
-	core.host = replication.NewHost(options.Replication, disk, func(member string, messages []protocol.PeerMessage) {
-		outlet.Send(member, protocol.PeerBatch{From: options.Member, Messages: messages})
+	core.host = replication.NewHost(options.Replication, store, func(member string, messages []protocol.PeerMessage) {
+		transport.Send(member, protocol.PeerBatch{From: options.Member, Messages: messages})
 	})
 	core.setNow(nowMs)
 	return core
 }
 
+// setNow sets the clock of the core and of its replicas.
 func (c *Core) setNow(nowMs int64) {
 	c.nowMs = nowMs
 	c.host.NowMs = nowMs
 }
 
-// Host returns the replicas for reading.
+// Host returns the replicas, for inspection.
 func (c *Core) Host() *replication.Host { return c.host }
 
-// StateMachine returns the state of a hosted group for reading, nil where it is not hosted.
+// StateMachine returns the state machine of a group, for inspection, or nil if the group is not
+// hosted here.
 func (c *Core) StateMachine(id storage.GroupID) *stateMachine {
 	group := c.host.FindGroup(id)
 	if group == nil {
@@ -171,169 +181,176 @@
 	return group.StateMachine.(*stateMachine)
 }
 
-// placementNoted is what a host must know to go on without control.
-type placementNoted struct {
+// savedPlacement is the part of a fleet view that a host needs to serve its groups while control
+// is unavailable.
+type savedPlacement struct {
 	Ledgers []membership.LedgerHost `msgpack:"l"`
 	Groups  []membership.Placement  `msgpack:"g"`
 }
 
-// notePlacement returns what of a view is worth remembering, in a fixed order.
-func notePlacement(view *membership.FleetView) placementNoted {
-	var noted placementNoted
+// newSavedPlacement extracts the placement from a view, in a fixed order, so that equal placements
+// have equal encodings.
+func newSavedPlacement(view *membership.FleetView) savedPlacement {
+	var saved savedPlacement
 	for _, member := range replication.SortedKeys(view.Ledgers) {
-		noted.Ledgers = append(noted.Ledgers, view.Ledgers[member])
+		saved.Ledgers = append(saved.Ledgers, view.Ledgers[member])
 	}
 	for _, group := range replication.SortedKeys(view.Groups) {
-		noted.Groups = append(noted.Groups, view.Groups[group])
+		saved.Groups = append(saved.Groups, view.Groups[group])
 	}
-	return noted
+	return saved
 }
 
-// Restore hosts the groups that the disk remembers, so that a fleet which starts
-// again as a whole does not wait for control first.
+// Restore hosts the groups of the placement on disk, so that a fleet that restarts as a whole does
+// not have to wait for control.
 func (c *Core) Restore(nowMs int64) error {
-	raw, err := c.storage.GetMetadata(placementNote)
+	raw, err := c.storage.GetMetadata(placementMetadataKey)
 	if err != nil || raw == nil {
 		return err
 	}
-	var noted placementNoted
-	if err := protocol.Decode(raw, &noted); err != nil {
+	var saved savedPlacement
+	if err := protocol.Decode(raw, &saved); err != nil {
 		return err
 	}
-	c.noted = raw
+	c.encodedPlacement = raw
 	var view *membership.FleetView
-	view, _ = view.ApplyDelta(membership.FleetDelta{IsFull: true, Ledgers: noted.Ledgers, Groups: noted.Groups})
-	return c.hostView(view, nowMs)
+	view, _ = view.ApplyDelta(membership.FleetDelta{IsFull: true, Ledgers: saved.Ledgers, Groups: saved.Groups})
+	return c.hostPlacedGroups(view, nowMs)
 }
 
-// ApplyView takes a new view of the fleet, remembers what matters of it and hosts the
-// groups placed here.
+// ApplyView applies a new view of the fleet: it saves the placement if it changed and hosts the
+// groups that are placed here.
 func (c *Core) ApplyView(view *membership.FleetView, nowMs int64) error {
-	noted := notePlacement(view)
-	raw, err := protocol.Encode(&noted)
+	saved := newSavedPlacement(view)
+	raw, err := protocol.Encode(&saved)
 	if err != nil {
 		return err
 	}
-	if !bytes.Equal(raw, c.noted) {
-		if err := c.storage.PutMetadata(placementNote, raw); err != nil {
+	if !bytes.Equal(raw, c.encodedPlacement) {
+		if err := c.storage.PutMetadata(placementMetadataKey, raw); err != nil {
 			return err
 		}
-		c.noted = raw
+		c.encodedPlacement = raw
 	}
-	return c.hostView(view, nowMs)
+	return c.hostPlacedGroups(view, nowMs)
 }
 
-func (c *Core) hostView(view *membership.FleetView, nowMs int64) error {
+// hostPlacedGroups hosts the groups that a view places on this host.
+func (c *Core) hostPlacedGroups(view *membership.FleetView, nowMs int64) error {
 	c.setNow(nowMs)
-	c.view = view
-	c.preferred = preferredLeaders(view)
+	c.fleetView = view
+	c.preferredLeader = preferredLeaders(view)
 	for _, group := range replication.SortedKeys(view.Groups) {
-		if err := c.hostPlaced(view.Groups[group]); err != nil {
+		if err := c.hostIfPlaced(view.Groups[group]); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (c *Core) hostPlaced(placement membership.Placement) error {
+// hostIfPlaced starts a replica of a group if the group is placed here and not hosted yet.
+func (c *Core) hostIfPlaced(placement membership.Placement) error {
 	id := storage.GroupID(placement.Group)
 	if !slices.Contains(placement.Members, c.options.Member) || c.host.FindGroup(id) != nil {
 		return nil
 	}
-	// Invariant: a disk that the first configuration doesn't name has promised
-	// nothing, so it must not vote before the group lets it in.
+	// Invariant: a disk that is not part of the initial configuration has cast no votes and
+	// acknowledged no entries. It must not vote before the group adds it.
 	bootstrap := consensus.Configuration{}
-	if _, first := placement.Initial.Find(c.storage.Replica()); first {
+	if _, isInitialMember := placement.Initial.Find(c.storage.Replica()); isInitialMember {
 		bootstrap = placement.Initial
 	}
 	_, err := c.host.AddGroup(id, newStateMachine(c.options), bootstrap)
 	return err
 }
 
-// HandlePeerBatch takes a batch of consensus messages from another ledger host.
+// HandlePeerBatch processes a batch of consensus messages from another ledger host.
 func (c *Core) HandlePeerBatch(batch protocol.PeerBatch, nowMs int64) {
 	c.setNow(nowMs)
 	c.host.Step(batch)
 }
 
-// Flush carries out what the groups have ready.
+// Flush does the pending work of the groups: sends, writes and applies.
 func (c *Core) Flush() error { return c.host.ProcessReady() }
 
-// Tick advances the core's clock.
+// Tick advances the core's clock and runs the periodic work that is due.
 func (c *Core) Tick(nowMs int64) {
 	c.setNow(nowMs)
 	if nowMs-c.lastTickMs >= c.options.TickMs {
 		c.lastTickMs = nowMs
 		c.tickQuotas()
 		for _, group := range c.host.Groups {
-			c.proposeSettles(group)
+			c.proposeDeferredSettles(group)
 			group.Node.Tick()
 		}
 	}
-	if nowMs-c.lastReconcileMs >= reconcileEveryMs {
+	if nowMs-c.lastReconcileMs >= reconcileIntervalMs {
 		c.lastReconcileMs = nowMs
 		c.reconcile()
 	}
-	if nowMs-c.lastSweepMs >= sweepEveryMs {
+	if nowMs-c.lastSweepMs >= sweepIntervalMs {
 		c.lastSweepMs = nowMs
-		c.sweep()
+		c.proposeSweeps()
 	}
 	c.host.ExpirePending()
 }
 
-// Report returns what the host says of itself to control.
+// Report returns the host's report to control: its identity and the groups that it leads.
 func (c *Core) Report() membership.LedgerReport {
 	report := membership.LedgerReport{Host: membership.LedgerHost{
 		Member: c.options.Member, Name: c.options.Name, Zone: c.options.Zone, Replica: c.storage.Replica(),
 	}}
 	for _, group := range c.host.Groups {
 		if group.IsLeader() {
-			report.LedGroups = append(report.LedGroups, ledGroup(group))
+			report.LedGroups = append(report.LedGroups, newGroupReport(group))
 		}
 	}
 	return report
 }
 
-func ledGroup(group *replication.Group) membership.GroupReport {
-	led := membership.GroupReport{Group: uint32(group.ID), Term: group.Node.Term(), IsStable: true}
+// newGroupReport describes a group that is led here. A group with a learner is not stable.
+func newGroupReport(group *replication.Group) membership.GroupReport {
+	report := membership.GroupReport{Group: uint32(group.ID), Term: group.Node.Term(), IsStable: true}
 	for _, replica := range group.Node.Configuration().Replicas {
-		led.Members = append(led.Members, replica.Member)
-		led.IsStable = led.IsStable && !replica.IsLearner
+		report.Members = append(report.Members, replica.Member)
+		report.IsStable = report.IsStable && !replica.IsLearner
 	}
-	return led
+	return report
 }
 
-// Drain hands leadership over, as a planned stop begins.
+// Drain begins a planned stop: it transfers the leadership of all groups led here.
 func (c *Core) Drain() {
 	c.draining = true
 	for _, group := range c.host.Groups {
-		c.handOver(group, anyMember)
+		c.transferLeadership(group, anyMember)
 	}
 }
 
-// IsDrained reports whether this process leads nothing any more.
+// IsDrained reports whether this process leads no group.
 func (c *Core) IsDrained() bool {
 	return !slices.ContainsFunc(c.host.Groups, (*replication.Group).IsLeader)
 }
 
-// handOver gives leadership to a voter that is heard, has the whole log and is eligible.
-func (c *Core) handOver(group *replication.Group, eligible func(member string) bool) {
+// transferLeadership transfers the leadership of a group to an eligible voter that has responded
+// recently and has nearly the whole log.
+func (c *Core) transferLeadership(group *replication.Group, eligible func(member string) bool) {
 	if !group.IsLeader() {
 		return
 	}
 	for _, replica := range group.Node.Configuration().Replicas {
-		candidate := replica.ID != group.Node.ID() && eligible(replica.Member) && group.Node.IsRecentlyActive(replica.ID)
-		if candidate && group.Node.TransferLeadership(replica.ID) {
+		isCandidate := replica.ID != group.Node.ID() && eligible(replica.Member) && group.Node.IsRecentlyActive(replica.ID)
+		if isCandidate && group.Node.TransferLeadership(replica.ID) {
 			return
 		}
 	}
 }
 
-// anyMember makes every voter eligible: a host that stops leaves its groups to whoever can lead.
+// anyMember makes every voter eligible: a host that stops transfers its groups to any voter that
+// can lead them.
 func anyMember(string) bool { return true }
 
-// sweep forgets expired turns and idle budgets in the groups led here.
-func (c *Core) sweep() {
+// proposeSweeps proposes the removal of expired turns and idle budgets in the groups led here.
+func (c *Core) proposeSweeps() {
 	for _, group := range c.host.Groups {
 		if group.IsLeader() && group.StateMachine.(*stateMachine).turns.IsSweepDue(c.nowMs) {
 			c.proposeSweep(group)
--- a/internal/ledger/daemon.go
+++ b/internal/ledger/daemon.go
@@ -21,23 +21,23 @@
 )
 
 const (
-	drainTimeout = 4 * time.Second
-	drainPoll    = 20 * time.Millisecond
+	drainTimeout      = 4 * time.Second
+	drainPollInterval = 20 * time.Millisecond
 )
 
-// status is the snapshot that other goroutines read.
+// status is a snapshot of the core's state for other goroutines.
 type status struct {
-	report  membership.LedgerReport
-	drained bool
-	turns   int
-	hosted  int
-	// voting counts the hosted groups in which this replica counts in the quorum.
-	voting  int
-	applied uint64
-	synced  uint64
-	// waiting are the requests that wait for room in their tenant's limit.
-	waiting int
-	// leaders are the members that lead the groups hosted here, as far as known.
+	report        membership.LedgerReport
+	isDrained     bool
+	retainedTurns int
+	hostedGroups  int
+	// votingGroups counts the hosted groups in which the local replica is a voter.
+	votingGroups   int
+	appliedEntries uint64
+	syncedWrites   uint64
+	// waitingRequests counts the quota requests that wait for headroom in their tenant's window.
+	waitingRequests int
+	// leaders holds the last known leader of each group hosted here.
 	leaders map[uint32]string
 }
 
@@ -52,23 +52,24 @@
 	links    *daemon.Links
 	follower *daemon.Follower
 	status   atomic.Pointer[status]
-	// expired counts the requests that waited longer than their senders.
-	expired atomic.Int64
+	// expiredRequests counts the requests that were dropped because their timeout had passed.
+	expiredRequests atomic.Int64
 
-	// The loop alone uses these.
-	replies daemon.PendingReplies[RequestID, *protocol.TurnReply]
-	led     map[uint32]uint64
+	// Only the event loop uses the following fields. ledTerms holds the term in which each group
+	// is led here, zero for groups that are not.
+	pendingReplies daemon.PendingReplies[RequestID, *protocol.TurnReply]
+	ledTerms       map[uint32]uint64
 }
 
-// NewDaemon opens the data folder; it returns storage.ErrInUse where another
-// process has it.
+// NewDaemon opens the data folder and restores the placement. It returns storage.ErrInUse if
+// another process uses the folder.
 func NewDaemon(process config.Process, logger log.Logger) (*Daemon, error) {
 	store, err := storage.Open(process.Data.Path)
 	if err != nil {
 		return nil, err
 	}
 	d := &Daemon{
-		process: process, logger: logger, store: store, led: map[uint32]uint64{},
+		process: process, logger: logger, store: store, ledTerms: map[uint32]uint64{},
 	}
 	options := DefaultOptions(process.Listen.Address, process.Name, process.Zone)
 	options.QuotaWindowMs = process.Limits.QuotaWindow().Milliseconds()
@@ -82,62 +83,62 @@
 	d.loop = daemon.NewEventLoop(time.Duration(options.TickMs) * time.Millisecond)
 	d.loop.Tick = func() { d.core.Tick(clock.NowMs()) }
 	d.loop.Flush = d.core.Flush
-	d.loop.Publish = d.publish
+	d.loop.Publish = d.publishStatus
 	d.follower = daemon.NewFollower(process.Cluster.Seeds, logger)
 	d.follower.FillReport = func(request *protocol.FleetSync) {
 		report := d.status.Load().report
 		request.Ledger = &report
 	}
-	d.follower.OnUpdate = d.follow
-	d.publish()
-	d.monitor = telemetry.NewMonitor(func() bool { return len(d.status.Load().report.LedGroups)+d.status.Load().hosted > 0 })
+	d.follower.OnUpdate = d.applyView
+	d.publishStatus()
+	d.monitor = telemetry.NewMonitor(func() bool { return len(d.status.Load().report.LedGroups)+d.status.Load().hostedGroups > 0 })
 	d.registerMetrics()
 	return d, nil
 }
 
 func (d *Daemon) registerMetrics() {
-	d.monitor.RegisterGauge("ledger_groups_hosted", "Ledger groups with a replica here.", func() float64 { return float64(d.status.Load().hosted) })
+	d.monitor.RegisterGauge("ledger_groups_hosted", "Ledger groups with a replica here.", func() float64 { return float64(d.status.Load().hostedGroups) })
 	d.monitor.RegisterGauge("ledger_groups_led", "Ledger groups led here.", func() float64 { return float64(len(d.status.Load().report.LedGroups)) })
-	d.monitor.RegisterGauge("ledger_groups_voting", "Ledger groups whose quorum counts the replica here.", func() float64 { return float64(d.status.Load().voting) })
-	d.monitor.RegisterGauge("ledger_requests_expired", "Requests dropped since the start: they waited longer than their senders.", func() float64 { return float64(d.expired.Load()) })
-	d.monitor.RegisterGauge("ledger_turns_kept", "Turns kept in the groups hosted here.", func() float64 { return float64(d.status.Load().turns) })
-	d.monitor.RegisterGauge("ledger_entries_applied", "Log entries applied over all groups.", func() float64 { return float64(d.status.Load().applied) })
+	d.monitor.RegisterGauge("ledger_groups_voting", "Ledger groups whose quorum counts the replica here.", func() float64 { return float64(d.status.Load().votingGroups) })
+	d.monitor.RegisterGauge("ledger_requests_expired", "Requests dropped since the start: they waited longer than their senders.", func() float64 { return float64(d.expiredRequests.Load()) })
+	d.monitor.RegisterGauge("ledger_turns_kept", "Turns kept in the groups hosted here.", func() float64 { return float64(d.status.Load().retainedTurns) })
+	d.monitor.RegisterGauge("ledger_entries_applied", "Log entries applied over all groups.", func() float64 { return float64(d.status.Load().appliedEntries) })
 	d.monitor.RegisterGauge("ledger_quota_granted", "Requests of tenants granted since the start.", func() float64 { return float64(d.core.GrantedRequestCount()) })
 	d.monitor.RegisterGauge("ledger_quota_denied", "Requests of tenants denied since the start: their limit was used up.", func() float64 { return float64(d.core.DeniedRequestCount()) })
-	d.monitor.RegisterGauge("ledger_quota_waiting", "Requests of programs under way that wait for room in their tenant's limit.", func() float64 { return float64(d.status.Load().waiting) })
-	d.monitor.RegisterView("/v1/tenants", d.tenants)
-	d.monitor.RegisterGauge("store_syncs", "Synced writes to the data folder.", func() float64 { return float64(d.status.Load().synced) })
+	d.monitor.RegisterGauge("ledger_quota_waiting", "Requests of programs under way that wait for room in their tenant's limit.", func() float64 { return float64(d.status.Load().waitingRequests) })
+	d.monitor.RegisterView("/v1/tenants", d.tenantsView)
+	d.monitor.RegisterGauge("store_syncs", "Synced writes to the data folder.", func() float64 { return float64(d.status.Load().syncedWrites) })
 }
 
-// tenants tells an operator of the tenants whose limits are owned here.
-func (d *Daemon) tenants() any {
+// tenantsView returns the usage of the tenants whose limits are enforced here.
+func (d *Daemon) tenantsView() any {
 	views := make(chan []quota.TenantUsage, 1)
 	d.loop.Post(func() { views <- d.core.TenantUsage() })
 	return TenantsView{Process: d.process.Name, Tenants: <-views}
 }
 
-// TenantsView is a ledger host's answer to an operator.
+// TenantsView is the response to an operator's query for the tenants of a ledger host.
 type TenantsView struct {
 	Process string              `json:"process"`
 	Tenants []quota.TenantUsage `json:"tenants"`
 }
 
-// Follower returns the daemon's link to control, for changed settings.
+// Follower returns the daemon's link to control, through which settings changes arrive.
 func (d *Daemon) Follower() *daemon.Follower { return d.follower }
 
-// follow hands a new view of the fleet to the core.
-func (d *Daemon) follow(view *membership.FleetView, _ *routing.Table) {
+// applyView applies a new view of the fleet on the event loop. A nil view is ignored.
+func (d *Daemon) applyView(view *membership.FleetView, _ *routing.Table) {
 	if view == nil {
 		return
 	}
 	d.loop.Post(func() {
 		if err := d.core.ApplyView(view, clock.NowMs()); err != nil {
-			telemetry.Warn(d.logger, "placement not followed", "version", view.Version, "err", err)
+			telemetry.Warn(d.logger, "applying the placement failed", "version", view.Version, "err", err)
 		}
 	})
 }
 
-// Run serves until ctx ends, then hands leadership over.
+// Run serves until ctx ends and then transfers the leadership of the groups led here.
 func (d *Daemon) Run(ctx context.Context) error {
 	defer d.store.Close()
 	server, err := protocol.Listen(d.process.Listen.Address, d.handle)
@@ -150,50 +151,51 @@
 	tasks.Go(d.loop.Run)
 	tasks.Go(d.follower.Run)
 	tasks.Go(func(ctx context.Context) error {
-		own := daemon.Frontend{Address: d.process.Listen.HTTP, Handler: d.monitor.Handler()}
-		return daemon.ServeFrontends(ctx, []daemon.Frontend{own})
+		frontend := daemon.Frontend{Address: d.process.Listen.HTTP, Handler: d.monitor.Handler()}
+		return daemon.ServeFrontends(ctx, []daemon.Frontend{frontend})
 	})
 	err = tasks.Wait(ctx, d.drain)
 	d.links.Close()
 	return err
 }
 
-// drain waits until this process leads nothing, bounded in time.
+// drain starts the leadership transfers and waits until this process leads no group, for at most
+// drainTimeout.
 func (d *Daemon) drain(ctx context.Context) {
 	telemetry.Info(d.logger, "draining")
 	d.loop.Post(d.core.Drain)
 	deadline := time.Now().Add(drainTimeout)
-	for time.Now().Before(deadline) && ctx.Err() == nil && !d.status.Load().drained {
-		time.Sleep(drainPoll)
+	for time.Now().Before(deadline) && ctx.Err() == nil && !d.status.Load().isDrained {
+		time.Sleep(drainPollInterval)
 	}
 }
 
-// publish makes the snapshot for other goroutines and logs changes of leadership.
-func (d *Daemon) publish() {
+// publishStatus publishes a status snapshot for other goroutines and logs leadership changes.
+func (d *Daemon) publishStatus() {
 	current := &status{
-		leaders: map[uint32]string{}, report: d.core.Report(), drained: d.core.IsDrained(), hosted: len(d.core.host.Groups), synced: d.core.host.SyncedWrites,
-		waiting: d.core.WaitingRequestCount(),
+		leaders: map[uint32]string{}, report: d.core.Report(), isDrained: d.core.IsDrained(), hostedGroups: len(d.core.host.Groups), syncedWrites: d.core.host.SyncedWrites,
+		waitingRequests: d.core.WaitingRequestCount(),
 	}
 	for _, group := range d.core.host.Groups {
 		current.leaders[uint32(group.ID)] = group.LeaderMember()
-		current.turns += group.StateMachine.(*stateMachine).turns.TurnCount()
-		current.applied += group.Node.AppliedIndex()
+		current.retainedTurns += group.StateMachine.(*stateMachine).turns.TurnCount()
+		current.appliedEntries += group.Node.AppliedIndex()
 		if group.Node.Configuration().IsVoter(group.Node.ID()) {
-			current.voting++
+			current.votingGroups++
 		}
 		term := uint64(0)
 		if group.IsLeader() {
 			term = group.Node.Term()
 		}
-		if d.led[uint32(group.ID)] != term {
-			d.led[uint32(group.ID)] = term
+		if d.ledTerms[uint32(group.ID)] != term {
+			d.ledTerms[uint32(group.ID)] = term
 			telemetry.Info(d.logger, "leadership changed", "group", uint32(group.ID), "leads", group.IsLeader(), "term", group.Node.Term())
 		}
 	}
 	d.status.Store(current)
 }
 
-// Send is the core's outlet to other ledger hosts.
+// Send implements Transport. Bulk batches are sent on a lane of their own.
 func (d *Daemon) Send(member string, batch protocol.PeerBatch) {
 	if batch.IsBulk() {
 		d.links.SendBulk(member, protocol.KindPeer, batch)
@@ -202,13 +204,14 @@
 	d.links.Send(member, protocol.KindPeer, batch)
 }
 
-// Reply is the core's outlet to whoever asked. The reply is encoded before it
-// returns, since it may share memory with the core's state.
+// Reply implements Transport. It encodes the reply before it returns, since the reply may share
+// memory with the core's state.
 func (d *Daemon) Reply(request RequestID, reply *protocol.TurnReply) {
-	d.replies.Deliver(request, reply)
+	d.pendingReplies.Deliver(request, reply)
 }
 
-// handle takes a frame from another process.
+// handle processes a frame from another process. A frame that is malformed or of another kind
+// closes the connection.
 func (d *Daemon) handle(connection *protocol.Connection, frame protocol.Frame) {
 	switch frame.Kind {
 	case protocol.KindPeer:
@@ -220,33 +223,33 @@
 	case protocol.KindTurn:
 		var request protocol.TurnRequest
 		if protocol.Decode(frame.Body, &request) == nil {
-			d.takeRequest(connection, frame, &request)
+			d.handleTurnRequest(connection, frame, &request)
 			return
 		}
 	}
 	connection.Close()
 }
 
-// takeRequest answers a probe at once, however much the loop has to do, and hands all
-// else to the loop. Invariant: a request that waited longer than its sender does is
-// dropped, since the sender asks again: work for nobody must not add to an overload.
-func (d *Daemon) takeRequest(connection *protocol.Connection, frame protocol.Frame, request *protocol.TurnRequest) {
+// handleTurnRequest answers a leader probe immediately, independent of the load of the event loop,
+// and queues other requests for the loop. Invariant: a request whose timeout passed in the queue
+// is dropped. Its sender retries it, and work without a recipient must not add to an overload.
+func (d *Daemon) handleTurnRequest(connection *protocol.Connection, frame protocol.Frame, request *protocol.TurnRequest) {
 	if request.ProbeLeader {
-		_ = connection.Reply(frame.Call, protocol.KindResponse, d.probed(request.Group), true)
+		_ = connection.Reply(frame.Call, protocol.KindResponse, d.probeReply(request.Group), true)
 		return
 	}
-	arrived := time.Now()
+	received := time.Now()
 	d.loop.PostMessage(len(frame.Body), func() {
-		if request.TimeoutMs > 0 && time.Since(arrived).Milliseconds() > request.TimeoutMs {
-			d.expired.Add(1)
+		if request.TimeoutMs > 0 && time.Since(received).Milliseconds() > request.TimeoutMs {
+			d.expiredRequests.Add(1)
 			return
 		}
-		d.request(connection, frame.Call, request)
+		d.submitRequest(connection, frame.Call, request)
 	})
 }
 
-// probed says whether this host leads a group, and who does as far as it knows.
-func (d *Daemon) probed(group uint32) *protocol.TurnReply {
+// probeReply answers whether this host leads a group, and otherwise names the last known leader.
+func (d *Daemon) probeReply(group uint32) *protocol.TurnReply {
 	leader := d.status.Load().leaders[group]
 	if leader == d.process.Listen.Address {
 		return &protocol.TurnReply{}
@@ -254,24 +257,25 @@
 	return &protocol.TurnReply{Leader: leader, Error: result.New(result.NotLeader, "%s does not lead group %d", d.process.Name, group)}
 }
 
-func (d *Daemon) request(connection *protocol.Connection, call uint64, request *protocol.TurnRequest) {
-	began := time.Now()
-	id := d.replies.Register(func(reply *protocol.TurnReply) {
+// submitRequest passes a request to the core and sends and logs its reply.
+func (d *Daemon) submitRequest(connection *protocol.Connection, call uint64, request *protocol.TurnRequest) {
+	started := time.Now()
+	id := d.pendingReplies.Register(func(reply *protocol.TurnReply) {
 		_ = connection.Reply(call, protocol.KindResponse, reply, true)
-		d.logTurn(request, reply, time.Since(began))
+		d.logTurn(request, reply, time.Since(started))
 	})
 	d.core.HandleRequest(id, request, clock.NowMs())
 }
 
-// logTurn writes the one line that says what became of a gateway's request.
-func (d *Daemon) logTurn(request *protocol.TurnRequest, reply *protocol.TurnReply, took time.Duration) {
+// logTurn writes the log line for the outcome of a gateway's request.
+func (d *Daemon) logTurn(request *protocol.TurnRequest, reply *protocol.TurnReply, elapsed time.Duration) {
 	if request.Quota != nil && (reply.Error == nil || reply.Error.Code == result.TenantLimit) {
-		// The gateway's own line tells of a denial, and of a grant how long it took.
+		// The gateway logs denials, and the time that a grant took.
 		return
 	}
 	id := request.HistoryOf
-	keyValues := []any{"group", request.Group, "took", took.Round(100 * time.Microsecond).String()}
-	message := "turn looked for"
+	keyValues := []any{"group", request.Group, "took", elapsed.Round(100 * time.Microsecond).String()}
+	message := "turn history read"
 	switch {
 	case request.Reserve != nil:
 		id, message = request.Reserve.Request, "turn opened"
@@ -282,11 +286,11 @@
 		keyValues = append(keyValues, "program", request.Settle.Program, "used", request.Settle.UsedTokens, "keep", request.Settle.Retain)
 	}
 	if request.Quota != nil {
-		message = "quota asked for"
+		message = "quota requested"
 		keyValues = append(keyValues, "tenant", request.Quota.Tenant)
 	}
 	if len(request.ContentsOf) > 0 {
-		id, message = request.ContentsOf[len(request.ContentsOf)-1], "contents read"
+		id, message = request.ContentsOf[len(request.ContentsOf)-1], "turn contents read"
 		keyValues = append(keyValues, "turns", len(request.ContentsOf), "bytes", len(reply.History))
 	}
 	keyValues = append(keyValues, "request", id)
@@ -295,5 +299,5 @@
 		return
 	}
 	keyValues = append(keyValues, "leader", reply.Leader, "code", int(reply.Error.Code), "err", reply.Error.Error())
-	telemetry.Warn(d.logger, "turn refused", keyValues...)
+	telemetry.Warn(d.logger, "turn request refused", keyValues...)
 }
--- a/internal/ledger/handover_test.go
+++ b/internal/ledger/handover_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// groupTerm is the term of the group at the host that leads it, 0 without a leader.
+// groupTerm returns the term of the group at its leader, or 0 if there is no leader.
 func (c *cluster) groupTerm() uint64 {
 	leader := c.leader()
 	if leader == nil {
@@ -14,26 +14,26 @@
 	return leader.core.host.FindGroup(1).Node.Term()
 }
 
-// place moves the group to the hosts from first on, as many as before.
-func (c *cluster) place(first int) {
+// moveGroup places the group on the same number of hosts as before, starting with host first.
+func (c *cluster) moveGroup(first int) {
 	replicas := len(c.groups[0].Members)
 	members := make([]string, 0, replicas)
 	for _, node := range c.nodes[first : first+replicas] {
 		members = append(members, node.host.Member)
 	}
 	c.groups[0].Members = members
-	c.tellView()
+	c.distributeView()
 }
 
-// TestLeaderWaitsForItsSuccessors places a group of five on two hosts that have not started, in
-// place of two that serve, the leader among them. The two must not hand the leadership to and
-// fro: each change interrupts the transfer to the new hosts and what the owner of tenants'
-// limits knows of the time.
+// TestLeaderWaitsForItsSuccessors replaces two running hosts of a group of five, one of them the
+// leader, by two hosts that have not started. The replaced hosts must not transfer the leadership
+// back and forth: each leadership change interrupts the snapshot transfers to the new hosts, and
+// discards what the quota owner knows about the times of its grants.
 func TestLeaderWaitsForItsSuccessors(t *testing.T) {
 	for seed := range uint64(5) {
 		c := newCluster(t, seed, 7, 5)
-		c.until("a leader", func() bool { return c.leader() != nil })
-		c.keepMany("long", 20)
+		c.runUntil("a leader", func() bool { return c.leader() != nil })
+		c.retainTurns("long", 20)
 		for _, absent := range c.nodes[5:] {
 			absent.core = nil
 		}
@@ -48,54 +48,55 @@
 		}
 		c.run(500)
 		before := c.groupTerm()
-		c.place(2)
+		c.moveGroup(2)
 		c.run(5000)
 		if after := c.groupTerm(); after > before+1 {
-			t.Fatalf("seed %d: %d changes of leadership in 5 s while hosts of the placement are away", seed, after-before)
+			t.Fatalf("seed %d: %d leadership changes in 5 s while hosts of the placement are down", seed, after-before)
 		}
 		c.nodes[5].start()
 		c.nodes[6].start()
-		c.tellView()
-		c.until("the placement", func() bool { return c.settled() && c.leader() != c.nodes[0] && c.leader() != c.nodes[1] })
+		c.distributeView()
+		c.runUntil("the placement", func() bool { return c.matchesPlacement() && c.leader() != c.nodes[0] && c.leader() != c.nodes[1] })
 		if after := c.groupTerm(); after > before+2 {
-			t.Fatalf("seed %d: %d changes of leadership until the placement was reached", seed, after-before)
+			t.Fatalf("seed %d: %d leadership changes until the placement was reached", seed, after-before)
 		}
 	}
 }
 
-// TestHandOverUnderLoad moves a large group while turns are kept.
+// TestHandOverUnderLoad moves a large group from host to host. Each move may cause at most two
+// leadership changes, and no acknowledged turn may be lost.
 func TestHandOverUnderLoad(t *testing.T) {
 	c := newCluster(t, 3, 7, 5)
-	c.until("a leader", func() bool { return c.leader() != nil })
-	c.keepMany("large", 100)
+	c.runUntil("a leader", func() bool { return c.leader() != nil })
+	c.retainTurns("large", 100)
 	for first := range 3 {
 		before := c.groupTerm()
-		c.place(first)
-		c.until(fmt.Sprintf("placement %d", first), c.settled)
+		c.moveGroup(first)
+		c.runUntil(fmt.Sprintf("placement %d", first), c.matchesPlacement)
 		c.run(1000)
 		if after := c.groupTerm(); after > before+2 {
-			t.Fatalf("placement %d: %d changes of leadership", first, after-before)
+			t.Fatalf("placement %d: %d leadership changes", first, after-before)
 		}
 	}
-	c.check()
+	c.checkInvariants()
 }
 
-// TestSilentLearnerDoesNotVote places a group with a short log on hosts that have not started:
-// they must not count in its quorum.
+// TestSilentLearnerDoesNotVote places a group with a short log on hosts that have not started. They
+// must not become voters, although they lack only a few entries.
 func TestSilentLearnerDoesNotVote(t *testing.T) {
 	c := newCluster(t, 1, 7, 5)
-	c.until("a leader", func() bool { return c.leader() != nil })
+	c.runUntil("a leader", func() bool { return c.leader() != nil })
 	c.nodes[5].core, c.nodes[6].core = nil, nil
-	c.place(2)
+	c.moveGroup(2)
 	c.run(3000)
 	leader := c.leader()
 	if leader == nil {
 		t.Fatal("no leader")
 	}
 	for _, replica := range leader.core.host.FindGroup(1).Node.Configuration().Replicas {
-		absent := replica.Member == c.nodes[5].host.Member || replica.Member == c.nodes[6].host.Member
-		if absent && !replica.IsLearner {
-			t.Fatalf("%s votes and was never heard", replica.Member)
+		isAbsent := replica.Member == c.nodes[5].host.Member || replica.Member == c.nodes[6].host.Member
+		if isAbsent && !replica.IsLearner {
+			t.Fatalf("%s is a voter but has never responded", replica.Member)
 		}
 	}
 }
--- a/internal/ledger/load_test.go
+++ b/internal/ledger/load_test.go
@@ -11,77 +11,77 @@
 	"github.com/ochrebay/ochrebay/internal/result"
 )
 
-// TestSnapshotInParts has an empty disk learn a group of several megabytes while turns go
-// on being kept: no message may hold more than a part of it, since a host that encodes or
-// reads a whole group at once goes over its memory. It is told of the repair by losing the
-// other disks in turn.
+// TestSnapshotInParts transfers a group of several megabytes to an empty disk while turns are
+// retained. No message may contain more than a part of the group, since a host that encodes or reads
+// a whole group at once exceeds its memory. The test then loses the other disks in turn, which checks
+// that the transfer was complete.
 func TestSnapshotInParts(t *testing.T) {
-	const longestMessage = 600 << 10
+	const maxMessageBytes = 600 << 10
 	for seed := range uint64(6) {
 		c := newCluster(t, seed, 3, 3)
-		c.until("a leader", func() bool { return c.leader() != nil })
-		c.keepMany("first", 250)
+		c.runUntil("a leader", func() bool { return c.leader() != nil })
+		c.retainTurns("first", 250)
 		for round := range 3 {
 			victim := c.nodes[round]
 			victim.core = nil
 			c.run(500)
-			victim.wipe()
+			victim.replaceDisk()
 			victim.start()
-			c.tellView()
-			c.keepMany(fmt.Sprint(round), 40)
+			c.distributeView()
+			c.retainTurns(fmt.Sprint(round), 40)
 			if round == 0 && seed%2 == 1 {
-				// The receiver of the snapshot forgets what it had received of it.
+				// The receiver restarts during the transfer of the snapshot.
 				victim.core = nil
 				c.run(100)
 				victim.start()
-				c.tellView()
+				c.distributeView()
 			}
-			c.until("the repair", c.settled)
+			c.runUntil("the recovery", c.matchesPlacement)
 		}
-		if c.longest > longestMessage {
-			t.Fatalf("seed %d: a message of %d bytes", seed, c.longest)
+		if c.longestMessageBytes > maxMessageBytes {
+			t.Fatalf("seed %d: longest message is %d bytes", seed, c.longestMessageBytes)
 		}
-		c.check()
+		c.checkInvariants()
 	}
 }
 
-// TestLateReplicaNeedsNoSnapshot holds that a replica which is behind by less than what
-// is compacted at once gets the entries and not the whole group.
+// TestLateReplicaNeedsNoSnapshot checks that a replica that lags by fewer entries than the log retains
+// after a compaction receives the missing entries and not a snapshot.
 func TestLateReplicaNeedsNoSnapshot(t *testing.T) {
 	c := newCluster(t, 3, 3, 3)
-	c.until("a leader", func() bool { return c.leader() != nil })
-	var late *node
+	c.runUntil("a leader", func() bool { return c.leader() != nil })
+	var lagging *node
 	for _, node := range c.nodes {
 		if node != c.leader() {
-			late = node
+			lagging = node
 		}
 	}
 	for round := range 12 {
-		late.cut = true
-		c.keepMany(fmt.Sprint(round), 4)
-		late.cut = false
+		lagging.partitioned = true
+		c.retainTurns(fmt.Sprint(round), 4)
+		lagging.partitioned = false
 		c.run(400)
 	}
 	if c.snapshots > 0 {
 		t.Fatalf("%d snapshots sent to a replica that was 4 entries behind", c.snapshots)
 	}
-	c.check()
+	c.checkInvariants()
 }
 
-// TestChargesShareTheWay holds that the charge for a turn travels with the next
-// reservation of its group, and that no message is sent only to say that something is
-// committed: four fifths of the processor time of the grown site went into such messages.
+// TestChargesShareTheWay checks that the settlement of a turn is sent together with the next
+// reservation of its group, and that no message is sent only to advance the commit index. Such
+// messages took four fifths of the CPU time of a large site.
 func TestChargesShareTheWay(t *testing.T) {
 	const turns, followers = 40, 2
 	c := newCluster(t, 5, 3, 3)
-	c.until("a leader", func() bool { return c.leader() != nil })
+	c.runUntil("a leader", func() bool { return c.leader() != nil })
 	c.run(500)
-	c.appends, c.commits = 0, 0
+	c.appendMessages, c.emptyAppendMessages = 0, 0
 	settled := 0
 	for number := range turns {
 		leader := c.leader()
 		if number > 0 {
-			leader.ask(&protocol.TurnRequest{Group: 1, Settle: &program.Settle{
+			leader.sendRequest(&protocol.TurnRequest{Group: 1, Settle: &program.Settle{
 				Program: "budget", Request: fmt.Sprint(number - 1), UsedTokens: 1,
 			}}, func(reply *protocol.TurnReply) {
 				if reply.Error == nil {
@@ -89,99 +89,100 @@
 				}
 			})
 		}
-		c.spend(fmt.Sprint(number))
+		c.reserveTurn(fmt.Sprint(number))
 		c.run(40)
 	}
 	if len(c.granted) != turns || settled != turns-1 {
 		t.Fatalf("%d of %d turns granted and %d settled", len(c.granted), turns, settled)
 	}
-	// The network loses one message in a hundred, which is sent again.
-	if limit := turns*followers + turns/4; c.appends > limit {
-		t.Fatalf("%d messages with appends for %d turns, at most %d expected", c.appends, turns, limit)
+	// The network loses one message in a hundred, which is retransmitted.
+	if limit := turns*followers + turns/4; c.appendMessages > limit {
+		t.Fatalf("%d messages with appends for %d turns, at most %d expected", c.appendMessages, turns, limit)
 	}
-	if c.commits > turns/4 {
-		t.Fatalf("%d messages that bring nothing", c.commits)
+	if c.emptyAppendMessages > turns/4 {
+		t.Fatalf("%d append messages without entries", c.emptyAppendMessages)
 	}
 }
 
-// TestHistoryIsReadNearby holds that an asker in a zone with a replica of its own is told
-// which turns to ask that replica for, that the replica has them, and that one which has
-// not applied a turn yet sends the asker on and never says that there is no such turn.
+// TestHistoryIsReadNearby checks that a requester in another zone with a voter receives the names of
+// the older turns and can read them from that voter. A replica that has not applied a turn must
+// redirect the requester to the leader and must not report the turn as unknown.
 func TestHistoryIsReadNearby(t *testing.T) {
 	c := newCluster(t, 7, 4, 3)
-	c.until("a leader", func() bool { return c.leader() != nil })
+	c.runUntil("a leader", func() bool { return c.leader() != nil })
 	last := ""
 	for number := range 5 {
 		request := fmt.Sprint(number)
-		c.keep(request, last)
-		c.until("a kept turn", func() bool { c.run(100); return c.kept[request] != "" })
+		c.retainTurn(request, last)
+		c.runUntil("a retained turn", func() bool { c.run(100); return c.acknowledged[request] != "" })
 		last = request
 	}
 	leader := c.leader()
-	ask := func(host *node, request *protocol.TurnRequest) *protocol.TurnReply {
-		var answer *protocol.TurnReply
-		host.ask(request, func(reply *protocol.TurnReply) { answer = reply })
-		c.until("an answer", func() bool { return answer != nil })
-		return answer
+	request := func(host *node, turnRequest *protocol.TurnRequest) *protocol.TurnReply {
+		var received *protocol.TurnReply
+		host.sendRequest(turnRequest, func(reply *protocol.TurnReply) { received = reply })
+		c.runUntil("a reply", func() bool { return received != nil })
+		return received
 	}
-	reserve := func(zone, known string) *protocol.TurnReply {
-		return ask(leader, &protocol.TurnRequest{Group: 1, Zone: zone, CachedTurn: known, Reserve: &program.Reserve{Program: "p", Request: "next", PreviousRequest: last}})
+	openTurn := func(zone, cachedTurn string) *protocol.TurnReply {
+		return request(leader, &protocol.TurnRequest{Group: 1, Zone: zone, CachedTurn: cachedTurn, Reserve: &program.Reserve{Program: "p", Request: "next", PreviousRequest: last}})
 	}
 	for _, host := range c.nodes[:3] {
-		reply := reserve(host.host.Zone, "")
+		reply := openTurn(host.host.Zone, "")
 		if host == leader {
-			if string(reply.History) != c.kept[last] || len(reply.OlderTurns) > 0 {
-				t.Fatalf("in the leader's zone: chain %q, older %v", reply.History, reply.OlderTurns)
+			if string(reply.History) != c.acknowledged[last] || len(reply.OlderTurns) > 0 {
+				t.Fatalf("in the leader's zone: history %q, older turns %v", reply.History, reply.OlderTurns)
 			}
 			continue
 		}
-		older := ask(host, &protocol.TurnRequest{Group: 1, ContentsOf: reply.OlderTurns})
-		if older.Error != nil || string(older.History)+string(reply.History) != c.kept[last] {
-			t.Fatalf("in zone %s: %q and %q, %v", host.host.Zone, older.History, reply.History, older.Error)
+		older := request(host, &protocol.TurnRequest{Group: 1, ContentsOf: reply.OlderTurns})
+		if older.Error != nil || string(older.History)+string(reply.History) != c.acknowledged[last] {
+			t.Fatalf("in zone %s: older history %q and history %q, error %v", host.host.Zone, older.History, reply.History, older.Error)
 		}
-		known := reserve(host.host.Zone, "1")
-		if !known.IsContinuation || !slices.Equal(known.OlderTurns, []string{"2", "3"}) {
-			t.Fatalf("going on from turn 1: continued %v, older %v", known.IsContinuation, known.OlderTurns)
+		continued := openTurn(host.host.Zone, "1")
+		if !continued.IsContinuation || !slices.Equal(continued.OlderTurns, []string{"2", "3"}) {
+			t.Fatalf("continuing cached turn 1: is continuation %v, older turns %v", continued.IsContinuation, continued.OlderTurns)
 		}
-		unheard := ask(host, &protocol.TurnRequest{Group: 1, ContentsOf: []string{"0", "not applied here"}})
-		if unheard.Error == nil || unheard.Error.Code != result.NotLeader || unheard.Leader != leader.host.Member {
-			t.Fatalf("a turn that is not here: %v, sent on to %q", unheard.Error, unheard.Leader)
+		notApplied := request(host, &protocol.TurnRequest{Group: 1, ContentsOf: []string{"0", "not applied here"}})
+		if notApplied.Error == nil || notApplied.Error.Code != result.NotLeader || notApplied.Leader != leader.host.Member {
+			t.Fatalf("turn that is not applied on the replica: error %v, redirected to %q", notApplied.Error, notApplied.Leader)
 		}
 	}
-	if reply := reserve("a zone without a replica", ""); string(reply.History) != c.kept[last] {
-		t.Fatalf("elsewhere: chain %q, older %v", reply.History, reply.OlderTurns)
+	if reply := openTurn("a zone without a replica", ""); string(reply.History) != c.acknowledged[last] {
+		t.Fatalf("in a zone without a replica: history %q, older turns %v", reply.History, reply.OlderTurns)
 	}
 }
 
-// TestLeadershipIsBalanced holds that a group goes back to the member that is to lead it
-// once that one is there again, also while turns keep coming.
+// TestLeadershipIsBalanced checks that a group returns to its preferred leader once that member has
+// restarted, also under load.
 func TestLeadershipIsBalanced(t *testing.T) {
 	for seed := range uint64(5) {
 		c := newCluster(t, seed, 3, 3)
-		c.until("a leader", func() bool { return c.leader() != nil })
+		c.runUntil("a leader", func() bool { return c.leader() != nil })
 		preferred := c.nodes[0]
 		for _, node := range c.nodes {
-			if node.host.Member == c.leader().core.preferred[1] {
+			if node.host.Member == c.leader().core.preferredLeader[1] {
 				preferred = node
 			}
 		}
 		preferred.core = nil
-		c.until("another leader", func() bool { return c.leader() != nil && c.leader() != preferred })
+		c.runUntil("another leader", func() bool { return c.leader() != nil && c.leader() != preferred })
 		preferred.start()
-		c.tellView()
+		c.distributeView()
 		number := 0
-		c.until("the preferred member's leadership", func() bool {
+		c.runUntil("the transfer to the preferred leader", func() bool {
 			number++
-			c.keep(fmt.Sprint("busy-", number), "")
+			c.retainTurn(fmt.Sprint("busy-", number), "")
 			c.run(20)
 			return c.leader() == preferred
 		})
-		c.check()
+		c.checkInvariants()
 	}
 }
 
-// TestPreferredLeadersAreSpread holds that no host is to lead more groups than its share,
-// whatever the order of the members: the names of one hall come first in every placement.
+// TestPreferredLeadersAreSpread checks that no host is the preferred leader of more groups than its
+// share, independent of the order of the members: hosts of the same zone come first in every
+// placement.
 func TestPreferredLeadersAreSpread(t *testing.T) {
 	view := &membership.FleetView{Groups: map[uint32]membership.Placement{}}
 	hosts := []string{"a1", "a2", "b1", "b2", "c1", "c2", "d1", "e1"}
@@ -193,16 +194,16 @@
 		}
 		view.Groups[group+1] = placement
 	}
-	led := map[string]int{}
+	ledGroups := map[string]int{}
 	for group, leader := range preferredLeaders(view) {
 		if !slices.Contains(view.Groups[group].Members, leader) {
-			t.Fatalf("group %d is to be led by %s, which does not hold it", group, leader)
+			t.Fatalf("preferred leader of group %d is %s, which is not in its placement", group, leader)
 		}
-		led[leader]++
+		ledGroups[leader]++
 	}
-	for host, count := range led {
+	for host, count := range ledGroups {
 		if count > 1 {
-			t.Errorf("%s is to lead %d of %d groups", host, count, groups)
+			t.Errorf("%s is the preferred leader of %d of %d groups", host, count, groups)
 		}
 	}
 }
--- a/internal/ledger/quotaqueue_test.go
+++ b/internal/ledger/quotaqueue_test.go
@@ -10,46 +10,47 @@
 )
 
 const (
-	// queueAskAgainMs is after how long without an answer a gateway asks anew.
-	queueAskAgainMs = 450
-	queueWaitMs     = 8000
+	// requestRetryMs is how long a gateway waits for a reply before it repeats its request.
+	requestRetryMs = 450
+	// maxQueueWaitMs is how long a gateway waits for a grant in total.
+	maxQueueWaitMs = 8000
 )
 
-// queueCallers are gateways whose requests wait; they see every grant.
-type queueCallers struct {
-	quotaCallers
-	tickets int
-	// open are the requests that have neither been granted nor denied, by ticket.
-	open map[string]*queueCall
-	// places is how often a request was told that it has a place, waited how many were granted
-	// after that.
-	places, waited int
+// queueingGateways simulates gateways whose requests wait in the quota queue. It records every grant.
+type queueingGateways struct {
+	quotaGateways
+	lastTicket int
+	// pending holds the requests that have been neither granted nor denied, by ticket.
+	pending map[string]*queuedRequest
+	// queuedReplies counts the replies with a queue position, and grantedAfterQueueing the requests
+	// that were granted after such a reply.
+	queuedReplies, grantedAfterQueueing int
 }
 
-// queueCall is one request of a gateway.
-type queueCall struct {
-	ask     quota.Request
-	beganMs int64
-	askedMs int64
-	queued  bool
+// queuedRequest is one request of a gateway.
+type queuedRequest struct {
+	request   quota.Request
+	startedMs int64
+	sentMs    int64
+	isQueued  bool
 }
 
-// begin asks for a run of a program.
-func (q *queueCallers) begin(program string, continues bool) {
-	q.tickets++
-	call := &queueCall{beganMs: q.cluster.nowMs, ask: quota.Request{
-		Tenant: "t", Program: program, Kind: "k", Limit: q.limit, ContinuesProgram: continues, Ticket: fmt.Sprint(q.tickets),
+// startRequest starts a request for a grant. continues means that its program has started before.
+func (q *queueingGateways) startRequest(programID string, continues bool) {
+	q.lastTicket++
+	queued := &queuedRequest{startedMs: q.cluster.nowMs, request: quota.Request{
+		Tenant: "t", Program: programID, Kind: "k", Limit: q.limit, ContinuesProgram: continues, Ticket: fmt.Sprint(q.lastTicket),
 	}}
-	q.open[call.ask.Ticket] = call
-	q.put(call)
+	q.pending[queued.request.Ticket] = queued
+	q.sendToLeaders(queued)
 }
 
-// put asks whoever takes itself for the leader.
-func (q *queueCallers) put(call *queueCall) {
-	call.askedMs = q.cluster.nowMs
-	ask := call.ask
-	ask.WaitedMs = q.cluster.nowMs - call.beganMs
-	ask.MaxWaitMs = queueWaitMs - ask.WaitedMs
+// sendToLeaders sends a request to every host that considers itself the leader.
+func (q *queueingGateways) sendToLeaders(queued *queuedRequest) {
+	queued.sentMs = q.cluster.nowMs
+	request := queued.request
+	request.WaitedMs = q.cluster.nowMs - queued.startedMs
+	request.MaxWaitMs = maxQueueWaitMs - request.WaitedMs
 	for _, host := range q.cluster.nodes {
 		if host.core == nil {
 			continue
@@ -57,69 +58,71 @@
 		if group := host.core.host.FindGroup(1); group == nil || !group.IsLeader() {
 			continue
 		}
-		host.ask(&protocol.TurnRequest{Group: 1, TimeoutMs: queueAskAgainMs, Quota: &ask}, func(reply *protocol.TurnReply) {
-			q.take(call, reply)
+		host.sendRequest(&protocol.TurnRequest{Group: 1, TimeoutMs: requestRetryMs, Quota: &request}, func(reply *protocol.TurnReply) {
+			q.handleReply(queued, reply)
 		})
 	}
 }
 
-func (q *queueCallers) take(call *queueCall, reply *protocol.TurnReply) {
-	_, open := q.open[call.ask.Ticket]
+// handleReply records the reply to a request.
+func (q *queueingGateways) handleReply(queued *queuedRequest, reply *protocol.TurnReply) {
+	_, isPending := q.pending[queued.request.Ticket]
 	switch {
 	case reply.Grant != nil:
-		// A grant that comes twice, of two leaders or for a question put again, is one run.
-		if open {
-			q.granted = append(q.granted, q.cluster.nowMs)
-			if call.queued {
-				q.waited++
+		// Several grants of one ticket, by two leaders or for a repeated request, count once.
+		if isPending {
+			q.grantedAtMs = append(q.grantedAtMs, q.cluster.nowMs)
+			if queued.isQueued {
+				q.grantedAfterQueueing++
 			}
 		}
-		delete(q.open, call.ask.Ticket)
+		delete(q.pending, queued.request.Ticket)
 	case reply.QueuePosition != nil:
-		q.places++
-		call.queued = true
-		call.askedMs = q.cluster.nowMs - queueAskAgainMs
+		q.queuedReplies++
+		queued.isQueued = true
+		queued.sentMs = q.cluster.nowMs - requestRetryMs
 	case reply.Error != nil && reply.Error.Code == result.TenantLimit:
 		q.denied++
-		delete(q.open, call.ask.Ticket)
+		delete(q.pending, queued.request.Ticket)
 	}
 }
 
-// step lets time pass and asks again for what has no answer; a gateway may die with all its
-// requests, or cancel one.
-func (q *queueCallers) step() {
+// step advances the time, drops the requests that have waited too long and repeats those without a
+// reply.
+func (q *queueingGateways) step() {
 	q.cluster.run(50)
-	for ticket, call := range q.open {
+	for ticket, queued := range q.pending {
 		switch {
-		case q.cluster.nowMs-call.beganMs > queueWaitMs:
-			delete(q.open, ticket)
-		case q.cluster.nowMs-call.askedMs >= queueAskAgainMs:
-			q.put(call)
+		case q.cluster.nowMs-queued.startedMs > maxQueueWaitMs:
+			delete(q.pending, ticket)
+		case q.cluster.nowMs-queued.sentMs >= requestRetryMs:
+			q.sendToLeaders(queued)
 		}
 	}
 }
 
-// TestQueuesThroughFaults kills, cuts off and loses the disk of hosts, leaders above all, while
-// programs of a tenant ask for more than its limit and wait: it never gets more, requests that
-// wait are granted by the next leader, and gateways die while theirs wait.
+// TestQueuesThroughFaults crashes hosts, preferably leaders, partitions them or loses their disks,
+// while programs of a tenant request more than its limit and wait in the queue, and while gateways
+// crash with requests in the queue. The tenant must never exceed its limit, and requests must also be
+// granted after they have waited.
 func TestQueuesThroughFaults(t *testing.T) {
 	for seed := range uint64(40) {
 		c := newCluster(t, seed, 4, 3)
-		callers := &queueCallers{
-			quotaCallers: quotaCallers{cluster: c, limit: quota.Limit{Generation: 1, RatePerSecond: 10, Burst: 5}}, open: map[string]*queueCall{},
+		gateways := &queueingGateways{
+			quotaGateways: quotaGateways{cluster: c, limit: quota.Limit{Generation: 1, RatePerSecond: 10, Burst: 5}}, pending: map[string]*queuedRequest{},
 		}
-		c.until("a leader", func() bool { return c.leader() != nil })
+		c.runUntil("a leader", func() bool { return c.leader() != nil })
 		load := func() {
 			if c.random.IntN(5) < 3 {
-				callers.begin(fmt.Sprint("p", c.random.IntN(5)), true)
+				gateways.startRequest(fmt.Sprint("p", c.random.IntN(5)), true)
 			}
 			if c.random.IntN(8) == 0 {
-				callers.begin(fmt.Sprint("new", callers.tickets), false)
+				gateways.startRequest(fmt.Sprint("new", gateways.lastTicket), false)
 			}
 			if c.random.IntN(100) == 0 {
-				clear(callers.open)
+				clear(gateways.pending)
 			}
-			callers.step()
+			gateways.step()
 		}
 		for step := range 20 {
 			for range 20 {
@@ -132,46 +135,46 @@
 			if leader := c.leader(); leader != nil && c.random.IntN(2) == 0 {
 				victim = leader
 			}
-			faultWhile(c, victim, func() {
+			duringFault(c, victim, func() {
 				for range c.random.IntN(40) {
 					load()
 				}
 			})
-			c.until("the repair", c.settled)
+			c.runUntil("the recovery", c.matchesPlacement)
 		}
-		callers.check(t, seed)
-		if len(callers.granted) < 100 || callers.places == 0 || callers.waited == 0 {
-			t.Fatalf("seed %d: %d granted, %d of them after waiting, %d denied, %d places", seed, len(callers.granted), callers.waited, callers.denied, callers.places)
+		gateways.checkWindows(t, seed)
+		if len(gateways.grantedAtMs) < 100 || gateways.queuedReplies == 0 || gateways.grantedAfterQueueing == 0 {
+			t.Fatalf("seed %d: %d granted, %d of them after queueing, %d denied, %d replies with a queue position", seed, len(gateways.grantedAtMs), gateways.grantedAfterQueueing, gateways.denied, gateways.queuedReplies)
 		}
 	}
 }
 
-// TestWaitThroughANewLeader holds that a request which waits for room when its leader dies is
-// granted by the next one, and not before its place comes.
+// TestWaitThroughANewLeader checks that a request that waits for headroom when its leader crashes is
+// granted by the next leader, and not before the window has headroom.
 func TestWaitThroughANewLeader(t *testing.T) {
 	c := newCluster(t, 3, 3, 3)
-	callers := &queueCallers{
-		quotaCallers: quotaCallers{cluster: c, limit: quota.Limit{Generation: 1, RatePerSecond: 10}}, open: map[string]*queueCall{},
+	gateways := &queueingGateways{
+		quotaGateways: quotaGateways{cluster: c, limit: quota.Limit{Generation: 1, RatePerSecond: 10}}, pending: map[string]*queuedRequest{},
 	}
-	c.until("a leader", func() bool { return c.leader() != nil })
+	c.runUntil("a leader", func() bool { return c.leader() != nil })
 	for range 50 {
-		callers.begin("p", true)
+		gateways.startRequest("p", true)
 	}
 	for range 40 {
-		callers.step()
+		gateways.step()
 	}
-	if len(callers.granted) != 50 {
-		t.Fatalf("%d granted, allowed 50", len(callers.granted))
+	if len(gateways.grantedAtMs) != 50 {
+		t.Fatalf("%d granted, want 50", len(gateways.grantedAtMs))
 	}
-	callers.begin("p", true)
-	callers.step()
+	gateways.startRequest("p", true)
+	gateways.step()
 	leader := c.leader()
 	leader.core = nil
 	for range 200 {
-		callers.step()
+		gateways.step()
 	}
-	callers.check(t, 3)
-	if callers.waited != 1 || len(callers.open) != 0 {
-		t.Fatalf("%d granted after waiting, %d open, %d denied", callers.waited, len(callers.open), callers.denied)
+	gateways.checkWindows(t, 3)
+	if gateways.grantedAfterQueueing != 1 || len(gateways.pending) != 0 {
+		t.Fatalf("%d granted after queueing, %d pending, %d denied", gateways.grantedAfterQueueing, len(gateways.pending), gateways.denied)
 	}
 }
--- a/internal/ledger/quotas.go
+++ b/internal/ledger/quotas.go
@@ -12,271 +12,280 @@
 	"github.com/ochrebay/ochrebay/internal/storage"
 )
 
-// markTimeEveryMs is how often time is written to the log while requests are denied: a
-// tenth of a window of 5 s.
-const markTimeEveryMs = 500
+// timeRecordIntervalMs is the interval at which the time is written to the log while requests
+// wait or are denied: a tenth of a window of 5 s.
+const timeRecordIntervalMs = 500
 
-// answerMarginMs is how long before its asker gives a question up it is answered that the
-// request still waits: two ticks and the way.
-const answerMarginMs = 150
+// replyMarginMs is how long before the requester's timeout a queued request is answered with its
+// queue position: two ticks plus the network delay.
+const replyMarginMs = 150
 
-// quotaOwner grants the requests of one group's tenants while this host leads the group in
-// one term.
+// quotaOwner grants the requests of one group's tenants during one term in which this host leads
+// the group.
 type quotaOwner struct {
-	term  uint64
-	owner *quota.Owner
-	// proposedMs is when something was last written to the log.
-	proposedMs int64
-	// waiting are the requests of each tenant that wait for a reservation, reserving the
-	// tenants of which one is under way.
-	waiting   map[string][]waitingAsk
-	reserving map[string]bool
-	// held are the questions, by ticket, whose requests wait for room.
-	held map[string]waitingAsk
+	term   uint64
+	limits *quota.Owner
+	// lastProposedMs is the time of the last reservation or time record that was proposed.
+	lastProposedMs int64
+	// awaitingReservation holds the requests of each tenant that wait for a reservation, and
+	// reserving the tenants with a reservation in progress.
+	awaitingReservation map[string][]pendingQuotaRequest
+	reserving           map[string]bool
+	// queued holds the unanswered requests, by ticket, that wait for headroom in their tenant's
+	// window.
+	queued map[string]pendingQuotaRequest
 }
 
-// waitingAsk waits until untilMs, when whoever asked asks again.
-type waitingAsk struct {
-	id      RequestID
-	ask     quota.Request
-	untilMs int64
+// pendingQuotaRequest is an unanswered quota request. It waits until deadlineMs, when the requester
+// repeats it.
+type pendingQuotaRequest struct {
+	id         RequestID
+	request    quota.Request
+	deadlineMs int64
 }
 
-// askQuota decides on a request of a tenant, at once or after a reservation.
-func (c *Core) askQuota(id RequestID, group *replication.Group, request *protocol.TurnRequest) {
-	owner, failure := c.quotaOwnerOf(group)
+// requestQuota handles a quota request: a returned grant, a cancellation, or a request for a grant,
+// which is decided immediately or after a reservation.
+func (c *Core) requestQuota(id RequestID, group *replication.Group, request *protocol.TurnRequest) {
+	owner, failure := c.quotaOwnerFor(group)
 	if failure != nil {
-		c.outlet.Reply(id, &protocol.TurnReply{Error: failure})
+		c.transport.Reply(id, &protocol.TurnReply{Error: failure})
 		return
 	}
-	ask := *request.Quota
-	if ask.ReturnedGrant != nil {
-		if ask.ReturnedGrant.Term == owner.term {
-			owner.owner.ReturnGrant(ask.Tenant, ask.ReturnedGrant.AtMs)
-			owner.owner.RecordNotRun(ask.Tenant, ask.Program)
+	quotaRequest := *request.Quota
+	if quotaRequest.ReturnedGrant != nil {
+		if quotaRequest.ReturnedGrant.Term == owner.term {
+			owner.limits.ReturnGrant(quotaRequest.Tenant, quotaRequest.ReturnedGrant.AtMs)
+			owner.limits.RecordNotRun(quotaRequest.Tenant, quotaRequest.Program)
 		}
-		c.outlet.Reply(id, &protocol.TurnReply{})
+		c.transport.Reply(id, &protocol.TurnReply{})
 		return
 	}
-	if ask.Cancelled {
-		owner.owner.Cancel(ask.Tenant, ask.Ticket)
-		c.outlet.Reply(id, &protocol.TurnReply{})
+	if quotaRequest.Cancelled {
+		owner.limits.Cancel(quotaRequest.Tenant, quotaRequest.Ticket)
+		c.transport.Reply(id, &protocol.TurnReply{})
 		return
 	}
-	next := waitingAsk{id: id, ask: ask, untilMs: c.nowMs + request.TimeoutMs}
-	if waiting := owner.waiting[ask.Tenant]; len(waiting) > 0 {
-		owner.waiting[ask.Tenant] = append(waiting, next)
+	pending := pendingQuotaRequest{id: id, request: quotaRequest, deadlineMs: c.nowMs + request.TimeoutMs}
+	if waiting := owner.awaitingReservation[quotaRequest.Tenant]; len(waiting) > 0 {
+		owner.awaitingReservation[quotaRequest.Tenant] = append(waiting, pending)
 		return
 	}
-	if !c.decideQuota(group, owner, next) {
-		owner.waiting[ask.Tenant] = []waitingAsk{next}
-		if !owner.reserving[ask.Tenant] {
-			c.reserveQuota(group, owner, ask.Tenant)
+	if !c.decideQuota(group, owner, pending) {
+		owner.awaitingReservation[quotaRequest.Tenant] = []pendingQuotaRequest{pending}
+		if !owner.reserving[quotaRequest.Tenant] {
+			c.proposeReservation(group, owner, quotaRequest.Tenant)
 		}
 	}
 }
 
-// quotaOwnerOf returns the owner of a group's tenants. Invariant: an owner begins only once
-// this host has applied every entry of the terms before its own, so that it knows all that
-// its predecessors may have granted.
-func (c *Core) quotaOwnerOf(group *replication.Group) (*quotaOwner, *result.Error) {
+// quotaOwnerFor returns the quota owner of a group in the current term and creates it if needed.
+// Invariant: an owner is created only after this host has applied all entries of earlier terms, so
+// that it accounts for all that its predecessors may have granted.
+func (c *Core) quotaOwnerFor(group *replication.Group) (*quotaOwner, *result.Error) {
 	term := group.Node.Term()
-	if known := c.quotas[group.ID]; known != nil {
-		if known.term == term {
-			return known, nil
+	if existing := c.quotaOwners[group.ID]; existing != nil {
+		if existing.term == term {
+			return existing, nil
 		}
-		c.dropQuota(group.ID)
+		c.dropQuotaOwner(group.ID)
 	}
 	if group.Node.TermAt(group.Node.AppliedIndex()) != term {
-		return nil, result.New(result.NoQuorum, "group %d: what was granted before term %d is not known yet", group.ID, term)
+		return nil, result.New(result.NoQuorum, "group %d: grants before term %d are not known yet", group.ID, term)
 	}
 	created := &quotaOwner{
-		term: term, owner: quota.NewOwnerWithAdmission(group.StateMachine.(*stateMachine).quotas, c.nowMs, c.kinds, c.options.QuotaTolerance),
-		waiting: map[string][]waitingAsk{}, reserving: map[string]bool{}, held: map[string]waitingAsk{},
+		term: term, limits: quota.NewOwnerWithAdmission(group.StateMachine.(*stateMachine).quotas, c.nowMs, c.programKinds, c.options.QuotaTolerance),
+		awaitingReservation: map[string][]pendingQuotaRequest{}, reserving: map[string]bool{}, queued: map[string]pendingQuotaRequest{},
 	}
-	c.quotas[group.ID] = created
+	c.quotaOwners[group.ID] = created
 	return created, nil
 }
 
-// decideQuota answers a request, or holds it while it waits for room; false where more has to
-// be reserved first.
-func (c *Core) decideQuota(group *replication.Group, owner *quotaOwner, next waitingAsk) bool {
-	decision := owner.owner.RequestGrant(next.ask, c.nowMs)
+// decideQuota grants, denies or queues a request. It returns false if a reservation is needed
+// first.
+func (c *Core) decideQuota(group *replication.Group, owner *quotaOwner, pending pendingQuotaRequest) bool {
+	decision := owner.limits.RequestGrant(pending.request, c.nowMs)
 	switch decision.Verdict {
 	case quota.ReservationNeeded:
 		return false
 	case quota.Granted:
-		c.quotasGranted.Add(1)
-		c.outlet.Reply(next.id, &protocol.TurnReply{Grant: &quota.Grant{Term: owner.term, AtMs: decision.GrantedMs}})
+		c.grantedRequests.Add(1)
+		c.transport.Reply(pending.id, &protocol.TurnReply{Grant: &quota.Grant{Term: owner.term, AtMs: decision.GrantedMs}})
 	case quota.Waiting:
-		c.markTime(group, owner)
-		c.holdQuota(owner, next)
+		c.recordTime(group, owner)
+		c.queueQuotaRequest(owner, pending)
 	case quota.Denied:
-		c.quotasDenied.Add(1)
-		c.markTime(group, owner)
-		c.outlet.Reply(next.id, &protocol.TurnReply{Error: deniedQuota(decision)})
+		c.deniedRequests.Add(1)
+		c.recordTime(group, owner)
+		c.transport.Reply(pending.id, &protocol.TurnReply{Error: quotaDenial(decision)})
 	}
 	return true
 }
 
-// deniedQuota says what a request was denied by.
-func deniedQuota(decision quota.Decision) *result.Error {
+// quotaDenial returns the error for a denied request, with the counts that led to the denial.
+func quotaDenial(decision quota.Decision) *result.Error {
 	failure := result.New(result.TenantLimit, "%d requests in the window, limit %d", decision.Used, decision.Allowed)
-	if fit := decision.ProgramAdmission; fit != nil {
-		failure = result.New(result.TenantLimit, "new program: %d requests count, %.1f expected of programs under way, %.1f of its own; limit %d",
-			fit.CountedRequests, fit.ExpectedRequests, fit.OwnRequests, decision.Allowed)
+	if programAdmission := decision.ProgramAdmission; programAdmission != nil {
+		failure = result.New(result.TenantLimit, "new program: %d requests counted, %.1f expected from programs in progress, %.1f from the new program; limit %d",
+			programAdmission.CountedRequests, programAdmission.ExpectedRequests, programAdmission.OwnRequests, decision.Allowed)
 	}
 	return failure.WithRetryAfter(time.Duration(decision.RetryAfterMs) * time.Millisecond)
 }
 
-// holdQuota keeps a question whose request waits for room. One that was put before for the
-// same ticket has lost its asker.
-func (c *Core) holdQuota(owner *quotaOwner, next waitingAsk) {
-	if earlier, known := owner.held[next.ask.Ticket]; known {
-		c.outlet.Reply(earlier.id, &protocol.TurnReply{QueuePosition: &quota.QueuePosition{}})
+// queueQuotaRequest holds a request that waits for headroom. An earlier request with the same
+// ticket is answered: its requester no longer waits for it.
+func (c *Core) queueQuotaRequest(owner *quotaOwner, pending pendingQuotaRequest) {
+	if earlier, isQueued := owner.queued[pending.request.Ticket]; isQueued {
+		c.transport.Reply(earlier.id, &protocol.TurnReply{QueuePosition: &quota.QueuePosition{}})
 	}
-	next.untilMs -= answerMarginMs
-	owner.held[next.ask.Ticket] = next
+	pending.deadlineMs -= replyMarginMs
+	owner.queued[pending.request.Ticket] = pending
 }
 
-// tickQuotas grants what there is room for to requests that wait, tells those whose question
-// is about to end that they still wait, and ends the owners of terms that are over.
+// tickQuotas grants queued requests as far as the limits have headroom, answers the ones that are
+// about to time out with their queue position, and removes the owners of terms that have ended.
 func (c *Core) tickQuotas() {
-	for id, owner := range c.quotas {
+	for id, owner := range c.quotaOwners {
 		group := c.host.FindGroup(id)
 		if group == nil || !group.IsLeader() || group.Node.Term() != owner.term {
-			c.dropQuota(id)
+			c.dropQuotaOwner(id)
 			continue
 		}
-		for _, tenant := range owner.owner.QueuedTenants() {
-			c.resumeQueue(group, owner, tenant)
+		for _, tenant := range owner.limits.QueuedTenants() {
+			c.grantQueuedRequests(group, owner, tenant)
 		}
-		c.answerHeld(owner)
+		c.answerExpiringRequests(owner)
 	}
 }
 
-// resumeQueue grants what there is room for to the requests of a tenant that wait.
-func (c *Core) resumeQueue(group *replication.Group, owner *quotaOwner, tenant string) {
-	tickets, short := owner.owner.GrantQueued(tenant, c.nowMs)
+// grantQueuedRequests grants a tenant's queued requests as far as its limit has headroom.
+func (c *Core) grantQueuedRequests(group *replication.Group, owner *quotaOwner, tenant string) {
+	tickets, reservationNeeded := owner.limits.GrantQueued(tenant, c.nowMs)
 	for _, ticket := range tickets {
-		if next, known := owner.held[ticket]; known {
-			delete(owner.held, ticket)
-			c.decideQuota(group, owner, next)
+		if pending, known := owner.queued[ticket]; known {
+			delete(owner.queued, ticket)
+			c.decideQuota(group, owner, pending)
 		}
 	}
-	if short && !owner.reserving[tenant] {
-		c.reserveQuota(group, owner, tenant)
+	if reservationNeeded && !owner.reserving[tenant] {
+		c.proposeReservation(group, owner, tenant)
 	}
 }
 
-// answerHeld answers the questions whose askers are about to give them up.
-func (c *Core) answerHeld(owner *quotaOwner) {
-	for ticket, next := range owner.held {
-		if c.nowMs < next.untilMs {
+// answerExpiringRequests answers the queued requests whose requesters are about to time out, with a
+// queue position instead of a grant.
+func (c *Core) answerExpiringRequests(owner *quotaOwner) {
+	for ticket, pending := range owner.queued {
+		if c.nowMs < pending.deadlineMs {
 			continue
 		}
-		delete(owner.held, ticket)
-		c.outlet.Reply(next.id, &protocol.TurnReply{QueuePosition: &quota.QueuePosition{}})
+		delete(owner.queued, ticket)
+		c.transport.Reply(pending.id, &protocol.TurnReply{QueuePosition: &quota.QueuePosition{}})
 	}
 }
 
-// markTime writes to the log that time has passed, while requests are denied and nothing is
-// reserved: otherwise a successor would take what was granted long ago for granted just now,
-// and a tenant at its limit would get nothing as long as leaders change.
-func (c *Core) markTime(group *replication.Group, owner *quotaOwner) {
-	if c.nowMs-owner.proposedMs < markTimeEveryMs {
+// recordTime writes the current time to the log while requests wait or are denied and nothing is
+// reserved. Without it a successor would count old grants as recent ones, and a tenant at its limit
+// would get no grants as long as leaders change.
+func (c *Core) recordTime(group *replication.Group, owner *quotaOwner) {
+	if c.nowMs-owner.lastProposedMs < timeRecordIntervalMs {
 		return
 	}
-	owner.proposedMs = c.nowMs
-	mark := quota.Reservation{Term: owner.term, NowMs: c.nowMs}
-	// A mark that is lost is followed by the next.
-	_ = c.host.Propose(group, &program.TurnCommand{NowMs: c.nowMs, Quota: &mark}, func(any) {})
+	owner.lastProposedMs = c.nowMs
+	timeRecord := quota.Reservation{Term: owner.term, NowMs: c.nowMs}
+	// A lost time record needs no retry, since the next one replaces it.
+	_ = c.host.Propose(group, &program.TurnCommand{NowMs: c.nowMs, Quota: &timeRecord}, func(any) {})
 }
 
-// reserveQuota writes to the log what the owner may grant next of a tenant's limit.
-func (c *Core) reserveQuota(group *replication.Group, owner *quotaOwner, tenant string) {
-	reservation := owner.owner.NextReservation(tenant, len(owner.waiting[tenant]), c.nowMs)
+// proposeReservation writes to the log how many requests of a tenant the owner may grant next.
+func (c *Core) proposeReservation(group *replication.Group, owner *quotaOwner, tenant string) {
+	reservation := owner.limits.NextReservation(tenant, len(owner.awaitingReservation[tenant]), c.nowMs)
 	reservation.Term = owner.term
-	owner.proposedMs = c.nowMs
+	owner.lastProposedMs = c.nowMs
 	owner.reserving[tenant] = true
 	command := program.TurnCommand{NowMs: c.nowMs, Quota: &reservation}
 	failure := c.host.Propose(group, &command, func(applied any) {
 		if failure, failed := applied.(*result.Error); failed {
-			c.failQuotas(owner, tenant, failure)
+			c.failPendingRequests(owner, tenant, failure)
 			return
 		}
 		delete(owner.reserving, tenant)
-		owner.owner.AddReservation(reservation)
-		c.resumeQueue(group, owner, tenant)
-		c.resumeQuotas(group, owner, tenant)
+		owner.limits.AddReservation(reservation)
+		c.grantQueuedRequests(group, owner, tenant)
+		c.decidePendingRequests(group, owner, tenant)
 	})
 	if failure != nil {
-		c.failQuotas(owner, tenant, failure)
+		c.failPendingRequests(owner, tenant, failure)
 	}
 }
 
-// resumeQuotas decides on the requests that waited for a reservation.
-func (c *Core) resumeQuotas(group *replication.Group, owner *quotaOwner, tenant string) {
-	// Invariant: nothing is granted to a request that its sender has given up: it asks again.
-	waiting := slices.DeleteFunc(owner.waiting[tenant], func(item waitingAsk) bool {
-		if item.untilMs >= c.nowMs {
+// decidePendingRequests decides the requests of a tenant that waited for a reservation.
+func (c *Core) decidePendingRequests(group *replication.Group, owner *quotaOwner, tenant string) {
+	// Invariant: a request whose requester has timed out gets no grant, since the requester
+	// repeats it.
+	waiting := slices.DeleteFunc(owner.awaitingReservation[tenant], func(item pendingQuotaRequest) bool {
+		if item.deadlineMs >= c.nowMs {
 			return false
 		}
-		c.outlet.Reply(item.id, &protocol.TurnReply{Error: result.New(result.NoQuorum, "the reservation took too long")})
+		c.transport.Reply(item.id, &protocol.TurnReply{Error: result.New(result.NoQuorum, "the reservation took too long")})
 		return true
 	})
 	for len(waiting) > 0 && c.decideQuota(group, owner, waiting[0]) {
 		waiting = waiting[1:]
 	}
 	if len(waiting) == 0 {
-		delete(owner.waiting, tenant)
+		delete(owner.awaitingReservation, tenant)
 		return
 	}
-	owner.waiting[tenant] = waiting
+	owner.awaitingReservation[tenant] = waiting
 	if !owner.reserving[tenant] {
-		c.reserveQuota(group, owner, tenant)
+		c.proposeReservation(group, owner, tenant)
 	}
 }
 
-// failQuotas answers the requests whose reservation did not come.
-func (c *Core) failQuotas(owner *quotaOwner, tenant string, failure *result.Error) {
-	for _, waiting := range owner.waiting[tenant] {
-		c.outlet.Reply(waiting.id, &protocol.TurnReply{Error: failure})
+// failPendingRequests fails the requests whose reservation could not be written.
+func (c *Core) failPendingRequests(owner *quotaOwner, tenant string, failure *result.Error) {
+	for _, waiting := range owner.awaitingReservation[tenant] {
+		c.transport.Reply(waiting.id, &protocol.TurnReply{Error: failure})
 	}
-	delete(owner.waiting, tenant)
+	delete(owner.awaitingReservation, tenant)
 	delete(owner.reserving, tenant)
 }
 
-// dropQuota forgets the owner of a term that is over. Those whose requests wait for room ask
-// the next one and keep their order there by how long they have waited. The proposals that
-// others wait for are answered by the host when it stops leading.
-func (c *Core) dropQuota(id storage.GroupID) {
-	for _, next := range c.quotas[id].held {
-		c.outlet.Reply(next.id, &protocol.TurnReply{Error: result.New(result.NotLeader, "group %d has another leader", uint32(id))})
+// dropQuotaOwner removes the owner of a term that has ended. The requesters in its queue repeat
+// their requests to the next owner, where their waiting time keeps them in order. Requests that
+// wait for a reservation are answered when the replication host reports the outcome of its
+// proposal.
+func (c *Core) dropQuotaOwner(id storage.GroupID) {
+	for _, pending := range c.quotaOwners[id].queued {
+		c.transport.Reply(pending.id, &protocol.TurnReply{Error: result.New(result.NotLeader, "group %d has another leader", uint32(id))})
 	}
-	delete(c.quotas, id)
+	delete(c.quotaOwners, id)
 }
 
-// GrantedRequestCount counts the requests that were granted since the start; any goroutine may ask.
-func (c *Core) GrantedRequestCount() int64 { return c.quotasGranted.Load() }
+// GrantedRequestCount returns the number of requests granted since the start. It is safe for
+// concurrent use.
+func (c *Core) GrantedRequestCount() int64 { return c.grantedRequests.Load() }
 
-// DeniedRequestCount counts the requests that were denied since the start; any goroutine may ask.
-func (c *Core) DeniedRequestCount() int64 { return c.quotasDenied.Load() }
+// DeniedRequestCount returns the number of requests denied since the start. It is safe for
+// concurrent use.
+func (c *Core) DeniedRequestCount() int64 { return c.deniedRequests.Load() }
 
-// TenantUsage tells of the tenants whose limits are owned here.
+// TenantUsage returns the usage of the tenants whose limits are enforced here.
 func (c *Core) TenantUsage() []quota.TenantUsage {
 	var views []quota.TenantUsage
-	for _, owner := range c.quotas {
-		views = append(views, owner.owner.Usage(c.nowMs)...)
+	for _, owner := range c.quotaOwners {
+		views = append(views, owner.limits.Usage(c.nowMs)...)
 	}
 	return views
 }
 
-// WaitingRequestCount is how many requests wait for room in their tenant's limit.
+// WaitingRequestCount returns the number of requests that wait for headroom in their tenant's
+// window.
 func (c *Core) WaitingRequestCount() int {
 	waiting := 0
-	for _, owner := range c.quotas {
-		waiting += len(owner.held)
+	for _, owner := range c.quotaOwners {
+		waiting += len(owner.queued)
 	}
 	return waiting
 }
--- a/internal/ledger/quotas_test.go
+++ b/internal/ledger/quotas_test.go
@@ -11,16 +11,16 @@
 	"github.com/ochrebay/ochrebay/internal/quota"
 )
 
-// quotaCallers ask for a tenant's quota wherever they can and see every grant.
-type quotaCallers struct {
-	cluster *cluster
-	limit   quota.Limit
-	granted []int64
-	denied  int
+// quotaGateways simulates gateways that request grants for a tenant. It records every grant.
+type quotaGateways struct {
+	cluster     *cluster
+	limit       quota.Limit
+	grantedAtMs []int64
+	denied      int
 }
 
-// ask asks every host that takes itself for the leader, cut off or not.
-func (q *quotaCallers) ask(program string) {
+// sendRequests sends a request to every host that considers itself the leader, partitioned or not.
+func (q *quotaGateways) sendRequests(programID string) {
 	for _, host := range q.cluster.nodes {
 		if host.core == nil {
 			continue
@@ -28,11 +28,11 @@
 		if group := host.core.host.FindGroup(1); group == nil || !group.IsLeader() {
 			continue
 		}
-		request := &protocol.TurnRequest{Group: 1, TimeoutMs: 450, Quota: &quota.Request{Tenant: "t", Program: program, Limit: q.limit}}
-		host.ask(request, func(reply *protocol.TurnReply) {
+		request := &protocol.TurnRequest{Group: 1, TimeoutMs: 450, Quota: &quota.Request{Tenant: "t", Program: programID, Limit: q.limit}}
+		host.sendRequest(request, func(reply *protocol.TurnReply) {
 			switch {
 			case reply.Error == nil:
-				q.granted = append(q.granted, q.cluster.nowMs)
+				q.grantedAtMs = append(q.grantedAtMs, q.cluster.nowMs)
 			case reply.Error.RetryAfterMs > 0:
 				q.denied++
 			}
@@ -40,32 +40,32 @@
 	}
 }
 
-// check holds that no window has seen more grants than the limit.
-func (q *quotaCallers) check(t *testing.T, seed uint64) {
+// checkWindows checks that no window contains more grants than the limit allows.
+func (q *quotaGateways) checkWindows(t *testing.T, seed uint64) {
 	allowed := int(q.limit.AllowedRequests(testQuotaWindowMs))
 	first := 0
-	for position, at := range q.granted {
-		for q.granted[first] <= at-testQuotaWindowMs {
+	for position, grantedMs := range q.grantedAtMs {
+		for q.grantedAtMs[first] <= grantedMs-testQuotaWindowMs {
 			first++
 		}
 		if position-first+1 > allowed {
-			t.Fatalf("seed %d: %d granted in the window before %d ms, allowed %d", seed, position-first+1, at, allowed)
+			t.Fatalf("seed %d: %d granted in the window before %d ms, allowed %d", seed, position-first+1, grantedMs, allowed)
 		}
 	}
 }
 
-// TestLimitsThroughFaults kills, cuts off and loses the disk of hosts, leaders above all,
-// while a tenant asks for more than its limit: it never gets more, and it gets some again
-// after each repair.
+// TestLimitsThroughFaults crashes hosts, preferably leaders, partitions them or loses their disks,
+// while a tenant requests more than its limit. The tenant must never exceed its limit, and must keep
+// getting grants between the faults.
 func TestLimitsThroughFaults(t *testing.T) {
 	for seed := range uint64(60) {
 		c := newCluster(t, seed, 4, 3)
-		callers := &quotaCallers{cluster: c, limit: quota.Limit{Generation: 1, RatePerSecond: 10, Burst: 5}}
-		c.until("a leader", func() bool { return c.leader() != nil })
+		gateways := &quotaGateways{cluster: c, limit: quota.Limit{Generation: 1, RatePerSecond: 10, Burst: 5}}
+		c.runUntil("a leader", func() bool { return c.leader() != nil })
 		for step := range 30 {
 			for range 10 {
 				for range c.random.IntN(6) {
-					callers.ask(fmt.Sprint(c.random.IntN(5)))
+					gateways.sendRequests(fmt.Sprint(c.random.IntN(5)))
 				}
 				c.run(50)
 			}
@@ -76,52 +76,53 @@
 			if leader := c.leader(); leader != nil && c.random.IntN(2) == 0 {
 				victim = leader
 			}
-			faultWhile(c, victim, func() {
+			duringFault(c, victim, func() {
 				for range c.random.IntN(40) {
-					callers.ask("f")
+					gateways.sendRequests("f")
 					c.run(50)
 				}
 			})
-			c.until("the repair", c.settled)
+			c.runUntil("the recovery", c.matchesPlacement)
 		}
-		callers.check(t, seed)
-		if len(callers.granted) < 100 || callers.denied < 100 {
-			t.Fatalf("seed %d: %d granted, %d denied", seed, len(callers.granted), callers.denied)
+		gateways.checkWindows(t, seed)
+		if len(gateways.grantedAtMs) < 100 || gateways.denied < 100 {
+			t.Fatalf("seed %d: %d granted, %d denied", seed, len(gateways.grantedAtMs), gateways.denied)
 		}
 	}
 }
 
-// faultWhile strikes a host with one of three faults, lets others act, and ends it.
-func faultWhile(c *cluster, victim *node, act func()) {
+// duringFault calls during while a host is crashed, partitioned or without its disk, and then ends the
+// fault.
+func duringFault(c *cluster, victim *node, during func()) {
 	switch c.random.IntN(3) {
 	case 0:
 		victim.core = nil
-		act()
+		during()
 		victim.start()
 	case 1:
-		victim.cut = true
-		act()
-		victim.cut = false
+		victim.partitioned = true
+		during()
+		victim.partitioned = false
 	case 2:
 		victim.core = nil
-		act()
-		victim.wipe()
+		during()
+		victim.replaceDisk()
 		victim.start()
 	}
-	c.tellView()
+	c.distributeView()
 }
 
-// TestLimitsOutliveTheCluster holds that a tenant which has used its limit up gets nothing
-// for losing all hosts at once.
+// TestLimitsOutliveTheCluster checks that a tenant that has used up its limit gets no grants from a
+// simultaneous restart of all hosts.
 func TestLimitsOutliveTheCluster(t *testing.T) {
 	c := newCluster(t, 1, 3, 3)
-	callers := &quotaCallers{cluster: c, limit: quota.Limit{Generation: 1, RatePerSecond: 10}}
-	c.until("a leader", func() bool { return c.leader() != nil })
+	gateways := &quotaGateways{cluster: c, limit: quota.Limit{Generation: 1, RatePerSecond: 10}}
+	c.runUntil("a leader", func() bool { return c.leader() != nil })
 	for range 60 {
-		callers.ask("p")
+		gateways.sendRequests("p")
 		c.run(10)
 	}
-	used := len(callers.granted)
+	used := len(gateways.grantedAtMs)
 	for _, host := range c.nodes {
 		host.core = nil
 	}
@@ -129,25 +130,25 @@
 	for _, host := range c.nodes {
 		host.start()
 	}
-	c.until("a leader", func() bool { return c.leader() != nil })
+	c.runUntil("a leader", func() bool { return c.leader() != nil })
 	for range 100 {
-		callers.ask("p")
+		gateways.sendRequests("p")
 		c.run(10)
 	}
-	if used != 50 || len(callers.granted) != used {
-		t.Fatalf("%d granted before and %d after the loss of power, allowed 50", used, len(callers.granted)-used)
+	if used != 50 || len(gateways.grantedAtMs) != used {
+		t.Fatalf("%d granted before and %d after the power loss, want 50 and 0", used, len(gateways.grantedAtMs)-used)
 	}
 }
 
 func TestSnapshotOfAGroup(t *testing.T) {
-	filled := func() *stateMachine {
+	newFilledMachine := func() *stateMachine {
 		machine := newStateMachine(Options{QuotaWindowMs: testQuotaWindowMs})
 		machine.turns.Apply(program.TurnCommand{NowMs: 1, Settle: &program.Settle{Program: "p", Request: "r", Retain: true, RetentionMs: 60_000}})
 		machine.quotas.Apply(quota.Reservation{Tenant: "t", Count: 3, Term: 1, NowMs: 1})
 		return machine
 	}
-	Convey("a snapshot holds turns and reservations", t, func() {
-		raw, err := filled().Snapshot()
+	Convey("a snapshot restores turns and reservations", t, func() {
+		raw, err := newFilledMachine().Snapshot()
 		So(err, ShouldBeNil)
 		restored := newStateMachine(Options{QuotaWindowMs: testQuotaWindowMs})
 		So(restored.Restore(raw), ShouldBeNil)
@@ -156,8 +157,8 @@
 		So(restored.Restore(nil), ShouldBeNil)
 		So(restored.turns.HasTurn("r"), ShouldBeFalse)
 	})
-	Convey("one of turns alone, as disks from before there were limits hold it, is read too", t, func() {
-		raw, err := filled().turns.Snapshot()
+	Convey("a snapshot of turns alone, as releases without tenant limits wrote it, restores the turns", t, func() {
+		raw, err := newFilledMachine().turns.Snapshot()
 		So(err, ShouldBeNil)
 		restored := newStateMachine(Options{QuotaWindowMs: testQuotaWindowMs})
 		So(restored.Restore(raw), ShouldBeNil)
--- a/internal/ledger/reconcile.go
+++ b/internal/ledger/reconcile.go
@@ -8,54 +8,54 @@
 	"github.com/ochrebay/ochrebay/internal/replication"
 )
 
-// reconcile brings the groups led here one step nearer to their placement, and
-// drops replicas that nobody counts any more.
+// reconcile moves each group led here one step towards its placement, balances the leadership of the
+// groups, and removes orphaned replicas (see removeOrphan).
 func (c *Core) reconcile() {
-	if c.view == nil {
+	if c.fleetView == nil {
 		return
 	}
 	for _, group := range slices.Clone(c.host.Groups) {
-		placement, placed := c.view.Groups[uint32(group.ID)]
-		if !placed {
+		placement, isPlaced := c.fleetView.Groups[uint32(group.ID)]
+		if !isPlaced {
 			continue
 		}
 		if !group.IsLeader() {
 			delete(c.ledSinceMs, group.ID)
-			c.dropForgotten(group, placement)
+			c.removeOrphan(group, placement)
 			continue
 		}
 		if c.draining {
-			c.handOver(group, anyMember)
+			c.transferLeadership(group, anyMember)
 			continue
 		}
-		next, step := nextConfiguration(group.Node, placement.Members, c.currentReplicas(placement))
-		if step {
+		next, isChange := nextConfiguration(group.Node, placement.Members, c.currentReplicas(placement))
+		if isChange {
 			_ = group.Node.ProposeConfiguration(next)
-		} else if !placedAt(placement, c.options.Member) {
-			// Invariant: only a host of the placement is handed the group. Two that are both to
-			// leave it would hand it to and fro, and each change of leadership interrupts the
-			// transfer to their successors, so that these never catch up.
-			c.handOver(group, func(member string) bool { return placedAt(placement, member) })
+		} else if !isPlacedAt(placement, c.options.Member) {
+			// Only a host of the placement may receive the leadership. Otherwise two hosts that
+			// both leave the group would transfer it back and forth. Each leadership change
+			// interrupts the snapshot transfers to the new hosts, which then never catch up.
+			c.transferLeadership(group, func(member string) bool { return isPlacedAt(placement, member) })
 		} else {
-			c.balance(group, c.nowMs)
+			c.balanceLeadership(group, c.nowMs)
 		}
 	}
 }
 
-func placedAt(placement membership.Placement, member string) bool {
+// isPlacedAt reports whether a placement includes a member.
+func isPlacedAt(placement membership.Placement, member string) bool {
 	return slices.Contains(placement.Members, member)
 }
 
-// balance hands a group to the member that is to lead it, so that no host stays the
-// leader of more groups than its share after others were lost: a leader does several
-// times a follower's work. It waits until this host has led for a while and hands over
-// one group at a time.
-func (c *Core) balance(group *replication.Group, nowMs int64) {
+// balanceLeadership transfers a group to its preferred leader, so that after failures no host keeps
+// leading more groups than its share: a leader does several times the work of a follower. It waits
+// until this host has led the group for a while and transfers one group at a time.
+func (c *Core) balanceLeadership(group *replication.Group, nowMs int64) {
 	if c.ledSinceMs[group.ID] == 0 {
 		c.ledSinceMs[group.ID] = nowMs
 	}
-	preferred := c.preferred[uint32(group.ID)]
-	if preferred == c.options.Member || nowMs-c.ledSinceMs[group.ID] < balanceAfterMs || nowMs-c.lastBalanceMs < balanceEveryMs {
+	preferred := c.preferredLeader[uint32(group.ID)]
+	if preferred == c.options.Member || nowMs-c.ledSinceMs[group.ID] < balanceMinLeadMs || nowMs-c.lastBalanceMs < balanceIntervalMs {
 		return
 	}
 	for _, replica := range group.Node.Configuration().Replicas {
@@ -65,64 +65,65 @@
 	}
 }
 
-// preferredLeaders gives each group the member that is to lead it, so that every host
-// leads about as many groups as any other. All hosts come to the same answer from the
-// same placements.
+// preferredLeaders assigns each group the member that should lead it, so that all hosts lead about
+// the same number of groups. The result depends only on the placements, so that all hosts agree.
 func preferredLeaders(view *membership.FleetView) map[uint32]string {
 	preferred := map[uint32]string{}
-	led := map[string]int{}
+	ledGroups := map[string]int{}
 	for _, group := range replication.SortedKeys(view.Groups) {
 		members := view.Groups[group].Members
 		best := ""
 		for position := range members {
-			// Ties go to another position in each group.
+			// The group number rotates the order of the members, so that ties do not always
+			// go to the same position.
 			member := members[(position+int(group))%len(members)]
-			if best == "" || led[member] < led[best] {
+			if best == "" || ledGroups[member] < ledGroups[best] {
 				best = member
 			}
 		}
 		preferred[group] = best
-		led[best]++
+		ledGroups[best]++
 	}
 	return preferred
 }
 
-// dropForgotten stops hosting a group that is placed elsewhere and whose leader
-// does not speak to this replica. What the disk holds stays: it is the same replica
-// if it is placed here again.
-func (c *Core) dropForgotten(group *replication.Group, placement membership.Placement) {
-	if placedAt(placement, c.options.Member) || group.Node.Leader() != consensus.None {
-		delete(c.leaderlessMs, group.ID)
+// removeOrphan stops hosting a group that is placed elsewhere once it has had no known leader for
+// removeOrphanAfterMs. Its data stays on disk, since it is the same replica if the group is placed
+// here again.
+func (c *Core) removeOrphan(group *replication.Group, placement membership.Placement) {
+	if isPlacedAt(placement, c.options.Member) || group.Node.Leader() != consensus.None {
+		delete(c.leaderlessSinceMs, group.ID)
 		return
 	}
-	since, known := c.leaderlessMs[group.ID]
+	since, known := c.leaderlessSinceMs[group.ID]
 	if !known {
-		c.leaderlessMs[group.ID] = c.nowMs
+		c.leaderlessSinceMs[group.ID] = c.nowMs
 		return
 	}
-	if c.nowMs-since > forgetGroupAfterMs {
-		delete(c.leaderlessMs, group.ID)
+	if c.nowMs-since > removeOrphanAfterMs {
+		delete(c.leaderlessSinceMs, group.ID)
 		c.host.RemoveGroup(group.ID)
 	}
 }
 
-// currentReplicas returns the disks that the placed hosts have at present.
+// currentReplicas returns the replica IDs of the current disks of the hosts in a placement, by
+// member.
 func (c *Core) currentReplicas(placement membership.Placement) map[string]consensus.ReplicaID {
 	current := map[string]consensus.ReplicaID{}
 	for _, member := range placement.Members {
-		if host, ok := c.view.Ledgers[member]; ok {
+		if host, ok := c.fleetView.Ledgers[member]; ok {
 			current[member] = host.Replica
 		}
 	}
 	return current
 }
 
-// nextConfiguration returns the next single step from a group's configuration to
-// its placement, and whether there is one.
+// nextConfiguration returns the configuration after the next step from a group's configuration to
+// its placement, and whether a step is needed. Each step changes one replica.
 func nextConfiguration(node *consensus.Node, members []string, current map[string]consensus.ReplicaID) (consensus.Configuration, bool) {
 	configuration := node.Configuration()
-	if stale, found := lostDisk(node, members, current); found {
-		return configuration.Without(stale), true
+	if lostReplica, found := replicaWithLostDisk(node, members, current); found {
+		return configuration.Without(lostReplica), true
 	}
 	for _, member := range members {
 		id, known := current[member]
@@ -130,31 +131,32 @@
 			return configuration.With(consensus.Replica{ID: id, Member: member, IsLearner: true}), true
 		}
 	}
-	ready, found := caughtUpLearner(node, members)
+	learner, found := caughtUpLearner(node, members)
 	if found {
-		// A voter that is placed elsewhere and silent goes before its successor
-		// votes, so that the quorum does not grow meanwhile.
-		if extra, dead := extraReplica(node, members, false); dead && len(configuration.Voters()) > 1 {
-			return configuration.Without(extra), true
+		// An unresponsive voter that is not part of the placement is removed before the learner
+		// becomes a voter, so that the quorum does not grow in between.
+		if misplaced, isSilent := misplacedReplica(node, members, false); isSilent && len(configuration.Voters()) > 1 {
+			return configuration.Without(misplaced), true
 		}
-		ready.IsLearner = false
-		return configuration.With(ready), true
+		learner.IsLearner = false
+		return configuration.With(learner), true
 	}
-	if allVote(configuration, members, current) {
-		if extra, found := extraReplica(node, members, true); found {
-			return configuration.Without(extra), true
+	if allMembersVote(configuration, members, current) {
+		if misplaced, found := misplacedReplica(node, members, true); found {
+			return configuration.Without(misplaced), true
 		}
 	}
 	return configuration, false
 }
 
+// hasMember reports whether a configuration contains a replica of a member.
 func hasMember(configuration consensus.Configuration, member string) bool {
 	return slices.ContainsFunc(configuration.Replicas, func(replica consensus.Replica) bool { return replica.Member == member })
 }
 
-// lostDisk returns a replica whose host came back with another disk. Invariant: a
-// replica that still answers has not lost its disk.
-func lostDisk(node *consensus.Node, members []string, current map[string]consensus.ReplicaID) (consensus.ReplicaID, bool) {
+// replicaWithLostDisk returns a replica whose host has come back with another disk. A replica that
+// still responds has not lost its disk.
+func replicaWithLostDisk(node *consensus.Node, members []string, current map[string]consensus.ReplicaID) (consensus.ReplicaID, bool) {
 	for _, replica := range node.Configuration().Replicas {
 		id, known := current[replica.Member]
 		if known && id != replica.ID && !node.IsRecentlyActive(replica.ID) && slices.Contains(members, replica.Member) {
@@ -164,28 +166,30 @@
 	return consensus.None, false
 }
 
+// caughtUpLearner returns a learner of the placement that lags little enough to become a voter.
 func caughtUpLearner(node *consensus.Node, members []string) (consensus.Replica, bool) {
 	for _, replica := range node.Configuration().Replicas {
-		if replica.IsLearner && slices.Contains(members, replica.Member) && node.IsCaughtUp(replica.ID, caughtUpLag) {
+		if replica.IsLearner && slices.Contains(members, replica.Member) && node.IsCaughtUp(replica.ID, maxLearnerLagEntries) {
 			return replica, true
 		}
 	}
 	return consensus.Replica{}, false
 }
 
-// extraReplica returns a replica that the placement does not want, the leader
-// itself aside; active chooses whether it may still be answering.
-func extraReplica(node *consensus.Node, members []string, active bool) (consensus.ReplicaID, bool) {
+// misplacedReplica returns a replica other than the leader that is not part of the placement.
+// includeActive includes replicas that have responded recently.
+func misplacedReplica(node *consensus.Node, members []string, includeActive bool) (consensus.ReplicaID, bool) {
 	for _, replica := range node.Configuration().Replicas {
-		extra := !slices.Contains(members, replica.Member) && replica.ID != node.ID()
-		if extra && (active || !node.IsRecentlyActive(replica.ID)) {
+		isMisplaced := !slices.Contains(members, replica.Member) && replica.ID != node.ID()
+		if isMisplaced && (includeActive || !node.IsRecentlyActive(replica.ID)) {
 			return replica.ID, true
 		}
 	}
 	return consensus.None, false
 }
 
-func allVote(configuration consensus.Configuration, members []string, current map[string]consensus.ReplicaID) bool {
+// allMembersVote reports whether the current replica of every member is a voter.
+func allMembersVote(configuration consensus.Configuration, members []string, current map[string]consensus.ReplicaID) bool {
 	for _, member := range members {
 		if !configuration.IsVoter(current[member]) {
 			return false
--- a/internal/ledger/requests.go
+++ b/internal/ledger/requests.go
@@ -11,21 +11,21 @@
 	"github.com/ochrebay/ochrebay/internal/storage"
 )
 
-// waitingSettle is a charge for a turn that is not kept. Nobody waits for it, so that it
-// goes with the next entry of its group, or with the next tick, and needs no messages
-// and no sync of its own.
-type waitingSettle struct {
+// deferredSettle is a settlement that charges a turn without retaining it. No caller waits for it,
+// so it is proposed together with the next command of its group, or at the next tick, and needs no
+// messages and no sync of its own.
+type deferredSettle struct {
 	id     RequestID
 	settle *program.Settle
 }
 
-// HandleRequest takes one request of a gateway; the reply comes through the outlet, now
-// or later.
+// HandleRequest processes a request of a gateway. The reply goes through the transport, before or
+// after HandleRequest returns. Stored contents are served by any replica, all else by the leader.
 func (c *Core) HandleRequest(id RequestID, request *protocol.TurnRequest, nowMs int64) {
 	c.setNow(nowMs)
 	group := c.host.FindGroup(storage.GroupID(request.Group))
 	if group != nil && len(request.ContentsOf) > 0 {
-		c.outlet.Reply(id, c.contents(group, request.ContentsOf))
+		c.transport.Reply(id, c.joinContents(group, request.ContentsOf))
 		return
 	}
 	if group == nil || !group.IsLeader() || c.draining {
@@ -33,150 +33,152 @@
 		if group != nil {
 			reply.Leader = group.LeaderMember()
 		}
-		c.outlet.Reply(id, reply)
+		c.transport.Reply(id, reply)
 		return
 	}
 	switch {
 	case request.Quota != nil:
-		c.askQuota(id, group, request)
+		c.requestQuota(id, group, request)
 	case request.Reserve != nil:
-		c.reserve(id, group, request)
+		c.openTurn(id, group, request)
 	case request.Settle != nil && !request.Settle.Retain:
-		c.settles[group.ID] = append(c.settles[group.ID], waitingSettle{id, request.Settle})
+		c.deferredSettles[group.ID] = append(c.deferredSettles[group.ID], deferredSettle{id, request.Settle})
 	case request.Settle != nil:
-		c.propose(id, group, program.TurnCommand{Settle: request.Settle}, nil)
+		c.proposeAfterSettles(id, group, program.TurnCommand{Settle: request.Settle}, nil)
 	case request.HistoryOf != "":
-		c.find(id, group, request.HistoryOf)
+		c.replyHistory(id, group, request.HistoryOf)
 	default:
-		c.outlet.Reply(id, &protocol.TurnReply{Error: result.New(result.MalformedRequest, "empty request")})
+		c.transport.Reply(id, &protocol.TurnReply{Error: result.New(result.MalformedRequest, "empty request")})
 	}
 }
 
-// reserve opens a turn. A turn without a budget changes nothing, so that a
-// confirmed read is enough.
-func (c *Core) reserve(id RequestID, group *replication.Group, request *protocol.TurnRequest) {
+// openTurn opens a turn. A turn without a budget changes no state, so a linearizable read is
+// sufficient.
+func (c *Core) openTurn(id RequestID, group *replication.Group, request *protocol.TurnRequest) {
 	previous := request.Reserve.PreviousRequest
-	withChain := func() *protocol.TurnReply {
+	withHistory := func() *protocol.TurnReply {
 		if previous == "" {
 			return &protocol.TurnReply{}
 		}
-		return c.chain(group, previous, request.CachedTurn, request.Zone)
+		return c.turnHistory(group, previous, request.CachedTurn, request.Zone)
 	}
 	if request.Reserve.BudgetTokens <= 0 {
 		c.host.LinearizableRead(group, func(failure *result.Error) {
-			if failure == nil && previous != "" && !c.has(group, previous) {
+			if failure == nil && previous != "" && !c.hasTurn(group, previous) {
 				failure = result.New(result.UnknownTurn, "no turn %s", previous)
 			}
 			if failure != nil {
-				c.outlet.Reply(id, &protocol.TurnReply{Error: failure})
+				c.transport.Reply(id, &protocol.TurnReply{Error: failure})
 				return
 			}
-			c.outlet.Reply(id, withChain())
+			c.transport.Reply(id, withHistory())
 		})
 		return
 	}
-	c.propose(id, group, program.TurnCommand{Reserve: request.Reserve}, withChain)
+	c.proposeAfterSettles(id, group, program.TurnCommand{Reserve: request.Reserve}, withHistory)
 }
 
-func (c *Core) has(group *replication.Group, request string) bool {
+// hasTurn reports whether the local replica of a group has a turn.
+func (c *Core) hasTurn(group *replication.Group, request string) bool {
 	return group.StateMachine.(*stateMachine).turns.HasTurn(request)
 }
 
-// proposeSettles proposes the charges that wait.
-func (c *Core) proposeSettles(group *replication.Group) {
-	waiting := c.settles[group.ID]
-	delete(c.settles, group.ID)
-	for _, next := range waiting {
-		c.proposeOne(next.id, group, program.TurnCommand{Settle: next.settle}, nil)
+// proposeDeferredSettles proposes the deferred settlements of a group.
+func (c *Core) proposeDeferredSettles(group *replication.Group) {
+	waiting := c.deferredSettles[group.ID]
+	delete(c.deferredSettles, group.ID)
+	for _, deferred := range waiting {
+		c.proposeCommand(deferred.id, group, program.TurnCommand{Settle: deferred.settle}, nil)
 	}
 }
 
-// propose appends a command, after the charges that wait, and answers once it is
-// applied.
-func (c *Core) propose(id RequestID, group *replication.Group, command program.TurnCommand, reply func() *protocol.TurnReply) {
-	c.proposeSettles(group)
-	c.proposeOne(id, group, command, reply)
+// proposeAfterSettles proposes a command after the deferred settlements of its group, and replies
+// once it is applied.
+func (c *Core) proposeAfterSettles(id RequestID, group *replication.Group, command program.TurnCommand, makeReply func() *protocol.TurnReply) {
+	c.proposeDeferredSettles(group)
+	c.proposeCommand(id, group, command, makeReply)
 }
 
-// proposeOne appends a command and answers once it is applied; reply makes the answer
-// to a command that was granted, nil for an empty one.
-func (c *Core) proposeOne(id RequestID, group *replication.Group, command program.TurnCommand, reply func() *protocol.TurnReply) {
+// proposeCommand proposes a command and replies once it is applied. makeReply builds the reply to a
+// successful command; nil means an empty reply.
+func (c *Core) proposeCommand(id RequestID, group *replication.Group, command program.TurnCommand, makeReply func() *protocol.TurnReply) {
 	command.NowMs = c.nowMs
 	failure := c.host.Propose(group, &command, func(applied any) {
-		answer := &protocol.TurnReply{}
+		response := &protocol.TurnReply{}
 		switch typed := applied.(type) {
 		case program.TurnReply:
-			answer.Error = typed.Error
-			answer.AffineEngine = typed.Engine
-			answer.IsFirstTurn = typed.IsFirstTurn
+			response.Error = typed.Error
+			response.AffineEngine = typed.Engine
+			response.IsFirstTurn = typed.IsFirstTurn
 		case *result.Error:
-			answer.Error = typed
+			response.Error = typed
 		}
-		if answer.Error == nil && reply != nil {
-			engine, first := answer.AffineEngine, answer.IsFirstTurn
-			answer = reply()
-			answer.AffineEngine, answer.IsFirstTurn = engine, first
+		if response.Error == nil && makeReply != nil {
+			affineEngine, isFirstTurn := response.AffineEngine, response.IsFirstTurn
+			response = makeReply()
+			response.AffineEngine, response.IsFirstTurn = affineEngine, isFirstTurn
 		}
-		c.outlet.Reply(id, answer)
+		c.transport.Reply(id, response)
 	})
 	if failure != nil {
-		c.outlet.Reply(id, &protocol.TurnReply{Error: failure})
+		c.transport.Reply(id, &protocol.TurnReply{Error: failure})
 	}
 }
 
-// find answers with the chain of a turn that another group may not know.
-func (c *Core) find(id RequestID, group *replication.Group, request string) {
+// replyHistory replies with the history of a turn, after a linearizable read. The requester may be
+// about to continue the turn in another group, which does not store it.
+func (c *Core) replyHistory(id RequestID, group *replication.Group, request string) {
 	c.host.LinearizableRead(group, func(failure *result.Error) {
 		switch {
 		case failure != nil:
-			c.outlet.Reply(id, &protocol.TurnReply{Error: failure})
-		case !c.has(group, request):
-			c.outlet.Reply(id, &protocol.TurnReply{Error: result.New(result.UnknownTurn, "no turn %s", request)})
+			c.transport.Reply(id, &protocol.TurnReply{Error: failure})
+		case !c.hasTurn(group, request):
+			c.transport.Reply(id, &protocol.TurnReply{Error: result.New(result.UnknownTurn, "no turn %s", request)})
 		default:
-			c.outlet.Reply(id, c.chain(group, request, "", ""))
+			c.transport.Reply(id, c.turnHistory(group, request, "", ""))
 		}
 	})
 }
 
-// chain joins the content of a line of turns, oldest first; where the line goes through
-// the turn that the asker knows, only what follows that one. For an asker in a zone with
-// a replica of its own it names all turns but the last, which that replica may not have
-// applied yet.
-func (c *Core) chain(group *replication.Group, last, known, zone string) *protocol.TurnReply {
+// turnHistory joins the contents of a chain of turns, oldest first. If the requester has the chain
+// up to cachedTurn, the reply contains only the turns after it. If another zone with a voter is the
+// requester's, the reply names all turns except the last instead of including them. The voter in
+// that zone may not have applied the last turn yet.
+func (c *Core) turnHistory(group *replication.Group, lastTurn, cachedTurn, zone string) *protocol.TurnReply {
 	reply := &protocol.TurnReply{}
-	line := group.StateMachine.(*stateMachine).turns.Chain(last)
-	if place := slices.Index(line, known); place >= 0 {
-		line = line[place+1:]
+	turns := group.StateMachine.(*stateMachine).turns.Chain(lastTurn)
+	if position := slices.Index(turns, cachedTurn); position >= 0 {
+		turns = turns[position+1:]
 		reply.IsContinuation = true
 	}
-	if len(line) > 1 && c.replicaElsewhere(group, zone) {
-		reply.OlderTurns = line[:len(line)-1]
-		line = line[len(line)-1:]
+	if len(turns) > 1 && c.hasRemoteVoter(group, zone) {
+		reply.OlderTurns = turns[:len(turns)-1]
+		turns = turns[len(turns)-1:]
 	}
-	joined := c.contents(group, line)
-	reply.History, reply.Error = joined.History, joined.Error
+	contents := c.joinContents(group, turns)
+	reply.History, reply.Error = contents.History, contents.Error
 	return reply
 }
 
-// replicaElsewhere reports whether a zone that is not this host's has a voter of the
+// hasRemoteVoter reports whether a zone is another zone than this host's and has a voter of the
 // group.
-func (c *Core) replicaElsewhere(group *replication.Group, zone string) bool {
-	if zone == "" || zone == c.options.Zone || c.view == nil {
+func (c *Core) hasRemoteVoter(group *replication.Group, zone string) bool {
+	if zone == "" || zone == c.options.Zone || c.fleetView == nil {
 		return false
 	}
 	return slices.ContainsFunc(group.Node.Configuration().Replicas, func(replica consensus.Replica) bool {
-		return !replica.IsLearner && c.view.Ledgers[replica.Member].Zone == zone
+		return !replica.IsLearner && c.fleetView.Ledgers[replica.Member].Zone == zone
 	})
 }
 
-// contents joins the content of turns. Invariant: a turn never changes once it is kept,
-// so that any replica which has applied it may answer; one that has not sends the asker
-// to the leader, and says nothing of whether there is such a turn.
-func (c *Core) contents(group *replication.Group, turns []string) *protocol.TurnReply {
+// joinContents joins the contents of turns. Invariant: a retained turn never changes, so any replica
+// that has applied it may serve it. A follower that has not applied it redirects the requester to
+// the leader, and makes no statement on whether the turn exists.
+func (c *Core) joinContents(group *replication.Group, turns []string) *protocol.TurnReply {
 	reply := &protocol.TurnReply{}
 	for _, request := range turns {
-		if !group.IsLeader() && !c.has(group, request) {
-			return &protocol.TurnReply{Leader: group.LeaderMember(), Error: result.New(result.NotLeader, "turn %s is not here", request)}
+		if !group.IsLeader() && !c.hasTurn(group, request) {
+			return &protocol.TurnReply{Leader: group.LeaderMember(), Error: result.New(result.NotLeader, "turn %s is not applied on this replica", request)}
 		}
 		records, err := c.host.Records(group, request, 0)
 		if err != nil || len(records) != 1 {
@@ -187,6 +189,7 @@
 	return reply
 }
 
+// proposeSweep proposes the removal of a group's expired turns and idle budgets.
 func (c *Core) proposeSweep(group *replication.Group) {
 	_ = c.host.Propose(group, &program.TurnCommand{NowMs: c.nowMs, Sweep: true}, func(any) {})
 }
