--- a/internal/consensus/cluster_test.go
+++ b/internal/consensus/cluster_test.go
@@ -9,11 +9,11 @@
 	"pgregory.net/rapid"
 )
 
-// disk is what survives a crash of one replica.
+// disk holds the state of one replica that survives a crash.
 type disk struct {
-	hard     HardState
-	snapshot Snapshot
-	entries  []Entry
+	hardState HardState
+	snapshot  Snapshot
+	entries   []Entry
 }
 
 func (d *disk) write(ready Ready) {
@@ -26,26 +26,26 @@
 		d.entries = append(slices.Clone(d.entries[:keep]), entry)
 	}
 	if ready.HardState != nil {
-		d.hard = *ready.HardState
+		d.hardState = *ready.HardState
 	}
 }
 
-// cluster runs replicas over a network that the test drives.
+// cluster runs replicas over a network that is controlled by the test.
 type cluster struct {
-	nodes     map[ReplicaID]*Node
-	disks     map[ReplicaID]*disk
-	network   []Message
-	committed map[uint64]Entry
-	applied   map[ReplicaID]uint64
-	leaders   map[uint64]ReplicaID
-	options   Options
-	fault     string
+	nodes        map[ReplicaID]*Node
+	disks        map[ReplicaID]*disk
+	inFlight     []Message
+	committed    map[uint64]Entry
+	appliedIndex map[ReplicaID]uint64
+	leaderByTerm map[uint64]ReplicaID
+	options      Options
+	violation    string
 }
 
 func newCluster(size int, options Options) *cluster {
 	c := &cluster{
 		nodes: map[ReplicaID]*Node{}, disks: map[ReplicaID]*disk{}, committed: map[uint64]Entry{},
-		applied: map[ReplicaID]uint64{}, leaders: map[uint64]ReplicaID{}, options: options,
+		appliedIndex: map[ReplicaID]uint64{}, leaderByTerm: map[uint64]ReplicaID{}, options: options,
 	}
 	var configuration Configuration
 	for id := 1; id <= size; id++ {
@@ -65,9 +65,9 @@
 func (c *cluster) restart(id ReplicaID) {
 	options := c.options
 	options.ID = id
-	stored := c.disks[id]
-	c.nodes[id] = NewNode(options, PersistedState{HardState: stored.hard, Snapshot: stored.snapshot, Entries: slices.Clone(stored.entries)})
-	c.applied[id] = stored.snapshot.Index
+	persisted := c.disks[id]
+	c.nodes[id] = NewNode(options, PersistedState{HardState: persisted.hardState, Snapshot: persisted.snapshot, Entries: slices.Clone(persisted.entries)})
+	c.appliedIndex[id] = persisted.snapshot.Index
 }
 
 func (c *cluster) ids() []ReplicaID {
@@ -88,37 +88,38 @@
 	return ids
 }
 
-// suspect removes a replica as a crash does, and tells the others, as the
-// owner of the replicas does when a peer process falls silent.
-func (c *cluster) suspect(id ReplicaID) {
+// crashAndWake removes a replica, as a crash does, and wakes the others, as their owners do when a peer
+// process is suspected to have failed.
+func (c *cluster) crashAndWake(id ReplicaID) {
 	delete(c.nodes, id)
 	for _, node := range c.nodes {
 		node.Wake()
 	}
 }
 
-// process carries out one Ready; stopBefore 1 crashes before the sync, 2 after.
-func (c *cluster) process(id ReplicaID, stopBefore int) {
+// process does the work of one Ready. With crashPoint 1 the replica crashes before the sync, with
+// crashPoint 2 after it.
+func (c *cluster) process(id ReplicaID, crashPoint int) {
 	node := c.nodes[id]
 	if node == nil || !node.HasReady() {
 		return
 	}
 	ready := node.Ready()
-	c.network = append(c.network, ready.Messages...)
-	if stopBefore == 1 {
+	c.inFlight = append(c.inFlight, ready.Messages...)
+	if crashPoint == 1 {
 		delete(c.nodes, id)
 		return
 	}
 	c.disks[id].write(ready)
-	if stopBefore == 2 {
+	if crashPoint == 2 {
 		delete(c.nodes, id)
 		return
 	}
-	c.network = append(c.network, ready.MessagesAfterSync...)
+	c.inFlight = append(c.inFlight, ready.MessagesAfterSync...)
 	if ready.Snapshot != nil {
-		c.applied[id] = ready.Snapshot.Index
+		c.appliedIndex[id] = ready.Snapshot.Index
 	}
-	c.check(id, ready)
+	c.checkInvariants(id, ready)
 	node.Advance(ready)
 	for _, to := range ready.SnapshotTargets {
 		index := node.AppliedIndex()
@@ -129,22 +130,22 @@
 	}
 }
 
-func (c *cluster) check(id ReplicaID, ready Ready) {
+func (c *cluster) checkInvariants(id ReplicaID, ready Ready) {
 	node := c.nodes[id]
 	if node.Role() == Leader {
-		if other, ok := c.leaders[node.Term()]; ok && other != id {
-			c.fault = fmt.Sprintf("two leaders in term %d: %d and %d", node.Term(), other, id)
+		if other, ok := c.leaderByTerm[node.Term()]; ok && other != id {
+			c.violation = fmt.Sprintf("two leaders in term %d: %d and %d", node.Term(), other, id)
 		}
-		c.leaders[node.Term()] = id
+		c.leaderByTerm[node.Term()] = id
 	}
 	for _, entry := range ready.CommittedEntries {
-		if entry.Index != c.applied[id]+1 {
-			c.fault = fmt.Sprintf("replica %d applied %d after %d", id, entry.Index, c.applied[id])
+		if entry.Index != c.appliedIndex[id]+1 {
+			c.violation = fmt.Sprintf("replica %d applied index %d after %d", id, entry.Index, c.appliedIndex[id])
 		}
-		c.applied[id] = entry.Index
+		c.appliedIndex[id] = entry.Index
 		known, ok := c.committed[entry.Index]
 		if ok && (known.Term != entry.Term || string(known.Data) != string(entry.Data)) {
-			c.fault = fmt.Sprintf("index %d committed twice: term %d and %d", entry.Index, known.Term, entry.Term)
+			c.violation = fmt.Sprintf("index %d committed twice: term %d and %d", entry.Index, known.Term, entry.Term)
 		}
 		c.committed[entry.Index] = entry
 	}
@@ -160,8 +161,8 @@
 	return found
 }
 
-// settle runs the cluster without faults for the given number of ticks.
-func (c *cluster) settle(ticks int) {
+// runTicks runs the cluster without faults for a number of ticks.
+func (c *cluster) runTicks(ticks int) {
 	for range ticks {
 		for _, id := range c.ids() {
 			c.nodes[id].Tick()
@@ -170,8 +171,8 @@
 			for _, id := range c.ids() {
 				c.process(id, 0)
 			}
-			delivered := c.network
-			c.network = nil
+			delivered := c.inFlight
+			c.inFlight = nil
 			for _, message := range delivered {
 				if node := c.nodes[message.To]; node != nil {
 					node.Step(message)
@@ -181,7 +182,7 @@
 	}
 }
 
-func (c *cluster) anyChange(t *rapid.T) {
+func (c *cluster) proposeRandomChange(t *rapid.T) {
 	leader := c.leader()
 	if leader == nil {
 		return
@@ -206,7 +207,7 @@
 	_ = leader.ProposeConfiguration(next)
 }
 
-func (c *cluster) anyAction(t *rapid.T) {
+func (c *cluster) takeRandomAction(t *rapid.T) {
 	id := rapid.SampledFrom(c.diskIDs()).Draw(t, "replica")
 	node := c.nodes[id]
 	switch action := rapid.IntRange(0, 19).Draw(t, "action"); {
@@ -225,7 +226,7 @@
 	case action == 13:
 		c.process(id, 2)
 	case action == 14:
-		c.anyChange(t)
+		c.proposeRandomChange(t)
 	case action == 15 && node.AppliedIndex() > 2:
 		index := node.AppliedIndex() - 1
 		if index > node.SnapshotIndex() {
@@ -237,18 +238,18 @@
 	default:
 		_, _, _ = node.Propose([]byte(fmt.Sprint(len(c.committed), id)))
 	}
-	c.anyDelivery(t)
+	c.deliverRandomMessages(t)
 }
 
-func (c *cluster) anyDelivery(t *rapid.T) {
+func (c *cluster) deliverRandomMessages(t *rapid.T) {
 	for range rapid.IntRange(0, 4).Draw(t, "deliveries") {
-		if len(c.network) == 0 {
+		if len(c.inFlight) == 0 {
 			return
 		}
-		position := rapid.IntRange(0, len(c.network)-1).Draw(t, "message")
-		message := c.network[position]
+		position := rapid.IntRange(0, len(c.inFlight)-1).Draw(t, "message")
+		message := c.inFlight[position]
 		if rapid.IntRange(0, 9).Draw(t, "duplicate") > 0 {
-			c.network = slices.Delete(c.network, position, position+1)
+			c.inFlight = slices.Delete(c.inFlight, position, position+1)
 		}
 		node := c.nodes[message.To]
 		if node != nil && rapid.IntRange(0, 9).Draw(t, "lost") > 0 {
@@ -257,51 +258,53 @@
 	}
 }
 
+// TestSafetyUnderAnyInterleaving checks with random actions, message losses and crashes that a term
+// has at most one leader, and that all replicas apply the same entries in order.
 func TestSafetyUnderAnyInterleaving(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newCluster(3, testOptions())
 		for range rapid.IntRange(50, 400).Draw(t, "steps") {
-			c.anyAction(t)
-			if c.fault != "" {
-				t.Fatal(c.fault)
+			c.takeRandomAction(t)
+			if c.violation != "" {
+				t.Fatal(c.violation)
 			}
 		}
 	})
 }
 
 func TestProgress(t *testing.T) {
-	Convey("a healthy group elects, commits, answers reads and goes quiet", t, func() {
+	Convey("a healthy group elects a leader, commits, confirms reads and becomes quiescent", t, func() {
 		c := newCluster(3, testOptions())
-		c.settle(60)
+		c.runTicks(60)
 		leader := c.leader()
 		So(leader, ShouldNotBeNil)
 		So(leader.IsQuiescent(), ShouldBeTrue)
 		index, _, err := leader.Propose([]byte("x"))
 		So(err, ShouldBeNil)
-		c.settle(6)
+		c.runTicks(6)
 		So(string(c.committed[index].Data), ShouldEqual, "x")
 		So(leader.ReadIndex(41), ShouldBeNil)
 		c.process(leader.ID(), 0)
-		for _, message := range c.network {
+		for _, message := range c.inFlight {
 			c.nodes[message.To].Step(message)
 		}
-		c.network = nil
+		c.inFlight = nil
 		for _, id := range c.ids() {
 			if id != leader.ID() {
 				c.process(id, 0)
 			}
 		}
-		for _, message := range c.network {
+		for _, message := range c.inFlight {
 			c.nodes[message.To].Step(message)
 		}
 		So(leader.Ready().ReadStates, ShouldResemble, []ReadState{{Context: 41, Index: index}})
 	})
-	Convey("a leader cut off in silence answers no read and steps down", t, func() {
+	Convey("a partitioned leader confirms no reads and steps down", t, func() {
 		c := newCluster(3, testOptions())
-		c.settle(60)
+		c.runTicks(60)
 		old := c.leader()
-		c.suspect(old.ID())
-		c.settle(60)
+		c.crashAndWake(old.ID())
+		c.runTicks(60)
 		So(c.leader(), ShouldNotBeNil)
 		So(old.ReadIndex(1), ShouldBeNil)
 		for range 30 {
@@ -310,21 +313,21 @@
 		So(old.Ready().ReadStates, ShouldBeEmpty)
 		So(old.Role(), ShouldNotEqual, Leader)
 	})
-	Convey("leadership is handed over on request", t, func() {
+	Convey("leadership is transferred on request", t, func() {
 		c := newCluster(3, testOptions())
-		c.settle(60)
+		c.runTicks(60)
 		old := c.leader().ID()
 		target := old%3 + 1
 		So(c.leader().TransferLeadership(target), ShouldBeTrue)
-		c.settle(3)
+		c.runTicks(3)
 		So(c.leader().ID(), ShouldEqual, target)
 	})
 }
 
 func TestLostDisk(t *testing.T) {
-	Convey("a member that lost its disk rejoins as a new replica; then a second machine is lost", t, func() {
+	Convey("a member that lost its disk rejoins as a new replica, and the group then survives the loss of a second machine", t, func() {
 		c := newCluster(3, testOptions())
-		c.settle(60)
+		c.runTicks(60)
 		lost := c.leader().ID()%3 + 1
 		delete(c.nodes, lost)
 		delete(c.disks, lost)
@@ -334,22 +337,22 @@
 		for range 30 {
 			_, _, _ = leader.Propose([]byte("filler"))
 		}
-		c.settle(10)
+		c.runTicks(10)
 		So(leader.ProposeConfiguration(leader.Configuration().Without(lost)), ShouldBeNil)
-		c.settle(5)
+		c.runTicks(5)
 		So(leader.ProposeConfiguration(leader.Configuration().With(Replica{ID: 9, IsLearner: true})), ShouldBeNil)
-		c.settle(10)
+		c.runTicks(10)
 		So(leader.IsCaughtUp(9, 0), ShouldBeTrue)
 		So(leader.ProposeConfiguration(leader.Configuration().With(Replica{ID: 9})), ShouldBeNil)
-		c.settle(10)
+		c.runTicks(10)
 		before := len(c.committed)
-		c.suspect(leader.ID())
-		c.settle(60)
+		c.crashAndWake(leader.ID())
+		c.runTicks(60)
 		So(c.leader(), ShouldNotBeNil)
 		_, _, err := c.leader().Propose([]byte("after"))
 		So(err, ShouldBeNil)
-		c.settle(5)
+		c.runTicks(5)
 		So(len(c.committed), ShouldBeGreaterThan, before)
-		So(c.fault, ShouldBeEmpty)
+		So(c.violation, ShouldBeEmpty)
 	})
 }
--- a/internal/consensus/election.go
+++ b/internal/consensus/election.go
@@ -1,16 +1,18 @@
 package consensus
 
+// resetElectionTimer restarts the election timer with a random timeout.
 func (n *Node) resetElectionTimer() {
 	n.electionElapsed = 0
-	shortest := n.options.ElectionTicks
-	if n.options.InitialElectionTicks > 0 && !n.knewLeader {
-		// A replica that has known no leader since it started has none to wait for; it
-		// asks again soon, since those that it asked may only just be starting.
-		shortest = min(n.options.InitialElectionTicks, n.options.ElectionTicks)
+	minTicks := n.options.ElectionTicks
+	if n.options.InitialElectionTicks > 0 && !n.hasKnownLeader {
+		// A replica that has had no leader since it started need not wait for one. It retries
+		// soon, since the other voters may have been starting when it campaigned.
+		minTicks = min(n.options.InitialElectionTicks, n.options.ElectionTicks)
 	}
-	n.electionTimeout = shortest + int(n.nextRandom()%uint64(shortest))
+	n.electionTimeout = minTicks + int(n.nextRandom()%uint64(minTicks))
 }
 
+// becomeFollower makes the replica a follower in a term and aborts its pending reads.
 func (n *Node) becomeFollower(term uint64, leader ReplicaID) {
 	if term != n.term {
 		n.term = term
@@ -18,53 +20,55 @@
 	}
 	n.role = Follower
 	n.leader = leader
-	n.knewLeader = n.knewLeader || leader != None
+	n.hasKnownLeader = n.hasKnownLeader || leader != None
 	n.votes = nil
 	n.progress = nil
-	n.loseReads()
-	n.transfer = None
+	n.abortReads()
+	n.transferTarget = None
 	n.resetElectionTimer()
 }
 
-// campaign asks for pre-votes, so that a replica that was cut off doesn't
-// raise the term of a group that has a leader (thesis, section 9.6).
+// campaign requests pre-votes, so that a replica that was partitioned does not raise the term of a
+// group that has a leader (thesis, section 9.6).
 func (n *Node) campaign() {
 	if n.options.DisablePreVote {
-		n.campaignForReal()
+		n.startElection()
 		return
 	}
 	n.role = PreCandidate
 	n.leader = None
 	n.votes = map[ReplicaID]bool{n.options.ID: true}
 	n.resetElectionTimer()
-	if n.wonVote() {
-		n.campaignForReal()
+	if n.hasVoteQuorum() {
+		n.startElection()
 		return
 	}
 	n.requestVotes(MessagePreVote, n.term+1)
 }
 
-func (n *Node) campaignForReal() {
+// startElection starts an election in the next term.
+func (n *Node) startElection() {
 	n.term++
 	n.role = Candidate
 	n.leader = None
 	n.vote = n.options.ID
 	n.votes = map[ReplicaID]bool{n.options.ID: true}
 	n.resetElectionTimer()
-	if n.wonVote() {
+	if n.hasVoteQuorum() {
 		n.becomeLeader()
 		return
 	}
 	n.requestVotes(MessageVote, n.term)
 }
 
+// requestVotes sends vote or pre-vote requests to the other voters.
 func (n *Node) requestVotes(kind MessageKind, term uint64) {
 	for _, id := range n.log.configuration().Voters() {
 		if id == n.options.ID {
 			continue
 		}
-		// The vote for itself must be on disk before anybody counts it.
-		n.messagesAfter = append(n.messagesAfter, Message{
+		// The replica's vote for itself must be on disk before any response is counted.
+		n.messagesAfterSync = append(n.messagesAfterSync, Message{
 			Kind:    kind,
 			From:    n.options.ID,
 			To:      id,
@@ -75,7 +79,8 @@
 	}
 }
 
-func (n *Node) wonVote() bool {
+// hasVoteQuorum reports whether a quorum of voters has granted its vote.
+func (n *Node) hasVoteQuorum() bool {
 	granted := 0
 	for _, id := range n.log.configuration().Voters() {
 		if n.votes[id] {
@@ -85,6 +90,8 @@
 	return granted >= n.log.configuration().Quorum()
 }
 
+// becomeLeader makes the replica the leader of its term. It appends a barrier entry, since entries of
+// earlier terms can only be committed together with one of its own.
 func (n *Node) becomeLeader() {
 	n.role = Leader
 	n.leader = n.options.ID
@@ -92,41 +99,42 @@
 	n.heartbeatElapsed = 0
 	n.idleTicks = 0
 	n.progress = map[ReplicaID]*progress{}
-	n.syncProgress()
-	n.appendOwn(Entry{Kind: EntryBarrier})
+	n.updateProgress()
+	n.appendEntry(Entry{Kind: EntryBarrier})
 	n.broadcastAppend()
 }
 
-// hearsLeader reports whether the replica has heard from a leader within the
-// shortest election timeout; it then helps nobody to replace it.
-func (n *Node) hearsLeader() bool {
+// hasLeaderContact reports whether the replica has received a message from a leader within the minimum
+// election timeout. It then grants no votes to replace that leader.
+func (n *Node) hasLeaderContact() bool {
 	if n.role == Leader {
 		return !n.options.DisableCheckQuorum
 	}
-	return n.leader != None && (n.quiescent || n.electionElapsed < n.options.ElectionTicks)
+	return n.leader != None && (n.isQuiescent || n.electionElapsed < n.options.ElectionTicks)
 }
 
-func (n *Node) upToDate(message Message) bool {
+// isUpToDate reports whether the log of a candidate is at least as up to date as this one.
+func (n *Node) isUpToDate(message Message) bool {
 	if message.LogTerm != n.log.lastTerm() {
 		return message.LogTerm > n.log.lastTerm()
 	}
 	return message.Index >= n.log.lastIndex()
 }
 
-// contextForced marks votes of a leadership transfer, which are granted though
-// the old leader is still heard.
-const contextForced = 1
+// contextLeaderTransfer marks the vote requests of a leadership transfer, which are granted although
+// the old leader is still active.
+const contextLeaderTransfer = 1
 
 func (n *Node) stepPreVote(message Message) {
-	// Invariant: whoever asks has not heard the leader, for it has just started or
-	// lost the heartbeat that ended the talk; a quiet leader must speak up again.
+	// The sender has had no contact with the leader: it has just started, or it has missed the
+	// heartbeat that made the group quiescent. A quiescent leader must send heartbeats again.
 	n.Wake()
-	granted := message.Term > n.term && n.upToDate(message) && (n.options.DisablePreVote || !n.hearsLeader())
+	granted := message.Term > n.term && n.isUpToDate(message) && (n.options.DisablePreVote || !n.hasLeaderContact())
 	reply := Message{Kind: MessagePreVoteResponse, From: n.options.ID, To: message.From, Term: message.Term, Reject: !granted}
 	if !granted {
 		reply.Term = n.term
 	}
-	n.messagesAfter = append(n.messagesAfter, reply)
+	n.messagesAfterSync = append(n.messagesAfterSync, reply)
 }
 
 func (n *Node) stepPreVoteResponse(message Message) {
@@ -143,19 +151,19 @@
 		return
 	}
 	n.votes[message.From] = true
-	if n.wonVote() {
-		n.campaignForReal()
+	if n.hasVoteQuorum() {
+		n.startElection()
 	}
 }
 
 func (n *Node) stepVote(message Message) {
 	granted := message.Term == n.term && (n.vote == None || n.vote == message.From) &&
-		n.leader == None && n.upToDate(message)
+		n.leader == None && n.isUpToDate(message)
 	if granted {
 		n.vote = message.From
 		n.resetElectionTimer()
 	}
-	n.messagesAfter = append(n.messagesAfter, Message{
+	n.messagesAfterSync = append(n.messagesAfterSync, Message{
 		Kind: MessageVoteResponse, From: n.options.ID, To: message.From, Term: n.term, Reject: !granted,
 	})
 }
@@ -165,7 +173,7 @@
 		return
 	}
 	n.votes[message.From] = true
-	if n.wonVote() {
+	if n.hasVoteQuorum() {
 		n.becomeLeader()
 	}
 }
@@ -174,10 +182,10 @@
 	if message.Term != n.term || !n.log.configuration().IsVoter(n.options.ID) {
 		return
 	}
-	n.campaignForReal()
-	for position := range n.messagesAfter {
-		if n.messagesAfter[position].Kind == MessageVote && n.messagesAfter[position].Term == n.term {
-			n.messagesAfter[position].Context = contextForced
+	n.startElection()
+	for position := range n.messagesAfterSync {
+		if n.messagesAfterSync[position].Kind == MessageVote && n.messagesAfterSync[position].Term == n.term {
+			n.messagesAfterSync[position].Context = contextLeaderTransfer
 		}
 	}
 }
--- a/internal/consensus/log.go
+++ b/internal/consensus/log.go
@@ -1,6 +1,6 @@
 package consensus
 
-// indexedConfiguration is a configuration and the index that brought it.
+// indexedConfiguration is a configuration and the index of its entry or snapshot.
 type indexedConfiguration struct {
 	index         uint64
 	configuration Configuration
@@ -11,11 +11,11 @@
 	snapshotIndex uint64
 	snapshotTerm  uint64
 	entries       []Entry
-	// stable is the last index that the owner has synced.
+	// stable is the last index that the owner has synced to disk.
 	stable  uint64
 	commit  uint64
 	applied uint64
-	// configurations is never empty; the last one is in force.
+	// configurations is never empty. Its last element is in effect.
 	configurations []indexedConfiguration
 }
 
@@ -27,7 +27,8 @@
 	return l.snapshotIndex + 1
 }
 
-// term returns the term at index; false where the index is compacted or ahead.
+// term returns the term of the entry at index, and false if the index is compacted or after the end of
+// the log.
 func (l *log) term(index uint64) (uint64, bool) {
 	if index == l.snapshotIndex {
 		return l.snapshotTerm, true
@@ -43,13 +44,14 @@
 	return term
 }
 
+// matches reports whether the log has an entry of the given term at index.
 func (l *log) matches(index, term uint64) bool {
 	own, ok := l.term(index)
 	return ok && own == term
 }
 
-// slice returns entries from..to inclusive, bounded by maxBytes of data (at
-// least one entry).
+// slice returns the entries from..to, both included. It returns at most maxBytes of entry data, but at
+// least one entry.
 func (l *log) slice(from, to uint64, maxBytes int) []Entry {
 	if from < l.firstIndex() {
 		from = l.firstIndex()
@@ -72,6 +74,7 @@
 	return append([]Entry(nil), selected...)
 }
 
+// append appends entries. Configurations take effect immediately.
 func (l *log) append(entries ...Entry) {
 	for _, entry := range entries {
 		l.entries = append(l.entries, entry)
@@ -81,8 +84,7 @@
 	}
 }
 
-// truncateFrom drops index and all after it. Invariant: a committed entry is
-// never dropped.
+// truncateFrom drops the entries from index on. Invariant: a committed entry is never dropped.
 func (l *log) truncateFrom(index uint64) {
 	if index <= l.commit {
 		panic("consensus: truncating a committed entry")
@@ -96,7 +98,7 @@
 	}
 }
 
-// merge appends what is new in entries, dropping what conflicts with them.
+// merge appends the entries that the log lacks, and drops entries that conflict with them.
 func (l *log) merge(entries []Entry) {
 	for position, entry := range entries {
 		if entry.Index <= l.snapshotIndex || l.matches(entry.Index, entry.Term) {
@@ -118,7 +120,7 @@
 	return l.configurations[len(l.configurations)-1].index
 }
 
-// configurationAt returns the configuration in force at index.
+// configurationAt returns the configuration that was in effect at index.
 func (l *log) configurationAt(index uint64) Configuration {
 	current := l.configurations[0].configuration
 	for _, indexed := range l.configurations {
@@ -129,8 +131,8 @@
 	return current
 }
 
-// keepFrom returns the index below the latest entries up to index that fit the bounds.
-func (l *log) keepFrom(index, entries uint64, maxBytes int) uint64 {
+// compactionIndex returns the index before the most recent entries up to index that fit the bounds.
+func (l *log) compactionIndex(index, entries uint64, maxBytes int) uint64 {
 	size := 0
 	for count := uint64(0); count < entries && index > l.snapshotIndex; count++ {
 		size += len(l.entries[index-l.firstIndex()].Data)
@@ -142,7 +144,7 @@
 	return index
 }
 
-// compact forgets entries up to index, which must be applied.
+// compact drops the entries up to index. It does nothing if the index is not applied yet.
 func (l *log) compact(index uint64) {
 	if index <= l.snapshotIndex || index > l.applied {
 		return
@@ -161,7 +163,7 @@
 	l.configurations = kept
 }
 
-// restore replaces the whole log by a snapshot.
+// restore replaces the whole log with a snapshot.
 func (l *log) restore(snapshot Snapshot) {
 	*l = log{
 		snapshotIndex:  snapshot.Index,
--- a/internal/consensus/node.go
+++ b/internal/consensus/node.go
@@ -5,91 +5,96 @@
 	"slices"
 )
 
-// Errors that proposals return.
+// The errors of proposals.
 var (
-	// ErrNotLeader means that another replica takes proposals.
+	// ErrNotLeader means that this replica is not the leader, or that it is transferring the
+	// leadership.
 	ErrNotLeader = errors.New("consensus: not the leader")
-	// ErrChangePending means that an earlier configuration is not committed, or
-	// that the leader has not committed an entry of its own term yet.
+	// ErrChangePending means that an earlier configuration is not committed yet, or that the
+	// leader has not committed an entry of its own term yet.
 	ErrChangePending = errors.New("consensus: a configuration change is pending")
-	// ErrMultipleVoterChanges means that more than one voter would change at once.
+	// ErrMultipleVoterChanges means that a configuration differs in more than one voter.
 	ErrMultipleVoterChanges = errors.New("consensus: a change adds or removes more than one voter")
 )
 
-// Options configure a Node. Ticks are the owner's.
+// Options configure a Node. Durations are in ticks; the owner chooses the interval between ticks.
 type Options struct {
 	ID ReplicaID
 	// Seed makes election timeouts differ between replicas.
 	Seed           uint64
 	ElectionTicks  int
 	HeartbeatTicks int
-	// InitialElectionTicks spaces the first campaigns of voters that start together: the voter
-	// whose turn it is by the group's seed campaigns after a tick, the next one
-	// StartTicks later. Pre-vote keeps a leader that is still there in place. Zero
-	// gives the first timeout no special treatment.
+	// InitialElectionTicks is the interval between the first campaigns of voters that start
+	// together. The seed selects the voter that campaigns after one tick; the next voter follows
+	// InitialElectionTicks later. It is also the minimum election timeout until a leader is known.
+	// Pre-vote prevents these campaigns from replacing a leader that is still alive. Zero uses the
+	// regular timeout from the start.
 	InitialElectionTicks int
-	// QuiesceTicks is how long a group must be idle before it goes quiet; zero
-	// turns quiescence off.
+	// QuiesceTicks is how long a group must be idle before it becomes quiescent. Zero turns
+	// quiescence off.
 	QuiesceTicks int
-	// MaxAppendBytes bounds the data in one append message.
+	// MaxAppendBytes bounds the entry data in one append message, except that a message always
+	// contains at least one entry.
 	MaxAppendBytes int
-	// MaxInflight bounds append messages that a follower has not answered.
+	// MaxInflight bounds the append messages that a follower has not acknowledged.
 	MaxInflight int
 
-	// DisablePreVote, DisableCheckQuorum and DisableReadConfirm turn one
-	// mechanism off, for runs that show what it is for.
+	// DisablePreVote, DisableCheckQuorum and DisableReadConfirmation each turn one mechanism off,
+	// for test runs that show which failures it prevents.
 	DisablePreVote          bool
 	DisableCheckQuorum      bool
 	DisableReadConfirmation bool
 }
 
-// PersistedState is what the owner read back from its disk.
+// PersistedState is the state of a replica that the owner has read from disk.
 type PersistedState struct {
 	HardState HardState
-	// Snapshot carries the position and configuration; its data stays with the
-	// owner, which has applied it.
+	// Snapshot contains the position and the configuration. Its data is not used, since the owner
+	// has already restored it.
 	Snapshot Snapshot
 	Entries  []Entry
 }
 
 // Node is one replica of one group.
 type Node struct {
-	options Options
-	log     log
-	term    uint64
-	vote    ReplicaID
-	role    Role
-	leader  ReplicaID
-	random  uint64
-	// knewLeader says that a leader was known since the replica started.
-	knewLeader bool
+	options     Options
+	log         log
+	term        uint64
+	vote        ReplicaID
+	role        Role
+	leader      ReplicaID
+	randomState uint64
+	// hasKnownLeader is set once a leader has been known since the replica started.
+	hasKnownLeader bool
 
 	electionElapsed  int
 	heartbeatElapsed int
 	electionTimeout  int
-	quiescent        bool
+	isQuiescent      bool
 	idleTicks        int
-	// ticks counts those of this leader; it only goes up.
-	ticks int
-
-	votes    map[ReplicaID]bool
-	progress map[ReplicaID]*progress
-	reads    []pendingRead
-	readSeq  uint64
-	transfer ReplicaID
-
-	// unsent says that commands were appended since the last Ready: one message to each
-	// follower carries them all.
-	unsent          bool
-	messages        []Message
-	messagesAfter   []Message
-	pendingSnapshot *Snapshot
-	readStates      []ReadState
-	lostReads       []uint64
-	snapshotsWanted []ReplicaID
-	savedHardState  HardState
+	// leaderTicks counts the ticks of this replica as leader, over all terms. It never decreases.
+	leaderTicks int
+
+	votes          map[ReplicaID]bool
+	progress       map[ReplicaID]*progress
+	pendingReads   []pendingRead
+	readRound      uint64
+	transferTarget ReplicaID
+
+	// hasUnsentEntries is set when commands have been appended since the last Ready. One message to
+	// each follower carries all of them.
+	hasUnsentEntries  bool
+	messages          []Message
+	messagesAfterSync []Message
+	pendingSnapshot   *Snapshot
+	readStates        []ReadState
+	abortedReads      []uint64
+	snapshotTargets   []ReplicaID
+	savedHardState    HardState
 }
 
+// pendingRead is a read that no quorum has confirmed yet. round is zero until the leader has committed
+// an entry of its own term.
 type pendingRead struct {
 	context uint64
 	index   uint64
@@ -97,50 +102,51 @@
 	acks    map[ReplicaID]bool
 }
 
-// NewNode returns a replica as its disk describes it, a follower.
-func NewNode(options Options, restored PersistedState) *Node {
-	node := &Node{options: options, random: options.Seed*0x9e3779b97f4a7c15 + uint64(options.ID)}
-	node.log.restore(restored.Snapshot)
-	node.log.append(restored.Entries...)
+// NewNode returns a replica in the role of a follower, restored from its persisted state.
+func NewNode(options Options, persisted PersistedState) *Node {
+	node := &Node{options: options, randomState: options.Seed*0x9e3779b97f4a7c15 + uint64(options.ID)}
+	node.log.restore(persisted.Snapshot)
+	node.log.append(persisted.Entries...)
 	node.log.stable = node.log.lastIndex()
-	node.log.commit = max(node.log.commit, min(restored.HardState.Commit, node.log.lastIndex()))
-	node.term = restored.HardState.Term
-	node.vote = restored.HardState.Vote
+	node.log.commit = max(node.log.commit, min(persisted.HardState.Commit, node.log.lastIndex()))
+	node.term = persisted.HardState.Term
+	node.vote = persisted.HardState.Vote
 	node.savedHardState = node.hardState()
 	node.becomeFollower(node.term, None)
-	node.shortenFirstTimeout()
+	node.setInitialElectionTimeout()
 	return node
 }
 
-// shortenFirstTimeout lets voters that start together agree on a leader without
-// waiting for a timeout that is meant for a leader that has fallen silent.
-func (n *Node) shortenFirstTimeout() {
+// setInitialElectionTimeout lets voters that start together elect a leader without waiting for the
+// regular election timeout, which is meant to detect the failure of a leader.
+func (n *Node) setInitialElectionTimeout() {
 	voters := n.log.configuration().Voters()
-	place := slices.Index(voters, n.options.ID)
-	if n.options.InitialElectionTicks <= 0 || place < 0 {
+	position := slices.Index(voters, n.options.ID)
+	if n.options.InitialElectionTicks <= 0 || position < 0 {
 		return
 	}
-	turn := (place + int(n.options.Seed%uint64(len(voters)))) % len(voters)
-	n.electionTimeout = 1 + turn*n.options.InitialElectionTicks
+	campaignOrder := (position + int(n.options.Seed%uint64(len(voters)))) % len(voters)
+	n.electionTimeout = 1 + campaignOrder*n.options.InitialElectionTicks
 }
 
 func (n *Node) hardState() HardState {
 	return HardState{Term: n.term, Vote: n.vote, Commit: n.log.commit}
 }
 
-// nextRandom is splitmix64 (Steele, Lea and Flood, 2014).
+// nextRandom returns the next random number of the generator splitmix64 (Steele, Lea and Flood,
+// 2014).
 func (n *Node) nextRandom() uint64 {
-	n.random += 0x9e3779b97f4a7c15
-	z := n.random
+	n.randomState += 0x9e3779b97f4a7c15
+	z := n.randomState
 	z = (z ^ (z >> 30)) * 0xbf58476d1ce4e5b9
 	z = (z ^ (z >> 27)) * 0x94d049bb133111eb
 	return z ^ (z >> 31)
 }
 
-// ID returns the replica's own id.
+// ID returns the ID of the replica.
 func (n *Node) ID() ReplicaID { return n.options.ID }
 
-// Role returns what the replica is at present.
+// Role returns the current role.
 func (n *Node) Role() Role { return n.role }
 
 // Term returns the current term.
@@ -149,13 +155,14 @@
 // Leader returns the leader known in the current term, or None.
 func (n *Node) Leader() ReplicaID { return n.leader }
 
-// Configuration returns the configuration in force.
+// Configuration returns the configuration in effect.
 func (n *Node) Configuration() Configuration { return n.log.configuration() }
 
-// ConfigurationAt returns the configuration that was in force at index.
+// ConfigurationAt returns the configuration that was in effect at index.
 func (n *Node) ConfigurationAt(index uint64) Configuration { return n.log.configurationAt(index) }
 
-// AppliedIndex returns the last index handed out in Ready.Committed.
+// AppliedIndex returns the last index that is applied: that of the committed entries passed to
+// Advance, or of a restored snapshot.
 func (n *Node) AppliedIndex() uint64 { return n.log.applied }
 
 // CommitIndex returns the last index known to be committed.
@@ -167,36 +174,37 @@
 // SnapshotIndex returns the index up to which the log is compacted.
 func (n *Node) SnapshotIndex() uint64 { return n.log.snapshotIndex }
 
-// IsQuiescent reports whether the group has gone quiet.
-func (n *Node) IsQuiescent() bool { return n.quiescent }
+// IsQuiescent reports whether the group is quiescent.
+func (n *Node) IsQuiescent() bool { return n.isQuiescent }
 
-// IsCaughtUp reports whether the leader knows that id has all of its log but at
-// most lag entries. Invariant: a replica that has acknowledged nothing is never caught up: in a
-// short log it lacks few entries too.
+// IsCaughtUp reports whether a replica has acknowledged the leader's log except for at most lag
+// entries. Invariant: a replica that has acknowledged nothing is never caught up. In a short log such
+// a replica lacks only a few entries, too.
 func (n *Node) IsCaughtUp(id ReplicaID, lag uint64) bool {
 	follower, ok := n.progress[id]
 	return n.role == Leader && ok && follower.match > 0 && follower.match+lag >= n.log.lastIndex()
 }
 
-// TermAt returns the term of the entry at index, zero where it is not held.
+// TermAt returns the term of the entry at index, or zero if the index is compacted or after the end
+// of the log.
 func (n *Node) TermAt(index uint64) uint64 {
 	term, _ := n.log.term(index)
 	return term
 }
 
-// IsRecentlyActive reports whether the leader has heard from a replica within the
-// last one or two election timeouts.
+// IsRecentlyActive reports whether the leader has received a response from a replica within the last
+// one or two election timeouts.
 func (n *Node) IsRecentlyActive(id ReplicaID) bool {
 	if id == n.options.ID {
 		return true
 	}
 	follower, ok := n.progress[id]
-	return n.role == Leader && ok && (follower.active || follower.wasActive)
+	return n.role == Leader && ok && (follower.isActive || follower.wasActive)
 }
 
 // Tick advances the replica's clock by one.
 func (n *Node) Tick() {
-	if n.quiescent {
+	if n.isQuiescent {
 		return
 	}
 	if n.role == Leader {
@@ -209,44 +217,46 @@
 	}
 }
 
-// Wake ends quiescence; the owner calls it when a peer process is suspected.
+// Wake ends quiescence. The owner calls it when it suspects that a peer process has failed.
 func (n *Node) Wake() {
-	n.quiescent = false
+	n.isQuiescent = false
 	n.idleTicks = 0
 }
 
-// Propose appends a command; only the leader takes it. The command is done when
-// an entry with this index and term is committed.
+// Propose appends a command to the leader's log. The command has taken effect once an entry with the
+// returned index and term is committed.
 func (n *Node) Propose(data []byte) (index, term uint64, err error) {
-	if n.role != Leader || n.transfer != None {
+	if n.role != Leader || n.transferTarget != None {
 		return 0, 0, ErrNotLeader
 	}
-	entry := n.appendOwn(Entry{Kind: EntryCommand, Data: data})
-	n.unsent = true
+	entry := n.appendEntry(Entry{Kind: EntryCommand, Data: data})
+	n.hasUnsentEntries = true
 	return entry.Index, entry.Term, nil
 }
 
-// ProposeConfiguration changes the group by at most one voter.
+// ProposeConfiguration proposes a configuration that differs from the current one in at most one
+// voter.
 func (n *Node) ProposeConfiguration(next Configuration) error {
 	if n.role != Leader {
 		return ErrNotLeader
 	}
 	committedTerm, _ := n.log.term(n.log.commit)
-	// Invariant: at most one uncommitted configuration, and none before the
-	// leader's own term has committed (thesis, section 4.1 and its correction).
+	// Invariant: at most one configuration is uncommitted, and none is proposed before the leader
+	// has committed an entry of its own term (thesis, section 4.1 and its correction).
 	if n.log.configurationIndex() > n.log.commit || committedTerm != n.term {
 		return ErrChangePending
 	}
-	if votersChanged(n.log.configuration(), next) > 1 {
+	if countVoterChanges(n.log.configuration(), next) > 1 {
 		return ErrMultipleVoterChanges
 	}
-	n.appendOwn(Entry{Kind: EntryConfiguration, Configuration: &next})
-	n.syncProgress()
+	n.appendEntry(Entry{Kind: EntryConfiguration, Configuration: &next})
+	n.updateProgress()
 	n.broadcastAppend()
 	return nil
 }
 
-func votersChanged(old, next Configuration) int {
+// countVoterChanges returns the number of voters that are in only one of two configurations.
+func countVoterChanges(old, next Configuration) int {
 	changed := 0
 	for _, id := range old.Voters() {
 		if !next.IsVoter(id) {
@@ -261,43 +271,46 @@
 	return changed
 }
 
-// transferLag is how many entries a voter may lack when a hand-over to it starts.
-const transferLag = 64
+// maxTransferLagEntries is how many entries a voter may lag behind when a leadership transfer to it
+// starts.
+const maxTransferLagEntries = 64
 
-// TransferLeadership hands the group to a voter that has nearly the whole log; it
-// reports whether the hand-over was started. Proposals are refused meanwhile, so that the
-// voter can get the rest (thesis, section 3.10).
+// TransferLeadership starts a leadership transfer to a voter that has nearly the whole log, and
+// reports whether the transfer was started. Commands are rejected during the transfer, so that the
+// voter can catch up (thesis, section 3.10).
 func (n *Node) TransferLeadership(to ReplicaID) bool {
-	if n.role != Leader || n.transfer != None || !n.log.configuration().IsVoter(to) || !n.IsCaughtUp(to, transferLag) {
+	if n.role != Leader || n.transferTarget != None || !n.log.configuration().IsVoter(to) || !n.IsCaughtUp(to, maxTransferLagEntries) {
 		return false
 	}
 	n.Wake()
-	n.transfer = to
+	n.transferTarget = to
 	n.electionElapsed = 0
-	n.completeTransfer()
+	n.maybeSendTimeoutNow()
 	return true
 }
 
-// completeTransfer tells the voter that is to lead to campaign, once it has the whole log.
-func (n *Node) completeTransfer() {
-	if n.transfer != None && n.IsCaughtUp(n.transfer, 0) {
-		n.send(Message{Kind: MessageTimeoutNow, To: n.transfer})
+// maybeSendTimeoutNow asks the target of a leadership transfer to start an election if it has the
+// whole log.
+func (n *Node) maybeSendTimeoutNow() {
+	if n.transferTarget != None && n.IsCaughtUp(n.transferTarget, 0) {
+		n.send(Message{Kind: MessageTimeoutNow, To: n.transferTarget})
 	}
 }
 
-// Compact forgets the log up to index, once the owner's snapshot covers it.
+// Compact drops the log up to index, which the owner's snapshot must cover.
 func (n *Node) Compact(index uint64) {
 	n.log.compact(index)
 }
 
-// CompactionIndex returns how far the log may be compacted so that the entries up to index stay
-// which are the latest that the bounds allow, in number and in bytes of their data; zero
-// bytes is no bound.
+// CompactionIndex returns the index up to which the log may be compacted such that the most recent
+// entries up to index are retained. entries bounds their number and maxBytes the bytes of their data;
+// maxBytes of zero means no bound.
 func (n *Node) CompactionIndex(index, entries uint64, maxBytes int) uint64 {
-	return n.log.keepFrom(index, entries, maxBytes)
+	return n.log.compactionIndex(index, entries, maxBytes)
 }
 
-// MatchIndex returns the last index that a replica is known to hold, zero at a follower.
+// MatchIndex returns the last index that a replica has acknowledged to this leader. It is zero if
+// this replica is not the leader.
 func (n *Node) MatchIndex(id ReplicaID) uint64 {
 	if follower, ok := n.progress[id]; ok && n.role == Leader {
 		return follower.match
@@ -305,32 +318,32 @@
 	return 0
 }
 
-// Entries returns the entries that follow the snapshot, for inspection.
+// Entries returns the entries after the snapshot, for inspection.
 func (n *Node) Entries() []Entry {
 	return slices.Clone(n.log.entries)
 }
 
 // HasReady reports whether Ready would return work.
 func (n *Node) HasReady() bool {
-	return len(n.messages) > 0 || len(n.messagesAfter) > 0 || n.pendingSnapshot != nil ||
-		len(n.readStates) > 0 || len(n.lostReads) > 0 || len(n.snapshotsWanted) > 0 ||
+	return len(n.messages) > 0 || len(n.messagesAfterSync) > 0 || n.pendingSnapshot != nil ||
+		len(n.readStates) > 0 || len(n.abortedReads) > 0 || len(n.snapshotTargets) > 0 ||
 		n.hardState() != n.savedHardState || n.log.stable < n.log.lastIndex() ||
 		n.log.applied < n.log.commit
 }
 
-// Ready returns the work that has gathered since the last Advance.
+// Ready returns the work that has accumulated since the last Advance.
 func (n *Node) Ready() Ready {
-	if n.unsent {
-		n.unsent = false
-		n.sendUnsent()
+	if n.hasUnsentEntries {
+		n.hasUnsentEntries = false
+		n.sendUnsentEntries()
 	}
 	ready := Ready{
 		Messages:          n.messages,
-		MessagesAfterSync: n.messagesAfter,
+		MessagesAfterSync: n.messagesAfterSync,
 		Snapshot:          n.pendingSnapshot,
 		ReadStates:        n.readStates,
-		AbortedReads:      n.lostReads,
-		SnapshotTargets:   n.snapshotsWanted,
+		AbortedReads:      n.abortedReads,
+		SnapshotTargets:   n.snapshotTargets,
 		Entries:           n.log.slice(n.log.stable+1, n.log.lastIndex(), maxInt),
 		CommittedEntries:  n.log.slice(n.log.applied+1, n.log.commit, maxInt),
 	}
@@ -338,24 +351,24 @@
 		ready.HardState = &state
 	}
 	n.messages = nil
-	n.messagesAfter = nil
+	n.messagesAfterSync = nil
 	n.pendingSnapshot = nil
 	n.readStates = nil
-	n.lostReads = nil
-	n.snapshotsWanted = nil
+	n.abortedReads = nil
+	n.snapshotTargets = nil
 	return ready
 }
 
 const maxInt = int(^uint(0) >> 1)
 
-// Advance tells the core that the work of ready is done: synced and applied.
+// Advance records that the work of ready is done, that is, synced and applied.
 func (n *Node) Advance(ready Ready) {
 	if ready.HardState != nil {
 		n.savedHardState = *ready.HardState
 	}
 	if count := len(ready.Entries); count > 0 {
 		last := ready.Entries[count-1]
-		// Invariant: an entry counts as stable only if the log still holds it.
+		// Invariant: an entry counts as stable only if it is still in the log.
 		if n.log.matches(last.Index, last.Term) && last.Index > n.log.stable {
 			n.log.stable = last.Index
 		}
@@ -364,7 +377,7 @@
 		n.log.applied = max(n.log.applied, ready.CommittedEntries[count-1].Index)
 	}
 	if n.role == Leader {
-		// The leader's synced entries count in the quorum.
+		// Entries count in the quorum for the leader once they are synced.
 		n.maybeCommit()
 	}
 }
--- a/internal/consensus/read.go
+++ b/internal/consensus/read.go
@@ -1,84 +1,86 @@
 package consensus
 
-// ReadIndex asks for an index at which a read is linearizable (thesis, section
-// 6.4). Each call that returns nil is answered once, with the same context: in
-// Ready.ReadStates, or in Ready.LostReads where this leader's term ends first.
-// Only a leader that no quorum answers keeps it waiting, until it steps down.
+// ReadIndex requests an index at which a read is linearizable (thesis, section 6.4). Each call that
+// returns nil has exactly one result with the same context: in Ready.ReadStates, or in
+// Ready.AbortedReads if this leader's term ends first. The result is delayed only while no quorum
+// responds to the leader, at most until it steps down.
 func (n *Node) ReadIndex(context uint64) error {
 	if n.role != Leader {
 		return ErrNotLeader
 	}
 	n.Wake()
-	n.reads = append(n.reads, pendingRead{context: context, acks: map[ReplicaID]bool{n.options.ID: true}})
-	n.startWaitingReads()
+	n.pendingReads = append(n.pendingReads, pendingRead{context: context, acks: map[ReplicaID]bool{n.options.ID: true}})
+	n.startPendingReads()
 	return nil
 }
 
-// startWaitingReads begins a round for reads that had to wait for the leader's
-// first commit of its term. Invariant: before that commit the leader's commit
-// index may lack entries that an earlier leader acknowledged.
-func (n *Node) startWaitingReads() {
+// startPendingReads starts a confirmation round for the reads that have none. Reads wait until the
+// leader has committed an entry of its own term: before that, its commit index may be lower than the
+// index of entries that an earlier leader acknowledged.
+func (n *Node) startPendingReads() {
 	term, _ := n.log.term(n.log.commit)
 	if term != n.term {
 		return
 	}
-	started := false
-	for position := range n.reads {
-		read := &n.reads[position]
+	roundStarted := false
+	for position := range n.pendingReads {
+		read := &n.pendingReads[position]
 		if read.round != 0 {
 			continue
 		}
-		if !started {
-			n.readSeq++
-			started = true
+		if !roundStarted {
+			n.readRound++
+			roundStarted = true
 		}
-		read.round = n.readSeq
+		read.round = n.readRound
 		read.index = n.log.commit
 	}
-	if !started {
+	if !roundStarted {
 		return
 	}
-	n.releaseReads()
-	if len(n.reads) == 0 {
+	n.completeConfirmedReads()
+	if len(n.pendingReads) == 0 {
 		return
 	}
-	for _, id := range n.peers() {
+	for _, id := range n.followerIDs() {
 		n.sendHeartbeat(id, false)
 	}
 }
 
-func (n *Node) confirmReads(message Message) {
+// acknowledgeReads records that a follower has confirmed the leader for the reads up to a round.
+func (n *Node) acknowledgeReads(message Message) {
 	if !n.log.configuration().IsVoter(message.From) {
 		return
 	}
-	for position := range n.reads {
-		read := &n.reads[position]
+	for position := range n.pendingReads {
+		read := &n.pendingReads[position]
 		if read.round != 0 && read.round <= message.Context {
 			read.acks[message.From] = true
 		}
 	}
-	n.releaseReads()
+	n.completeConfirmedReads()
 }
 
-func (n *Node) releaseReads() {
-	var waiting []pendingRead
-	for _, read := range n.reads {
+// completeConfirmedReads completes the reads that a quorum has confirmed.
+func (n *Node) completeConfirmedReads() {
+	var unconfirmed []pendingRead
+	for _, read := range n.pendingReads {
 		confirmed := len(read.acks) >= n.log.configuration().Quorum() || n.options.DisableReadConfirmation
 		if read.round == 0 || !confirmed {
-			waiting = append(waiting, read)
+			unconfirmed = append(unconfirmed, read)
 			continue
 		}
 		n.readStates = append(n.readStates, ReadState{Context: read.context, Index: read.index})
 	}
-	n.reads = waiting
+	n.pendingReads = unconfirmed
 }
 
-// loseReads ends the reads that no quorum has confirmed. Invariant: a read belongs to the
-// term in which it was asked for, so that a leader which regains the lead has none that
-// nobody will confirm any more.
-func (n *Node) loseReads() {
-	for _, read := range n.reads {
-		n.lostReads = append(n.lostReads, read.context)
+// abortReads aborts the reads that no quorum has confirmed. Invariant: a read belongs to the term in
+// which it was requested. Otherwise a replica that becomes leader again would have reads that are
+// never confirmed.
+func (n *Node) abortReads() {
+	for _, read := range n.pendingReads {
+		n.abortedReads = append(n.abortedReads, read.context)
 	}
-	n.reads = nil
+	n.pendingReads = nil
 }
--- a/internal/consensus/replication.go
+++ b/internal/consensus/replication.go
@@ -2,69 +2,74 @@
 
 import "slices"
 
-// progress is the leader's view of one follower.
+// progress is the leader's replication state of one follower.
 type progress struct {
+	// match is the last index that the follower has acknowledged, and next the next index to send.
 	match uint64
 	next  uint64
-	// probing is set until the follower has confirmed a position; one append is
-	// then sent at a time.
-	probing  bool
-	inflight int
-	// waitingSnapshot is set from the request for a snapshot until the follower
-	// answers.
-	waitingSnapshot bool
-	active          bool
-	wasActive       bool
-	answered        bool
-	// resendIn is how many ticks must go by before a snapshot on its way is sent again.
-	resendIn int
-	// sentTick is when something was last appended there, in ticks of this leader.
-	sentTick int
-	// timedIndex is the entry whose answer is being timed since timedTick, 0 for none, and
-	// roundTicks what that took lately at the most.
-	timedIndex uint64
-	timedTick  int
-	roundTicks int
-	// resends counts what was sent again since the last timed answer.
-	resends int
+	// isProbing is set until the follower has acknowledged a position. While it is set, only one
+	// append message is in flight.
+	isProbing       bool
+	inflightAppends int
+	// awaitsSnapshot is set from the request for a snapshot until the follower responds.
+	awaitsSnapshot bool
+	// isActive is set when the follower has responded since the last quorum check, and wasActive
+	// is its value before that check. hasResponded is set by a response to an append and cleared by
+	// each heartbeat response.
+	isActive     bool
+	wasActive    bool
+	hasResponded bool
+	// snapshotTicksLeft is the number of ticks until a snapshot in flight may be retransmitted.
+	snapshotTicksLeft int
+	// lastSentTick is the leader tick at which the last append message was sent.
+	lastSentTick int
+	// timedIndex is the entry whose acknowledgement is timed from timedSinceTick on, zero for none.
+	// roundTripTicks is the decaying maximum of the measured round-trip times, in ticks.
+	timedIndex     uint64
+	timedSinceTick int
+	roundTripTicks int
+	// retransmissions counts the retransmissions since the last timed acknowledgement.
+	retransmissions int
 }
 
-// longestResendTicks bounds how long a leader waits before it sends again what may be lost.
-const longestResendTicks = 40
+// maxRetransmissionTicks bounds the time, in ticks, after which a message that may be lost is
+// retransmitted.
+const maxRetransmissionTicks = 40
 
-// resendTicks is how long an answer to what was sent last may take: twice the time that
-// answers took lately, doubled for each time that it was sent again without one (as in RFC
-// 6298). Invariant: what is slow is not taken for lost, since sending it again makes a
-// crowded link slower for good.
-func (p *progress) resendTicks(heartbeatTicks int) int {
-	return min((2*p.roundTicks+heartbeatTicks)<<min(p.resends, 8), longestResendTicks)
+// retransmissionTimeoutTicks returns how long the acknowledgement of the last message may take: twice
+// the recent round-trip time plus one heartbeat interval, doubled for each retransmission without an
+// acknowledgement (as in RFC 6298). A delayed message must not be treated as lost, since
+// retransmissions on a congested link keep it congested.
+func (p *progress) retransmissionTimeoutTicks(heartbeatTicks int) int {
+	return min((2*p.roundTripTicks+heartbeatTicks)<<min(p.retransmissions, 8), maxRetransmissionTicks)
 }
 
-// noteSent remembers an append of entries up to an index.
-func (p *progress) noteSent(tick int, last uint64, entries int) {
-	p.sentTick = tick
+// recordAppend records an append message with entries up to lastIndex, and starts to time it unless
+// another entry is being timed.
+func (p *progress) recordAppend(tick int, lastIndex uint64, entries int) {
+	p.lastSentTick = tick
 	if p.timedIndex == 0 && entries > 0 {
-		p.timedIndex = last
-		p.timedTick = tick
+		p.timedIndex = lastIndex
+		p.timedSinceTick = tick
 	}
 }
 
-// noteAnswered takes the time of an answer that covers the entry that is being timed.
-func (p *progress) noteAnswered(tick int, match uint64) {
+// recordAcknowledgement updates the round-trip time if an acknowledgement covers the timed entry.
+func (p *progress) recordAcknowledgement(tick int, match uint64) {
 	if p.timedIndex == 0 || match < p.timedIndex {
 		return
 	}
-	const keptOfEight = 7
-	p.roundTicks = max(tick-p.timedTick, p.roundTicks*keptOfEight/8)
+	const decayEighths = 7
+	p.roundTripTicks = max(tick-p.timedSinceTick, p.roundTripTicks*decayEighths/8)
 	p.timedIndex = 0
-	p.resends = 0
+	p.retransmissions = 0
 }
 
-// snapshotTicks is how long a snapshot may take before it is sent again.
-const snapshotTicks = 30
+// snapshotTimeoutTicks is how many ticks a snapshot may take before it is retransmitted.
+const snapshotTimeoutTicks = 30
 
-// syncProgress makes the leader's views match the configuration.
-func (n *Node) syncProgress() {
+// updateProgress adds and removes the progress of followers according to the configuration.
+func (n *Node) updateProgress() {
 	for id := range n.progress {
 		if _, ok := n.log.configuration().Find(id); !ok {
 			delete(n.progress, id)
@@ -74,11 +79,12 @@
 		if replica.ID == n.options.ID || n.progress[replica.ID] != nil {
 			continue
 		}
-		n.progress[replica.ID] = &progress{next: n.log.lastIndex() + 1, probing: true, active: true}
+		n.progress[replica.ID] = &progress{next: n.log.lastIndex() + 1, isProbing: true, isActive: true}
 	}
 }
 
-func (n *Node) appendOwn(entry Entry) Entry {
+// appendEntry appends an entry of the leader's term to its log.
+func (n *Node) appendEntry(entry Entry) Entry {
 	n.Wake()
 	entry.Term = n.term
 	entry.Index = n.log.lastIndex() + 1
@@ -86,14 +92,15 @@
 	return entry
 }
 
+// send queues a message that need not wait for a sync.
 func (n *Node) send(message Message) {
 	message.From = n.options.ID
 	message.Term = n.term
 	n.messages = append(n.messages, message)
 }
 
-// peers returns the followers in ascending order, so that runs are repeatable.
-func (n *Node) peers() []ReplicaID {
+// followerIDs returns the IDs of the followers in ascending order, so that runs are reproducible.
+func (n *Node) followerIDs() []ReplicaID {
 	ids := make([]ReplicaID, 0, len(n.progress))
 	for id := range n.progress {
 		ids = append(ids, id)
@@ -103,39 +110,41 @@
 }
 
 func (n *Node) broadcastAppend() {
-	for _, id := range n.peers() {
+	for _, id := range n.followerIDs() {
 		n.sendAppend(id)
 	}
 }
 
-// sendUnsent sends followers the entries that they lack.
-func (n *Node) sendUnsent() {
+// sendUnsentEntries sends the followers the entries that have not been sent to them.
+func (n *Node) sendUnsentEntries() {
 	if n.role != Leader {
 		return
 	}
-	for _, id := range n.peers() {
+	for _, id := range n.followerIDs() {
 		if n.progress[id].next <= n.log.lastIndex() {
 			n.sendAppend(id)
 		}
 	}
 }
 
+// sendAppend sends a follower the next entries as far as its limits allow, or requests a snapshot for
+// it if the entries before them are compacted.
 func (n *Node) sendAppend(id ReplicaID) {
 	follower := n.progress[id]
-	if follower.waitingSnapshot || (follower.probing && follower.inflight > 0) || follower.inflight >= n.options.MaxInflight {
+	if follower.awaitsSnapshot || (follower.isProbing && follower.inflightAppends > 0) || follower.inflightAppends >= n.options.MaxInflight {
 		return
 	}
 	previous := follower.next - 1
 	previousTerm, ok := n.log.term(previous)
 	if !ok {
-		follower.waitingSnapshot = true
-		n.snapshotsWanted = append(n.snapshotsWanted, id)
+		follower.awaitsSnapshot = true
+		n.snapshotTargets = append(n.snapshotTargets, id)
 		return
 	}
 	entries := n.log.slice(follower.next, n.log.lastIndex(), n.options.MaxAppendBytes)
-	follower.inflight++
-	follower.noteSent(n.ticks, previous+uint64(len(entries)), len(entries))
-	if !follower.probing {
+	follower.inflightAppends++
+	follower.recordAppend(n.leaderTicks, previous+uint64(len(entries)), len(entries))
+	if !follower.isProbing {
 		follower.next += uint64(len(entries))
 	}
 	n.send(Message{
@@ -144,14 +153,14 @@
 	})
 }
 
-// SendSnapshot sends a snapshot to a replica named in SnapshotsWanted.
+// SendSnapshot sends a snapshot to a replica listed in Ready.SnapshotTargets.
 func (n *Node) SendSnapshot(to ReplicaID, snapshot Snapshot) {
 	follower, ok := n.progress[to]
 	if n.role != Leader || !ok {
 		return
 	}
 	follower.next = snapshot.Index + 1
-	follower.resendIn = snapshotTicks
+	follower.snapshotTicksLeft = snapshotTimeoutTicks
 	n.send(Message{Kind: MessageSnapshot, To: to, Snapshot: &snapshot})
 }
 
@@ -159,15 +168,15 @@
 	n.electionElapsed++
 	n.heartbeatElapsed++
 	n.idleTicks++
-	n.ticks++
+	n.leaderTicks++
 	for _, follower := range n.progress {
-		follower.resendIn = max(follower.resendIn-1, 0)
+		follower.snapshotTicksLeft = max(follower.snapshotTicksLeft-1, 0)
 	}
 	if n.electionElapsed >= n.options.ElectionTicks {
 		n.electionElapsed = 0
-		n.transfer = None
-		// Invariant: a leader that no quorum answers steps down, so that it
-		// answers nothing as truth while it is cut off.
+		n.transferTarget = None
+		// A leader that receives no responses from a quorum steps down, so that it does not serve
+		// stale data while it is partitioned.
 		if !n.checkQuorum() && !n.options.DisableCheckQuorum {
 			n.becomeFollower(n.term, None)
 			return
@@ -179,41 +188,42 @@
 	}
 }
 
+// checkQuorum reports whether a quorum has responded since the last check, and starts a new period.
 func (n *Node) checkQuorum() bool {
-	active := 0
+	activeVoters := 0
 	for _, id := range n.log.configuration().Voters() {
 		follower := n.progress[id]
-		if id == n.options.ID || (follower != nil && follower.active) {
-			active++
+		if id == n.options.ID || (follower != nil && follower.isActive) {
+			activeVoters++
 		}
 	}
 	for _, follower := range n.progress {
-		follower.wasActive = follower.active
-		follower.active = false
+		follower.wasActive = follower.isActive
+		follower.isActive = false
 	}
-	return active >= n.log.configuration().Quorum()
+	return activeVoters >= n.log.configuration().Quorum()
 }
 
 func (n *Node) broadcastHeartbeat() {
-	quiesce := n.mayQuiesce()
-	for _, id := range n.peers() {
-		n.sendHeartbeat(id, quiesce)
+	canQuiesce := n.canQuiesce()
+	for _, id := range n.followerIDs() {
+		n.sendHeartbeat(id, canQuiesce)
 	}
-	n.quiescent = quiesce
+	n.isQuiescent = canQuiesce
 }
 
 func (n *Node) sendHeartbeat(id ReplicaID, quiesce bool) {
 	follower := n.progress[id]
 	n.send(Message{
 		Kind: MessageHeartbeat, To: id, Commit: min(follower.match, n.log.commit),
-		Context: n.readSeq, Quiesce: quiesce,
+		Context: n.readRound, Quiesce: quiesce,
 	})
 }
 
-// mayQuiesce reports whether every replica has the whole log, all committed,
-// and nothing has happened for a while.
-func (n *Node) mayQuiesce() bool {
-	if n.options.QuiesceTicks == 0 || n.idleTicks < n.options.QuiesceTicks || len(n.reads) > 0 {
+// canQuiesce reports whether every replica has the whole log, all entries are committed, no reads are
+// pending and the group has been idle for QuiesceTicks.
+func (n *Node) canQuiesce() bool {
+	if n.options.QuiesceTicks == 0 || n.idleTicks < n.options.QuiesceTicks || len(n.pendingReads) > 0 {
 		return false
 	}
 	if n.log.commit != n.log.lastIndex() {
@@ -227,8 +237,9 @@
 	return true
 }
 
-// maybeCommit advances the commit index. Followers hear of it with the next append or
-// heartbeat: it needs no message of its own, since only the leader answers.
+// maybeCommit advances the commit index if a quorum has more entries. Followers receive the commit
+// index with the next append or heartbeat. It needs no message of its own, since only the leader
+// answers clients.
 func (n *Node) maybeCommit() {
 	var matches []uint64
 	for _, id := range n.log.configuration().Voters() {
@@ -244,7 +255,7 @@
 	slices.Sort(matches)
 	candidate := matches[len(matches)-n.log.configuration().Quorum()]
 	term, ok := n.log.term(candidate)
-	// Invariant: only entries of the leader's own term are committed by count.
+	// Invariant: only entries of the leader's own term are committed by counting replicas.
 	if candidate <= n.log.commit || !ok || term != n.term {
 		return
 	}
@@ -253,10 +264,10 @@
 		n.becomeFollower(n.term, None)
 		return
 	}
-	n.startWaitingReads()
+	n.startPendingReads()
 }
 
-// Step hands a message from another replica to the core.
+// Step processes a message from another replica.
 func (n *Node) Step(message Message) {
 	switch message.Kind {
 	case MessagePreVote:
@@ -266,8 +277,8 @@
 		n.stepPreVoteResponse(message)
 		return
 	}
-	forced := message.Kind == MessageVote && message.Context == contextForced
-	if message.Kind == MessageVote && message.Term > n.term && !forced && n.hearsLeader() && !n.options.DisablePreVote {
+	isLeaderTransfer := message.Kind == MessageVote && message.Context == contextLeaderTransfer
+	if message.Kind == MessageVote && message.Term > n.term && !isLeaderTransfer && n.hasLeaderContact() && !n.options.DisablePreVote {
 		return
 	}
 	if message.Term > n.term {
@@ -275,26 +286,27 @@
 		n.becomeFollower(message.Term, None)
 	}
 	if message.Term < n.term {
-		n.rejectOldTerm(message)
+		n.rejectStaleTerm(message)
 		return
 	}
 	n.stepCurrentTerm(message)
 }
 
-// rejectOldTerm lets a stale leader or candidate learn the term.
-func (n *Node) rejectOldTerm(message Message) {
+// rejectStaleTerm responds to a stale leader or candidate with the current term.
+func (n *Node) rejectStaleTerm(message Message) {
 	switch message.Kind {
 	case MessageAppend, MessageHeartbeat, MessageSnapshot:
-		n.messagesAfter = append(n.messagesAfter, Message{
+		n.messagesAfterSync = append(n.messagesAfterSync, Message{
 			Kind: MessageAppendResponse, From: n.options.ID, To: message.From, Term: n.term, Reject: true,
 		})
 	case MessageVote:
-		n.messagesAfter = append(n.messagesAfter, Message{
+		n.messagesAfterSync = append(n.messagesAfterSync, Message{
 			Kind: MessageVoteResponse, From: n.options.ID, To: message.From, Term: n.term, Reject: true,
 		})
 	}
 }
 
+// stepCurrentTerm processes a message of the current term.
 func (n *Node) stepCurrentTerm(message Message) {
 	switch message.Kind {
 	case MessageVote:
@@ -304,32 +316,34 @@
 	case MessageTimeoutNow:
 		n.stepTimeoutNow(message)
 	case MessageAppend:
-		n.hearLeader(message)
+		n.recordLeaderContact(message)
 		n.stepAppend(message)
 	case MessageHeartbeat:
-		n.hearLeader(message)
+		n.recordLeaderContact(message)
 		n.stepHeartbeat(message)
 	case MessageSnapshot:
-		n.hearLeader(message)
+		n.recordLeaderContact(message)
 		n.stepSnapshot(message)
 	case MessageAppendResponse, MessageHeartbeatResponse:
 		n.stepResponse(message)
 	}
 }
 
-func (n *Node) hearLeader(message Message) {
+// recordLeaderContact records a message from the leader of the current term.
+func (n *Node) recordLeaderContact(message Message) {
 	if n.role != Follower {
 		n.becomeFollower(message.Term, message.From)
 	}
 	n.leader = message.From
 	n.electionElapsed = 0
-	n.quiescent = false
+	n.isQuiescent = false
 }
 
+// respond queues a response that must wait for the sync.
 func (n *Node) respond(message Message) {
 	message.From = n.options.ID
 	message.Term = n.term
-	n.messagesAfter = append(n.messagesAfter, message)
+	n.messagesAfterSync = append(n.messagesAfterSync, message)
 }
 
 func (n *Node) stepAppend(message Message) {
@@ -352,7 +366,7 @@
 
 func (n *Node) stepHeartbeat(message Message) {
 	n.log.commit = max(n.log.commit, min(message.Commit, n.log.lastIndex()))
-	n.quiescent = message.Quiesce && n.log.commit == n.log.lastIndex()
+	n.isQuiescent = message.Quiesce && n.log.commit == n.log.lastIndex()
 	n.respond(Message{Kind: MessageHeartbeatResponse, To: message.From, Context: message.Context})
 }
 
@@ -372,25 +386,25 @@
 	if n.role != Leader || !ok {
 		return
 	}
-	follower.active = true
+	follower.isActive = true
 	if message.Kind == MessageHeartbeatResponse {
 		n.stepHeartbeatResponse(message, follower)
 		return
 	}
-	follower.answered = true
-	follower.inflight = max(0, follower.inflight-1)
+	follower.hasResponded = true
+	follower.inflightAppends = max(0, follower.inflightAppends-1)
 	if message.Reject {
 		n.stepRejection(message, follower)
 		return
 	}
-	follower.probing = false
-	follower.waitingSnapshot = false
-	follower.resendIn = 0
-	follower.noteAnswered(n.ticks, message.Index)
+	follower.isProbing = false
+	follower.awaitsSnapshot = false
+	follower.snapshotTicksLeft = 0
+	follower.recordAcknowledgement(n.leaderTicks, message.Index)
 	if message.Index > follower.match {
 		follower.match = message.Index
-		if message.From == n.transfer {
-			n.completeTransfer()
+		if message.From == n.transferTarget {
+			n.maybeSendTimeoutNow()
 		}
 	}
 	follower.next = max(follower.next, follower.match+1)
@@ -405,30 +419,31 @@
 		return
 	}
 	follower.next = max(follower.match+1, min(message.Index, message.RejectHint+1))
-	follower.probing = true
-	follower.inflight = 0
+	follower.isProbing = true
+	follower.inflightAppends = 0
 	n.sendAppend(message.From)
 }
 
-// stepHeartbeatResponse also resends what a lost message left behind.
+// stepHeartbeatResponse acknowledges reads, and retransmits entries or a snapshot if a message seems to
+// be lost.
 func (n *Node) stepHeartbeatResponse(message Message, follower *progress) {
-	n.confirmReads(message)
-	stalled := !follower.answered
-	follower.answered = false
-	// Invariant: answers that arrive together, as when a cut heals, make the leader
-	// send again once; a snapshot on its way is not one that was lost.
-	due := n.ticks-follower.sentTick >= follower.resendTicks(n.options.HeartbeatTicks)
-	if stalled && due && follower.resendIn == 0 && follower.match < n.log.lastIndex() {
-		follower.resends++
+	n.acknowledgeReads(message)
+	noResponse := !follower.hasResponded
+	follower.hasResponded = false
+	// Heartbeat responses that arrive together, as after a network partition, must cause only one
+	// retransmission. A snapshot in flight is not treated as lost.
+	due := n.leaderTicks-follower.lastSentTick >= follower.retransmissionTimeoutTicks(n.options.HeartbeatTicks)
+	if noResponse && due && follower.snapshotTicksLeft == 0 && follower.match < n.log.lastIndex() {
+		follower.retransmissions++
 		follower.timedIndex = 0
-		// A lost probe is sent again as it was: of a replica that has answered nothing yet
-		// the leader knows no position to go back to.
-		if !follower.probing || follower.waitingSnapshot {
+		// A lost probe is retransmitted unchanged: the leader has no acknowledged position of the
+		// follower to return to.
+		if !follower.isProbing || follower.awaitsSnapshot {
 			follower.next = follower.match + 1
-			follower.probing = true
+			follower.isProbing = true
 		}
-		follower.inflight = 0
-		follower.waitingSnapshot = false
+		follower.inflightAppends = 0
+		follower.awaitsSnapshot = false
 		n.sendAppend(message.From)
 	}
 }
--- a/internal/consensus/resend_test.go
+++ b/internal/consensus/resend_test.go
@@ -6,16 +6,16 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// TestAnswersThatComeTogether holds that heartbeat answers which arrive together, as
-// they do when a cut heals, make a leader send what is missing once, not once for each.
-// The court's trouble-2 killed a ledger host so: each answer made it encode a snapshot.
+// TestAnswersThatComeTogether checks that heartbeat responses that arrive together, as after a network
+// partition, make the leader retransmit missing entries once and not once per response. Without this
+// limit a ledger host was killed, because it encoded a snapshot for each response.
 func TestAnswersThatComeTogether(t *testing.T) {
-	leaderBehind := func(compacted bool) *Node {
+	newLeaderWithLaggingFollower := func(compacted bool) *Node {
 		options := testOptions()
 		options.ID = 1
 		configuration := Configuration{Replicas: []Replica{{ID: 1}, {ID: 2}, {ID: 3}}}
 		node := NewNode(options, PersistedState{Snapshot: Snapshot{Configuration: configuration}})
-		node.campaignForReal()
+		node.startElection()
 		node.Step(Message{Kind: MessageVoteResponse, From: 2, To: 1, Term: node.Term()})
 		for range 50 {
 			_, _, _ = node.Propose([]byte("x"))
@@ -26,13 +26,13 @@
 		if compacted {
 			node.Compact(node.AppliedIndex())
 		}
-		// Replica 3 is cut off for as long as an answer may take.
+		// Replica 3 does not respond for as long as an acknowledgement may take.
 		for range options.HeartbeatTicks {
 			node.Tick()
 		}
 		return node
 	}
-	burst := func(node *Node) (snapshots, appends int) {
+	sendResponseBurst := func(node *Node) (snapshots, appends int) {
 		for range 40 {
 			node.Step(Message{Kind: MessageHeartbeatResponse, From: 3, To: 1, Term: node.Term()})
 			ready := node.Ready()
@@ -49,21 +49,21 @@
 		}
 		return snapshots, appends
 	}
-	Convey("a snapshot is sent once", t, func() {
-		node := leaderBehind(true)
-		snapshots, _ := burst(node)
+	Convey("a burst of responses causes one snapshot", t, func() {
+		node := newLeaderWithLaggingFollower(true)
+		snapshots, _ := sendResponseBurst(node)
 		So(snapshots, ShouldEqual, 1)
-		Convey("and again when it has had its time", func() {
-			for range snapshotTicks + 1 {
+		Convey("and another one after the snapshot timeout", func() {
+			for range snapshotTimeoutTicks + 1 {
 				node.Tick()
 				node.Step(Message{Kind: MessageHeartbeatResponse, From: 2, To: 1, Term: node.Term()})
 			}
-			snapshots, _ := burst(node)
+			snapshots, _ := sendResponseBurst(node)
 			So(snapshots, ShouldEqual, 1)
 		})
 	})
-	Convey("entries are sent again once", t, func() {
-		_, appends := burst(leaderBehind(false))
+	Convey("a burst of responses causes one retransmission of entries", t, func() {
+		_, appends := sendResponseBurst(newLeaderWithLaggingFollower(false))
 		So(appends, ShouldBeLessThanOrEqualTo, 2)
 	})
 }
--- a/internal/consensus/slowlink_test.go
+++ b/internal/consensus/slowlink_test.go
@@ -6,64 +6,65 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// delayed is a message on a link that delivers in order after a fixed time.
-type delayed struct {
-	atTick  int
-	message Message
+// delayedMessage is a message on a link that delivers in order after a fixed delay.
+type delayedMessage struct {
+	deliverTick int
+	message     Message
 }
 
-// TestSlowLink holds that a leader does not send again what is only slow: on a crowded link
-// that would crowd it for good.
+// TestSlowLink checks that a leader does not retransmit messages that are delayed but not lost.
+// Retransmissions would keep a congested link congested.
 func TestSlowLink(t *testing.T) {
 	const (
-		wayTicks = 8
-		// electionTicks leaves the leader alone: this is about what it sends.
+		oneWayTicks = 8
+		// electionTicks is long enough that the leader is not replaced. The test is only about the
+		// messages that it sends.
 		electionTicks = 60
 		ticks         = 400
 		proposeEvery  = 10
 		entryBytes    = 1000
 	)
-	Convey("over a link of four heartbeats each way no entry is sent much more often than once", t, func() {
+	Convey("over a link with a delay of four heartbeats each way, the leader sends less than 1.5 times the proposed bytes", t, func() {
 		options := testOptions()
 		options.ElectionTicks = electionTicks
 		c := newCluster(3, options)
-		c.settle(4 * electionTicks)
+		c.runTicks(4 * electionTicks)
 		leader := c.leader()
 		So(leader, ShouldNotBeNil)
-		var wire []delayed
-		sent := map[ReplicaID]int{}
-		proposed := 0
+		var link []delayedMessage
+		sentBytes := map[ReplicaID]int{}
+		proposedBytes := 0
 		for tick := range ticks {
-			if tick%proposeEvery == 0 && tick < ticks-4*wayTicks {
+			if tick%proposeEvery == 0 && tick < ticks-4*oneWayTicks {
 				_, _, err := leader.Propose(make([]byte, entryBytes))
 				So(err, ShouldBeNil)
-				proposed += entryBytes
+				proposedBytes += entryBytes
 			}
 			for _, id := range c.ids() {
 				c.nodes[id].Tick()
 				c.process(id, 0)
 			}
-			for _, message := range c.network {
+			for _, message := range c.inFlight {
 				if message.From == leader.ID() {
 					for _, entry := range message.Entries {
-						sent[message.To] += len(entry.Data)
+						sentBytes[message.To] += len(entry.Data)
 					}
 				}
-				wire = append(wire, delayed{tick + wayTicks, message})
+				link = append(link, delayedMessage{tick + oneWayTicks, message})
 			}
-			c.network = nil
-			for len(wire) > 0 && wire[0].atTick <= tick {
-				c.nodes[wire[0].message.To].Step(wire[0].message)
-				wire = wire[1:]
+			c.inFlight = nil
+			for len(link) > 0 && link[0].deliverTick <= tick {
+				c.nodes[link[0].message.To].Step(link[0].message)
+				link = link[1:]
 			}
 		}
 		So(c.leader(), ShouldEqual, leader)
 		for _, id := range c.ids() {
-			So(c.applied[id], ShouldBeGreaterThanOrEqualTo, uint64(proposed/entryBytes-2*wayTicks/proposeEvery-1))
+			So(c.appliedIndex[id], ShouldBeGreaterThanOrEqualTo, uint64(proposedBytes/entryBytes-2*oneWayTicks/proposeEvery-1))
 		}
-		for id, bytes := range sent {
-			Printf("replica %d: %d bytes for %d\n", id, bytes, proposed)
-			So(bytes, ShouldBeLessThan, proposed*3/2)
+		for id, bytes := range sentBytes {
+			Printf("replica %d: %d bytes sent for %d proposed bytes\n", id, bytes, proposedBytes)
+			So(bytes, ShouldBeLessThan, proposedBytes*3/2)
 		}
 	})
 }
--- a/internal/consensus/types.go
+++ b/internal/consensus/types.go
@@ -1,22 +1,20 @@
-// Package consensus is a replicated log as a pure state machine, after Raft
-// (Ongaro and Ousterhout, 2014; Ongaro's thesis, 2014, chapters 3, 4, 6 and 9).
-// A Node has no goroutine, clock, socket, disk or global random source: its
-// owner feeds it messages, proposals and ticks, and carries out what Ready
-// returns. The same Node runs in daemons and in the simulator.
+// Package consensus implements the Raft consensus algorithm as a pure state machine (Ongaro and
+// Ousterhout, 2014; Ongaro's thesis, 2014, chapters 3, 4, 6 and 9). A Node has no goroutine, clock,
+// socket, disk or global random source. Its owner passes messages, proposals and ticks to it, and
+// does the work that Ready returns. The same Node runs in daemons and in the simulator.
 //
-// It departs from the common description in one place (design section 5): a
-// replica's identity is bound to its disk. A member that lost its disk comes
-// back under a new ReplicaID, so that no promise made by the lost disk can be
-// counted twice.
+// The implementation differs from the common description in one point (design section 5): the
+// identity of a replica is bound to its disk. A member that has lost its disk returns under a new
+// ReplicaID, so that no vote or acknowledgement of the lost disk is counted twice.
 package consensus
 
 import "slices"
 
-// ReplicaID names one incarnation of one member of a group. It is made once,
-// together with the data folder that holds the replica's promises.
+// ReplicaID identifies one incarnation of one member of a group. It is created once, together with
+// the data folder that holds the replica's votes and log.
 type ReplicaID uint64
 
-// None is the ReplicaID of nobody.
+// None is the ReplicaID of no replica.
 const None ReplicaID = 0
 
 // Replica is one entry of a group's configuration.
@@ -24,7 +22,7 @@
 	ID ReplicaID `msgpack:"i" json:"id"`
 	// Member is the name of the process that hosts the replica.
 	Member string `msgpack:"m" json:"member"`
-	// IsLearner marks a replica that receives the log and counts in no quorum.
+	// IsLearner marks a replica that receives the log but does not count in quorums.
 	IsLearner bool `msgpack:"l,omitempty" json:"learner,omitempty"`
 }
 
@@ -33,7 +31,7 @@
 	Replicas []Replica `msgpack:"r" json:"replicas"`
 }
 
-// Find returns the replica with the given id.
+// Find returns the replica with the given ID.
 func (c Configuration) Find(id ReplicaID) (Replica, bool) {
 	for _, replica := range c.Replicas {
 		if replica.ID == id {
@@ -43,7 +41,7 @@
 	return Replica{}, false
 }
 
-// Voters returns the ids that count in quorums.
+// Voters returns the IDs of the replicas that count in quorums.
 func (c Configuration) Voters() []ReplicaID {
 	var voters []ReplicaID
 	for _, replica := range c.Replicas {
@@ -54,45 +52,47 @@
 	return voters
 }
 
-// Quorum returns how many voters make a majority.
+// Quorum returns the number of voters that form a majority.
 func (c Configuration) Quorum() int {
 	return len(c.Voters())/2 + 1
 }
 
-// IsVoter reports whether id counts in quorums.
+// IsVoter reports whether the replica with the given ID counts in quorums.
 func (c Configuration) IsVoter(id ReplicaID) bool {
 	replica, ok := c.Find(id)
 	return ok && !replica.IsLearner
 }
 
-// With returns a copy in which replica is added, or replaces the one of its id.
+// With returns a copy to which replica is added, or in which it replaces the replica with the same
+// ID.
 func (c Configuration) With(replica Replica) Configuration {
 	copied := c.Without(replica.ID)
 	copied.Replicas = append(copied.Replicas, replica)
 	return copied
 }
 
-// Without returns a copy that lacks the replica of the given id.
+// Without returns a copy without the replica with the given ID.
 func (c Configuration) Without(id ReplicaID) Configuration {
 	copied := Configuration{Replicas: slices.Clone(c.Replicas)}
 	copied.Replicas = slices.DeleteFunc(copied.Replicas, func(r Replica) bool { return r.ID == id })
 	return copied
 }
 
-// EntryKind tells the owner's entries from the core's own.
+// EntryKind distinguishes the owner's commands from the entries of the consensus protocol.
 type EntryKind uint8
 
 // The kinds of entries.
 const (
 	// EntryCommand carries a command of the replicated state machine.
 	EntryCommand EntryKind = iota
-	// EntryBarrier is the empty entry by which a new leader commits its term.
+	// EntryBarrier is the empty entry that a new leader appends to commit an entry of its own
+	// term.
 	EntryBarrier
-	// EntryConfiguration carries a Configuration; it is in force once appended.
+	// EntryConfiguration contains a Configuration, which takes effect when it is appended.
 	EntryConfiguration
 )
 
-// Entry is one position of the log.
+// Entry is one entry of the log.
 type Entry struct {
 	Term          uint64         `msgpack:"t"`
 	Index         uint64         `msgpack:"i"`
@@ -101,26 +101,27 @@
 	Configuration *Configuration `msgpack:"c,omitempty"`
 }
 
-// HardState is what a replica must have on disk before it answers.
+// HardState is the state, besides the log, that a replica must have on disk before it sends
+// Ready.MessagesAfterSync.
 type HardState struct {
 	Term   uint64    `msgpack:"t"`
 	Vote   ReplicaID `msgpack:"v"`
 	Commit uint64    `msgpack:"c"`
 }
 
-// Snapshot replaces the log up to Index.
+// Snapshot replaces the log up to and including Index.
 type Snapshot struct {
 	Index         uint64        `msgpack:"i"`
 	Term          uint64        `msgpack:"t"`
 	Configuration Configuration `msgpack:"c"`
-	// Data is the owner's state machine; the core never looks inside.
+	// Data is the encoded state machine of the owner, which is opaque to this package.
 	Data []byte `msgpack:"d"`
 }
 
-// MessageKind numbers the messages between replicas.
+// MessageKind is the kind of a message between replicas.
 type MessageKind uint8
 
-// The messages between replicas of one group.
+// The kinds of messages between replicas of one group.
 const (
 	MessageAppend MessageKind = iota + 1
 	MessageAppendResponse
@@ -134,29 +135,31 @@
 	MessageTimeoutNow
 )
 
-// Message travels between two replicas of one group.
+// Message is sent from one replica of a group to another.
 type Message struct {
 	Kind MessageKind `msgpack:"k"`
 	From ReplicaID   `msgpack:"f"`
 	To   ReplicaID   `msgpack:"o"`
 	Term uint64      `msgpack:"t"`
-	// Index and LogTerm are the position before Entries (append), the last
-	// position (votes), or the position acknowledged (responses).
+	// Index and LogTerm are the position before Entries (append), the sender's last position
+	// (votes), or the acknowledged position (responses).
 	Index   uint64  `msgpack:"i,omitempty"`
 	LogTerm uint64  `msgpack:"l,omitempty"`
 	Entries []Entry `msgpack:"e,omitempty"`
 	Commit  uint64  `msgpack:"c,omitempty"`
 	Reject  bool    `msgpack:"r,omitempty"`
-	// RejectHint is the follower's last index where it rejects an append.
+	// RejectHint is the follower's last index, less than Index, when it rejects an append. The
+	// leader continues after it.
 	RejectHint uint64 `msgpack:"h,omitempty"`
-	// Context is the read round that a heartbeat confirms.
+	// Context is the read round that a heartbeat confirms. In vote requests it marks a leadership
+	// transfer.
 	Context uint64 `msgpack:"x,omitempty"`
-	// Quiesce tells a follower to stop its election timer.
+	// Quiesce asks a follower to stop its election timer.
 	Quiesce  bool      `msgpack:"q,omitempty"`
 	Snapshot *Snapshot `msgpack:"s,omitempty"`
 }
 
-// Role is what a replica is at present.
+// Role is the current role of a replica.
 type Role uint8
 
 // The roles of a replica.
@@ -167,21 +170,20 @@
 	Leader
 )
 
-// String returns the role in lower case.
+// String returns the name of the role in lower case.
 func (r Role) String() string {
 	return [...]string{"follower", "pre-candidate", "candidate", "leader"}[r]
 }
 
-// ReadState answers one ReadIndex call: state applied up to Index reflects
-// every write that was acknowledged before the call.
+// ReadState is the result of one ReadIndex call. A state machine that has applied the log up to Index
+// reflects every write that was acknowledged before the call.
 type ReadState struct {
 	Context uint64
 	Index   uint64
 }
 
-// Ready is what the owner must do, in this order: send Messages; write
-// Snapshot, Entries and HardState and sync; send MessagesAfterSync; apply
-// Snapshot and Committed; call Advance.
+// Ready is the work that the owner must do, in this order: send Messages; write Snapshot, Entries
+// and HardState and sync; send MessagesAfterSync; apply Snapshot and CommittedEntries; call Advance.
 type Ready struct {
 	Messages          []Message
 	HardState         *HardState
@@ -190,10 +192,10 @@
 	MessagesAfterSync []Message
 	CommittedEntries  []Entry
 	ReadStates        []ReadState
-	// AbortedReads are the contexts of ReadIndex calls whose term ended before a quorum
-	// confirmed them: they get no ReadState.
+	// AbortedReads holds the contexts of ReadIndex calls whose term ended before a quorum confirmed
+	// them. They get no ReadState.
 	AbortedReads []uint64
-	// SnapshotTargets lists replicas that need a snapshot; the owner answers
-	// with SendSnapshot.
+	// SnapshotTargets lists the replicas that need a snapshot. The owner must call SendSnapshot for
+	// each.
 	SnapshotTargets []ReplicaID
 }
