--- a/internal/ledger/quotaqueue_test.go
+++ b/internal/ledger/quotaqueue_test.go
@@ -22,7 +22,7 @@
 	lastTicket int
 	// pending holds the requests that have been neither granted nor denied, by ticket.
 	pending map[string]*queuedRequest
-	// queuedReplies counts the replies with a queue position, and grantedAfterQueueing the requests
+	// queuedReplies counts the replies that a request is queued, and grantedAfterQueueing the requests
 	// that were granted after such a reply.
 	queuedReplies, grantedAfterQueueing int
 }
@@ -144,7 +144,7 @@
 		}
 		gateways.checkWindows(t, seed)
 		if len(gateways.grantedAtMs) < 100 || gateways.queuedReplies == 0 || gateways.grantedAfterQueueing == 0 {
-			t.Fatalf("seed %d: %d granted, %d of them after queueing, %d denied, %d replies with a queue position", seed, len(gateways.grantedAtMs), gateways.grantedAfterQueueing, gateways.denied, gateways.queuedReplies)
+			t.Fatalf("seed %d: %d granted, %d of them after queueing, %d denied, %d replies that a request is queued", seed, len(gateways.grantedAtMs), gateways.grantedAfterQueueing, gateways.denied, gateways.queuedReplies)
 		}
 	}
 }
--- a/internal/ledger/quotas.go
+++ b/internal/ledger/quotas.go
@@ -16,8 +16,8 @@
 // wait or are denied: a tenth of a window of 5 s.
 const timeRecordIntervalMs = 500
 
-// replyMarginMs is how long before the requester's timeout a queued request is answered with its
-// queue position: two ticks plus the network delay.
+// replyMarginMs is how long before the requester's timeout the reply is sent that a request is still
+// queued: two ticks plus the network delay.
 const replyMarginMs = 150
 
 // quotaOwner grants the requests of one group's tenants during one term in which this host leads
@@ -142,8 +142,8 @@
 	owner.queued[pending.request.Ticket] = pending
 }
 
-// tickQuotas grants queued requests as far as the limits have headroom, answers the ones that are
-// about to time out with their queue position, and removes the owners of terms that have ended.
+// tickQuotas grants queued requests as far as the limits have headroom, replies to those that are
+// about to time out that they are still queued, and removes the owners of terms that have ended.
 func (c *Core) tickQuotas() {
 	for id, owner := range c.quotaOwners {
 		group := c.host.FindGroup(id)
@@ -172,8 +172,8 @@
 	}
 }
 
-// answerExpiringRequests answers the queued requests whose requesters are about to time out, with a
-// queue position instead of a grant.
+// answerExpiringRequests replies to the requests whose requesters are about to time out that they are
+// still queued.
 func (c *Core) answerExpiringRequests(owner *quotaOwner) {
 	for ticket, pending := range owner.queued {
 		if c.nowMs < pending.deadlineMs {
--- a/internal/ledger/requests.go
+++ b/internal/ledger/requests.go
@@ -141,9 +141,9 @@
 }
 
 // turnHistory joins the contents of a chain of turns, oldest first. If the requester has the chain
-// up to cachedTurn, the reply contains only the turns after it. If another zone with a voter is the
-// requester's, the reply names all turns except the last instead of including them. The voter in
-// that zone may not have applied the last turn yet.
+// up to cachedTurn, the reply contains only the turns after it. If the requester is in another zone
+// that has a voter, the reply names all turns except the last instead of including them, so that the
+// requester reads them from that voter. The voter may not have applied the last turn yet.
 func (c *Core) turnHistory(group *replication.Group, lastTurn, cachedTurn, zone string) *protocol.TurnReply {
 	reply := &protocol.TurnReply{}
 	turns := group.StateMachine.(*stateMachine).turns.Chain(lastTurn)
