--- a/internal/quota/closedloop_test.go
+++ b/internal/quota/closedloop_test.go
@@ -21,12 +21,14 @@
 	loopEndMs           = 60_000
 	loopOverloadFactor  = 5
 	loopLimitFactor     = 1.6
-	loopCommitMs        = 6
-	loopTickMs          = 50
-	loopPollMs          = 300
-	loopDeadlineMs      = 3000
-	loopResends         = 2
-	loopResendDelayMs   = 250
+	// loopCommitMs is the time to commit a reservation, loopTickMs the interval at which queued
+	// requests are granted, and loopPollMs the interval at which they are repeated.
+	loopCommitMs      = 6
+	loopTickMs        = 50
+	loopPollMs        = 300
+	loopDeadlineMs    = 3000
+	loopResends       = 2
+	loopResendDelayMs = 250
 	// loopStartsPerSecond is the usual rate of program starts of a tenant.
 	loopStartsPerSecond = 0.8
 	// loopMeanRequests is the mean number of requests of a program.
@@ -69,16 +71,17 @@
 	return last
 }
 
-// loopTenant holds the outcomes of one tenant's load.
+// loopTenant holds the outcomes of one tenant's load: the times of its grants and denials and the
+// waits for its grants, in milliseconds.
 type loopTenant struct {
-	limit                                Limit
-	programs                             []*loopProgram
-	granted                              []int64
-	deniedNew, deniedInProgress, waitsMs []int64
+	limit                                    Limit
+	programs                                 []*loopProgram
+	grantedMs                                []int64
+	deniedNewMs, deniedInProgressMs, waitsMs []int64
 }
 
-// loopProgram is a started program: whether it has ended, whether it was completed, and otherwise
-// whether any of its requests had run.
+// loopProgram is a started program. completed means that all its requests were served, and
+// inProgress that the owner still counted it as in progress when it ended.
 type loopProgram struct {
 	startedMs, endedMs           int64
 	ended, completed, inProgress bool
@@ -115,7 +118,7 @@
 }
 
 // sampleExponential returns an exponentially distributed time with the given mean.
-func (d programRandom) sampleExponential(mean float64) float64 { return d.ExpFloat64() * mean }
+func (r programRandom) sampleExponential(mean float64) float64 { return r.ExpFloat64() * mean }
 
 // reserve commits a reservation of a tenant.
 func (l *closedLoop) reserve(tenant string) {
@@ -180,8 +183,8 @@
 	l.submit(request, onDecision)
 }
 
-// request runs one request of a program. done reports whether it was served.
-func (l *closedLoop) request(tenant int, request Request, serviceMs float64, done func(bool)) {
+// runRequest runs one request of a program and calls done with whether it was served.
+func (l *closedLoop) runRequest(tenant int, request Request, serviceMs float64, done func(bool)) {
 	l.attempt(tenant, request, serviceMs, loopDeadlineMs, true, done)
 }
 
@@ -194,33 +197,33 @@
 		l.tickets++
 		request.Ticket, request.MaxWaitMs = fmt.Sprint(l.tickets), leftMs-int64(serviceMs)
 	}
-	askedMs := l.nowMs
+	requestedMs := l.nowMs
 	l.submit(request, func(decision Decision) {
-		waitedMs := l.nowMs - askedMs
+		waitedMs := l.nowMs - requestedMs
 		if decision.Verdict == Granted {
-			outcomes.granted = append(outcomes.granted, l.nowMs)
+			outcomes.grantedMs = append(outcomes.grantedMs, l.nowMs)
 			outcomes.waitsMs = append(outcomes.waitsMs, waitedMs)
 			l.after(serviceMs, func() { done(true) })
 			return
 		}
 		if inProgress {
-			outcomes.deniedInProgress = append(outcomes.deniedInProgress, l.nowMs)
+			outcomes.deniedInProgressMs = append(outcomes.deniedInProgressMs, l.nowMs)
 		} else {
-			outcomes.deniedNew = append(outcomes.deniedNew, l.nowMs)
+			outcomes.deniedNewMs = append(outcomes.deniedNewMs, l.nowMs)
 		}
-		left := leftMs - waitedMs
+		remainingMs := leftMs - waitedMs
 		if !mayRetry {
 			done(false)
 			return
 		}
-		pause := min(decision.RetryAfterMs, left/3)
-		l.after(float64(pause), func() { l.attempt(tenant, request, serviceMs, left-pause, false, done) })
+		pauseMs := min(decision.RetryAfterMs, remainingMs/3)
+		l.after(float64(pauseMs), func() { l.attempt(tenant, request, serviceMs, remainingMs-pauseMs, false, done) })
 	})
 }
 
 // sendTurn sends a request and resends it up to the given number of times if it fails.
 func (l *closedLoop) sendTurn(tenant int, request Request, serviceMs float64, resends int, done func(bool)) {
-	l.request(tenant, request, serviceMs, func(served bool) {
+	l.runRequest(tenant, request, serviceMs, func(served bool) {
 		if served || resends == 0 {
 			done(served)
 			return
@@ -247,26 +250,26 @@
 	}
 }
 
-// loopTurn is a turn of a thread and what follows it: tool calls and threads of sub-agents in
-// parallel, then a pause.
+// loopTurn is a turn of a thread and what follows it: tool calls, each with its service time in
+// milliseconds, and threads of sub-agents in parallel, then a pause.
 type loopTurn struct {
 	serviceMs, pauseMs float64
 	tools              []float64
 	agents             [][]loopTurn
 }
 
-// planTurns samples the turns of a thread.
-func (d programRandom) planTurns(kind loopKind, turns int) []loopTurn {
+// sampleTurns samples the turns of a thread.
+func (r programRandom) sampleTurns(kind loopKind, turns int) []loopTurn {
 	var thread []loopTurn
 	for range turns {
-		turn := loopTurn{serviceMs: 150 + d.sampleExponential(150), pauseMs: d.sampleExponential(200)}
-		if d.Float64() < kind.subAgentProbability {
-			for range 1 + d.IntN(3) {
-				turn.agents = append(turn.agents, d.planTurns(loopKind{}, 2))
+		turn := loopTurn{serviceMs: 150 + r.sampleExponential(150), pauseMs: r.sampleExponential(200)}
+		if r.Float64() < kind.subAgentProbability {
+			for range 1 + r.IntN(3) {
+				turn.agents = append(turn.agents, r.sampleTurns(loopKind{}, 2))
 			}
 		} else {
-			for range d.IntN(3) {
-				turn.tools = append(turn.tools, 20+d.sampleExponential(60))
+			for range r.IntN(3) {
+				turn.tools = append(turn.tools, 20+r.sampleExponential(60))
 			}
 		}
 		thread = append(thread, turn)
@@ -325,7 +328,7 @@
 	}
 	program := &loopProgram{startedMs: l.nowMs}
 	outcomes.programs = append(outcomes.programs, program)
-	l.runTurns(tenant, request, random.planTurns(kind, turns), func(served bool) {
+	l.runTurns(tenant, request, random.sampleTurns(kind, turns), func(served bool) {
 		program.completed, program.ended, program.endedMs = served, true, l.nowMs
 		program.inProgress = l.owner.getOrCreateTenant(request.Tenant).isInProgress(name)
 	})
@@ -335,7 +338,7 @@
 type loopMode uint8
 
 const (
-	// loopUnlimited applies no limits and gives the tenants' own demand.
+	// loopUnlimited applies no limits, which shows the tenants' own demand.
 	loopUnlimited loopMode = iota
 	// loopPerRequest grants or denies each request separately.
 	loopPerRequest
@@ -383,12 +386,12 @@
 }
 
 // isWithinLimit reports whether an unlimited tenant's demand stays within the limit in every
-// window that ends while the program is in progress.
+// window that ends while the program is in progress or within loopWindowMs of its start.
 func (t *loopTenant) isWithinLimit(program *loopProgram, allowed int64) bool {
 	count, first := int64(0), 0
-	for _, at := range t.granted {
+	for _, at := range t.grantedMs {
 		count++
-		for t.granted[first] <= at-loopWindowMs {
+		for t.grantedMs[first] <= at-loopWindowMs {
 			first++
 			count--
 		}
@@ -410,42 +413,43 @@
 	waitsMs                        []int64
 }
 
-func (s *loopTotals) add(tenant, unlimited *loopTenant) {
+func (t *loopTotals) add(tenant, unlimited *loopTenant) {
 	allowed := tenant.limit.AllowedRequests(loopWindowMs)
 	for position, program := range tenant.programs {
 		failed := program.ended && !program.completed
-		s.programs++
+		t.programs++
 		switch {
 		case program.completed:
-			s.completed++
+			t.completed++
 		case failed && program.inProgress:
-			s.lost++
+			t.lost++
 		case failed:
-			s.rejected++
+			t.rejected++
 		}
 		if unlimited.isWithinLimit(unlimited.programs[position], allowed) {
-			s.withinLimit++
+			t.withinLimit++
 			if failed {
-				s.withinLimitFailed++
+				t.withinLimitFailed++
 			}
 		}
 	}
-	s.granted += len(tenant.granted)
-	s.deniedNew += len(tenant.deniedNew)
-	s.deniedInProgress += len(tenant.deniedInProgress)
-	s.waitsMs = append(s.waitsMs, tenant.waitsMs...)
+	t.granted += len(tenant.grantedMs)
+	t.deniedNew += len(tenant.deniedNewMs)
+	t.deniedInProgress += len(tenant.deniedInProgressMs)
+	t.waitsMs = append(t.waitsMs, tenant.waitsMs...)
 }
 
-func (s *loopTotals) String() string {
-	slices.Sort(s.waitsMs)
+func (t *loopTotals) String() string {
+	slices.Sort(t.waitsMs)
 	return fmt.Sprintf("%d programs, %d completed, %d rejected, %d lost; %d within the limit, of these %d rejected or lost; %d requests granted, waits p95 %d, p99 %d ms; denied %d of new programs, %d of programs in progress",
-		s.programs, s.completed, s.rejected, s.lost, s.withinLimit, s.withinLimitFailed, s.granted, s.waitsMs[len(s.waitsMs)*95/100], s.waitsMs[len(s.waitsMs)*99/100], s.deniedNew, s.deniedInProgress)
+		t.programs, t.completed, t.rejected, t.lost, t.withinLimit, t.withinLimitFailed, t.granted, t.waitsMs[len(t.waitsMs)*95/100], t.waitsMs[len(t.waitsMs)*99/100], t.deniedNew, t.deniedInProgress)
 }
 
 // TestProgramsAtTheLimit checks admission with one tenant at five times its usual demand and all
-// limits at 1.6 times the usual demand. Fewer than one in twenty denials may affect a program in
-// progress, tenants within their limit may lose fewer than one program in a hundred, and at least
-// as many programs must be completed as when each request is decided separately.
+// limits at 1.6 times the usual demand. At most one in twenty denials may affect a program in
+// progress, at most one in a hundred programs of tenants within their limit may be rejected or
+// lost, and at least as many programs must be completed as when each request is decided
+// separately.
 func TestProgramsAtTheLimit(t *testing.T) {
 	const seeds = 6
 	totals := map[loopMode]*loopTotals{loopPerRequest: {}, loopPerProgram: {}, loopTolerant: {}}
--- a/internal/quota/overview.go
+++ b/internal/quota/overview.go
@@ -18,19 +18,19 @@
 	Allowed           int64 `json:"allowed"`
 	AllowedInProgress int64 `json:"most"`
 	// Waiting is the number of requests that wait for headroom. Programs is the number of tracked
-	// programs, which are removed once they had no request for half a minute.
+	// programs, which are removed after half a minute without a request.
 	Waiting  int `json:"waiting"`
 	Programs int `json:"programs"`
 	// DeniedNew counts the denied requests of new programs and DeniedInProgress all other denied
 	// requests, both since this owner's term began. AtLimitMs is how long requests have been
-	// waiting or denied, 0 if none was recently.
+	// waiting or denied, in milliseconds; 0 if none was within limitPressureTimeoutMs.
 	DeniedNew        int64 `json:"denied_new"`
 	DeniedInProgress int64 `json:"denied_under_way"`
 	AtLimitMs        int64 `json:"at_limit_ms"`
 }
 
-// limitPressure records when requests of a tenant began to wait or to be denied, and when one
-// last did.
+// limitPressure records since when requests of a tenant have been waiting or denied, when one last
+// was, and the numbers of denied requests.
 type limitPressure struct {
 	sinceMs, lastMs             int64
 	deniedNew, deniedInProgress int64
--- a/internal/quota/owner.go
+++ b/internal/quota/owner.go
@@ -50,12 +50,11 @@
 	programIdleTimeoutMs = 30_000
 	// minNewProgramShare is the minimum fraction of the limit that new programs may fill. The
 	// fraction falls by newProgramShareStep with each denied request of a program in progress. It
-	// rises by the same step with a denied request of a new program, once
-	// shareRaiseDelayAfterCutMs have passed since the last cut or shareRaiseIntervalMs since the
-	// last raise. With a tenant's limit cut to a third of its load, its worst-served kind of
-	// program earned 0.994 of its credit, against 0.977 without a bound on new programs. A fixed
-	// fraction of 0.8 earned as much but denied 184 requests instead of 139
-	// (docs/design/0007-tenants.md, one run each).
+	// rises by the same step with any other denied request, once shareRaiseDelayAfterCutMs have
+	// passed since the last cut or shareRaiseIntervalMs since the last raise. With a tenant's
+	// limit cut to a third of its load, its worst-served kind of program earned 0.994 of its
+	// credit, against 0.977 without a bound on new programs. A fixed fraction of 0.8 earned as
+	// much but denied 184 requests instead of 139 (docs/design/0007-tenants.md, one run each).
 	minNewProgramShare        = 0.5
 	newProgramShareStep       = 0.01
 	shareRaiseDelayAfterCutMs = 300
@@ -67,10 +66,11 @@
 // Owner grants the requests of the tenants of one ledger group, for one term in which its process
 // leads the group.
 //
-// Invariant: the grants of all owners together to one tenant stay within the tenant's limit in
-// any window. An owner grants only from committed reservations, and from each only within
-// ReservationLifetimeMs of its proposal. Its successor holds all of these reservations and counts
-// them as granted at the last possible moment.
+// Invariant: the grants of all owners together to one tenant stay within the tenant's limit, plus
+// the usable tolerance for programs in progress, in any window. An owner grants only from
+// committed reservations, and from each only within ReservationLifetimeMs of its proposal. Its
+// successor holds all of these reservations and counts them as granted at the last possible
+// moment.
 type Owner struct {
 	windowMs     int64
 	termStartMs  int64
@@ -95,12 +95,12 @@
 	// recentGrants counts the grants within the last ReservationLifetimeMs, as the forecast of
 	// what the next reservation needs.
 	recentGrants window
-	// reservations holds what may still be granted, oldest reservation first.
+	// reservations holds the open reservations, oldest first.
 	reservations []openReservation
 	// lastGrantMs holds the time of the last grant by program.
 	lastGrantMs map[string]int64
-	// programs holds the programs with a granted request and forecasts their further requests,
-	// for the programs whose kind the gateways report.
+	// programs tracks the programs with a granted request. It forecasts the further requests of
+	// those whose kind the gateways report.
 	programs *admission.TenantPrograms
 	// queue holds the requests of programs in progress that wait for headroom, in the order of
 	// their first request.
@@ -108,16 +108,16 @@
 	// grantsByTicket holds the recent grants by ticket.
 	grantsByTicket map[string]*ticketGrant
 	pressure       limitPressure
-	// undelivered holds the tickets that were granted while queued and whose gateways have yet to
-	// ask again.
+	// undelivered holds the tickets that were granted while queued and whose gateways have not
+	// repeated their request since.
 	undelivered []string
 	// newProgramShare is the fraction of the limit that new programs may fill. It may rise again
 	// after shareRaiseAfterMs.
 	newProgramShare   float64
 	shareRaiseAfterMs int64
-	// lastRetryAtMs is the retry time given to the most recently denied request.
+	// lastRetryAtMs is the retry time that nextRetryAtMs returned last.
 	lastRetryAtMs int64
-	// lastNewProgramRetryAtMs is the retry time given to the most recently denied new program.
+	// lastNewProgramRetryAtMs is the retry time that nextNewProgramRetryAtMs returned last.
 	lastNewProgramRetryAtMs int64
 	// lastForcedStartMs is when a new program was last admitted because none had started for a
 	// whole window.
@@ -142,10 +142,10 @@
 	owner := &Owner{
 		windowMs: state.windowMs, termStartMs: nowMs, tenants: map[string]*tenantQuota{}, lastSweepMs: nowMs, programKinds: kinds, tolerance: tolerance, tenantsWithQueue: map[string]*tenantQuota{},
 	}
-	for name, known := range state.tenants {
+	for name, storedTenant := range state.tenants {
 		tenant := owner.getOrCreateTenant(name)
-		tenant.limit = known.Limit
-		for _, item := range known.Reserved {
+		tenant.limit = storedTenant.Limit
+		for _, item := range storedTenant.Reserved {
 			// A predecessor that is cut off from the group may grant from its last reservation
 			// until that reservation expires.
 			age := state.clockMs - item.AtMs
@@ -156,19 +156,19 @@
 }
 
 func (o *Owner) getOrCreateTenant(name string) *tenantQuota {
-	known := o.tenants[name]
-	if known == nil {
-		known = &tenantQuota{
+	tenant := o.tenants[name]
+	if tenant == nil {
+		tenant = &tenantQuota{
 			tolerance: o.tolerance, granted: window{lengthMs: o.windowMs}, inherited: window{lengthMs: o.windowMs},
 			recentGrants: window{lengthMs: ReservationLifetimeMs}, lastGrantMs: map[string]int64{}, newProgramShare: 1,
 			programs: admission.NewTenantPrograms(o.programKinds, o.windowMs), grantsByTicket: map[string]*ticketGrant{},
 		}
-		o.tenants[name] = known
+		o.tenants[name] = tenant
 	}
-	return known
+	return tenant
 }
 
-// RequestGrant decides on one request.
+// RequestGrant grants, queues or denies one request, or asks for another reservation.
 func (o *Owner) RequestGrant(request Request, nowMs int64) Decision {
 	o.removeIdle(nowMs)
 	tenant := o.getOrCreateTenant(request.Tenant)
@@ -220,7 +220,7 @@
 }
 
 // NextReservation returns the reservation to propose next for a tenant, given the number of
-// requests that wait for a reservation.
+// requests that wait for a reservation. The caller sets its Term.
 func (o *Owner) NextReservation(name string, waitingRequests int, nowMs int64) Reservation {
 	tenant := o.getOrCreateTenant(name)
 	tenant.expire(nowMs)
@@ -271,9 +271,9 @@
 	return known
 }
 
-// usableLimit returns how far requests of a program may fill the window. At the limit, new
-// programs leave headroom for the programs in progress: the work of a program that cannot
-// continue is wasted, for its tenant and for the engines.
+// usableLimit returns the number of requests in the window below which a request of the program
+// may be granted. At the limit, new programs leave headroom for the programs in progress: the work
+// of a program that cannot continue is wasted, for its tenant and for the engines.
 func (t *tenantQuota) usableLimit(program string, allowed int64) int64 {
 	if program == "" || t.isInProgress(program) {
 		return allowed
@@ -281,7 +281,7 @@
 	return int64(float64(allowed) * t.newProgramShare)
 }
 
-// adaptNewProgramShare adjusts the headroom reserved for programs in progress after a denial.
+// adaptNewProgramShare adapts newProgramShare after a denied request of the program.
 func (t *tenantQuota) adaptNewProgramShare(program string, nowMs int64) {
 	switch {
 	case t.isInProgress(program):
--- a/internal/quota/queue.go
+++ b/internal/quota/queue.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// queueEntryTimeoutMs is how long a request stays in the queue while its gateway does not ask
-	// again. Gateways ask again within 0.45 s.
+	// queueEntryTimeoutMs is how long a request stays in the queue while its gateway does not
+	// repeat it. Gateways repeat a queued request within 0.45 s.
 	queueEntryTimeoutMs = 1000
 	// ticketGrantRetentionMs is how long a grant is kept by its ticket, so that a repeated
 	// request whose first answer was lost gets the same answer.
@@ -21,8 +21,8 @@
 // queuedRequest is a request of a program in progress that waits for headroom.
 type queuedRequest struct {
 	request Request
-	// firstRequestedMs is when the grant was first requested, usefulUntilMs until when a grant is
-	// of use to the caller, and lastRequestedMs when the gateway last asked for it.
+	// firstRequestedMs and lastRequestedMs are the times of the first and the last request for the
+	// grant. usefulUntilMs is the latest time at which a grant is of use to the caller.
 	firstRequestedMs int64
 	usefulUntilMs    int64
 	lastRequestedMs  int64
@@ -41,11 +41,11 @@
 //
 // Invariant: queued requests are granted in the order in which they were first requested, and no
 // later request is granted before them. While a request is queued, no new program is admitted
-// except the one forced start per window. Each ticket is granted once.
+// except the one forced start per window. A ticket whose grant is kept is not granted again.
 func (o *Owner) decideWithTicket(tenant *tenantQuota, request Request, nowMs int64) Decision {
-	if known := tenant.grantsByTicket[request.Ticket]; known != nil {
-		known.delivered = true
-		return tenant.newDecision(Granted, known.grantedMs)
+	if existing := tenant.grantsByTicket[request.Ticket]; existing != nil {
+		existing.delivered = true
+		return tenant.newDecision(Granted, existing.grantedMs)
 	}
 	position := slices.IndexFunc(tenant.queue, func(item *queuedRequest) bool { return item.request.Ticket == request.Ticket })
 	if position >= 0 {
@@ -89,7 +89,8 @@
 }
 
 // admit reports whether the request may be granted or queued: it belongs to a program in progress
-// or to a new program that may start. Otherwise the returned decision denies it.
+// or to a new program that may start, or it has no program and there is headroom without a queue.
+// Otherwise the returned decision denies it.
 func (o *Owner) admit(tenant *tenantQuota, request Request, nowMs int64) (Decision, bool) {
 	if request.Program == "" {
 		if len(tenant.queue) == 0 && tenant.used() < tenant.allowed() {
@@ -119,9 +120,9 @@
 	return decision, false
 }
 
-// unobservedDemand returns the demand within a window of programs that this owner may not have
-// seen yet. It is estimated by the grants of its predecessors in the window before its term, in
-// proportion to the part of that window that is still current.
+// unobservedDemand estimates the demand, in requests per window, of programs in progress that this
+// owner may not have seen yet. It scales the grants of the predecessors that still count by the
+// remaining fraction of the first window of this owner's term.
 func (o *Owner) unobservedDemand(tenant *tenantQuota, nowMs int64) float64 {
 	remainingFraction := float64(o.windowMs-(nowMs-o.termStartMs)) / float64(o.windowMs)
 	if remainingFraction <= 0 {
@@ -130,7 +131,7 @@
 	return float64(tenant.inherited.sum) * remainingFraction
 }
 
-// grantTicket grants a request. The caller has checked that there are headroom and an open
+// grantTicket grants a request. The caller has checked that there is headroom and an open
 // reservation.
 func (o *Owner) grantTicket(tenant *tenantQuota, queued *queuedRequest, nowMs int64) *ticketGrant {
 	request := queued.request
@@ -190,8 +191,8 @@
 		return
 	}
 	tenant.queue = slices.DeleteFunc(tenant.queue, func(item *queuedRequest) bool { return item.request.Ticket == ticket })
-	if known := tenant.grantsByTicket[ticket]; known != nil {
-		tenant.revokeGrant(ticket, known)
+	if granted := tenant.grantsByTicket[ticket]; granted != nil {
+		tenant.revokeGrant(ticket, granted)
 	}
 }
 
@@ -209,32 +210,32 @@
 	delete(t.grantsByTicket, ticket)
 }
 
-// revokeUndelivered revokes the grants that no gateway has asked for in time.
+// revokeUndelivered revokes the grants that no gateway has fetched within queueEntryTimeoutMs.
 func (t *tenantQuota) revokeUndelivered(nowMs int64) {
 	t.undelivered = slices.DeleteFunc(t.undelivered, func(ticket string) bool {
-		known := t.grantsByTicket[ticket]
-		if known == nil || known.delivered {
+		granted := t.grantsByTicket[ticket]
+		if granted == nil || granted.delivered {
 			return true
 		}
-		if nowMs-known.grantedMs <= queueEntryTimeoutMs {
+		if nowMs-granted.grantedMs <= queueEntryTimeoutMs {
 			return false
 		}
-		t.revokeGrant(ticket, known)
+		t.revokeGrant(ticket, granted)
 		return true
 	})
 }
 
 // removeOldGrants removes the grants that are past their retention.
 func (t *tenantQuota) removeOldGrants(nowMs int64) {
-	for ticket, known := range t.grantsByTicket {
-		if nowMs-known.grantedMs > ticketGrantRetentionMs {
+	for ticket, granted := range t.grantsByTicket {
+		if nowMs-granted.grantedMs > ticketGrantRetentionMs {
 			delete(t.grantsByTicket, ticket)
 		}
 	}
 }
 
-// allowed returns the limit of a window, and allowedInProgress the limit for programs in
-// progress.
+// allowed returns the limit of a window in requests, and allowedInProgress the limit for programs
+// in progress, tolerance included.
 func (t *tenantQuota) allowed() int64 { return t.limit.AllowedRequests(t.granted.lengthMs) }
 
 func (t *tenantQuota) allowedInProgress() int64 {
@@ -253,9 +254,9 @@
 	return decision
 }
 
-// expectedGrantAtMs returns when there will be headroom for a request that has ahead others
-// before it. The requests in the window leave it one after another, followed by the requests
-// granted in their place.
+// expectedGrantAtMs returns when there will be headroom for a request with the given number of
+// requests ahead of it. Each request that leaves the window makes headroom for one queued request,
+// which itself leaves one window later.
 func (t *tenantQuota) expectedGrantAtMs(ahead, nowMs int64) int64 {
 	allowed := t.allowedInProgress()
 	if allowed <= 0 {
--- a/internal/quota/queue_test.go
+++ b/internal/quota/queue_test.go
@@ -12,7 +12,7 @@
 	"github.com/ochrebay/ochrebay/internal/admission"
 )
 
-// queueModel simulates owners whose clients hold tickets, and observes every grant.
+// queueModel simulates owners whose requests carry tickets, and observes every grant.
 type queueModel struct {
 	*ownersModel
 	tolerance Tolerance
@@ -36,15 +36,16 @@
 	return limit + m.tolerance.extraRequests(limit)
 }
 
-// recordGrant records a grant to a ticket and checks the window.
+// recordGrant records a grant to a ticket and checks the window. A ticket counts once, even if
+// several owners grant it.
 func (m *queueModel) recordGrant(ticket string) {
 	m.grantCounts[ticket]++
 	if m.grantCounts[ticket] > 1 {
 		return
 	}
-	m.granted = append(m.granted, m.trueMs)
+	m.grantedMs = append(m.grantedMs, m.trueMs)
 	count := int64(0)
-	for _, at := range slices.Backward(m.granted) {
+	for _, at := range slices.Backward(m.grantedMs) {
 		if at <= m.trueMs-testWindowMs {
 			break
 		}
@@ -55,8 +56,8 @@
 	}
 }
 
-// request requests a grant for a ticket from an owner.
-func (m *queueModel) request(owner *testOwner, request Request) {
+// requestGrant sends a request with a ticket to an owner.
+func (m *queueModel) requestGrant(owner *testOwner, request Request) {
 	nowMs := owner.host.localMs(m.trueMs)
 	m.grantQueued(owner)
 	decision := owner.owner.RequestGrant(request, nowMs)
@@ -92,8 +93,8 @@
 }
 
 // TestLimitHoldsWithQueuesProperty checks that the grants in any window of true time stay within
-// the limit and its tolerance, while requests wait, ask again at other leaders and are cancelled,
-// and leaders and limits change.
+// the limit and its tolerance, while requests wait, are repeated to other leaders and are
+// cancelled, and leaders and limits change.
 func TestLimitHoldsWithQueuesProperty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &queueModel{grantCounts: map[string]int{}, ownersModel: &ownersModel{t: t, limit: Limit{
@@ -114,7 +115,7 @@
 			case "request":
 				for range rapid.IntRange(1, 30).Draw(t, "times") {
 					m.tickets++
-					m.request(owner, Request{
+					m.requestGrant(owner, Request{
 						Tenant: "t", Limit: m.limit, Program: fmt.Sprint(rapid.IntRange(0, 9).Draw(t, "program")), Kind: "k",
 						Ticket: fmt.Sprint(m.tickets), ContinuesProgram: rapid.Bool().Draw(t, "continues"), MaxWaitMs: rapid.Int64Range(0, 3000).Draw(t, "wait"),
 					})
@@ -124,7 +125,7 @@
 				m.waiting = nil
 				for _, request := range waiting {
 					if m.grantCounts[request.Ticket] == 0 {
-						m.request(owner, request)
+						m.requestGrant(owner, request)
 					}
 				}
 			case "grant queued":
@@ -155,8 +156,9 @@
 }
 
 // TestQueueOrderProperty checks under a single owner that queued requests are granted in the
-// order in which they were first requested, that each is granted by its expected time if it keeps
-// asking, and that while a request is queued at most one new program starts per window.
+// order in which they were first requested, that each is granted by its expected time if it is
+// repeated, and that while a request is queued no new program is admitted within a window of a
+// new program that was granted at once.
 func TestQueueOrderProperty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := Limit{Generation: 1, RatePerSecond: float64(rapid.IntRange(1, 20).Draw(t, "rate"))}
@@ -242,7 +244,7 @@
 }
 
 // TestNoStarvationProperty checks that a new program starts at least once in two windows plus the
-// wait of a queued request, whatever the demand of the programs in progress.
+// expected wait of its queued request, whatever the demand of the programs in progress.
 func TestNoStarvationProperty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := Limit{Generation: 1, RatePerSecond: float64(rapid.IntRange(1, 20).Draw(t, "rate"))}
@@ -294,7 +296,7 @@
 }
 
 // TestWithinTheLimitProperty checks that programs of a known kind are neither denied nor queued
-// if their tenant's demand stays below nine tenths of its limit in any window.
+// if their tenant's demand stays within nine tenths of its limit in any window.
 func TestWithinTheLimitProperty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		requests, gapMs := rapid.IntRange(2, 20).Draw(t, "requests"), rapid.Int64Range(50, 400).Draw(t, "gap")
@@ -373,7 +375,7 @@
 		owner.RequestGrant(newRequest("old", 20_000, 900), 200)
 		So(owner.tenants["t"].queue[0].request.Ticket, ShouldEqual, "old")
 	})
-	Convey("a cancelled queued request and a cancelled grant free their capacity once", t, func() {
+	Convey("a cancelled request leaves the queue, and a grant that is cancelled twice frees headroom once", t, func() {
 		owner := ownerAtLimit()
 		owner.RequestGrant(newRequest("a", 20_000, 0), 50)
 		owner.RequestGrant(newRequest("b", 20_000, 0), 50)
@@ -385,7 +387,7 @@
 		So(tickets, ShouldResemble, []string{"b"})
 		So(owner.tenants["t"].used(), ShouldEqual, 10)
 	})
-	Convey("a queued request expires if its gateway stops asking, and a grant that no gateway fetches is revoked", t, func() {
+	Convey("a queued request expires if its gateway stops repeating it, and a grant that no gateway fetches is revoked", t, func() {
 		owner := ownerAtLimit()
 		owner.RequestGrant(newRequest("gone", 20_000, 0), 50)
 		owner.GrantQueued("t", 50+queueEntryTimeoutMs+1)
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -7,10 +7,10 @@
 
 import "math"
 
-// ReservationLifetimeMs is how long a reservation may be granted from, in milliseconds after its
-// proposal by the proposer's clock. A longer lifetime means fewer log entries, but a successor
-// that overestimates the grants by more. At 1 s, a tenant with 5 requests a second writes about
-// one entry a second.
+// ReservationLifetimeMs is the time after its proposal in which a reservation can be used for
+// grants, in milliseconds of the proposer's clock. A longer lifetime needs fewer log entries, but
+// makes a successor overestimate the grants by more. At 1 s, a tenant with 5 requests a second
+// writes about one entry a second.
 const ReservationLifetimeMs = 1000
 
 // Limit is the rate limit of one tenant.
@@ -31,15 +31,15 @@
 }
 
 // usableToleranceFraction is the fraction of a tolerance that is used. The rest covers effects
-// that enforcement cannot see: clock drift between engines, and requests that arrive after others
-// that were granted later.
+// that enforcement cannot see: the drift between the clocks of engines, and requests that reach
+// an engine later than requests that were granted after them.
 const usableToleranceFraction = 0.5
 
-// Tolerance is by how much the requests of a window may exceed a limit before the party that set
-// the limit counts it as violated: a fraction of the limit (Overage) plus a number of requests
-// (Slack). It exists because some enforcement cannot count exactly. This package counts exactly
-// and uses the tolerance to let programs in progress continue, while new programs are held to
-// the limit itself.
+// Tolerance bounds by how much the requests of a window may exceed a limit before the limit
+// counts as violated for whoever set it: by OverageFraction of the limit plus SlackRequests. It
+// exists because some enforcement cannot count exactly. This package counts exactly and uses the
+// tolerance to let programs in progress continue, while new programs are held to the limit
+// itself.
 type Tolerance struct {
 	OverageFraction float64
 	SlackRequests   float64
@@ -59,7 +59,7 @@
 	Limit  Limit  `msgpack:"l"`
 	// Program is the program of the request, "" for none.
 	Program string `msgpack:"p,omitempty"`
-	// ReturnedGrant returns a grant whose request has not run on any engine and will not.
+	// ReturnedGrant is a grant to take back, because no engine has run its request or will run it.
 	ReturnedGrant *Grant `msgpack:"u,omitempty"`
 	// Ticket identifies the attempt that needs the grant. A repeated request carries the same
 	// ticket, so that it keeps its position in the queue and is granted once. Requests of
@@ -70,8 +70,8 @@
 	// another.
 	Kind             string `msgpack:"n,omitempty"`
 	ContinuesProgram bool   `msgpack:"c,omitempty"`
-	// MaxWaitMs is for how much longer a grant is of use, and WaitedMs how long ago the grant was
-	// first requested, both in milliseconds.
+	// MaxWaitMs is the remaining time in which a grant is of use, and WaitedMs the time since the
+	// grant was first requested, both in milliseconds.
 	MaxWaitMs int64 `msgpack:"w,omitempty"`
 	WaitedMs  int64 `msgpack:"d,omitempty"`
 	// Cancelled means that no caller waits for the ticket any more and that no engine runs its
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -41,9 +41,9 @@
 	hosts  []testHost
 	log    []Reservation
 	// owners holds the owners that may still grant requests, newest last.
-	owners  []*testOwner
-	granted []int64
-	limit   Limit
+	owners    []*testOwner
+	grantedMs []int64
+	limit     Limit
 	// previousLimits holds the earlier limits with the times at which they were replaced.
 	previousLimits []changedLimit
 }
@@ -81,14 +81,14 @@
 	m.owners = append(m.owners, &testOwner{host: host, term: term, owner: NewOwner(state, host.localMs(m.trueMs))})
 }
 
-// request requests a grant from an owner and checks the grants against the limit.
-func (m *ownersModel) request(owner *testOwner, limit Limit, program string) Decision {
+// requestGrant sends a request to an owner and checks the grants against the limit.
+func (m *ownersModel) requestGrant(owner *testOwner, limit Limit, program string) Decision {
 	nowMs := owner.host.localMs(m.trueMs)
 	decision := owner.owner.RequestGrant(Request{Tenant: "t", Limit: limit, Program: program}, nowMs)
 	switch {
 	case decision.Verdict == Granted:
-		m.granted = append(m.granted, m.trueMs)
-		m.check()
+		m.grantedMs = append(m.grantedMs, m.trueMs)
+		m.checkWindow()
 	case decision.Verdict == ReservationNeeded && owner.pending == nil:
 		reservation := owner.owner.NextReservation("t", rapid.IntRange(1, 5).Draw(m.t, "waiting"), nowMs)
 		reservation.Term = owner.term
@@ -123,9 +123,9 @@
 	return maxRequests
 }
 
-func (m *ownersModel) check() {
+func (m *ownersModel) checkWindow() {
 	count := int64(0)
-	for _, at := range slices.Backward(m.granted) {
+	for _, at := range slices.Backward(m.grantedMs) {
 		if at <= m.trueMs-testWindowMs {
 			break
 		}
@@ -156,7 +156,7 @@
 			case "request":
 				owner := m.owners[len(m.owners)-1-rapid.IntRange(0, min(2, len(m.owners)-1)).Draw(t, "owner")]
 				for range rapid.IntRange(1, 30).Draw(t, "times") {
-					m.request(owner, m.limit, fmt.Sprint(rapid.IntRange(0, 4).Draw(t, "program")))
+					m.requestGrant(owner, m.limit, fmt.Sprint(rapid.IntRange(0, 4).Draw(t, "program")))
 				}
 			case "commit":
 				m.commit()
@@ -175,21 +175,21 @@
 }
 
 // TestBelowTheLimitProperty checks, while one owner leads, that no request is denied if the
-// demand in any window is below nine tenths of the limit.
+// demand in any window is at most nine tenths of the limit.
 func TestBelowTheLimitProperty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &ownersModel{t: t, limit: Limit{Generation: 1, RatePerSecond: float64(rapid.IntRange(4, 40).Draw(t, "rate")), Burst: 5}}
 		m.elect(testHost{offsetMs: rapid.Int64Range(0, 1000).Draw(t, "offset")})
-		most := m.limit.AllowedRequests(testWindowMs) * 9 / 10
+		maxDemand := m.limit.AllowedRequests(testWindowMs) * 9 / 10
 		var requestedMs []int64
 		for range rapid.IntRange(50, 300).Draw(t, "steps") {
 			m.trueMs += rapid.Int64Range(0, 400).Draw(t, "ms")
 			requestedMs = slices.DeleteFunc(requestedMs, func(at int64) bool { return at <= m.trueMs-testWindowMs-bucketMs-clockDriftMarginMs })
-			for range rapid.Int64Range(0, most-int64(len(requestedMs))).Draw(t, "times") {
-				decision := m.request(m.owners[0], m.limit, "p")
+			for range rapid.Int64Range(0, maxDemand-int64(len(requestedMs))).Draw(t, "times") {
+				decision := m.requestGrant(m.owners[0], m.limit, "p")
 				if decision.Verdict == ReservationNeeded {
 					m.commit()
-					decision = m.request(m.owners[0], m.limit, "p")
+					decision = m.requestGrant(m.owners[0], m.limit, "p")
 				}
 				if decision.Verdict != Granted {
 					t.Fatalf("verdict %v at %d of %d requests", decision.Verdict, decision.Used, decision.Allowed)
@@ -223,13 +223,13 @@
 	})
 	Convey("requests denied together get retry times spaced at the limit's rate", t, func() {
 		owner := ownerWithGrants(10)
-		var times []int64
+		var retryAfterMs []int64
 		for range 3 {
-			times = append(times, owner.RequestGrant(Request{Tenant: "t", Limit: limit}, 50).RetryAfterMs)
+			retryAfterMs = append(retryAfterMs, owner.RequestGrant(Request{Tenant: "t", Limit: limit}, 50).RetryAfterMs)
 		}
-		So(times[1]-times[0], ShouldEqual, 500)
-		So(times[2]-times[1], ShouldEqual, 500)
-		So(times[0], ShouldBeGreaterThan, testWindowMs-50)
+		So(retryAfterMs[1]-retryAfterMs[0], ShouldEqual, 500)
+		So(retryAfterMs[2]-retryAfterMs[1], ShouldEqual, 500)
+		So(retryAfterMs[0], ShouldBeGreaterThan, testWindowMs-50)
 	})
 	Convey("a predecessor that is cut off may grant until its reservation expires, and its successor counts these grants", t, func() {
 		reservation := Reservation{Tenant: "t", Count: 10, Limit: limit, Term: 1, NowMs: 0}
@@ -262,7 +262,7 @@
 		So(owner.RequestGrant(Request{Tenant: "t", Limit: limit, Program: "newer"}, 60).Verdict, ShouldEqual, Denied)
 		So(owner.RequestGrant(Request{Tenant: "t", Limit: limit, Program: "old"}, 60).Verdict, ShouldEqual, Granted)
 	})
-	Convey("idle tenants and programs are removed", t, func() {
+	Convey("an idle tenant is removed with its programs", t, func() {
 		owner := ownerWithGrants(3)
 		owner.RequestGrant(Request{Tenant: "u", Limit: limit}, 2*programIdleTimeoutMs)
 		So(owner.tenants, ShouldNotContainKey, "t")
--- a/internal/quota/state.go
+++ b/internal/quota/state.go
@@ -62,34 +62,35 @@
 	if reservation.Count == 0 {
 		return
 	}
-	known := s.tenants[reservation.Tenant]
-	if known == nil {
-		known = &tenantState{Tenant: reservation.Tenant}
-		s.tenants[reservation.Tenant] = known
+	tenant := s.tenants[reservation.Tenant]
+	if tenant == nil {
+		tenant = &tenantState{Tenant: reservation.Tenant}
+		s.tenants[reservation.Tenant] = tenant
 	}
-	if reservation.Limit.Generation >= known.Limit.Generation {
-		known.Limit = reservation.Limit
+	if reservation.Limit.Generation >= tenant.Limit.Generation {
+		tenant.Limit = reservation.Limit
 	}
-	known.Reserved = append(known.Reserved, storedReservation{AtMs: s.clockMs, Count: reservation.Count})
+	tenant.Reserved = append(tenant.Reserved, storedReservation{AtMs: s.clockMs, Count: reservation.Count})
 }
 
 // removeExpired removes the reservations that no longer count in any window.
 func (s *State) removeExpired() {
 	oldest := s.clockMs - s.windowMs - ReservationLifetimeMs
-	for name, known := range s.tenants {
-		first := slices.IndexFunc(known.Reserved, func(item storedReservation) bool { return item.AtMs >= oldest })
+	for name, tenant := range s.tenants {
+		first := slices.IndexFunc(tenant.Reserved, func(item storedReservation) bool { return item.AtMs >= oldest })
 		if first < 0 {
 			delete(s.tenants, name)
 			continue
 		}
-		known.Reserved = known.Reserved[first:]
+		tenant.Reserved = tenant.Reserved[first:]
 	}
 }
 
 // TenantCount returns the number of tenants with reservations that may still count.
 func (s *State) TenantCount() int { return len(s.tenants) }
 
-// stateSnapshot is the encoded state. Its order is the same on every replica.
+// stateSnapshot is the state as it is encoded. Tenants is sorted by name, so that the encoding is
+// the same on every replica.
 type stateSnapshot struct {
 	ClockMs int64          `msgpack:"c"`
 	Term    uint64         `msgpack:"m"`
@@ -100,8 +101,8 @@
 // Snapshot returns the encoded state.
 func (s *State) Snapshot() ([]byte, error) {
 	encoded := stateSnapshot{ClockMs: s.clockMs, Term: s.lastTerm, LastMs: s.lastProposalMs}
-	for _, known := range s.tenants {
-		encoded.Tenants = append(encoded.Tenants, known)
+	for _, tenant := range s.tenants {
+		encoded.Tenants = append(encoded.Tenants, tenant)
 	}
 	slices.SortFunc(encoded.Tenants, func(a, b *tenantState) int { return cmp.Compare(a.Tenant, b.Tenant) })
 	var buffer bytes.Buffer
@@ -119,8 +120,8 @@
 	}
 	s.clockMs, s.lastTerm, s.lastProposalMs = encoded.ClockMs, encoded.Term, encoded.LastMs
 	s.tenants = map[string]*tenantState{}
-	for _, known := range encoded.Tenants {
-		s.tenants[known.Tenant] = known
+	for _, tenant := range encoded.Tenants {
+		s.tenants[tenant.Tenant] = tenant
 	}
 	return nil
 }
--- a/internal/quota/window.go
+++ b/internal/quota/window.go
@@ -1,11 +1,13 @@
 package quota
 
-// bucketMs is the resolution of a window in milliseconds. Everything in a bucket counts until the
-// end of the bucket has left the window. A bucket is a fiftieth of a window of 5 s.
+// bucketMs is the resolution of a window in milliseconds. All events of a bucket count until the
+// end of the bucket has left the window, so that each counts for up to one bucket longer than the
+// window: a fiftieth of a window of 5 s.
 const bucketMs = 100
 
 // clockDriftMarginMs covers the drift between the clocks of two machines, or between a clock and
-// true time, within a window and a reservation: 0.1% of 6 s plus a margin.
+// true time, within a window of 5 s and a reservation of 1 s, in milliseconds: 0.1% of 6 s is
+// 6 ms, and the rest is a margin.
 const clockDriftMarginMs = 10
 
 // bucket counts events within bucketMs of startMs.
@@ -22,7 +24,8 @@
 	sum      int64
 }
 
-// add counts events at atMs. Times may decrease by at most one bucket.
+// add counts events at atMs, which may be before the atMs of the previous call by at most
+// bucketMs.
 func (w *window) add(atMs, count int64) {
 	start := atMs - atMs%bucketMs
 	w.sum += count
--- a/internal/replication/expiry.go
+++ b/internal/replication/expiry.go
@@ -6,8 +6,8 @@
 )
 
 // ExpirePending fails the proposals and reads that no quorum confirmed in time, or whose outcome
-// this replica can no longer see because it lost the leadership. It also maintains the snapshot
-// transfers.
+// this replica can no longer see because it lost the leadership. It also resends and ends
+// snapshot transfers.
 func (h *Host) ExpirePending() {
 	for _, group := range h.Groups {
 		h.deferError(h.maintainTransfers(group))
@@ -33,8 +33,8 @@
 
 // failOverwrittenProposals fails the proposals whose entries are no longer in the log because
 // another leader overwrote them. Their outcome is unknown: a third replica may still hold such an
-// entry and commit it. Invariant: at most one proposal waits at an index, so that no proposal is
-// dropped when the next one of this replica takes its index.
+// entry and commit it. Invariant: a proposal is answered before the next proposal of this replica
+// at the same index replaces it in the map, so that none is left without an answer.
 func (h *Host) failOverwrittenProposals(group *Group) {
 	if len(group.proposals) == 0 || group.checkedTerm == group.Node.Term() {
 		return
--- a/internal/replication/group.go
+++ b/internal/replication/group.go
@@ -52,8 +52,9 @@
 	// value for deleted records. The log still has the entries, so the records need not be on
 	// disk before the log is compacted. Until then, reads look here first.
 	unflushed unflushedRecords
-	// memberByReplica is the member that each replica last sent from. A replica that has just
-	// joined must answer a leader that its own, still empty configuration does not contain.
+	// memberByReplica is the member that each replica last sent from. It is needed by a replica
+	// that has just joined: it must answer the leader although its own configuration is still
+	// empty.
 	memberByReplica map[consensus.ReplicaID]string
 	// compactionDue makes the next Write compact the log.
 	compactionDue bool
@@ -108,8 +109,8 @@
 	return nil
 }
 
-// LinearizableRead calls done without an error once the state of this replica is linearizable, or
-// with an error if that is not confirmed.
+// LinearizableRead calls done without an error once a read of this replica's state is
+// linearizable, or with an error if that is not confirmed.
 func (h *Host) LinearizableRead(group *Group, done func(err *result.Error)) {
 	group.lastReadID++
 	if err := group.Node.ReadIndex(group.lastReadID); err != nil {
@@ -120,7 +121,8 @@
 }
 
 // ProcessReady processes the ready state of all groups: it sends messages, makes one synced write
-// for all groups, and only then sends acknowledgements and replies.
+// for all groups, and only then sends acknowledgements and replies. It repeats this for up to 64
+// rounds while there is ready state; the next call continues.
 func (h *Host) ProcessReady() error {
 	if h.deferredErr != nil {
 		return h.deferredErr
@@ -179,12 +181,12 @@
 	return true, nil
 }
 
-// buildWrite converts a Ready to the group's part of the write. The second result reports whether
-// the write is needed.
+// buildWrite converts a ready state to the group's part of the write. The second result reports
+// whether the part must be written and synced.
 func (h *Host) buildWrite(group *Group, ready consensus.Ready) (storage.GroupWrite, bool, error) {
 	write := storage.GroupWrite{Group: group.ID, Entries: ready.Entries}
 	needsSync := len(ready.Entries) > 0
-	// A commit index alone needs no sync: it is found again after a restart.
+	// A commit index alone needs no sync: after a restart the replica learns it again.
 	if ready.HardState != nil {
 		write.HardState = ready.HardState
 		needsSync = needsSync || ready.HardState.Term != group.persistedTerm || ready.HardState.Vote != group.persistedVote
@@ -254,6 +256,8 @@
 	return records
 }
 
+// afterSync sends the messages that had to wait for the sync, applies the committed entries and
+// completes or fails reads.
 func (h *Host) afterSync(group *Group, ready consensus.Ready) error {
 	for _, message := range ready.MessagesAfterSync {
 		h.queueMessage(group, message)
@@ -305,7 +309,7 @@
 	if isPending && pending.term == entry.Term && entry.Kind == consensus.EntryCommand {
 		pending.reply(reply)
 	} else if isPending {
-		// The entry of another leader took this index, so the command was not applied.
+		// An entry of another leader was committed at this index, so the command was not applied.
 		pending.reply(result.New(result.NotLeader, "leadership of group %d changed", group.ID))
 	}
 	if h.OnApplied != nil {
--- a/internal/replication/host.go
+++ b/internal/replication/host.go
@@ -17,7 +17,8 @@
 	RecordsAfter(group storage.GroupID, after storage.RecordKey, maxBytes int) (records []storage.Record, more bool, err error)
 }
 
-// Options configures a Host. Times are in milliseconds.
+// Options configures a Host. The fields with Ticks in their name count ticks, those with Ms
+// milliseconds.
 type Options struct {
 	// Name is the member name of this process in the configurations of the groups.
 	Name                 string
@@ -121,7 +122,7 @@
 	return replica.Member
 }
 
-// Step processes the messages of a batch that are addressed to this process.
+// Step processes the messages of a batch that are addressed to replicas of this host.
 func (h *Host) Step(batch protocol.PeerBatch) {
 	for _, message := range batch.Messages {
 		group := h.FindGroup(storage.GroupID(message.Group))
@@ -151,7 +152,7 @@
 		return nil
 	}
 	group.memberByReplica[message.Message.From] = from
-	if message.Message.Kind != consensus.MessageSnapshot || h.canInstall(group, &message.Message) {
+	if message.Message.Kind != consensus.MessageSnapshot || h.acceptSnapshot(group, &message.Message) {
 		group.Node.Step(message.Message)
 	}
 	return nil
--- a/internal/replication/terms_test.go
+++ b/internal/replication/terms_test.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	termsGroup          = storage.GroupID(0)
-	termsProposalWaitMs = 5000
+	termsGroup             = storage.GroupID(0)
+	termsProposalTimeoutMs = 5000
 	// termsPeerB and termsPeerC are the other voters, which the test simulates.
 	termsPeerB = consensus.ReplicaID(1)
 	termsPeerC = consensus.ReplicaID(2)
@@ -64,7 +64,7 @@
 func newTestVoter(t testing.TB) *testVoter {
 	options := Options{
 		Name: "a", ElectionTicks: 10, HeartbeatTicks: 2, MaxAppendBytes: 1 << 16, MaxInflight: 8,
-		ProposalTimeoutMs: termsProposalWaitMs, CompactAfterEntries: 1000,
+		ProposalTimeoutMs: termsProposalTimeoutMs, CompactAfterEntries: 1000,
 	}
 	v := &testVoter{t: t, stateMachine: &recordingStateMachine{}}
 	v.host = NewHost(options, emptyDisk{}, func(string, []protocol.PeerMessage) {})
@@ -84,7 +84,7 @@
 	v.host.Step(protocol.PeerBatch{From: "b", Messages: []protocol.PeerMessage{{Group: uint32(termsGroup), Message: message}}})
 }
 
-func (v *testVoter) flush() {
+func (v *testVoter) processReady() {
 	if err := v.host.ProcessReady(); err != nil {
 		v.t.Fatal(err)
 	}
@@ -118,12 +118,12 @@
 
 // confirmLog makes peer B acknowledge the whole log and a heartbeat of the latest round.
 func (v *testVoter) confirmLog() {
-	v.flush()
+	v.processReady()
 	v.step(consensus.Message{Kind: consensus.MessageAppendResponse, From: termsPeerB, Term: v.group.Node.Term(), Index: v.group.Node.LastIndex()})
-	v.flush()
+	v.processReady()
 	const anyRound = 1 << 40
 	v.step(consensus.Message{Kind: consensus.MessageHeartbeatResponse, From: termsPeerB, Term: v.group.Node.Term(), Context: anyRound})
-	v.flush()
+	v.processReady()
 }
 
 func (v *testVoter) propose(command string, onReply func(reply any)) {
@@ -132,8 +132,9 @@
 	}
 }
 
-// TestReadsOfAnEarlierTerm covers a leader that is frozen, loses the leadership and regains it by
-// a transfer before it checks its timers.
+// TestReadsOfAnEarlierTerm checks that an unconfirmed read fails when its term ends, also if the
+// leader was frozen, lost the leadership and regained it by a transfer before it checked its
+// timers.
 func TestReadsOfAnEarlierTerm(t *testing.T) {
 	for _, hasCommitted := range []bool{false, true} {
 		Convey(fmt.Sprintf("a read fails when its term ends (leader had committed: %v)", hasCommitted), t, func() {
@@ -144,16 +145,16 @@
 			}
 			var results []*result.Error
 			voter.host.LinearizableRead(voter.group, func(failure *result.Error) { results = append(results, failure) })
-			voter.flush()
+			voter.processReady()
 			So(results, ShouldBeEmpty)
 			voter.stepDown()
 			voter.becomeLeader()
-			voter.flush()
+			voter.processReady()
 			So(results, ShouldHaveLength, 1)
 			So(results[0].Code, ShouldEqual, result.NotLeader)
 			Convey("the read is answered once", func() {
 				voter.confirmLog()
-				voter.host.NowMs += 2 * termsProposalWaitMs
+				voter.host.NowMs += 2 * termsProposalTimeoutMs
 				voter.host.ExpirePending()
 				So(results, ShouldHaveLength, 1)
 			})
@@ -173,15 +174,16 @@
 		voter.host.LinearizableRead(voter.group, func(failure *result.Error) { results = append(results, failure) })
 		voter.step(consensus.Message{Kind: consensus.MessageHeartbeatResponse, From: termsPeerB, Term: voter.group.Node.Term(), Context: 1 << 40})
 		voter.stepDown()
-		voter.flush()
+		voter.processReady()
 		So(results, ShouldResemble, []*result.Error{nil})
 	})
 }
 
-// TestProposalsOfAnEarlierTerm checks proposals whose leader lost and regained the leadership
-// between two checks of its timers.
+// TestProposalsOfAnEarlierTerm checks that each proposal is answered, by the outcome of its entry
+// or with an unknown outcome, if its leader lost and regained the leadership between two checks of
+// its timers.
 func TestProposalsOfAnEarlierTerm(t *testing.T) {
-	Convey("a proposal whose entry is still in the log waits for it", t, func() {
+	Convey("a proposal whose entry is still in the log waits until the entry is applied", t, func() {
 		voter := newTestVoter(t)
 		voter.becomeLeader()
 		voter.confirmLog()
@@ -189,7 +191,7 @@
 		voter.propose("first", func(reply any) { replies = append(replies, reply) })
 		voter.stepDown()
 		voter.becomeLeader()
-		voter.flush()
+		voter.processReady()
 		So(replies, ShouldBeEmpty)
 		voter.confirmLog()
 		So(replies, ShouldResemble, []any{"first"})
@@ -207,7 +209,7 @@
 		voter.stepDown()
 		voter.overwriteAfter(before)
 		voter.becomeLeader()
-		voter.flush()
+		voter.processReady()
 		So(codes, ShouldResemble, []result.Code{result.NoQuorum, result.NoQuorum, result.NoQuorum})
 	})
 	Convey("a proposal whose index is taken by a proposal of the new term is still answered", t, func() {
@@ -230,7 +232,7 @@
 		So(newReplies, ShouldResemble, []any{"new", "new", "new", "new"})
 		So(voter.stateMachine.applied, ShouldResemble, []string{"new", "new", "new", "new"})
 	})
-	Convey("a reply may propose again", t, func() {
+	Convey("a reply callback may propose again", t, func() {
 		voter := newTestVoter(t)
 		voter.becomeLeader()
 		voter.confirmLog()
@@ -242,15 +244,15 @@
 		voter.stepDown()
 		voter.overwriteAfter(before)
 		voter.becomeLeader()
-		voter.flush()
+		voter.processReady()
 		voter.confirmLog()
 		So(reproposed, ShouldEqual, 3)
 	})
 }
 
-// TestEachPendingRequestIsAnsweredOnce checks that every pending read and proposal is answered exactly
-// once, at the latest after its timeout, for any sequence of leaderships won and lost between
-// checks of the timers.
+// TestEachPendingRequestIsAnsweredOnce checks that every pending read and proposal is answered
+// exactly once, at the latest after its timeout, for any sequence of leaderships won and lost
+// between checks of the timers.
 func TestEachPendingRequestIsAnsweredOnce(t *testing.T) {
 	rapid.Check(t, func(run *rapid.T) {
 		voter := newTestVoter(t)
@@ -286,8 +288,8 @@
 				voter.host.ExpirePending()
 			}
 		}
-		voter.flush()
-		voter.host.NowMs += 2 * termsProposalWaitMs
+		voter.processReady()
+		voter.host.NowMs += 2 * termsProposalTimeoutMs
 		voter.host.ExpirePending()
 		for number := 1; number <= issued; number++ {
 			if answered[number] != 1 {
--- a/internal/replication/transfer.go
+++ b/internal/replication/transfer.go
@@ -10,9 +10,10 @@
 
 const (
 	// maxPartBytes bounds the records in one part of a snapshot, so that neither side holds all
-	// records of a group in memory. A host with an empty disk receives a part of each of its
-	// groups at once. Eight parts take 0.09 s on a link of 47 Mbit/s, which keeps heartbeats
-	// within an election timeout (0.3 s); parts of four times the size do not.
+	// records of a group in memory. A host with an empty disk receives one part of each of its
+	// groups at the same time. Eight parts of this size take 0.09 s on a link of 47 Mbit/s, so
+	// that heartbeats still arrive within an election timeout (0.3 s). With parts of four times
+	// the size they do not.
 	maxPartBytes = 64 << 10
 	// partResendMs is how long the reply to a part may take before the part is sent again. It is
 	// longer than the time a part takes on a congested link, because resent parts would add to
@@ -22,8 +23,8 @@
 	partsNotNeeded = -1
 )
 
-// snapshotState is the data of a snapshot on the wire. Its records were sent before it, in Parts
-// parts.
+// snapshotState is the data of a snapshot on the wire. The records of the snapshot were sent
+// before it, and Parts is the number of their parts.
 type snapshotState struct {
 	State []byte `msgpack:"s"`
 	Parts int    `msgpack:"p"`
@@ -34,7 +35,8 @@
 type outgoingTransfer struct {
 	snapshot consensus.Snapshot
 	state    []byte
-	// partNumber is the part that awaits its reply. Its records follow afterKey.
+	// partNumber is the number of the part whose reply is awaited. Its records are those after
+	// afterKey.
 	partNumber int
 	afterKey   storage.RecordKey
 	sentMs     int64
@@ -71,8 +73,8 @@
 		}
 		return nil
 	}
-	// Invariant: before the first part is read, the disk holds the records of every entry that
-	// the snapshot covers.
+	// The disk must hold the records of every entry that the snapshot covers before the first part
+	// is read.
 	if len(group.unflushed) > 0 {
 		if err := h.storage.Write([]storage.GroupWrite{{Group: group.ID, Records: group.takeUnflushed()}}); err != nil {
 			return err
@@ -181,8 +183,8 @@
 		return
 	}
 	if part.Index <= group.Node.CommitIndex() {
-		// The leader does not know how far this replica has got; the snapshot itself lets it find
-		// out.
+		// The leader does not know yet that this replica has these entries. It learns that from
+		// the reply to the snapshot itself, which it may send without further parts.
 		group.partReplies = append(group.partReplies, h.newPartReply(group, part.From, part.Term, part.Index, partsNotNeeded))
 		return
 	}
@@ -209,10 +211,10 @@
 	return &protocol.SnapshotPart{From: group.Node.ID(), To: to, Term: term, Index: index, Number: wantedPart, IsAcknowledgement: true}
 }
 
-// canInstall reports whether a snapshot can be passed to the consensus node: all its records are
-// staged, it has none, or the replica does not need it. Otherwise the leader is asked for the
-// first part.
-func (h *Host) canInstall(group *Group, message *consensus.Message) bool {
+// acceptSnapshot reports whether a snapshot can be passed to the consensus node: all its records
+// are staged, it has none, or the replica does not need it. Otherwise it drops the incoming
+// transfer and asks the leader for the first part.
+func (h *Host) acceptSnapshot(group *Group, message *consensus.Message) bool {
 	var state snapshotState
 	if message.Snapshot == nil || msgpack.Unmarshal(message.Snapshot.Data, &state) != nil {
 		return false
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -15,15 +15,15 @@
 	RetriesPerSuccess float64 `yaml:"share" validate:"min=0,max=1"`
 }
 
-// DefaultSettings allows one retry per five successes. That is enough for a back end in which a
+// DefaultSettings allows one retry per five successes. That is enough for a backend in which a
 // sixth of the engines fail every request.
 func DefaultSettings() Settings { return Settings{RetriesPerSuccess: 0.2} }
 
-// maxSavedRetries bounds the retries that accumulate while nothing fails: as many as the requests
-// that are interrupted when a full engine stops.
+// maxSavedRetries bounds the retries that accumulate while nothing fails. It is the number of
+// requests that are interrupted when an engine at full load stops.
 const maxSavedRetries = 16
 
-// Budget is the retry budget of one back end. Invariant: the number of retries is at most
+// Budget is the retry budget of one backend. Invariant: the number of retries is at most
 // RetriesPerSuccess times the number of successes, plus maxSavedRetries.
 type Budget struct {
 	settings     Settings
@@ -55,13 +55,12 @@
 	// minSampleWeight is the minimum total weight of samples for which a timeout is given. It
 	// leaves a few samples beyond the quantile.
 	minSampleWeight = 100
-	// timeoutQuantile is the quantile of the latencies on which the timeout is based, and
-	// timeoutFactor the multiple of it that an attempt may take. An engine that takes as long is
-	// not merely slow, and the attempt not merely unlucky.
+	// The timeout is timeoutFactor times the timeoutQuantile quantile of the latencies. An attempt
+	// that takes longer than that is no longer explained by a slow engine or by chance.
 	timeoutQuantile = 0.98
 	timeoutFactor   = 2
 	// bucketGrowth is the ratio of the latencies of two adjacent buckets, and bucketCount the
-	// number of buckets. They cover 1 ms to about 5 minutes.
+	// number of buckets. They cover 1 ms to about 4.5 minutes (1.25 to the power of 56).
 	bucketGrowth = 1.25
 	bucketCount  = 57
 	// maxKinds bounds the number of kinds of request that are tracked.
@@ -127,8 +126,8 @@
 	byKind map[string]*LatencyHistogram
 }
 
-// ForKind returns the histogram of a kind of request, which is created if necessary. If there are
-// maxKinds already, all histograms are dropped first.
+// ForKind returns the histogram of a kind of request and creates it if necessary. If there are
+// maxKinds histograms already, all of them are dropped before a new one is created.
 func (h *LatencyHistograms) ForKind(kind string) *LatencyHistogram {
 	histogram, known := h.byKind[kind]
 	if !known {
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -8,6 +8,8 @@
 	"pgregory.net/rapid"
 )
 
+// TestBudgetProperty checks that retries stay within RetriesPerSuccess times the successes plus
+// maxSavedRetries.
 func TestBudgetProperty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		settings := Settings{RetriesPerSuccess: rapid.Float64Range(0, 1).Draw(t, "retries per success")}
@@ -63,7 +65,7 @@
 			raisedMs, _ := histogram.TimeoutMs(nowMs)
 			So(raisedMs, ShouldBeGreaterThan, 3*timeoutMs)
 		})
-		Convey("the samples expire after some minutes", func() {
+		Convey("the samples expire within five minutes", func() {
 			_, hasTimeout := histogram.TimeoutMs(nowMs + 300_000)
 			So(hasTimeout, ShouldBeFalse)
 		})
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -22,8 +22,8 @@
 	readBufferBytes = 8 << 10
 	// tcpUserTimeout closes a connection whose peer stops acknowledging data.
 	tcpUserTimeout = 2500 * time.Millisecond
-	// keepAliveMargin is how long before the announced keep-alive timeout an idle connection is
-	// no longer used.
+	// keepAliveMargin is the time before the end of the announced keep-alive timeout in which an
+	// idle connection is not used, because the engine may be about to close it.
 	keepAliveMargin = 400 * time.Millisecond
 	// maxIdle bounds the idle time of connections whose engine announces no keep-alive timeout.
 	maxIdle = 30 * time.Second
@@ -33,7 +33,8 @@
 type connection struct {
 	socket net.Conn
 	reader *bufio.Reader
-	// usableUntil is when the engine may close the connection if it is idle.
+	// usableUntil is the time until which the idle connection may be reused. The engine may close
+	// it soon after.
 	usableUntil time.Time
 }
 
@@ -74,7 +75,8 @@
 	return err == nil && drained
 }
 
-// recordKeepAlive records how long the engine keeps the idle connection open.
+// recordKeepAlive sets usableUntil from the keep-alive timeout that the engine announces, at most
+// maxIdle. The timeout is reduced by keepAliveMargin, but by no more than half.
 func (c *connection) recordKeepAlive(header http.Header, now time.Time) {
 	idleTimeout := maxIdle
 	for _, parameter := range strings.Split(header.Get("Keep-Alive"), ",") {
@@ -87,7 +89,7 @@
 	c.usableUntil = now.Add(max(idleTimeout-keepAliveMargin, idleTimeout/2))
 }
 
-// discardBody reads the body of a response to another request to its end.
+// discardBody reads and discards the body of a response.
 func discardBody(response *http.Response) error {
 	_, err := io.Copy(io.Discard, response.Body)
 	return err
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -57,10 +57,11 @@
 	address          string
 	connection       *connection
 	stopCancellation func() bool
-	written          chan struct{}
-	writeErr         error
-	bodyComplete     bool
-	closed           bool
+	// written is closed once the write of the request has ended. Only then is writeErr valid.
+	written      chan struct{}
+	writeErr     error
+	bodyComplete bool
+	closed       bool
 }
 
 // Pool holds idle connections by address.
@@ -68,7 +69,7 @@
 	mutex sync.Mutex
 	idle  map[string][]*connection
 	// ConnectionsOpened counts new connections, and ConnectionsReused the requests that were sent
-	// on kept connections.
+	// on connections from the pool.
 	ConnectionsOpened atomic.Int64
 	ConnectionsReused atomic.Int64
 	// OnDial is called with the time taken to open a new connection. It may be nil.
@@ -137,7 +138,7 @@
 	}
 }
 
-// CloseExpired closes the connections that have been idle for too long.
+// CloseExpired closes the idle connections that are past their usableUntil.
 func (p *Pool) CloseExpired(now time.Time) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -203,8 +204,8 @@
 	return buffer.Bytes()
 }
 
-// readHeader reads the head of the response to this request. Invariant: a response that repeats
-// the ID of another request is never returned for this one.
+// readHeader reads the head of the response to this request. Invariant: a response with the ID of
+// another request is never returned for this one. A response without an ID is accepted.
 func (e *Exchange) readHeader(request *Request) error {
 	httpRequest := &http.Request{Method: request.Method}
 	for range maxResponseHeads {
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -133,7 +133,7 @@
 		So(err, ShouldBeNil)
 		So(pool.ConnectionsOpened.Load(), ShouldEqual, 2)
 	})
-	Convey("a response without a length is complete at the end of its connection, but not if the connection is reset", t, func() {
+	Convey("a response without a length is complete when its connection is closed, but not if the connection is reset", t, func() {
 		engine := newFakeEngine(t, func(connection net.Conn, r *http.Request, _ int) bool {
 			writeText(connection, "HTTP/1.1 200 OK\r\nId: "+r.Header.Get("X")+"\r\n\r\nunframed")
 			if r.Header.Get("Cut") != "" {
@@ -163,7 +163,7 @@
 		_, err := fetch(NewPool(), engine.address(), "1")
 		So(err, ShouldNotBeNil)
 	})
-	Convey("bytes that are no HTTP response fail the exchange", t, func() {
+	Convey("bytes that are not an HTTP response fail the exchange", t, func() {
 		engine := newFakeEngine(t, func(connection net.Conn, _ *http.Request, _ int) bool {
 			writeText(connection, "no answer at all\r\n\r\n")
 			return false
--- a/internal/waiting/closedloop_test.go
+++ b/internal/waiting/closedloop_test.go
@@ -108,19 +108,19 @@
 
 // loadRun simulates the load. usesQueue is false for gateways that poll the engines.
 type loadRun struct {
-	random    *rand.Rand
-	events    loadEvents
-	order     int
-	nowMs     float64
-	engines   []*loadEngine
-	queues    []*Queue
-	byEntry   map[*Entry]*loadCall
-	usesQueue bool
-	result    loadResult
+	random      *rand.Rand
+	events      loadEvents
+	order       int
+	nowMs       float64
+	engines     []*loadEngine
+	queues      []*Queue
+	callByEntry map[*Entry]*loadCall
+	usesQueue   bool
+	result      loadResult
 }
 
 func simulateLoad(usesQueue bool, settings Settings, seed uint64) *loadResult {
-	run := &loadRun{random: rand.New(rand.NewPCG(seed, 1)), usesQueue: usesQueue, byEntry: map[*Entry]*loadCall{}}
+	run := &loadRun{random: rand.New(rand.NewPCG(seed, 1)), usesQueue: usesQueue, callByEntry: map[*Entry]*loadCall{}}
 	for range loadEngines {
 		run.engines = append(run.engines, &loadEngine{})
 	}
@@ -134,9 +134,9 @@
 		event.run()
 	}
 	for _, queue := range run.queues {
-		admissionErrors := queue.Misjudgments()
-		run.result.falseRejections += admissionErrors.FalseRejections
-		run.result.futileWaits += admissionErrors.FutileWaits
+		misjudgments := queue.Misjudgments()
+		run.result.falseRejections += misjudgments.FalseRejections
+		run.result.futileWaits += misjudgments.FutileWaits
 	}
 	return &run.result
 }
@@ -160,6 +160,7 @@
 	r.sendToGateway(call)
 }
 
+// class returns the index of the call's results: 0 for urgent calls, 1 for others.
 func (c *loadCall) class() int {
 	if c.urgent {
 		return 0
@@ -167,7 +168,7 @@
 	return 1
 }
 
-func (c *loadCall) queueCall() Call {
+func (c *loadCall) asCall() Call {
 	priority := 3
 	if c.urgent {
 		priority = 0
@@ -181,15 +182,15 @@
 	call.gateway = r.random.IntN(loadGateways)
 	call.excluded = 0
 	call.polls = 0
-	if r.usesQueue && r.queues[call.gateway].MustWait(call.queueCall()) {
+	if r.usesQueue && r.queues[call.gateway].MustWait(call.asCall()) {
 		r.enqueue(call)
 		return
 	}
 	r.dispatch(call, loadEngines)
 }
 
-// dispatch sends a call to the less loaded of two random engines, and to other engines while it
-// is refused, with up to attemptsLeft attempts.
+// dispatch sends a call to the less loaded of two random engines. A refused call is sent to other
+// engines, with at most attemptsLeft attempts in all.
 func (r *loadRun) dispatch(call *loadCall, attemptsLeft int) {
 	best := -1
 	for sample := 0; sample < 2; sample++ {
@@ -265,25 +266,26 @@
 		r.enqueue(call)
 		return
 	}
-	// Polling: pauses of 8 to 60 ms plus up to as much jitter, until half of the time has passed.
-	pause := math.Min(8*math.Pow(2, math.Min(float64(call.polls), 4)), 60)
-	pause *= 1 + r.random.Float64()
+	// Polling: pauses of 8 to 60 ms, lengthened by up to 100% of jitter, until half of the call's
+	// time has passed.
+	pauseMs := math.Min(8*math.Pow(2, math.Min(float64(call.polls), 4)), 60)
+	pauseMs *= 1 + r.random.Float64()
 	call.polls++
-	if call.deadlineMs()-r.nowMs-pause < (call.deadlineMs()-call.arrivedMs)/2 {
+	if call.deadlineMs()-r.nowMs-pauseMs < (call.deadlineMs()-call.arrivedMs)/2 {
 		r.retryLater(call, 100)
 		return
 	}
 	call.excluded = 0
-	r.after(pause, func() { r.dispatch(call, loadEngines) })
+	r.after(pauseMs, func() { r.dispatch(call, loadEngines) })
 }
 
 func (r *loadRun) enqueue(call *loadCall) {
 	queue := r.queues[call.gateway]
 	var rejection *Rejection
 	if call.entry == nil {
-		call.entry, rejection = queue.Join(int64(r.nowMs), call.queueCall())
+		call.entry, rejection = queue.Join(int64(r.nowMs), call.asCall())
 		if call.entry != nil {
-			r.byEntry[call.entry] = call
+			r.callByEntry[call.entry] = call
 		}
 	} else {
 		rejection = queue.Requeue(int64(r.nowMs), call.entry)
@@ -320,7 +322,7 @@
 	if entry == nil {
 		return
 	}
-	call := r.byEntry[entry]
+	call := r.callByEntry[entry]
 	call.excluded = 0
 	attemptsLeft := 3
 	if engine >= 0 {
@@ -337,9 +339,9 @@
 	if call.arrivals > 1 || remainingMs <= 0 {
 		return
 	}
-	pause := math.Min(afterMs, remainingMs/loadRetryDivisor)
-	r.result.retriesMs = append(r.result.retriesMs, r.nowMs+pause)
-	r.after(pause, func() { r.sendToGateway(call) })
+	pauseMs := math.Min(afterMs, remainingMs/loadRetryDivisor)
+	r.result.retriesMs = append(r.result.retriesMs, r.nowMs+pauseMs)
+	r.after(pauseMs, func() { r.sendToGateway(call) })
 }
 
 func TestBurst(t *testing.T) {
@@ -353,7 +355,7 @@
 			So(queued.servedFraction(0), ShouldBeGreaterThan, polled.servedFraction(0)+0.05)
 			So(queued.refusals, ShouldBeLessThan, polled.refusals/10)
 		})
-		Convey("the mean latency is below a second, and no class goes unserved for 0.5 s", func() {
+		Convey("the mean latency is below a second, no class goes unserved for 0.5 s, and the served fraction of other calls is less than 0.15 below that of urgent calls", func() {
 			So(queued.meanLatencyMs(), ShouldBeLessThan, 1000)
 			So(max(queued.longestGapMs[0], queued.longestGapMs[1]), ShouldBeLessThan, 500)
 			So(queued.servedFraction(1), ShouldBeGreaterThan, queued.servedFraction(0)-0.15)
--- a/internal/waiting/drain.go
+++ b/internal/waiting/drain.go
@@ -11,7 +11,7 @@
 	minCompletions = 3
 )
 
-// completionRate is the rate at which requests complete at the engines of a back end, averaged
+// completionRate is the rate at which requests complete at the engines of a backend, averaged
 // with exponential decay.
 type completionRate struct {
 	decayedCount float64
@@ -39,9 +39,9 @@
 }
 
 // perMs returns the rate in requests per millisecond, or false if too few requests have completed
-// recently. Invariant: a reported rate is never 0. If nothing completes there may be nothing to
-// complete, for example while the back end had no engine. A rate of 0 would then keep calls from
-// being sent, and with them the rate from rising.
+// recently. Invariant: a reported rate is never 0. If nothing completes, there may be nothing to
+// complete, for example because the backend had no engine. A rate of 0 would then reject every
+// call, so that no request completes and the rate stays at 0.
 func (r *completionRate) perMs(nowMs int64) (float64, bool) {
 	if r.completions < minCompletions || nowMs <= r.firstMs {
 		return 0, false
--- a/internal/waiting/waiting.go
+++ b/internal/waiting/waiting.go
@@ -1,6 +1,6 @@
-// Package waiting implements the wait queue of a back end for calls that no engine has capacity
+// Package waiting implements the wait queue of a backend for calls that no engine has capacity
 // for. It decides which call is next when capacity becomes free, which calls are rejected at
-// once, and when a rejected caller should retry. It is a state machine without clock, goroutines
+// once, and when a rejected caller should retry. It is a state machine without a clock, goroutines
 // or randomness; times are in milliseconds of the caller's clock.
 package waiting
 
@@ -11,10 +11,11 @@
 
 // Settings are the operator's settings of the wait queues.
 type Settings struct {
-	// MinProbability is the minimum probability, 0 to 1, of getting capacity in time for a call
-	// to wait; a call below it is rejected. Higher values reject more calls that would have got
-	// capacity (counted as false rejections). Lower values make more callers wait in vain and
-	// lengthen the wait of the calls behind them (counted as futile waits).
+	// MinProbability is the minimum probability, 0 to 1, of getting capacity in time. A call whose
+	// probability is below it is rejected instead of queued. Higher values reject more calls that
+	// would have got capacity (counted as false rejections). Lower values make more callers wait
+	// without being served, and lengthen the wait of the calls behind them (counted as futile
+	// waits).
 	MinProbability float64 `yaml:"least_chance" validate:"min=0,max=1"`
 }
 
@@ -24,16 +25,16 @@
 func DefaultSettings() Settings { return Settings{MinProbability: 0.05} }
 
 const (
-	// priorityStepMs is the advantage of a priority level over the next one. Priorities are not
-	// absolute: a call of the next level with priorityStepMs less time left goes first, so that
-	// no level starves (delay-dependent priority; Kleinrock, Queueing Systems II, 1976, section
-	// 3.7).
+	// priorityStepMs is the advantage in due time of a priority level over the next, less urgent
+	// one. Priorities are not absolute: a call of the next level that is due more than
+	// priorityStepMs earlier goes first, so that no level starves (delay-dependent priority;
+	// Kleinrock, Queueing Systems II, 1976, section 3.7).
 	priorityStepMs = 500
 	// defaultRetryAfterMs is the retry time if the completion rate is unknown: about the time in
 	// which a gateway learns of engines that join and leave.
 	defaultRetryAfterMs = 500
-	// maxRetryAfterMs bounds how far ahead retries are scheduled, because the known completion
-	// rate does not predict the rate further ahead.
+	// maxRetryAfterMs bounds how far ahead retries are scheduled, because the present completion
+	// rate does not predict the rate later on.
 	maxRetryAfterMs = 5_000
 	// minProbeDelayMs and maxProbeDelayMs bound the time after which the first call in the queue
 	// probes for capacity that was freed by requests of others, for which no wakeup arrives.
@@ -57,7 +58,7 @@
 
 // compare returns a negative number if the call goes before the other, and a positive number if
 // it goes after it. Calls of programs in progress go before all calls of new programs, because
-// the work done for a program would be lost with it.
+// the work done for a program is lost if one of its calls is rejected.
 func (c Call) compare(other Call) int {
 	return cmp.Or(
 		-compareBool(c.ProgramInProgress, other.ProgramInProgress),
@@ -76,7 +77,7 @@
 	return -1
 }
 
-// Entry is a call's entry in the queue.
+// Entry is a call that waits in the queue.
 type Entry struct {
 	call Call
 	// joinedMs is when the call joined the queue. sequence orders calls that compare as equal.
@@ -94,7 +95,7 @@
 	// Ahead is the number of calls before this one, including rejected callers that are expected
 	// to retry earlier.
 	Ahead int
-	// CompletionsPerSecond is the completion rate of the back end, 0 if it is unknown.
+	// CompletionsPerSecond is the completion rate of the backend, 0 if it is unknown.
 	CompletionsPerSecond float64
 	// Probability is the probability of getting capacity in time.
 	Probability float64
@@ -122,7 +123,7 @@
 // rejections.
 const maxTrackedRejections = 256
 
-// Queue is the ordered wait queue of one back end.
+// Queue is the ordered wait queue of one backend.
 type Queue struct {
 	settings       Settings
 	entries        []*Entry
@@ -132,7 +133,7 @@
 	// order.
 	expectedRetriesMs []int64
 	trackedRejections []trackedRejection
-	admissionErrors   Misjudgments
+	misjudgments      Misjudgments
 }
 
 // NewQueue returns an empty queue.
@@ -142,7 +143,7 @@
 func (q *Queue) Len() int { return len(q.entries) }
 
 // Misjudgments returns the decisions that have proved wrong since the start.
-func (q *Queue) Misjudgments() Misjudgments { return q.admissionErrors }
+func (q *Queue) Misjudgments() Misjudgments { return q.misjudgments }
 
 // MustWait reports whether a call that has not tried any engine yet must queue behind the waiting
 // calls.
@@ -165,7 +166,8 @@
 	return entry, nil
 }
 
-// assess returns a rejection if a call with ahead calls before it should not wait, otherwise nil.
+// assess returns a rejection if a call with the given number of calls ahead of it should not wait,
+// otherwise nil.
 func (q *Queue) assess(nowMs int64, call Call, ahead int) *Rejection {
 	if !call.ProgramInProgress {
 		ahead += q.expectedRetriesBefore(nowMs, call.LatestStartMs)
@@ -202,10 +204,10 @@
 	}
 }
 
-// scheduleRetry returns when a caller with ahead calls before it should retry. If the completion
-// rate is known, retries up to maxRetryAfterMs ahead are spaced at least as far apart as
-// completions, so that retries arrive at the completion rate. Later retries are all cut to
-// maxRetryAfterMs.
+// scheduleRetry returns when a caller with the given number of calls ahead of it should retry. If
+// the completion rate is known, retries are spaced at least as far apart as completions, so that
+// they arrive at the completion rate. Retries that would be later than maxRetryAfterMs are not
+// spaced, but all scheduled at maxRetryAfterMs.
 func (q *Queue) scheduleRetry(nowMs int64, ahead int) int64 {
 	perMs, hasRate := q.completionRate.perMs(nowMs)
 	if !hasRate || perMs <= 0 {
@@ -227,7 +229,7 @@
 // is unknown.
 const defaultRetrySteps = 8
 
-// RecordCompletion records that a request completed at an engine of the back end, which frees
+// RecordCompletion records that a request completed at an engine of the backend, which frees
 // capacity for another. It returns the entry to wake, nil if there is none.
 func (q *Queue) RecordCompletion(nowMs int64) *Entry {
 	q.completionRate.record(nowMs)
@@ -242,7 +244,7 @@
 	kept := q.trackedRejections[:0]
 	for _, call := range q.trackedRejections {
 		if call.ahead == 0 {
-			q.admissionErrors.FalseRejections++
+			q.misjudgments.FalseRejections++
 			continue
 		}
 		call.ahead--
@@ -262,8 +264,9 @@
 	return nil
 }
 
-// ProbeDelayMs returns the time after which a call that was not woken should look for capacity
-// itself. Only the first call in the queue probes, at the completion rate if that is known.
+// ProbeDelayMs returns the time after which a call that was not woken should try StartProbe. Only
+// the first call in the queue may probe: at the completion rate if that is known, otherwise less
+// often the longer it has waited.
 func (q *Queue) ProbeDelayMs(nowMs int64, entry *Entry) int64 {
 	if len(q.entries) == 0 || q.entries[0] != entry {
 		return maxProbeDelayMs
@@ -285,8 +288,8 @@
 	return true
 }
 
-// Requeue returns a call that found no capacity to its old position in the queue. The call is
-// rejected if it has become unlikely to get capacity in time.
+// Requeue ends the probe of a call that found no capacity. The call keeps its position in the
+// queue, or is rejected and leaves it if it has become unlikely to get capacity in time.
 func (q *Queue) Requeue(nowMs int64, entry *Entry) *Rejection {
 	entry.probing = false
 	position := slices.Index(q.entries, entry)
@@ -308,13 +311,13 @@
 	}
 	q.entries = slices.Delete(q.entries, position, position+1)
 	if !served {
-		q.admissionErrors.FutileWaits++
-		q.admissionErrors.FutileWaitMs += entry.WaitedMs(nowMs)
+		q.misjudgments.FutileWaits++
+		q.misjudgments.FutileWaitMs += entry.WaitedMs(nowMs)
 	}
 	if !entry.probing {
 		return nil
 	}
-	// Where one call found capacity there may be more, and a wakeup of a call that left without
-	// capacity is still valid for the next one.
+	// The wakeup is passed on: if this call found capacity, there may be more; if it left without,
+	// the capacity it was woken for is still free.
 	return q.wakeNext()
 }
--- a/internal/waiting/waiting_test.go
+++ b/internal/waiting/waiting_test.go
@@ -8,8 +8,8 @@
 )
 
 // TestOrderProperty checks random sequences of calls that join, are woken, find capacity or none
-// and leave. The queue is always in order, each wakeup goes to the first entry that is not
-// probing, and every call stays in the queue until it leaves.
+// and leave: the queue is always in order, each wakeup goes to the first entry that is not
+// probing, and every queued call stays in the queue until it leaves or is rejected.
 func TestOrderProperty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		queue := NewQueue(Settings{MinProbability: rapid.Float64Range(0, 1).Draw(t, "minimum probability")})
@@ -78,8 +78,8 @@
 	})
 }
 
-// TestNoRateWithoutCompletions checks a back end that had no engine for a minute. Earlier
-// completions give no rate for the present, so a new call must not be rejected because of them.
+// TestNoRateWithoutCompletions checks a backend that had no engine for a minute: a new call must
+// not be rejected because of the completions before that minute, which give no present rate.
 func TestNoRateWithoutCompletions(t *testing.T) {
 	queue := NewQueue(DefaultSettings())
 	nowMs := int64(0)
