--- a/internal/gateway/admission.go
+++ b/internal/gateway/admission.go
@@ -20,8 +20,7 @@
 	idleFromMs, idleToMs int64
 }
 
-// minIdleMs is the shortest interval without activity that counts as a possible stall of the
-// process.
+// minIdleMs is the shortest interval without activity that wasIdle takes into account.
 const minIdleMs = 100
 
 func (a *activityTracker) record(nowMs int64) {
@@ -31,8 +30,8 @@
 	a.lastMs = nowMs
 }
 
-// wasIdle reports whether the gateway was idle for at least half of the last spanMs milliseconds
-// before nowMs.
+// wasIdle reports whether the latest interval without activity covers at least half of the spanMs
+// milliseconds before nowMs.
 func (a *activityTracker) wasIdle(nowMs int64, spanMs float64) bool {
 	const half = 2
 	idleMs := a.idleToMs - max(a.idleFromMs, nowMs-int64(spanMs))
@@ -51,9 +50,9 @@
 	getOrCreate(e.admissionControllers, c.backend.Name).ObserveStreamStart(nowMs, firstEventMs > targetMs)
 }
 
-// meanConcurrency returns the mean number of requests in flight from all gateways over those
-// engines of a back end that have a recent shared load. isKnown is false if fewer than half of
-// the engines have one, for example while control has no leader: counting only this gateway's
+// meanConcurrency returns the number of requests in flight from all gateways per engine, averaged
+// over the engines of a backend that have a recent shared load. isKnown is false if fewer than half
+// of the engines have one, for example while control has no leader: counting only this gateway's
 // own requests would make the fleet look idle.
 func (e *engineRegistry) meanConcurrency(backend string, nowMs int64) (mean float64, isKnown bool) {
 	backendEngines := e.byBackend[backend]
@@ -83,8 +82,8 @@
 	shareStatus admission.ShareStatus
 }
 
-// decideAdmission decides whether a call that starts a program may proceed. The hash of the
-// program id serves as its random sample, so that every attempt of a program gets the same one.
+// decideAdmission decides whether a call that starts a program may proceed. The hash of the program
+// id serves as its random sample, so that a program gets the same one whenever its caller retries.
 func (e *engineRegistry) decideAdmission(c *call, priorityPosition, priorityCount int) admissionDecision {
 	if e.disabled.Has(scheduling.MechanismAdmission) {
 		return admissionDecision{admitted: true}
@@ -125,8 +124,9 @@
 	}
 }
 
-// shareStatus compares the usage of the call's tenant at its back end with the tenant's fair
-// share. capacity is in requests per engine. The result is empty if fair shares are disabled.
+// shareStatus compares the usage of the call's tenant at its backend with the tenant's fair share.
+// capacity is in requests per engine. The result is empty if fair shares are disabled or the call
+// has no tenant.
 func (e *engineRegistry) shareStatus(c *call, capacity float64, nowMs int64) admission.ShareStatus {
 	if c.tenant == nil || !e.fairSharesEnabled {
 		return admission.ShareStatus{}
@@ -135,7 +135,7 @@
 }
 
 // isAboveFairShare reports whether the tenant of a call demands more than its fair share of an
-// oversubscribed back end.
+// oversubscribed backend.
 func (e *engineRegistry) isAboveFairShare(c *call) bool {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -143,8 +143,8 @@
 	return e.shareStatus(c, admission.UsableConcurrency(c.backend.Slots, controller.UnrestrictedConcurrency()), clock.NowMs()).AboveFairShare
 }
 
-// adjustInFlight adds change to the tenant's requests in flight at the call's back end: 1 when
-// the call starts, -1 when it ends.
+// adjustInFlight adds change to the tenant's requests in flight at the call's backend: 1 when the
+// call starts, -1 when it ends.
 func (e *engineRegistry) adjustInFlight(c *call, change int) {
 	if !c.requiresKey {
 		return
@@ -159,13 +159,13 @@
 	e.slotsByBackend[c.backend.Name] = c.backend.Slots
 }
 
-// tenantReportFraction is the fraction of a back end's capacity at which gateways start to report
-// its usage by tenant. It is one half because demand can double in the time that a report takes to
-// reach the other gateways.
+// tenantReportFraction is the fraction of a backend's capacity at which gateways start to report
+// its usage by tenant. It is one half because demand can double before a report reaches the other
+// gateways.
 const tenantReportFraction = 0.5
 
-// collectTenantUsage returns this gateway's usage of back ends since the last call. Usage is broken
-// down by tenant only for back ends that are oversubscribed or close to it.
+// collectTenantUsage returns this gateway's usage of backends since the last call. Usage is broken
+// down by tenant only for backends that are oversubscribed or close to it.
 func (e *engineRegistry) collectTenantUsage(nowMs int64) []admission.BackendUsage {
 	if !e.fairSharesEnabled {
 		return nil
@@ -180,7 +180,7 @@
 	})
 }
 
-// applySharedTenantUsage applies the usage of back ends by tenant, aggregated over all gateways.
+// applySharedTenantUsage applies the usage of backends by tenant, aggregated over all gateways.
 func (e *engineRegistry) applySharedTenantUsage(usages []admission.BackendUsage, nowMs int64) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -188,7 +188,7 @@
 }
 
 // collectStreamLateness returns the late starts of streams that this gateway has observed at each
-// back end since the last call.
+// backend since the last call.
 func (e *engineRegistry) collectStreamLateness(nowMs int64) []scheduling.StreamLateness {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
--- a/internal/gateway/admission_test.go
+++ b/internal/gateway/admission_test.go
@@ -34,7 +34,7 @@
 func TestAdmissionOfAGateway(t *testing.T) {
 	// The hash of a program's id decides whether it is admitted. At most nine tenths of the
 	// programs are rejected.
-	rejected := func(fixture *gatewayFixture, path string, headers ...string) (count int, retryAfter string) {
+	countRejections := func(fixture *gatewayFixture, path string, headers ...string) (count int, retryAfter string) {
 		for _, program := range []string{"p0", "p1", "p2", "p3", "p4", "p5", "p6", "p7", "p8", "p9"} {
 			response, _, err := fixture.send(path, "r-"+program, append(append(headers, budgetHeaders...), "Ochrebay-Program", program)...)
 			So(err, ShouldBeNil)
@@ -47,35 +47,35 @@
 	}
 	Convey("overload rejects the first turn of most programs without running it, and returns Retry-After", t, func() {
 		fixture := newOverloadedFixture(t, true)
-		count, retryAfter := rejected(fixture, "/stream/")
+		count, retryAfter := countRejections(fixture, "/stream/")
 		So(count, ShouldBeGreaterThan, 5)
 		So(retryAfter, ShouldNotBeBlank)
 		So(fixture.runs.Load(), ShouldEqual, 10-count)
-		repeated, _ := rejected(fixture, "/stream/")
+		repeated, _ := countRejections(fixture, "/stream/")
 		So(repeated, ShouldEqual, count)
 	})
 	Convey("a program in progress is not rejected, nor one that continues from a retained turn", t, func() {
-		count, _ := rejected(newOverloadedFixture(t, false), "/stream/")
+		count, _ := countRejections(newOverloadedFixture(t, false), "/stream/")
 		So(count, ShouldEqual, 0)
-		count, _ = rejected(newOverloadedFixture(t, true), "/kept/", "Ochrebay-Previous-Turn", "t1")
+		count, _ = countRejections(newOverloadedFixture(t, true), "/kept/", "Ochrebay-Previous-Turn", "t1")
 		So(count, ShouldEqual, 0)
 	})
 	Convey("without shared load from the other gateways no program is rejected", t, func() {
 		fixture := newOverloadedFixture(t, true)
 		fixture.gateway.engines.health = map[string]*scheduling.EngineHealth{}
-		count, _ := rejected(fixture, "/stream/")
+		count, _ := countRejections(fixture, "/stream/")
 		So(count, ShouldEqual, 0)
 	})
 	Convey("disabled admission control rejects no program", t, func() {
 		fixture := newOverloadedFixture(t, true)
 		fixture.gateway.engines.disabled = scheduling.DisabledMechanisms{scheduling.MechanismAdmission}
-		count, _ := rejected(fixture, "/stream/")
+		count, _ := countRejections(fixture, "/stream/")
 		So(count, ShouldEqual, 0)
 	})
 }
 
 func TestActivity(t *testing.T) {
-	Convey("a late stream during a stall of the process is distinguished from one that the engine delayed", t, func() {
+	Convey("a span counts as idle if the latest interval without activity covers at least half of it", t, func() {
 		var tracker activityTracker
 		for nowMs := int64(0); nowMs <= 1000; nowMs += 20 {
 			tracker.record(nowMs)
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -43,7 +43,8 @@
 	status int
 	// responseStarted is true if a part of the response was written to the caller.
 	responseStarted bool
-	// responseMs is the time to a buffered response in milliseconds, 0 for a stream.
+	// responseMs is the time until a buffered response was complete, in milliseconds, 0 for a
+	// stream.
 	responseMs float64
 	// streamEvents is the number of events of a stream that completed.
 	streamEvents int64
@@ -109,7 +110,8 @@
 	return outcome
 }
 
-// parseRefusal reports whether the response states that the engine did not run the call.
+// parseRefusal reports whether the response states that the engine did not run the call. A 421
+// (misdirected request) states it too: the engine at the address is not the expected one.
 func (d *Daemon) parseRefusal(exchange *upstream.Exchange) (attemptOutcome, bool) {
 	response := exchange.Response
 	if response.Header.Get(d.headerNames.NotExecuted) == "" && response.StatusCode != http.StatusMisdirectedRequest {
@@ -127,8 +129,8 @@
 func (c *call) priority() int { return min(c.tenant.EffectivePriority(c.route), lowestPriority) }
 
 // upstreamRequest returns the call in the form that is sent to the engine: without headers that
-// concern one connection or that only gateways set, and with the history of a retained turn before
-// the body.
+// concern one connection or that only gateways set, and with the body preceded by the history that
+// the turn continues from.
 func (d *Daemon) upstreamRequest(c *call, engine membership.ServingEngine) *upstream.Request {
 	header := endToEndHeaders(c.request.Header)
 	for _, name := range d.headerNames.Reserved {
--- a/internal/gateway/calllog.go
+++ b/internal/gateway/calllog.go
@@ -11,8 +11,9 @@
 	"github.com/ochrebay/ochrebay/internal/waiting"
 )
 
-// logCall writes the one log line that reports how a call ended. The line holds decisions and
-// measurements, and no key for a step that the call did not reach.
+// logCall writes the one log line that reports how a call ended, and records the call in the
+// metrics. The line holds decisions and measurements, and no fields for steps that the call did not
+// reach.
 func (d *Daemon) logCall(c *call, request *http.Request, response *callerResponse, failure *result.Error, elapsed time.Duration) {
 	id := request.Header.Get(d.headerNames.RequestID)
 	keyValues := []any{"request", id}
@@ -38,7 +39,8 @@
 }
 
 // tenantFields returns the tenant of the call, the age of the latest confirmation of the routing
-// table and the time spent on the tenant's quota. It returns nothing if the table has no tenants.
+// table and the time spent on the tenant's quota. It returns nothing if the table has no tenants or
+// was never confirmed.
 func (d *Daemon) tenantFields(c *call) []any {
 	age, isConfirmed := d.confirmationAge()
 	if !c.requiresKey || !isConfirmed {
@@ -85,11 +87,11 @@
 }
 
 // streamFields returns when the events of a stream were forwarded to the caller.
-func (a *callerResponse) streamFields(c *call) []any {
-	if c == nil || a.events == 0 {
+func (r *callerResponse) streamFields(c *call) []any {
+	if c == nil || r.events == 0 {
 		return nil
 	}
-	return []any{"first_event_ms", a.firstEventAt.Sub(c.startedAt).Milliseconds(), "events_ms", a.lastEventAt.Sub(a.firstEventAt).Milliseconds()}
+	return []any{"first_event_ms", r.firstEventAt.Sub(c.startedAt).Milliseconds(), "events_ms", r.lastEventAt.Sub(r.firstEventAt).Milliseconds()}
 }
 
 // logAttempt counts an attempt and logs it unless it was answered.
--- a/internal/gateway/chains.go
+++ b/internal/gateway/chains.go
@@ -8,8 +8,8 @@
 	"github.com/ochrebay/ochrebay/internal/protocol"
 )
 
-// maxCachedHistories bounds the number of cached histories. The bound in bytes normally applies
-// before this one.
+// maxCachedHistories bounds the number of cached histories. The bound in bytes is normally reached
+// first.
 const maxCachedHistories = 1 << 16
 
 // historyCache is an LRU cache of the turn histories that this gateway has served, keyed by the
@@ -72,9 +72,9 @@
 	return cachedHistory{lastTurn, content}
 }
 
-// put caches the history up to a turn of a session. It replaces the session's earlier history, with
-// which the new one begins: if a later turn continues from the earlier history, the ledger sends
-// what is missing.
+// put caches the history up to a turn of a session. It replaces the session's earlier history,
+// which is a prefix of the new one. If a later turn continues from the earlier history, the ledger
+// sends the part that is no longer cached.
 func (c *historyCache) put(turn, program, session string, content []byte) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/gateway/daemon.go
+++ b/internal/gateway/daemon.go
@@ -28,18 +28,19 @@
 
 const (
 	defaultMaxBodyBytes = 8 << 20
-	// headerTimeout and idleTimeout bound callers' connections; they are above the timeouts that
-	// routing tables allow.
+	// headerTimeout and idleTimeout bound callers' connections; they are above the header and idle
+	// timeouts in the limits of routing tables.
 	headerTimeout = 5 * time.Second
 	idleTimeout   = 30 * time.Second
 	sweepInterval = time.Second
-	// drainQuietPeriod is how long no request may have arrived before a draining gateway stops,
-	// and minDrainTime how long it serves in any case.
+	// A draining gateway stops when no request has arrived for drainQuietPeriod, but serves for at
+	// least minDrainTime: callers keep using the gateways that they have selected for one second,
+	// some for three.
 	drainQuietPeriod  = 1500 * time.Millisecond
 	minDrainTime      = 3500 * time.Millisecond
 	drainPollInterval = 50 * time.Millisecond
-	// historyCacheDivisor divides the process's memory limit to give the size of the history
-	// cache.
+	// The history cache may use the process's memory limit divided by historyCacheDivisor, or
+	// defaultHistoryCacheBytes if there is no memory limit.
 	historyCacheDivisor      = 6
 	defaultHistoryCacheBytes = 64 << 20
 )
@@ -121,7 +122,7 @@
 	return (limits.MemoryMB << 20) / historyCacheDivisor
 }
 
-// Follower returns the daemon's link to control, which changed settings are applied to.
+// Follower returns the daemon's link to control. Changed settings are applied to it.
 func (d *Daemon) Follower() *daemon.Follower { return d.follower }
 
 // Ready reports whether the gateway accepts requests: it has a routing table and is not draining.
@@ -147,7 +148,7 @@
 // become suspect because requests of several gateways fail there.
 func (d *Daemon) applySharedLoads(loads []scheduling.EngineLoad, failing []string) {
 	for _, engine := range d.engines.applySharedLoads(loads, failing, clock.NowMs()) {
-		telemetry.Info(d.logger, "engine fails at other gateways", "engine", engine)
+		telemetry.Info(d.logger, "engine fails requests of several gateways", "engine", engine)
 	}
 }
 
--- a/internal/gateway/deliver.go
+++ b/internal/gateway/deliver.go
@@ -49,8 +49,9 @@
 	events       int64
 	firstEventAt time.Time
 	lastEventAt  time.Time
-	// eventGaps counts the gaps between events in the current attempt, and shortestGapMs is
-	// the shortest of them in milliseconds.
+	// eventGaps counts the gaps between events in the current attempt, and shortestGapMs is the
+	// shortest of them in milliseconds. In a resumed stream the first gap starts at the last event
+	// of the previous attempt.
 	eventGaps     int
 	shortestGapMs float64
 	// outputData collects the event data of a turn that is to be retained.
@@ -59,35 +60,35 @@
 }
 
 // deliver forwards an engine's response: streams event by event, other responses buffered.
-func (a *callerResponse) deliver(exchange *upstream.Exchange, c *call) attemptOutcome {
+func (r *callerResponse) deliver(exchange *upstream.Exchange, c *call) attemptOutcome {
 	response := exchange.Response
 	success := response.StatusCode >= 200 && response.StatusCode < 300
-	if success && response.Header.Get(a.daemon.headerNames.Signature) == "" {
+	if success && response.Header.Get(r.daemon.headerNames.Signature) == "" {
 		return attemptOutcome{kind: attemptBroken, status: response.StatusCode, err: errMissingSignature}
 	}
 	impliesNotRun := response.StatusCode == http.StatusServiceUnavailable || response.StatusCode == http.StatusTooManyRequests
 	if impliesNotRun {
 		// These statuses would tell the caller that the call was not run, which the engine
 		// did not state.
-		return attemptOutcome{kind: attemptBroken, status: response.StatusCode, err: fmt.Errorf("status %d does not state that the call was not run", response.StatusCode)}
+		return attemptOutcome{kind: attemptBroken, status: response.StatusCode, err: fmt.Errorf("engine responded with status %d but did not state that the call was not run", response.StatusCode)}
 	}
 	if success && c.route.Kind == routing.KindStream && isEventStream(response.Header) {
-		return a.deliverStream(exchange, c)
+		return r.deliverStream(exchange, c)
 	}
-	if a.headerWritten {
+	if r.headerWritten {
 		// A response that has started as an event stream can only continue with events.
 		return attemptOutcome{kind: attemptBroken, status: response.StatusCode, responseStarted: true, err: errStreamNotResumed}
 	}
-	return a.deliverBuffered(exchange, c)
+	return r.deliverBuffered(exchange, c)
 }
 
 func isEventStream(header http.Header) bool {
 	return strings.HasPrefix(header.Get("Content-Type"), "text/event-stream")
 }
 
-// deliverBuffered buffers a response until it is complete, so that the call can still be retried
-// or answered with an error if the engine breaks the connection.
-func (a *callerResponse) deliverBuffered(exchange *upstream.Exchange, c *call) attemptOutcome {
+// deliverBuffered buffers a response of less than maxBufferedBytes until it is complete, so that
+// the call can still be retried or answered with an error if the engine breaks the connection.
+func (r *callerResponse) deliverBuffered(exchange *upstream.Exchange, c *call) attemptOutcome {
 	buffered, err := io.ReadAll(io.LimitReader(exchange, maxBufferedBytes))
 	status := exchange.Response.StatusCode
 	if err != nil {
@@ -95,21 +96,21 @@
 	}
 	c.responseTimer.stop()
 	elapsedMs := milliseconds(time.Since(c.startedAt.Add(c.sentAfter)))
-	if len(buffered) < maxBufferedBytes && isEngineFailure(status) && a.daemon.canRetry(c) && a.daemon.retries.tryTake(c.backend.Name) {
+	if len(buffered) < maxBufferedBytes && isEngineFailure(status) && r.daemon.canRetry(c) && r.daemon.retries.tryTake(c.backend.Name) {
 		return attemptOutcome{kind: attemptFailed, status: status, err: errEngineFailure}
 	}
 	if len(buffered) < maxBufferedBytes {
-		a.writeHeader(exchange.Response, len(buffered))
-		if _, err := a.writer.Write(buffered); err != nil {
+		r.writeHeader(exchange.Response, len(buffered))
+		if _, err := r.writer.Write(buffered); err != nil {
 			return attemptOutcome{kind: attemptCancelled, status: status, responseStarted: true, err: errors.Join(errCallerWrite, err)}
 		}
 		return attemptOutcome{kind: attemptAnswered, status: status, responseStarted: true, responseMs: elapsedMs}
 	}
-	a.writeHeader(exchange.Response, -1)
-	if _, err := a.writer.Write(buffered); err != nil {
+	r.writeHeader(exchange.Response, -1)
+	if _, err := r.writer.Write(buffered); err != nil {
 		return attemptOutcome{kind: attemptCancelled, status: status, responseStarted: true, err: errors.Join(errCallerWrite, err)}
 	}
-	if _, err := io.CopyBuffer(a.writer, exchange, make([]byte, copyBufferBytes)); err != nil {
+	if _, err := io.CopyBuffer(r.writer, exchange, make([]byte, copyBufferBytes)); err != nil {
 		return attemptOutcome{kind: attemptBroken, status: status, responseStarted: true, err: err}
 	}
 	return attemptOutcome{kind: attemptAnswered, status: status, responseStarted: true, responseMs: elapsedMs}
@@ -117,42 +118,42 @@
 
 // writeHeader writes the engine's status and headers to the caller. length is the length of the
 // body in bytes, -1 if it is unknown.
-func (a *callerResponse) writeHeader(response *http.Response, length int) {
-	header := a.writer.Header()
+func (r *callerResponse) writeHeader(response *http.Response, length int) {
+	header := r.writer.Header()
 	for name, values := range endToEndHeaders(response.Header) {
 		header[name] = values
 	}
 	if length >= 0 {
 		header.Set("Content-Length", strconv.Itoa(length))
 	}
-	a.closeWhenDraining()
-	a.writer.WriteHeader(response.StatusCode)
-	a.headerWritten = true
-	a.status = response.StatusCode
+	r.closeWhenDraining()
+	r.writer.WriteHeader(response.StatusCode)
+	r.headerWritten = true
+	r.status = response.StatusCode
 }
 
 // closeWhenDraining makes the caller open a new connection for its next request while this gateway
 // drains, so that the request can go to another gateway.
-func (a *callerResponse) closeWhenDraining() {
-	if a.daemon.draining.Load() {
-		a.writer.Header().Set("Connection", "close")
+func (r *callerResponse) closeWhenDraining() {
+	if r.daemon.draining.Load() {
+		r.writer.Header().Set("Connection", "close")
 	}
 }
 
 // deliverStream forwards complete events as they arrive. Invariant: a part of an event is never
 // forwarded from a broken stream, so that it can be resumed after the last event.
-func (a *callerResponse) deliverStream(exchange *upstream.Exchange, c *call) attemptOutcome {
+func (r *callerResponse) deliverStream(exchange *upstream.Exchange, c *call) attemptOutcome {
 	if c.responseTimer.stopAndCheck() {
-		return attemptOutcome{kind: attemptBroken, status: exchange.Response.StatusCode, responseStarted: a.headerWritten, err: errResponseTimeout}
+		return attemptOutcome{kind: attemptBroken, status: exchange.Response.StatusCode, responseStarted: r.headerWritten, err: errResponseTimeout}
 	}
 	outcome := attemptOutcome{kind: attemptAnswered, status: exchange.Response.StatusCode, responseStarted: true}
-	flusher, _ := a.writer.(http.Flusher)
-	a.resumed = a.headerWritten
-	a.eventGaps = 0
-	defer func() { a.daemon.engines.observeStreamPace(c, a.eventGaps, a.shortestGapMs) }()
-	if !a.headerWritten {
+	flusher, _ := r.writer.(http.Flusher)
+	r.resumed = r.headerWritten
+	r.eventGaps = 0
+	defer func() { r.daemon.engines.observeStreamPace(c, r.eventGaps, r.shortestGapMs) }()
+	if !r.headerWritten {
 		// A stream that is resumed at another engine keeps the header of the first engine.
-		a.writeHeader(exchange.Response, -1)
+		r.writeHeader(exchange.Response, -1)
 		flusher.Flush()
 	}
 	reader := bufio.NewReaderSize(exchange, eventReaderBytes)
@@ -174,24 +175,24 @@
 		if !isBlank(line) {
 			continue
 		}
-		if !a.forwardEvent(block, c, flusher) {
+		if !r.forwardEvent(block, c, flusher) {
 			outcome.kind = attemptCancelled
 			outcome.err = errCallerWrite
 			return outcome
 		}
 		block = block[:0]
 	}
-	if len(block) > 0 && !a.forwardEvent(block, c, flusher) {
+	if len(block) > 0 && !r.forwardEvent(block, c, flusher) {
 		outcome.kind = attemptCancelled
 		outcome.err = errCallerWrite
 		return outcome
 	}
 	// Invariant: a turn is retained before its caller can see the response as complete.
-	if c.retainsTurn() && !a.retainTurn(c) {
+	if c.retainsTurn() && !r.retainTurn(c) {
 		outcome.kind = attemptBroken
 		outcome.err = errTurnNotRetained
 	}
-	outcome.streamEvents = a.events
+	outcome.streamEvents = r.events
 	return outcome
 }
 
@@ -201,10 +202,10 @@
 
 // forwardEvent writes one event to the caller and collects its data if the turn is to be retained.
 // It returns false if the write fails.
-func (a *callerResponse) forwardEvent(block []byte, c *call, flusher http.Flusher) bool {
+func (r *callerResponse) forwardEvent(block []byte, c *call, flusher http.Flusher) bool {
 	data, isEvent := eventData(block)
 	if id, known := eventID(block); known {
-		if a.resumed && id <= c.lastEventID {
+		if r.resumed && id <= c.lastEventID {
 			// An engine that resumes from an earlier event repeats events that the caller
 			// already has.
 			return true
@@ -212,12 +213,12 @@
 		c.lastEventID = id
 	}
 	if isEvent {
-		a.recordEvent(c)
+		r.recordEvent(c)
 		if c.retainsTurn() {
-			a.outputData = append(append(a.outputData, data...), '\n')
+			r.outputData = append(append(r.outputData, data...), '\n')
 		}
 	}
-	if _, err := a.writer.Write(block); err != nil {
+	if _, err := r.writer.Write(block); err != nil {
 		return false
 	}
 	flusher.Flush()
@@ -226,24 +227,24 @@
 
 // recordEvent counts an event and feeds its latency to engine selection and, for the first event,
 // to the retry policy and the metrics.
-func (a *callerResponse) recordEvent(c *call) {
+func (r *callerResponse) recordEvent(c *call) {
 	now := time.Now()
-	a.events++
-	if a.firstEventAt.IsZero() {
-		a.firstEventAt = now
+	r.events++
+	if r.firstEventAt.IsZero() {
+		r.firstEventAt = now
 		c.responseTimer.stop()
-		a.daemon.retries.recordResponse(c, clock.NowMs(), milliseconds(now.Sub(c.startedAt.Add(c.sentAfter))))
-		a.daemon.metrics.firstEvent.WithLabelValues().Observe(now.Sub(c.startedAt.Add(c.sentAfter)).Seconds())
-		a.daemon.engines.observeFirstEvent(c, milliseconds(now.Sub(c.startedAt.Add(c.sentAfter))))
+		r.daemon.retries.recordResponse(c, clock.NowMs(), milliseconds(now.Sub(c.startedAt.Add(c.sentAfter))))
+		r.daemon.metrics.firstEvent.WithLabelValues().Observe(now.Sub(c.startedAt.Add(c.sentAfter)).Seconds())
+		r.daemon.engines.observeFirstEvent(c, milliseconds(now.Sub(c.startedAt.Add(c.sentAfter))))
 	} else {
-		gapMs := milliseconds(now.Sub(a.lastEventAt))
-		a.daemon.engines.observeEventGap(c, gapMs)
-		if a.eventGaps == 0 || gapMs < a.shortestGapMs {
-			a.shortestGapMs = gapMs
+		gapMs := milliseconds(now.Sub(r.lastEventAt))
+		r.daemon.engines.observeEventGap(c, gapMs)
+		if r.eventGaps == 0 || gapMs < r.shortestGapMs {
+			r.shortestGapMs = gapMs
 		}
-		a.eventGaps++
+		r.eventGaps++
 	}
-	a.lastEventAt = now
+	r.lastEventAt = now
 }
 
 // milliseconds returns a duration in milliseconds, with microsecond resolution.
@@ -251,10 +252,10 @@
 
 // retainTurn settles the turn at the ledger and stores its content there. It returns false if that
 // fails. If the history belongs to another ledger group, it is stored as part of the turn.
-func (a *callerResponse) retainTurn(c *call) bool {
-	content := append(append(make([]byte, 0, len(c.body)+len(a.outputData)), c.body...), a.outputData...)
+func (r *callerResponse) retainTurn(c *call) bool {
+	content := append(append(make([]byte, 0, len(c.body)+len(r.outputData)), c.body...), r.outputData...)
 	settle := &program.Settle{
-		Program: c.programID, Request: c.turnID, UsedTokens: a.usedTokens(c), Retain: true, PreviousRequest: c.previousTurn,
+		Program: c.programID, Request: c.turnID, UsedTokens: r.usedTokens(c), Retain: true, PreviousRequest: c.previousTurn,
 		Session: c.sessionID, Engine: c.selection.engine.IncarnationKey(), Content: content, RetentionMs: c.route.RetentionMs,
 	}
 	if c.historyInOtherGroup {
@@ -262,29 +263,29 @@
 		settle.Content = append(append(make([]byte, 0, len(c.history)+len(content)), c.history...), content...)
 	}
 	startedAt := time.Now()
-	failure := a.daemon.ledgers.settle(settle, a.retainTimeout(c))
+	failure := r.daemon.ledgers.settle(settle, r.retainTimeout(c))
 	c.retainTime = time.Since(startedAt)
 	if failure != nil {
-		a.daemon.logFailure("turn not kept", c, failure)
+		r.daemon.logFailure("turn not retained", c, failure)
 		return false
 	}
 	c.turnReserved = false
-	a.daemon.histories.put(c.turnID, c.programID, c.sessionID, append(append(make([]byte, 0, len(c.history)+len(content)), c.history...), content...))
+	r.daemon.histories.put(c.turnID, c.programID, c.sessionID, append(append(make([]byte, 0, len(c.history)+len(content)), c.history...), content...))
 	return true
 }
 
 // retainTimeout returns how long the gateway tries to retain a turn whose response is complete: as
 // long as the caller still waits for the end of the stream, and at least ledgerCallTimeout.
-func (a *callerResponse) retainTimeout(c *call) time.Duration {
+func (r *callerResponse) retainTimeout(c *call) time.Duration {
 	latestEnd := c.deadline
-	if c.route.PatienceMs > 0 && !a.lastEventAt.IsZero() {
-		latestEnd = earlier(latestEnd, a.lastEventAt.Add(time.Duration(c.route.PatienceMs)*time.Millisecond))
+	if c.route.PatienceMs > 0 && !r.lastEventAt.IsZero() {
+		latestEnd = earlier(latestEnd, r.lastEventAt.Add(time.Duration(c.route.PatienceMs)*time.Millisecond))
 	}
 	return max(time.Until(latestEnd), ledgerCallTimeout)
 }
 
-// usedTokens returns the number of generated tokens that were forwarded to the caller, computed from
-// the number of events and bounded by the turn's maximum.
-func (a *callerResponse) usedTokens(c *call) int64 {
-	return min(a.events*max(c.backend.TokensPerEvent, 1), max(c.maxTokens, a.events))
+// usedTokens returns the number of generated tokens that were forwarded to the caller, computed
+// from the number of events. It is at most the turn's maximum, but at least one per event.
+func (r *callerResponse) usedTokens(c *call) int64 {
+	return min(r.events*max(c.backend.TokensPerEvent, 1), max(c.maxTokens, r.events))
 }
--- a/internal/gateway/engines.go
+++ b/internal/gateway/engines.go
@@ -22,13 +22,13 @@
 	health    map[string]*scheduling.EngineHealth
 	// incarnations holds the start time of each engine by id, 0 if the engine did not report one.
 	incarnations map[string]int64
-	// latencyModels holds the latency model of each back end, learned from all its engines.
+	// latencyModels holds the latency model of each backend, learned from all its engines.
 	latencyModels map[string]*scheduling.LatencyModel
 	activity      activityTracker
-	// admissionControllers decide which programs may start at each back end.
+	// admissionControllers decide which programs may start at each backend.
 	admissionControllers map[string]*scheduling.AdmissionController
 	// usageMeter measures the usage of tenants at this gateway, tenantShares holds the usage
-	// aggregated over all gateways, and slotsByBackend the slots of an engine of each back end.
+	// aggregated over all gateways, and slotsByBackend the slots of an engine of each backend.
 	usageMeter     *admission.UsageMeter
 	tenantShares   admission.FairShares
 	slotsByBackend map[string]int
@@ -39,7 +39,7 @@
 	zoneByAddress map[string]string
 	// disabled lists the scheduling mechanisms that are turned off.
 	disabled scheduling.DisabledMechanisms
-	// fairSharesEnabled limits tenants to their fair shares of oversubscribed back ends.
+	// fairSharesEnabled limits tenants to their fair shares of oversubscribed backends.
 	fairSharesEnabled bool
 }
 
@@ -87,7 +87,9 @@
 
 // resetRestartedEngines discards the health of engines that have restarted under the same id, and
 // returns their addresses. Invariant: an incarnation starts without observations; requests in
-// flight at the previous incarnation are counted for that one only.
+// flight at the previous incarnation are counted for that one only. The start time of an engine
+// that has left is remembered while requests are in flight there, so that its return is recognized
+// as a restart.
 func (e *engineRegistry) resetRestartedEngines(view *membership.FleetView) []string {
 	var restarted []string
 	for id := range e.incarnations {
@@ -111,9 +113,9 @@
 	return restarted
 }
 
-// resolveAffineEngine returns the id of the engine that ran a session's last turn. A key that no
-// engine matches is returned unchanged and names no engine: the incarnation has ended and its
-// cached prompt is gone.
+// resolveAffineEngine returns the id of the engine that ran a session's last turn. key is the key
+// of an engine's incarnation. If no engine matches, the key is returned unchanged and names no
+// engine: the incarnation has ended, and its cached prompt is gone, or it is draining.
 func resolveAffineEngine(backendEngines []membership.ServingEngine, key string) string {
 	index := slices.IndexFunc(backendEngines, func(engine membership.ServingEngine) bool { return engine.MatchesKey(key) })
 	if index < 0 {
@@ -137,7 +139,7 @@
 	return getOrCreate(e.health, id)
 }
 
-// latencyModelOf returns the latency model of a back end, creating it if necessary.
+// latencyModelOf returns the latency model of a backend, creating it if necessary.
 func (e *engineRegistry) latencyModelOf(backend string) *scheduling.LatencyModel {
 	return getOrCreate(e.latencyModels, backend)
 }
@@ -152,7 +154,7 @@
 	return entry
 }
 
-// engineCount returns how many engines of a back end are eligible for requests.
+// engineCount returns how many engines of a backend are eligible for requests.
 func (e *engineRegistry) engineCount(backend string) int {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -166,16 +168,16 @@
 	return e.healthOf(engine).LatencyRatio(nowMs)
 }
 
-// recordTimeout makes an engine suspect that did not respond in time, although its attempt may not
-// have ended yet.
+// recordTimeout records that an engine did not respond in time, which makes the engine suspect. The
+// attempt may still be running.
 func (e *engineRegistry) recordTimeout(engine string, nowMs int64) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	e.healthOf(engine).RecordFailure(nowMs)
 }
 
-// otherEngines returns the engines of a back end except the named one. It returns none if the named
-// engine no longer belongs to the back end.
+// otherEngines returns the engines of a backend except the named one. It returns none if the named
+// engine no longer belongs to the backend.
 func (e *engineRegistry) otherEngines(backend, engine string) []string {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -206,24 +208,24 @@
 type selection struct {
 	engine membership.ServingEngine
 	// inFlight counts this gateway's requests in flight at the engine, including this one, and
-	// candidateCount the engines of the back end.
+	// candidateCount the engines of the backend.
 	inFlight       int
 	candidateCount int
 	// prefillTokens is the expected number of prompt tokens that are not in the engine's cache.
-	// costMs, nextBestCostMs and affineEngineCostMs are the expected costs of the request at the
-	// engine, at the next best engine and at the session's affine engine.
 	prefillTokens int64
 	// estimatedInFlight is the expected number of requests in flight at the engine from all
 	// gateways. sharedLoadAgeMs is the age of the load aggregated over all gateways, -1 if there
 	// is none.
-	estimatedInFlight  float64
-	sharedLoadAgeMs    int64
+	estimatedInFlight float64
+	sharedLoadAgeMs   int64
+	// costMs, nextBestCostMs and affineEngineCostMs are the expected costs of the request at the
+	// engine, at the next best engine and at the session's affine engine.
 	costMs             float64
 	nextBestCostMs     float64
 	affineEngineCostMs float64
 	// slowdown and affineEngineSlowdown are the expected times per token at the engine and at the
-	// affine engine, relative to a typical engine of the back end; the latter is 0 without an
-	// affine engine. remainingTurns is the expected number of further turns of the session.
+	// affine engine, relative to a typical engine of the backend; the latter is 0 without an affine
+	// engine. remainingTurns is the expected number of further turns of the session.
 	slowdown             float64
 	affineEngineSlowdown float64
 	remainingTurns       float64
@@ -318,25 +320,25 @@
 }
 
 // recordAttemptEnd removes a call from the requests in flight at its engine and records the outcome.
-func (e *engineRegistry) recordAttemptEnd(c *call, nowMs int64, attempt attemptOutcome) {
+func (e *engineRegistry) recordAttemptEnd(c *call, nowMs int64, outcome attemptOutcome) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	health := c.selection.health
 	health.RecordEnd(nowMs)
 	health.ReleaseKVCache(nowMs, c.selection.requiredKVCacheTokens)
-	switch attempt.kind {
+	switch outcome.kind {
 	case attemptAnswered:
-		if isEngineFailure(attempt.status) {
+		if isEngineFailure(outcome.status) {
 			// A failure may return immediately, so its latency must not make the engine look fast.
 			health.RecordFailure(nowMs)
 			return
 		}
 		health.RecordSuccess()
-		if attempt.responseMs > 0 {
-			e.latencyModelOf(c.backend.Name).ObserveResponse(health, nowMs, c.route.Name, attempt.responseMs)
+		if outcome.responseMs > 0 {
+			e.latencyModelOf(c.backend.Name).ObserveResponse(health, nowMs, c.route.Name, outcome.responseMs)
 		}
-		if attempt.streamEvents > 0 {
-			e.latencyModelOf(c.backend.Name).ObserveStreamLength(nowMs, attempt.streamEvents)
+		if outcome.streamEvents > 0 {
+			e.latencyModelOf(c.backend.Name).ObserveStreamLength(nowMs, outcome.streamEvents)
 		}
 	case attemptNotSent, attemptBroken, attemptFailed:
 		health.RecordFailure(nowMs)
@@ -411,8 +413,8 @@
 	}
 }
 
-// slowdownSpread returns the ratio of the slowdown of the slowest engine to that of the fastest one,
-// for the back end with the largest ratio.
+// slowdownSpread returns the ratio of the slowdown of the slowest engine to that of the fastest
+// one, for the backend with the largest ratio.
 func (e *engineRegistry) slowdownSpread() float64 {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
--- a/internal/gateway/fleetsize_test.go
+++ b/internal/gateway/fleetsize_test.go
@@ -10,8 +10,8 @@
 	"github.com/ochrebay/ochrebay/internal/scheduling"
 )
 
-// newFleetViewOfSize returns the view that a gateway gets from control of a fleet with a number of
-// engines.
+// newFleetViewOfSize returns the view that a gateway gets from control if the fleet has the given
+// number of engines.
 func newFleetViewOfSize(engines int) *membership.FleetView {
 	fleet := membership.NewFleet()
 	for number := range engines {
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -73,8 +73,8 @@
 	return ledger
 }
 
-func (l *fakeLedger) setResponse(answer func(request *protocol.TurnRequest) *protocol.TurnReply) {
-	l.respond.Store(&answer)
+func (l *fakeLedger) setResponse(respond func(request *protocol.TurnRequest) *protocol.TurnReply) {
+	l.respond.Store(&respond)
 }
 
 // awaitSettle waits for the settlement of a request, and returns nil if none arrives.
@@ -263,7 +263,7 @@
 			So(lastBody.Load(), ShouldEqual, map[bool]string{true: "one two three in", false: "ONE TWO three in"}[hasTurns])
 		}
 	})
-	Convey("a part of an event is never forwarded", t, func() {
+	Convey("a part of an event is not forwarded from a broken stream, and not charged", t, func() {
 		fixture := newGatewayFixture(t, streamingEngine(2, "id: 3\ndata: half", true))
 		_, body, err := fixture.send("/stream/", "r1", budgetHeaders...)
 		So(err, ShouldNotBeNil)
--- a/internal/gateway/headers.go
+++ b/internal/gateway/headers.go
@@ -1,6 +1,7 @@
 // Package gateway implements the process that accepts callers' requests. It routes each request,
-// selects an engine and the time to send it, forwards request and response, and reserves and
-// retains turns at the ledger. It holds no state that must survive a restart.
+// lets it wait until an engine may have capacity, selects the engine, forwards request and
+// response, and reserves and retains turns at the ledger. It holds no state that must survive a
+// restart.
 package gateway
 
 import (
@@ -21,6 +22,8 @@
 	// PromptPrefix names the header with the parts of a prompt in order, as ID:TOKENS.
 	PromptPrefix string
 	TokenBudget  string
+	// TokenUsage names the header with two numbers of tokens, separated by a comma. Gateways use
+	// the second, the maximum that the turn may generate.
 	TokenUsage   string
 	PreviousTurn string
 	LastEventID  string
@@ -49,7 +52,8 @@
 	}
 }
 
-// hopByHopHeaders apply to one connection only (RFC 9110, section 7.6.1).
+// hopByHopHeaders apply to one connection only (RFC 9110, section 7.6.1). The list also has
+// Content-Length, which the gateway sets itself, and Expect, which it answers itself.
 var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 	"Proxy-Authenticate", "Proxy-Authorization", "Content-Length", "Expect",
--- a/internal/gateway/incarnations_test.go
+++ b/internal/gateway/incarnations_test.go
@@ -28,9 +28,9 @@
 	second := first
 	second.StartedMs = 200
 	startCall := func(e *engineRegistry) *call {
-		chosen, found := e.selectEngine(routing.Backend{Name: "b", Slots: 4}, scheduling.SelectionInput{NowMs: nowMs, IsStream: true, RequestKind: "r"})
+		selected, found := e.selectEngine(routing.Backend{Name: "b", Slots: 4}, scheduling.SelectionInput{NowMs: nowMs, IsStream: true, RequestKind: "r"})
 		So(found, ShouldBeTrue)
-		return &call{engineID: chosen.engine.ID, selection: chosen, backend: routing.Backend{Name: "b"}, route: &routing.Route{Name: "r"}}
+		return &call{engineID: selected.engine.ID, selection: selected, backend: routing.Backend{Name: "b"}, route: &routing.Route{Name: "r"}}
 	}
 	Convey("the observations and the in-flight requests of the previous incarnation do not affect the new one", t, func() {
 		e := newEngineRegistry("z", config.Policy{})
@@ -48,7 +48,7 @@
 		e.recordAttemptEnd(current, nowMs, attemptOutcome{kind: attemptAnswered})
 		So(e.healthOf("e").InFlight, ShouldEqual, 0)
 	})
-	Convey("the same holds if the engine was gone in between while requests of its previous incarnation are in flight", t, func() {
+	Convey("an engine that returns as a new incarnation does not inherit the in-flight requests of the previous one", t, func() {
 		e := newEngineRegistry("z", config.Policy{})
 		e.applyFleet(fleetViewOf(first))
 		startCall(e)
--- a/internal/gateway/intake.go
+++ b/internal/gateway/intake.go
@@ -24,14 +24,15 @@
 	route   *routing.Route
 	backend routing.Backend
 	// requiresKey is true if the routing table has tenants. tenant is the tenant of the caller's
-	// key, nil if there is none, which only routes that allow anonymous callers accept.
+	// key; it is nil if the table has no tenants or the caller is anonymous, which only some routes
+	// allow.
 	requiresKey bool
 	tenant      *routing.Tenant
-	// priorityPosition is the number of priorities in use at the back end that are less urgent
-	// than the call's, and priorityCount the number of all priorities in use there.
+	// priorityPosition is the number of priorities in use at the backend that are less urgent than
+	// the call's, and priorityCount the number of all priorities in use there.
 	priorityPosition int
 	priorityCount    int
-	// tenantWeight is the tenant's weight in the fair shares of an oversubscribed back end.
+	// tenantWeight is the tenant's weight in the fair shares of an oversubscribed backend.
 	tenantWeight float64
 	// tableGeneration is the generation of the routing table that routed the call.
 	tableGeneration uint64
@@ -46,19 +47,18 @@
 	sessionID string
 	// programDueAt is when the program should end, the zero time if the caller did not state it.
 	programDueAt time.Time
-	// programInProgress is true if the call does not start its program.
+	// programInProgress is true if the call belongs to a program that it does not start.
 	programInProgress bool
 	// latestStart is the latest time at which the call is worth starting at an engine.
 	latestStart time.Time
-	// queueEntry is the call's entry in the wait queue of its back end, nil if it has none.
-	// queuedAt is when the call first waited, and waitTime the time from then to the end of the
-	// latest wait.
+	// queueEntry is the call's entry in the wait queue of its backend, nil if it has none. queuedAt
+	// is when the call first waited, and waitTime the time from then to the end of the latest wait.
 	queueEntry *waiting.Entry
 	queuedAt   time.Time
 	waitTime   time.Duration
 	// aboveFairShare is true if the tenant was above its fair share when the call first waited.
 	aboveFairShare bool
-	// attemptState holds the attempts so far, and responseTimer waits for the first response of
+	// attemptState holds the attempts so far, and responseTimer bounds the wait for the response of
 	// the current one.
 	attemptState  attemptState
 	responseTimer *responseTimer
@@ -162,7 +162,8 @@
 	return nil
 }
 
-// maxDiscardedBytes bounds how much of a rejected body is read.
+// maxDiscardedBytes bounds how much of a rejected body is read. A caller that sends more may lose
+// the response.
 const maxDiscardedBytes = 256 << 10
 
 // discardBody reads and discards a rejected body. Closing a connection with unread bytes resets it,
--- a/internal/gateway/leaders.go
+++ b/internal/gateway/leaders.go
@@ -12,7 +12,7 @@
 	// doubles with each round up to maxSearchBackoff.
 	initialSearchBackoff = 20 * time.Millisecond
 	maxSearchBackoff     = 160 * time.Millisecond
-	// searchTimeout ends a search for which possibly no request waits any longer.
+	// searchTimeout bounds a search, because the requests that waited for it may have ended.
 	searchTimeout = 3 * time.Second
 )
 
@@ -60,14 +60,15 @@
 	return ""
 }
 
-// set caches the leader of a group that a member has named.
+// set caches the leader that a member of a group has named.
 func (l *leaderCache) set(group uint32, leader string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.byGroup[group] = leader
 }
 
-// invalidate removes a leader that did not answer as such, unless it has been replaced in the cache.
+// invalidate removes a leader that did not respond or does not lead the group, unless it has been
+// replaced in the cache.
 func (l *leaderCache) invalidate(group uint32, leader string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -99,8 +100,9 @@
 	close(done)
 }
 
-// probeMembers probes each member at most once, in random order, and the members that they name as
-// the leader.
+// probeMembers probes the members of a group in random order until one of them leads it. If a
+// probed member names another one as the leader, that one is probed next. No member is probed
+// twice.
 func (l *leaderCache) probeMembers(ctx context.Context, group uint32) string {
 	members := l.members(group)
 	probed := map[string]bool{}
--- a/internal/gateway/leaders_test.go
+++ b/internal/gateway/leaders_test.go
@@ -41,7 +41,7 @@
 			So(leaders.find(context.Background(), 1), ShouldEqual, "spare")
 		})
 	})
-	Convey("members that name each other as the leader are each probed once per round until the context ends", t, func() {
+	Convey("if the members only name each other as the leader, none is found and the wait ends with the context", t, func() {
 		ctx, cancel := context.WithCancel(context.Background())
 		var probes atomic.Int64
 		leaders := newLeaderCache(func(uint32) []string { return []string{"a", "b"} }, func(_ context.Context, member string, _ uint32) (bool, string) {
--- a/internal/gateway/ledgers.go
+++ b/internal/gateway/ledgers.go
@@ -19,7 +19,7 @@
 const (
 	// ledgerCallTimeout bounds one call to one ledger host.
 	ledgerCallTimeout = 450 * time.Millisecond
-	// leaderProbeTimeout bounds a probe whether a host leads a group.
+	// leaderProbeTimeout bounds one probe of a host for whether it leads a group.
 	leaderProbeTimeout = 150 * time.Millisecond
 	// settleTimeout bounds the background settlement of a turn that is not retained.
 	settleTimeout = 6 * time.Second
@@ -34,7 +34,7 @@
 
 // ledgerClient finds the leader of each ledger group and sends requests to it.
 type ledgerClient struct {
-	caller *daemon.Client
+	client *daemon.Client
 	zone   string
 	// historyReads counts the reads of older turns by source.
 	historyReads *prometheus.CounterVec
@@ -46,7 +46,7 @@
 }
 
 func newLedgerClient(zone string, historyReads *prometheus.CounterVec, disabled scheduling.DisabledMechanisms) *ledgerClient {
-	l := &ledgerClient{caller: daemon.NewClient(), zone: zone, historyReads: historyReads, disabled: disabled}
+	l := &ledgerClient{client: daemon.NewClient(), zone: zone, historyReads: historyReads, disabled: disabled}
 	l.leaders = newLeaderCache(l.members, l.probe)
 	return l
 }
@@ -80,12 +80,13 @@
 // probe implements leaderProbe with a call to the member.
 func (l *ledgerClient) probe(ctx context.Context, member string, group uint32) (leads bool, hint string) {
 	reply := &protocol.TurnReply{}
-	err := l.caller.CallWithTimeout(ctx, leaderProbeTimeout, member, protocol.KindTurn, &protocol.TurnRequest{Group: group, ProbeLeader: true}, reply)
+	err := l.client.CallWithTimeout(ctx, leaderProbeTimeout, member, protocol.KindTurn, &protocol.TurnRequest{Group: group, ProbeLeader: true}, reply)
 	return err == nil && reply.Error == nil, reply.Leader
 }
 
 // callLeader sends a request to the leader of its group, and repeats it until it is answered or ctx
-// ends. Repeating is safe because the ledger identifies a turn by its request id.
+// ends. Repeating is safe because the ledger identifies a turn by its request id, and a quota
+// request by its ticket.
 func (l *ledgerClient) callLeader(ctx context.Context, request *protocol.TurnRequest) *protocol.TurnReply {
 	request.TimeoutMs = ledgerCallTimeout.Milliseconds()
 	lastError := result.New(result.LedgerUnreachable, "group %d: no leader found", request.Group)
@@ -95,7 +96,7 @@
 			break
 		}
 		reply := &protocol.TurnReply{}
-		err := l.caller.CallWithTimeout(ctx, ledgerCallTimeout, leader, protocol.KindTurn, request, reply)
+		err := l.client.CallWithTimeout(ctx, ledgerCallTimeout, leader, protocol.KindTurn, request, reply)
 		switch {
 		case err != nil:
 			lastError = result.New(result.LedgerUnreachable, "group %d: %s: %v", request.Group, leader, err)
@@ -161,7 +162,7 @@
 	if !l.disabled.Has(scheduling.MechanismZoneLocalReads) {
 		replica = l.localReplica(group)
 	}
-	if replica == "" || l.caller.CallWithTimeout(ctx, localReadTimeout, replica, protocol.KindTurn, request, older) != nil || older.Error != nil {
+	if replica == "" || l.client.CallWithTimeout(ctx, localReadTimeout, replica, protocol.KindTurn, request, older) != nil || older.Error != nil {
 		source = sourceLeader
 		older = l.callLeader(ctx, request)
 	}
@@ -200,17 +201,17 @@
 		requested++
 		go func() { replies <- l.callLeader(ctx, &protocol.TurnRequest{Group: group, HistoryOf: turn}) }()
 	}
-	notFound := &protocol.TurnReply{Error: result.New(result.UnknownTurn, "no ledger group has turn %s", turn)}
+	failedReply := &protocol.TurnReply{Error: result.New(result.UnknownTurn, "no ledger group has turn %s", turn)}
 	for range requested {
 		reply := <-replies
 		if reply.Error == nil {
 			return reply
 		}
 		if reply.Error.Code != result.UnknownTurn {
-			notFound = reply
+			failedReply = reply
 		}
 	}
-	return notFound
+	return failedReply
 }
 
 // requestQuota requests a grant for one run from the owner of the tenant's rate limit.
@@ -237,7 +238,7 @@
 		return result.New(result.LedgerUnreachable, "group %d: no leader found", group)
 	}
 	reply := &protocol.TurnReply{}
-	if err := l.caller.CallWithTimeout(ctx, ledgerCallTimeout, leader, protocol.KindTurn, &protocol.TurnRequest{Group: group, Quota: request}, reply); err != nil {
+	if err := l.client.CallWithTimeout(ctx, ledgerCallTimeout, leader, protocol.KindTurn, &protocol.TurnRequest{Group: group, Quota: request}, reply); err != nil {
 		return result.New(result.LedgerUnreachable, "group %d: %s: %v", group, leader, err)
 	}
 	return reply.Error
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -42,20 +42,20 @@
 		return -1
 	})
 	monitor.RegisterGauge("gateway_waiting", "Requests that wait for room at engines.", func() float64 {
-		_, waitingCount := d.waitQueues.admissionErrors()
+		_, waitingCount := d.waitQueues.misjudgments()
 		return float64(waitingCount)
 	})
 	monitor.RegisterGauge("gateway_rejected_wrongly", "Requests rejected for want of room that came in time for them after all, since the start.", func() float64 {
-		errors, _ := d.waitQueues.admissionErrors()
-		return float64(errors.FalseRejections)
+		misjudgments, _ := d.waitQueues.misjudgments()
+		return float64(misjudgments.FalseRejections)
 	})
 	monitor.RegisterGauge("gateway_held_in_vain", "Requests that waited for room and got none, since the start.", func() float64 {
-		errors, _ := d.waitQueues.admissionErrors()
-		return float64(errors.FutileWaits)
+		misjudgments, _ := d.waitQueues.misjudgments()
+		return float64(misjudgments.FutileWaits)
 	})
 	monitor.RegisterGauge("gateway_held_in_vain_seconds", "How long they waited in all.", func() float64 {
-		errors, _ := d.waitQueues.admissionErrors()
-		return (time.Duration(errors.FutileWaitMs) * time.Millisecond).Seconds()
+		misjudgments, _ := d.waitQueues.misjudgments()
+		return (time.Duration(misjudgments.FutileWaitMs) * time.Millisecond).Seconds()
 	})
 	monitor.RegisterGauge("gateway_processor_use", "Part of the share of a core that is used.", func() float64 {
 		return math.Float64frombits(d.processorLoad.utilizationBits.Load())
--- a/internal/gateway/pause.go
+++ b/internal/gateway/pause.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// stallMargin is how late a periodic tick of the process must be for the process to count as
-	// stalled. It is far above the delays that a busy processor causes.
+	// stallMargin is the delay of the periodic tick above which the process counts as stalled. It
+	// is far above the delays that a busy processor causes.
 	stallMargin = time.Second
 	// confirmationWait is how long after a stall requests wait for the first confirmation that
 	// the routing table is in force. A confirmation takes a round trip to control and a round of
@@ -30,22 +30,22 @@
 	lastStallEndMs atomic.Int64
 }
 
-// tick records the periodic tick, which is due once per interval.
-func (p *stallDetector) tick(interval time.Duration, nowMs int64) {
-	if stallEnd := p.stallEndMs(interval, nowMs); stallEnd == nowMs {
-		p.lastStallEndMs.Store(nowMs)
+// tick is called once per interval. A late call shows that the process was stalled until now.
+func (s *stallDetector) tick(interval time.Duration, nowMs int64) {
+	if stallEnd := s.stallEndMs(interval, nowMs); stallEnd == nowMs {
+		s.lastStallEndMs.Store(nowMs)
 	}
-	p.lastTickMs.Store(nowMs)
+	s.lastTickMs.Store(nowMs)
 }
 
 // stallEndMs returns the end of the latest stall, 0 if there was none. It returns nowMs if the tick
 // is overdue, because after a stall a request may be processed before the tick.
-func (p *stallDetector) stallEndMs(interval time.Duration, nowMs int64) int64 {
-	lastTick := p.lastTickMs.Load()
+func (s *stallDetector) stallEndMs(interval time.Duration, nowMs int64) int64 {
+	lastTick := s.lastTickMs.Load()
 	if lastTick > 0 && nowMs-lastTick > (interval+stallMargin).Milliseconds() {
 		return nowMs
 	}
-	return p.lastStallEndMs.Load()
+	return s.lastStallEndMs.Load()
 }
 
 // awaitConfirmation reports whether control has confirmed within maxAge that the routing table is in
--- a/internal/gateway/priority_test.go
+++ b/internal/gateway/priority_test.go
@@ -17,13 +17,13 @@
 			seen = r.Header.Get("Ochrebay-Priority")
 			streamingEngine(1, "", false)(w, r)
 		})
-		rankWith := func(request, finishMs string) string {
+		priorityWith := func(request, finishMs string) string {
 			response, _, err := fixture.send("/stream/", request, append(budgetHeaders, "Ochrebay-Finish-Ms", finishMs)...)
 			So(err, ShouldBeNil)
 			So(response.StatusCode, ShouldEqual, 200)
 			return seen
 		}
-		So(rankWith("r1", "-5000"), ShouldEqual, rankWith("r2", "5000"))
+		So(priorityWith("r1", "-5000"), ShouldEqual, priorityWith("r2", "5000"))
 		So(seen, ShouldNotBeBlank)
 	})
 }
--- a/internal/gateway/processor.go
+++ b/internal/gateway/processor.go
@@ -29,8 +29,8 @@
 	utilizationBits atomic.Uint64
 }
 
-// overloadLevel returns the gateway's overload level, 0 if its processor share is unknown. It must
-// be called only by the goroutine that reports to control.
+// overloadLevel returns the gateway's overload level, 0 if its processor share is not configured or
+// not measured yet. It must be called only by the goroutine that reports to control.
 func (d *Daemon) overloadLevel() uint8 {
 	share := d.process.Limits.CPUShare
 	now := time.Now()
@@ -41,7 +41,7 @@
 	usedTime, err := processorTime()
 	if err != nil {
 		d.processorLoad.failed = true
-		telemetry.Warn(d.logger, "processor use unknown", "err", err)
+		telemetry.Warn(d.logger, "processor time not available", "err", err)
 		return 0
 	}
 	previousTime := d.processorLoad.usedTime
@@ -53,7 +53,7 @@
 	level := d.processorLoad.tracker.Observe((usedTime-previousTime).Seconds()/(span.Seconds()*share), clock.NowMs())
 	d.processorLoad.utilizationBits.Store(math.Float64bits(d.processorLoad.tracker.Utilization()))
 	if level != d.processorLoad.level {
-		telemetry.Info(d.logger, "processor heat changed", "level", level, "before", d.processorLoad.level, "use", d.processorLoad.tracker.Utilization(), "share", share)
+		telemetry.Info(d.logger, "overload level changed", "level", level, "before", d.processorLoad.level, "use", d.processorLoad.tracker.Utilization(), "share", share)
 		d.processorLoad.level = level
 	}
 	return level
--- a/internal/gateway/quotas.go
+++ b/internal/gateway/quotas.go
@@ -20,8 +20,8 @@
 	// return is lost, the grant counts until it leaves the rate limit's window.
 	grantReturnTimeout = time.Second
 	// recentDenialWindow is how long after a denial a tenant's turns request their quota before
-	// they are opened, instead of both concurrently: opening a turn that is then denied costs
-	// two entries of a ledger's log.
+	// they are opened, and not concurrently: opening a turn that is then denied costs two entries
+	// of a ledger's log.
 	recentDenialWindow = 5 * time.Second
 )
 
@@ -82,9 +82,9 @@
 
 // acquireQuota gets a grant for one run of the call from the owner of the tenant's rate limit. The
 // owner queues the request if the call continues a program in progress and the limit will have
-// headroom in time. Invariant: every run at an engine has a grant of its own, made between the
-// arrival of the call and the run, so that the runs of any window do not exceed the grants of that
-// window.
+// headroom in time. Invariant: every run of a rate-limited tenant's call at an engine has a grant
+// of its own, made between the arrival of the call and the run, so that the runs of any window do
+// not exceed the grants of that window.
 func (d *Daemon) acquireQuota(ctx context.Context, c *call) *result.Error {
 	if c.tenant == nil || !c.tenant.HasRateLimit() {
 		return nil
@@ -117,9 +117,10 @@
 	return request
 }
 
-// awaitQuota repeats a quota request until it is granted or denied, or until the caller leaves. The
-// ticket keeps the position in the owner's wait queue across requests, and the time already waited
-// determines the position at a new owner.
+// awaitQuota repeats a quota request while the owner keeps it queued: until it is granted or
+// denied, the owner cannot be reached, or the caller disconnects. The ticket keeps the position in
+// the owner's wait queue across requests, and the time already waited determines the position at a
+// new owner.
 func (d *Daemon) awaitQuota(ctx context.Context, c *call, request quota.Request, startedAt time.Time) *protocol.TurnReply {
 	for {
 		request.MaxWaitMs = (c.timeLeft() - d.serviceTimes.expectedTime(c.route.Name)).Milliseconds()
@@ -143,7 +144,7 @@
 	request.Cancelled = true
 	go func() {
 		if failure := d.ledgers.sendQuotaOnce(&request); failure != nil {
-			d.logFailure("place in the queue not given back", c, failure)
+			d.logFailure("quota request not cancelled", c, failure)
 		}
 	}()
 }
@@ -174,7 +175,7 @@
 		go func() {
 			request := quota.Request{Tenant: c.tenant.Name, Program: c.programID, ReturnedGrant: grant}
 			if failure := d.ledgers.sendQuotaOnce(&request); failure != nil {
-				d.logFailure("quota not returned", c, failure)
+				d.logFailure("quota grant not returned", c, failure)
 			}
 		}()
 	}
--- a/internal/gateway/quotas_test.go
+++ b/internal/gateway/quotas_test.go
@@ -13,7 +13,7 @@
 )
 
 func TestWaitForQuota(t *testing.T) {
-	Convey("a queued request repeats the quota request with the same ticket until it is served", t, func() {
+	Convey("a queued quota request is repeated with the same ticket until it is granted", t, func() {
 		fixture := newTenantFixture(t, respondSigned)
 		var requests []quota.Request
 		fixture.ledger.setResponse(func(request *protocol.TurnRequest) *protocol.TurnReply {
--- a/internal/gateway/retries.go
+++ b/internal/gateway/retries.go
@@ -17,8 +17,8 @@
 	errEngineFailure   = errors.New("engine responded with a server error")
 )
 
-// retryPolicy decides, from all calls of this gateway, how long an attempt may wait for the first
-// response and whether it may be retried.
+// retryPolicy decides, from all calls of this gateway, how long an attempt may wait for the
+// engine's response and whether it may be retried.
 type retryPolicy struct {
 	mutex     sync.Mutex
 	settings  retry.Settings
@@ -31,7 +31,7 @@
 	return &retryPolicy{settings: settings, disabled: disabled, budgets: map[string]*retry.Budget{}}
 }
 
-// budgetFor returns the retry budget of a back end. The caller must hold the mutex.
+// budgetFor returns the retry budget of a backend. The caller must hold the mutex.
 func (r *retryPolicy) budgetFor(backend string) *retry.Budget {
 	budget, found := r.budgets[backend]
 	if !found {
@@ -41,7 +41,8 @@
 	return budget
 }
 
-// recordResponse records the time to the response of an attempt or, for a stream, to its first event.
+// recordResponse records the time until the response of an attempt was complete or, for a stream,
+// until its first event, and counts a success in the retry budget.
 func (r *retryPolicy) recordResponse(c *call, nowMs int64, responseMs float64) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -55,8 +56,8 @@
 	r.latencies.ForKind(c.route.Name).RecordTimeout(nowMs, milliseconds(timeout))
 }
 
-// responseTimeout returns how long an attempt may wait for the first response of an engine whose
-// latency is latencyRatio times that of the others. 0 means no timeout.
+// responseTimeout returns how long an attempt may wait for the response of an engine whose latency
+// is latencyRatio times that of the other engines. 0 means no timeout.
 func (r *retryPolicy) responseTimeout(c *call, nowMs int64, latencyRatio float64) time.Duration {
 	if r.disabled.Has(scheduling.MechanismRetry) {
 		return 0
@@ -70,7 +71,8 @@
 	return time.Duration(timeoutMs * max(latencyRatio, 1) * float64(time.Millisecond))
 }
 
-// tryTake takes one retry from a back end's budget, and returns false if none is left.
+// tryTake takes one retry from a backend's budget, and returns false if none is left. If the retry
+// mechanism is disabled, retries are not limited.
 func (r *retryPolicy) tryTake(backend string) bool {
 	if r.disabled.Has(scheduling.MechanismRetry) {
 		return true
@@ -95,7 +97,8 @@
 		d.engines.engineCount(c.backend.Name) > len(c.attemptState.excludedEngines)+1
 }
 
-// responseTimer bounds the wait for the first response of an engine. A nil timer has no bound.
+// responseTimer bounds the wait for the response of an engine, up to the header of a stream or the
+// end of a buffered response. A nil timer sets no bound.
 type responseTimer struct {
 	timer          *time.Timer
 	attemptContext context.Context
@@ -123,21 +126,21 @@
 	return &responseTimer{timer: timer, attemptContext: attemptContext}
 }
 
-// stop ends the wait for the first response.
-func (w *responseTimer) stop() {
-	if w != nil {
-		w.timer.Stop()
+// stop ends the wait for the response.
+func (t *responseTimer) stop() {
+	if t != nil {
+		t.timer.Stop()
 	}
 }
 
 // stopAndCheck ends the wait and reports whether the timer had already cancelled the attempt.
-func (w *responseTimer) stopAndCheck() bool {
-	w.stop()
-	return w != nil && errors.Is(context.Cause(w.attemptContext), errResponseTimeout)
+func (t *responseTimer) stopAndCheck() bool {
+	t.stop()
+	return t != nil && errors.Is(context.Cause(t.attemptContext), errResponseTimeout)
 }
 
 // isEngineFailure reports whether a status indicates a fault of the engine rather than of the
-// request. A 504 from an engine only means that the deadline has passed.
+// request. A 504 from an engine only means that the call's deadline has passed.
 func isEngineFailure(status int) bool {
 	return status >= http.StatusInternalServerError && status != http.StatusGatewayTimeout
 }
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -34,8 +34,9 @@
 	response.writeError(request, failure)
 }
 
-// run opens the call, which reserves its turn if it is one, runs it at an engine, and settles a
-// reserved turn that was not retained.
+// run acquires quota for the call, reserves it at the ledger if it is a turn, and runs it at an
+// engine. In the end it settles a reserved turn that was not retained, and returns the quota grants
+// of a call that was not run.
 func (d *Daemon) run(ctx context.Context, c *call, response *callerResponse) *result.Error {
 	if c.timeLeft() < minSendTime {
 		return result.New(result.DeadlinePassed, "%s left until the deadline", c.timeLeft())
@@ -64,10 +65,11 @@
 	return failure
 }
 
-// openTurn reserves the turn at the ledger and fetches the history that it continues from.
+// openTurn reserves the turn at the ledger, fetches the history that it continues from, and applies
+// admission control if it starts its program.
 func (d *Daemon) openTurn(ctx context.Context, c *call) *result.Error {
-	// A lost leader is replaced within the time that most callers allow. After latestStart no
-	// attempt at an engine is worthwhile, so no time has to be left for one.
+	// The ledger may use all the time until latestStart: a lost leader is replaced within the time
+	// that most callers allow, and after latestStart no attempt at an engine is worthwhile.
 	ledgerContext, cancel := context.WithDeadline(ctx, earlier(c.deadline, later(c.latestStart, time.Now().Add(ledgerCallTimeout))))
 	defer cancel()
 	reserve := &program.Reserve{Program: c.programID, Request: c.turnID, BudgetTokens: c.tokenBudget, MaxTokens: c.maxTokens, Session: c.sessionID}
@@ -147,20 +149,20 @@
 }
 
 // writeError answers a call that no engine has answered.
-func (a *callerResponse) writeError(request *http.Request, failure *result.Error) {
+func (r *callerResponse) writeError(request *http.Request, failure *result.Error) {
 	failure = result.From(failure)
-	header := a.writer.Header()
+	header := r.writer.Header()
 	header.Set("Content-Type", "application/json")
-	if id := request.Header.Get(a.daemon.headerNames.RequestID); id != "" {
-		header.Set(a.daemon.headerNames.RequestID, id)
+	if id := request.Header.Get(r.daemon.headerNames.RequestID); id != "" {
+		header.Set(r.daemon.headerNames.RequestID, id)
 	}
 	if failure.RetryAfterMs > 0 && failure.Outcome == result.NotRun {
 		header.Set("Retry-After", strconv.FormatFloat(float64(failure.RetryAfterMs)/1000, 'f', -1, 64))
 	}
-	a.closeWhenDraining()
+	r.closeWhenDraining()
 	body, _ := json.Marshal(result.Body{Error: failure})
 	header.Set("Content-Length", strconv.Itoa(len(body)+1))
-	a.writer.WriteHeader(failure.HTTPStatus())
-	_, _ = a.writer.Write(append(body, '\n'))
-	a.status = failure.HTTPStatus()
+	r.writer.WriteHeader(failure.HTTPStatus())
+	_, _ = r.writer.Write(append(body, '\n'))
+	r.status = failure.HTTPStatus()
 }
--- a/internal/gateway/services.go
+++ b/internal/gateway/services.go
@@ -26,7 +26,8 @@
 	getOrCreate(s.byRoute, route).Add(clock.NowMs(), float64(elapsed)/float64(time.Millisecond), 1)
 }
 
-// expectedTime returns the decayed mean time of a route's requests, and at least minSendTime.
+// expectedTime returns the decayed mean time of a route's requests, but at least minSendTime, which
+// is also returned if the mean is unknown.
 func (s *serviceTimes) expectedTime(route string) time.Duration {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/gateway/shares_test.go
+++ b/internal/gateway/shares_test.go
@@ -14,8 +14,8 @@
 	"github.com/ochrebay/ochrebay/internal/scheduling"
 )
 
-// newOversubscribedFixture returns a gateway whose only engine is oversubscribed. The tenant above
-// uses more than its fair share, the tenant below uses less.
+// newOversubscribedFixture returns a gateway whose only engine is oversubscribed. The tenant with
+// the name in above uses more than its fair share, the one with the name in below uses less.
 func newOversubscribedFixture(t *testing.T, above, below string) *tenantFixture {
 	fixture := newTenantFixture(t, func(w http.ResponseWriter, r *http.Request) {
 		// Usage has millisecond resolution, so a shorter request may not be counted.
@@ -71,24 +71,24 @@
 		So(err, ShouldBeNil)
 		So(response.StatusCode, ShouldEqual, 200)
 	})
-	Convey("a gateway reports usage by tenant only for a back end close to its capacity", t, func() {
+	Convey("a gateway breaks its reported usage down by tenant only for a backend close to its capacity", t, func() {
 		fixture := newOversubscribedFixture(t, "beta", "alpha")
 		_, _, err := fixture.send("/safe/", "r1", "Ochrebay-Key", otherKey)
 		So(err, ShouldBeNil)
 		// This request is in flight for some time; the one above may have been too short to count.
 		fixture.gateway.engines.usageMeter = admission.NewUsageMeter(clock.NowMs() - 100)
 		fixture.gateway.engines.usageMeter.AdjustInFlight("b", "beta", 2, 1, clock.NowMs()-100)
-		uses := fixture.gateway.engines.collectTenantUsage(clock.NowMs())
-		So(uses, ShouldHaveLength, 1)
-		So(uses[0].Tenants, ShouldHaveLength, 1)
-		So(uses[0].Tenants[0].Tenant, ShouldEqual, "beta")
-		So(uses[0].Tenants[0].Weight, ShouldEqual, 2)
+		usages := fixture.gateway.engines.collectTenantUsage(clock.NowMs())
+		So(usages, ShouldHaveLength, 1)
+		So(usages[0].Tenants, ShouldHaveLength, 1)
+		So(usages[0].Tenants[0].Tenant, ShouldEqual, "beta")
+		So(usages[0].Tenants[0].Weight, ShouldEqual, 2)
 		fixture = newTenantFixture(t, respondSigned)
 		fixture.gateway.engines.fairSharesEnabled = true
 		_, _, err = fixture.send("/safe/", "r1", "Ochrebay-Key", testKey)
 		So(err, ShouldBeNil)
-		for _, use := range fixture.gateway.engines.collectTenantUsage(clock.NowMs()) {
-			So(use.Tenants, ShouldBeEmpty)
+		for _, usage := range fixture.gateway.engines.collectTenantUsage(clock.NowMs()) {
+			So(usage.Tenants, ShouldBeEmpty)
 		}
 	})
 }
--- a/internal/gateway/tenants.go
+++ b/internal/gateway/tenants.go
@@ -10,9 +10,8 @@
 )
 
 const (
-	// clockDriftMargin covers the drift between the monotonic clocks of two machines over the few
-	// seconds for which a confirmation is valid, 0.1% of that time, and the time from the check to
-	// the send.
+	// clockDriftMargin covers the time from the check to the send, and the drift between the
+	// monotonic clocks of two machines: 0.1% of the few seconds for which a confirmation is valid.
 	clockDriftMargin = 100 * time.Millisecond
 	// unknownKeyMaxAge is the maximum age of the confirmation of the routing table for a key to be
 	// rejected as unknown. It is below the time that the platform allows until a table is in force
@@ -103,8 +102,8 @@
 }
 
 // tenantScopedID returns the ledger's id of a caller's program or turn. Invariant: ids of different
-// tenants never collide, so that no tenant can continue from a turn, or spend the budget, of another
-// tenant.
+// tenants never collide, so that no tenant can continue from a turn, or spend the budget, of
+// another tenant. The ids of anonymous callers are not scoped.
 func (c *call) tenantScopedID(id string) string {
 	if c.tenant == nil || id == "" {
 		return id
--- a/internal/gateway/tenants_test.go
+++ b/internal/gateway/tenants_test.go
@@ -147,10 +147,10 @@
 	})
 	Convey("the ids of programs and turns are scoped to their tenant", t, func() {
 		fixture := newTenantFixture(t, streamingEngine(1, "", false))
-		var reserves []turnNames
+		var reserves []turnIDs
 		fixture.ledger.setResponse(func(request *protocol.TurnRequest) *protocol.TurnReply {
 			if request.Reserve != nil {
-				reserves = append(reserves, turnNames{request.Reserve.Program, request.Reserve.Request, request.Reserve.PreviousRequest})
+				reserves = append(reserves, turnIDs{request.Reserve.Program, request.Reserve.Request, request.Reserve.PreviousRequest})
 			}
 			return &protocol.TurnReply{Grant: &quota.Grant{}}
 		})
@@ -158,12 +158,12 @@
 			_, _, err := fixture.send("/kept/", "r2", append(budgetHeaders, "Ochrebay-Key", key, "Ochrebay-Previous-Turn", "r1")...)
 			So(err, ShouldBeNil)
 		}
-		So(reserves, ShouldResemble, []turnNames{{"alpha/p", "alpha/r2", "alpha/r1"}, {"beta/p", "beta/r2", "beta/r1"}})
+		So(reserves, ShouldResemble, []turnIDs{{"alpha/p", "alpha/r2", "alpha/r1"}, {"beta/p", "beta/r2", "beta/r1"}})
 	})
 }
 
-// turnNames holds the ids by which the ledger identifies a turn.
-type turnNames struct{ program, turn, previous string }
+// turnIDs holds the ids by which the ledger identifies a turn.
+type turnIDs struct{ program, turn, previous string }
 
 func TestQuotaOfAGateway(t *testing.T) {
 	Convey("a request above its tenant's rate limit returns 429 with Retry-After and is not run", t, func() {
@@ -241,7 +241,7 @@
 		time.Sleep(2 * ledgerCallTimeout)
 		So(returns.Load(), ShouldEqual, 1)
 	})
-	Convey("a second run needs a second grant; without it the call is not reported as not run", t, func() {
+	Convey("a second run needs a second grant; if it is denied, the response is aborted", t, func() {
 		fixture := newTenantFixture(t, streamingEngine(1, "", true))
 		grants := atomic.Int64{}
 		fixture.ledger.setResponse(func(request *protocol.TurnRequest) *protocol.TurnReply {
@@ -264,7 +264,7 @@
 	forbidden := []string{"Ochrebay-Key", "Hold", "Pin-Ms", "Kv-From", "Ochrebay-Priority"}
 	names := append([]string{"Ochrebay-Tenant", "Connection", "X-Other"}, forbidden...)
 	rapid.Check(t, func(t *rapid.T) {
-		spelled := func(name string) string {
+		randomCase := func(name string) string {
 			switch rapid.IntRange(0, 3).Draw(t, "case") {
 			case 0:
 				return strings.ToLower(name)
@@ -276,7 +276,7 @@
 		head := "POST /safe/ HTTP/1.1\r\nHost: h\r\nOchrebay-Request: r1\r\nContent-Length: 2\r\nOchrebay-Key: " + testKey + "\r\n"
 		for range rapid.IntRange(0, 6).Draw(t, "lines") {
 			value := rapid.SampledFrom([]string{"beta", testKey, "", "a, b", "Ochrebay-Tenant", "ochrebay-key, Hold", "close", "x\r\n Ochrebay-Tenant: beta"}).Draw(t, "value")
-			head += fmt.Sprintf("%s: %s\r\n", spelled(rapid.SampledFrom(names).Draw(t, "name")), value)
+			head += fmt.Sprintf("%s: %s\r\n", randomCase(rapid.SampledFrom(names).Draw(t, "name")), value)
 		}
 		fixture.engineHeader.Store(nil)
 		connection, err := net.Dial("tcp", address)
--- a/internal/gateway/tries.go
+++ b/internal/gateway/tries.go
@@ -19,8 +19,8 @@
 	goneDialTimeout = 100 * time.Millisecond
 	// minSendTime is the least time left for which an attempt at an engine is worthwhile.
 	minSendTime = 5 * time.Millisecond
-	// maxProbedEngines is how many engines a call tries after it was woken without the name of an
-	// engine that has capacity.
+	// maxProbedEngines is how many engines a call tries after a wait if it is unknown which engine
+	// has capacity.
 	maxProbedEngines = 3
 	// allEngines lets a call try all eligible engines.
 	allEngines = -1
@@ -33,17 +33,17 @@
 	// remainingEngines is how many more engines may be tried before the call waits, allEngines for
 	// no bound.
 	remainingEngines int
-	// runs counts the runs against the route's attempt limit: all that engines may have started,
-	// except those of repeatable calls at engines that are gone. mayHaveRun is true once any
-	// engine may have started the call.
+	// runs counts the runs that engines may have started, for the route's attempt limit. Runs of
+	// repeatable calls at engines that are gone do not count. mayHaveRun is true once any engine
+	// may have started the call.
 	runs       int
 	mayHaveRun bool
 }
 
-// runAttempts sends a call to engines until one answers or no further attempt is allowed. It returns
-// the error for the caller, or nil if the response was forwarded. Invariant: a call that is not
-// repeatable is sent again only if no earlier attempt was run, and the error states "not run" only if
-// no attempt was run.
+// runAttempts sends a call to engines until one answers or no further attempt is allowed. It
+// returns the error for the caller, or nil if the response was forwarded. Invariant: a call that is
+// not repeatable is sent again only if no engine may have run it before, and the error states "not
+// run" only if no engine may have run the call.
 func (d *Daemon) runAttempts(ctx context.Context, c *call, deliver deliverFunc) *result.Error {
 	defer d.waitQueues.leave(c, false)
 	state := &c.attemptState
@@ -114,15 +114,16 @@
 	return false, nil
 }
 
-// takeRetryBudget takes one retry of a call that an engine may have run from the back end's budget,
+// takeRetryBudget takes one retry of a call that an engine may have run from the backend's budget,
 // and returns false if none is left. For an attempt that timed out, the response timer has already
 // taken it.
 func (d *Daemon) takeRetryBudget(c *call, outcome attemptOutcome) bool {
 	return errors.Is(outcome.err, errResponseTimeout) || d.retries.tryTake(c.backend.Name)
 }
 
-// waitInQueue makes a call wait that no engine had capacity for. After the wait, only the engine
-// that has capacity is tried, or up to maxProbedEngines engines if it is unknown which one has.
+// waitInQueue makes a call wait for capacity, or ends a call that an engine may have run. After the
+// wait, only the engine that has capacity is tried, or up to maxProbedEngines engines if it is
+// unknown which one has.
 func (d *Daemon) waitInQueue(ctx context.Context, c *call, state *attemptState) *result.Error {
 	if state.mayHaveRun {
 		return result.New(result.OutcomeUnknown, "%d attempts, at least one of which an engine may have run", c.attemptCount)
@@ -137,7 +138,7 @@
 }
 
 // recordCompletion records the latency of a successful buffered response, and notifies the wait
-// queue if a request that an engine had accepted has ended.
+// queue if a request has ended that the engine may have accepted.
 func (d *Daemon) recordCompletion(c *call, outcome attemptOutcome) {
 	if outcome.kind == attemptAnswered && outcome.responseMs > 0 && !isEngineFailure(outcome.status) {
 		d.retries.recordResponse(c, clock.NowMs(), outcome.responseMs)
@@ -150,7 +151,7 @@
 
 // latestStart returns the latest time at which a call is worth starting at an engine: two expected
 // service times before its caller gives up. The call can then complete in time or, if no engine has
-// capacity, the caller can retry and have it run elsewhere.
+// capacity, the caller can still retry elsewhere.
 func (d *Daemon) latestStart(c *call) time.Time {
 	const reservedServiceTimes = 2
 	latestEnd := c.deadline
--- a/internal/gateway/tries_test.go
+++ b/internal/gateway/tries_test.go
@@ -21,7 +21,7 @@
 }
 
 func TestWaitingForCapacity(t *testing.T) {
-	Convey("a call that no engine has capacity for runs once there is some", t, func() {
+	Convey("a call that no engine has capacity for waits and runs once an engine accepts it", t, func() {
 		var refusals atomic.Int64
 		fixture := newGatewayFixture(t, func(w http.ResponseWriter, r *http.Request) {
 			if refusals.Add(1) <= 3 {
@@ -34,7 +34,7 @@
 		So(err, ShouldBeNil)
 		So(response.StatusCode, ShouldEqual, 200)
 		So(fixture.runs.Load(), ShouldEqual, 4)
-		_, waitingNow := fixture.gateway.waitQueues.admissionErrors()
+		_, waitingNow := fixture.gateway.waitQueues.misjudgments()
 		So(waitingNow, ShouldEqual, 0)
 	})
 	Convey("a call that gets no capacity in time leaves the queue and returns 503 with Retry-After", t, func() {
@@ -43,11 +43,11 @@
 		So(err, ShouldBeNil)
 		So(response.StatusCode, ShouldEqual, 503)
 		So(response.Header.Get("Retry-After"), ShouldNotBeBlank)
-		mistakes, waitingNow := fixture.gateway.waitQueues.admissionErrors()
+		misjudgments, waitingNow := fixture.gateway.waitQueues.misjudgments()
 		So(waitingNow, ShouldEqual, 0)
-		So(mistakes.FutileWaits, ShouldEqual, 1)
+		So(misjudgments.FutileWaits, ShouldEqual, 1)
 	})
-	Convey("a call to a back end without engines returns 503", t, func() {
+	Convey("a call to a backend without engines returns 503", t, func() {
 		fixture := newGatewayFixture(t, respondSigned)
 		fixture.gateway.engines.applyFleet(&membership.FleetView{Version: 2})
 		response, body, err := fixture.send("/safe/", "r1", "Ochrebay-Deadline-Ms", "300")
@@ -74,10 +74,10 @@
 
 // recordLatencies records enough responses of 20 ms for the gateway to have a response timeout.
 func (g *gatewayFixture) recordLatencies(routes ...string) {
-	const answers, tookMs = 200, 20
+	const responses, latencyMs = 200, 20
 	for _, route := range routes {
-		for range answers {
-			g.gateway.retries.latencies.ForKind(route).Record(clock.NowMs(), tookMs)
+		for range responses {
+			g.gateway.retries.latencies.ForKind(route).Record(clock.NowMs(), latencyMs)
 		}
 	}
 }
@@ -152,20 +152,20 @@
 func TestLedgersThatAreSlow(t *testing.T) {
 	Convey("a turn whose ledger does not answer for longer than one call timeout is still served and retained", t, func() {
 		fixture := newGatewayFixture(t, streamingEngine(3, "", false))
-		var asked atomic.Int64
+		var requests atomic.Int64
 		fixture.ledger.setResponse(func(*protocol.TurnRequest) *protocol.TurnReply {
 			// The first three replies to opening and to retaining the turn are lost.
-			if number := asked.Add(1); number%4 != 0 {
+			if number := requests.Add(1); number%4 != 0 {
 				return nil
 			}
 			return &protocol.TurnReply{}
 		})
-		began := time.Now()
+		startedAt := time.Now()
 		response, body, err := fixture.send("/kept/", "r1", append([]string{"Ochrebay-Deadline-Ms", "20000"}, budgetHeaders...)...)
 		So(err, ShouldBeNil)
 		So(response.StatusCode, ShouldEqual, 200)
 		So(body, ShouldContainSubstring, "data: 3")
-		So(time.Since(began), ShouldBeGreaterThan, 6*ledgerCallTimeout)
-		So(asked.Load(), ShouldEqual, 8)
+		So(time.Since(startedAt), ShouldBeGreaterThan, 6*ledgerCallTimeout)
+		So(requests.Load(), ShouldEqual, 8)
 	})
 }
--- a/internal/gateway/waiting.go
+++ b/internal/gateway/waiting.go
@@ -11,7 +11,7 @@
 	"github.com/ochrebay/ochrebay/internal/waiting"
 )
 
-// backendQueue is the wait queue of one back end with the wakeup channels of the waiting calls.
+// backendQueue is the wait queue of one backend with the wakeup channels of the waiting calls.
 type backendQueue struct {
 	queue *waiting.Queue
 	// wakeups holds the channels on which waiting calls receive the id of an engine that has
@@ -19,7 +19,7 @@
 	wakeups map[*waiting.Entry]chan string
 }
 
-// waitQueues holds the wait queues of all back ends.
+// waitQueues holds the wait queues of all backends.
 type waitQueues struct {
 	mutex     sync.Mutex
 	settings  waiting.Settings
@@ -31,7 +31,7 @@
 	return &waitQueues{settings: settings, byBackend: map[string]*backendQueue{}, disabled: disabled}
 }
 
-// queueFor returns the wait queue of a back end. The caller must hold the mutex.
+// queueFor returns the wait queue of a backend. The caller must hold the mutex.
 func (q *waitQueues) queueFor(backend string) *backendQueue {
 	found, exists := q.byBackend[backend]
 	if !exists {
@@ -109,30 +109,30 @@
 	c.queueEntry = nil
 }
 
-// startProbe reports whether a call that was not woken may probe engines for capacity. probeDelay
-// returns how long the call has to wait before it may probe.
+// startProbe reports whether a call that was not woken may probe engines for capacity.
 func (q *waitQueues) startProbe(c *call) bool {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	return q.queueFor(c.backend.Name).queue.StartProbe(c.queueEntry)
 }
 
+// probeDelay returns how long a call has to wait to be woken before it may probe engines itself.
 func (q *waitQueues) probeDelay(c *call) time.Duration {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	return time.Duration(q.queueFor(c.backend.Name).queue.ProbeDelayMs(clock.NowMs(), c.queueEntry)) * time.Millisecond
 }
 
-// admissionErrors returns the sums of the admission errors and of the waiting calls over all back
-// ends.
-func (q *waitQueues) admissionErrors() (total waiting.Misjudgments, waitingCount int) {
+// misjudgments returns the misjudgments of the wait queues of all backends, and the total number of
+// waiting calls.
+func (q *waitQueues) misjudgments() (total waiting.Misjudgments, waitingCount int) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	for _, waiters := range q.byBackend {
-		errors := waiters.queue.Misjudgments()
-		total.FalseRejections += errors.FalseRejections
-		total.FutileWaits += errors.FutileWaits
-		total.FutileWaitMs += errors.FutileWaitMs
+		misjudgments := waiters.queue.Misjudgments()
+		total.FalseRejections += misjudgments.FalseRejections
+		total.FutileWaits += misjudgments.FutileWaits
+		total.FutileWaitMs += misjudgments.FutileWaitMs
 		waitingCount += waiters.queue.Len()
 	}
 	return total, waitingCount
@@ -147,7 +147,7 @@
 	return waiting.Call{Priority: c.priority(), ProgramInProgress: c.programInProgress, AboveFairShare: c.aboveFairShare, DueTimeMs: dueTime.UnixMilli(), LatestStartMs: c.latestStart.UnixMilli()}
 }
 
-// waitForCapacity waits until an engine of the call's back end may have capacity. It returns that
+// waitForCapacity waits until an engine of the call's backend may have capacity. It returns that
 // engine, "" if it is unknown which one, or the reason why the call does not wait any longer.
 func (d *Daemon) waitForCapacity(ctx context.Context, c *call) (engine string, failure *result.Error) {
 	if c.queuedAt.IsZero() {
@@ -182,8 +182,8 @@
 	return "", d.rejectionError(c, rejection)
 }
 
-// pauseUnqueued waits for a fixed delay without any order between calls. It replaces the wait queue
-// when that is disabled, for comparison.
+// pauseUnqueued waits for a fixed delay without any order between calls. It is used while the wait
+// queue is disabled, so that the two can be compared.
 func (d *Daemon) pauseUnqueued(ctx context.Context, c *call) *result.Error {
 	const delay = 30 * time.Millisecond
 	if time.Now().Add(delay).After(c.latestStart) {
@@ -202,8 +202,8 @@
 func (d *Daemon) rejectionError(c *call, rejection *waiting.Rejection) *result.Error {
 	retryAfter := time.Duration(rejection.RetryAfterMs) * time.Millisecond
 	if d.engines.engineCount(c.backend.Name) == 0 {
-		return result.New(result.NoEngine, "back end %s has no engine", c.backend.Name).WithRetryAfter(retryAfter)
+		return result.New(result.NoEngine, "backend %s has no engine", c.backend.Name).WithRetryAfter(retryAfter)
 	}
-	return result.New(result.EngineRefused, "no engine of back end %s had capacity within %s; %d calls ahead, %.1f completions per second, probability %.3f of starting in time",
+	return result.New(result.EngineRefused, "no engine of backend %s had capacity within %s; %d calls ahead, %.1f completions per second, probability %.3f of starting in time",
 		c.backend.Name, c.waitTime.Round(time.Millisecond), rejection.Ahead, rejection.CompletionsPerSecond, rejection.Probability).WithRetryAfter(retryAfter)
 }
