--- a/internal/membership/advertised.go
+++ b/internal/membership/advertised.go
@@ -8,16 +8,16 @@
 )
 
 const (
-	// minLocalSubset is the minimum number of engines of a back end in a zone that are
-	// advertised to the gateways of that zone. It is large enough that some engines remain
-	// when several fail at once. The smaller the subset, the more often an engine has a shared
-	// prompt prefix in its cache: with a fleet of 10,000 engines, 32 of 100 prefilled tokens
-	// were shared prefixes computed again, against 68 where each of 865 gateways used 24
-	// engines of its own (docs/design/0009-fleet.md).
+	// minLocalSubset is the minimum number of engines of a backend in a zone that are advertised
+	// to the gateways of that zone. It is large enough that some engines remain when several
+	// fail at once. The smaller the subset, the more often an engine has a shared prompt prefix
+	// in its cache: with a fleet of 10,000 engines, 32 of 100 prefilled tokens belonged to shared
+	// prefixes that were computed again. With 865 gateways that each used 24 engines of their
+	// own, it was 68 of 100 (docs/design/0009-fleet.md).
 	minLocalSubset = 12
-	// minRemoteSubset is the minimum number of these engines that are advertised to the
-	// gateways of other zones. With two to six other zones it leaves 8 to 24 engines for the
-	// third of the candidates that a request takes from outside its zone.
+	// minRemoteSubset is the minimum number of engines of a backend in a zone that are
+	// advertised to the gateways of other zones. A request takes a third of its candidates from
+	// other zones. With two to six other zones, these are 8 to 24 engines.
 	minRemoteSubset = 4
 	// maxWithdrawals bounds the withdrawals that a fleet retains for its followers. A follower
 	// that lags further behind receives the full state.
@@ -31,7 +31,7 @@
 	Zone            string
 }
 
-// SubsetSize is the number of engines of a back end in a zone that are advertised to the
+// SubsetSize is the number of engines of a backend in a zone that are advertised to the
 // gateways of the zone (Local) and to the gateways of other zones (Remote).
 type SubsetSize struct {
 	Backend string `msgpack:"b"`
@@ -40,7 +40,7 @@
 	Remote  int    `msgpack:"f"`
 }
 
-// poolKey identifies the engines of one back end in one zone.
+// poolKey identifies the engines of one backend in one zone.
 type poolKey struct {
 	backend string
 	zone    string
@@ -70,7 +70,7 @@
 // audiences lists every audience.
 var audiences = [audienceCount]audience{localAudience, remoteAudience}
 
-// zonePool holds the engines of one back end in one zone that accept work, sorted by the hash
+// zonePool holds the engines of one backend in one zone that accept work, sorted by the hash
 // of their ids. The first ones are advertised. The subset therefore depends only on the set of
 // engines and not on the order of past changes, so that all control processes select the same
 // subset, also after a restore from a snapshot.
@@ -108,8 +108,9 @@
 
 // advertisements is the state sent to the followers of a fleet. It is derived from the
 // replicated state and therefore not part of a snapshot. The cost of a change is proportional
-// to the number of its effects, independent of the number of engines, except for the shift of
-// elements in a sorted slice.
+// to the number of engines that it advertises or withdraws and independent of the number of
+// engines in the fleet, except that an insertion or deletion in a sorted slice moves the elements
+// behind it.
 type advertisements struct {
 	pools   map[poolKey]*zonePool
 	engines map[string]advertisedVersions
@@ -129,7 +130,7 @@
 	return advertisements{pools: map[poolKey]*zonePool{}, engines: map[string]advertisedVersions{}, localVersions: map[string]uint64{}}
 }
 
-// pool returns the pool of a back end in a zone and creates it if necessary.
+// pool returns the pool of a backend in a zone and creates it if necessary.
 func (a *advertisements) pool(key poolKey) *zonePool {
 	pool := a.pools[key]
 	if pool == nil {
--- a/internal/membership/advertised_test.go
+++ b/internal/membership/advertised_test.go
@@ -138,7 +138,8 @@
 	}
 }
 
-// TestAdvertised checks that the cost of a change does not grow with the fleet.
+// TestAdvertised checks the deltas that changes cause for followers, and that their cost does not
+// grow with the fleet.
 func TestAdvertised(t *testing.T) {
 	gateway := Scope{IncludesEngines: true, Zone: "zone-1"}
 	Convey("the full state sent to a follower does not grow with the fleet", t, func() {
@@ -171,7 +172,7 @@
 			So(len(allDeltas["zone-2"].Engines)+len(allDeltas["zone-2"].Removed), ShouldEqual, 2)
 		}
 	})
-	Convey("a change allocates no more memory with 10,000 engines than with 1,000", t, func() {
+	Convey("a change makes at most two more allocations with 10,000 engines than with 1,000", t, func() {
 		allocations := map[int]float64{}
 		for _, engines := range []int{1000, 10_000} {
 			fleet := newFleetWithEngines(engines)
@@ -194,14 +195,14 @@
 		fleet := newFleetWithEngines(1000)
 		for range 100 {
 			pool := fleet.advertisements.pools[poolKey{"b", "zone-1"}]
-			leaving, _ := fleet.Engine(pool.ranked[3].id)
-			leaving.Draining = true
-			leaving.Sequence++
-			fleet.Apply(FleetUpdate{PutEngines: []ServingEngine{leaving}})
+			draining, _ := fleet.Engine(pool.ranked[3].id)
+			draining.Draining = true
+			draining.Sequence++
+			fleet.Apply(FleetUpdate{PutEngines: []ServingEngine{draining}})
 			delta := fleet.DeltaSince(0, gateway)
 			So(len(delta.Engines), ShouldEqual, minLocalSubset+4*minRemoteSubset)
 			for _, engine := range delta.Engines {
-				So(engine.ID, ShouldNotEqual, leaving.ID)
+				So(engine.ID, ShouldNotEqual, draining.ID)
 			}
 		}
 	})
@@ -246,11 +247,11 @@
 		So(resizeAtLoad(fleet, tracker, 1.4, 0, 100), ShouldResemble, SubsetSize{Local: minLocalSubset, Remote: minRemoteSubset})
 		So(resizeAtLoad(fleet, tracker, 3, 0, 200), ShouldResemble, SubsetSize{Local: 24, Remote: minRemoteSubset})
 		So(resizeAtLoad(fleet, tracker, 6, 0, 300), ShouldResemble, SubsetSize{Local: 96, Remote: minRemoteSubset})
-		Convey("it grows up to all engines, and the remote subset stays if all engines are equally utilized", func() {
+		Convey("it grows up to all engines, and the remote subset does not grow if all engines are equally utilized", func() {
 			So(resizeAtLoad(fleet, tracker, 50, 0, 400), ShouldResemble, SubsetSize{Local: 200, Remote: minRemoteSubset})
 			So(resizeAtLoad(fleet, tracker, 50, 0, 500), ShouldResemble, SubsetSize{Local: 200, Remote: minRemoteSubset})
 		})
-		Convey("the remote subset grows if the other zones crowd the few engines advertised to them", func() {
+		Convey("the remote subset grows if the engines advertised to other zones have a higher utilization", func() {
 			So(resizeAtLoad(fleet, tracker, 0.1, 4.4, 400), ShouldResemble, SubsetSize{Local: 96, Remote: 12})
 		})
 		Convey("it is halved after a minute of low load", func() {
--- a/internal/membership/bench_test.go
+++ b/internal/membership/bench_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// largeFleet returns a fleet of hundreds of machines.
+// largeFleet returns a fleet of hundreds of machines that has lost 3000 other engines.
 func largeFleet() *Fleet {
 	fleet := NewFleet()
 	for number := range 140 {
--- a/internal/membership/directory.go
+++ b/internal/membership/directory.go
@@ -1,7 +1,8 @@
 // Package membership tracks which daemons are alive and which scheduler owns which engine
 // (design section 4). Directory is replicated by the settings group. Tracker is the soft state
 // of that group's leader: it derives proposals for the Directory from heartbeats and from the
-// platform's instance list, which lags behind the actual state.
+// platform's instance list, which lags behind the actual state. Fleet and FleetTracker are
+// their counterparts for the engines that register themselves, the gateways and the ledger hosts.
 package membership
 
 import (
@@ -55,8 +56,9 @@
 	Schedulers map[string]Scheduler `json:"schedulers" msgpack:"s"`
 	Engines    map[string]Engine    `json:"engines" msgpack:"e"`
 
-	// The remaining fields record the versions of changes. They are not replicated, because a
-	// follower at a version that is unknown here receives the full state.
+	// The remaining fields record the versions of changes. They are not replicated: a follower
+	// that asks for changes since a version that this process has no record of receives the
+	// full state.
 	roster           *Roster
 	engineVersions   map[string]uint64
 	minEngineVersion uint64
--- a/internal/membership/fleet.go
+++ b/internal/membership/fleet.go
@@ -9,7 +9,8 @@
 	"github.com/ochrebay/ochrebay/internal/consensus"
 )
 
-// maxLeftEngines bounds the ids that a fleet retains of engines that have left.
+// maxLeftEngines bounds the number of engines that have left whose ids a fleet retains. Beyond it,
+// the older half is discarded.
 const maxLeftEngines = 4096
 
 // ServingEngine is one incarnation of an engine that registered itself.
@@ -59,9 +60,10 @@
 // capacity.
 const maxOverloadLevel = 3
 
-// LedgerHost is one process that may hold ledger replicas. Its internal address is its name in
-// the configurations of the groups.
+// LedgerHost is one process that may hold ledger replicas.
 type LedgerHost struct {
+	// Member is the host's internal address, which identifies it in the configurations of the
+	// groups.
 	Member string `msgpack:"m" json:"member"`
 	Name   string `msgpack:"n" json:"name"`
 	Zone   string `msgpack:"z" json:"zone"`
@@ -96,7 +98,8 @@
 	PutSubsetSizes []SubsetSize `msgpack:"z,omitempty"`
 }
 
-// IsEmpty reports whether the update changes nothing.
+// IsEmpty reports whether the update contains no changes. EndedIncarnations alone do not count:
+// they accompany LeftEngines or LostEngines.
 func (u *FleetUpdate) IsEmpty() bool {
 	return len(u.PutEngines)+len(u.LeftEngines)+len(u.LostEngines)+len(u.PutGateways)+len(u.RemoveGateways)+
 		len(u.PutLedgers)+len(u.RemoveLedgers)+len(u.PutGroups)+len(u.PutSubsetSizes) == 0
@@ -123,7 +126,8 @@
 	// Superseded holds the ids of engines that ended without a leave message and whose
 	// addresses other engines have since taken, oldest first.
 	Superseded []string `msgpack:"u,omitempty"`
-	// SubsetSizes holds the pools of which more engines than the minimum are advertised.
+	// SubsetSizes holds the sizes of the pools with a local or remote subset larger than the
+	// minimum.
 	SubsetSizes []SubsetSize `msgpack:"z,omitempty"`
 }
 
@@ -393,9 +397,9 @@
 func (f *Fleet) LatestVersion(scope Scope) uint64 { return f.advertisements.latestVersion(scope) }
 
 // DeltaSince returns the changes that a follower at a version lacks. Gateways are not
-// included: only the directories need them, and they read the replicated fleet directly. The
-// version of the delta is the latest one that affects the follower, so that all followers that
-// poll while gateways are added one by one receive the same delta.
+// included: only the control processes need them, to answer lookups, and they read the replicated
+// fleet directly. The version of the delta is the latest one that affects the follower, so that
+// all followers that poll while gateways are added one by one receive the same delta.
 func (f *Fleet) DeltaSince(version uint64, scope Scope) FleetDelta {
 	delta := FleetDelta{Version: f.LatestVersion(scope)}
 	if version < f.advertisements.minDeltaVersion || version > f.state.Version || version == 0 {
@@ -405,8 +409,8 @@
 	if scope.IncludesEngines {
 		delta.Engines = f.advertisedSince(version, scope)
 	}
-	delta.Ledgers = changedSince(f.state.Ledgers, version)
-	delta.Groups = changedSince(f.state.Groups, version)
+	delta.Ledgers = valuesChangedSince(f.state.Ledgers, version)
+	delta.Groups = valuesChangedSince(f.state.Groups, version)
 	if delta.IsFull {
 		return delta
 	}
@@ -447,7 +451,7 @@
 	return sortedValues(changed)
 }
 
-func changedSince[K cmp.Ordered, T any](entries map[K]versioned[T], version uint64) []T {
+func valuesChangedSince[K cmp.Ordered, T any](entries map[K]versioned[T], version uint64) []T {
 	changed := map[K]versioned[T]{}
 	for key, entry := range entries {
 		if entry.Version > version {
--- a/internal/membership/fleet_test.go
+++ b/internal/membership/fleet_test.go
@@ -34,7 +34,7 @@
 		_, known = fleet.Engine("f")
 		So(known, ShouldBeTrue)
 	})
-	Convey("a late report does not restore an engine beside the one that took its address", t, func() {
+	Convey("a late report does not restore an engine whose address another engine has taken over", t, func() {
 		fleet := NewFleet()
 		tracker := NewFleetTracker(testFleetOptions(), 0)
 		report := func(id string) {
@@ -91,23 +91,23 @@
 		_, known = fleet.Ledger(idle.Member)
 		So(known, ShouldBeTrue)
 	})
-	Convey("a gateway that does not poll again after a reply is lost soon, and one with a pending long poll only after the longer timeout", t, func() {
+	Convey("a gateway that does not poll again after a reply to its latest heartbeat is lost soon, and any other only after the longer timeout", t, func() {
 		fleet := NewFleet()
 		tracker := NewFleetTracker(testFleetOptions(), 0)
-		for _, name := range []string{"frozen", "held", "impatient", "unheard"} {
+		for _, name := range []string{"frozen", "pending", "resent", "silent"} {
 			fleet.Apply(FleetUpdate{PutGateways: []Gateway{{Name: name}}})
 		}
 		frozen := tracker.RecordGatewayHeartbeat("frozen", 100)
-		tracker.RecordGatewayHeartbeat("held", 100)
-		number := tracker.RecordGatewayHeartbeat("impatient", 100)
-		tracker.RecordGatewayHeartbeat("impatient", 150)
+		tracker.RecordGatewayHeartbeat("pending", 100)
+		number := tracker.RecordGatewayHeartbeat("resent", 100)
+		tracker.RecordGatewayHeartbeat("resent", 150)
 		tracker.RecordGatewayReply("frozen", frozen, false, 300)
-		tracker.RecordGatewayReply("impatient", number, false, 300)
+		tracker.RecordGatewayReply("resent", number, false, 300)
 		So(tracker.Plan(fleet, 500).RemoveGateways, ShouldBeEmpty)
 		So(tracker.Plan(fleet, 501).RemoveGateways, ShouldResemble, []string{"frozen"})
 		So(tracker.Plan(fleet, 1000).RemoveGateways, ShouldResemble, []string{"frozen"})
-		So(tracker.Plan(fleet, 1001).RemoveGateways, ShouldResemble, []string{"frozen", "unheard"})
-		So(tracker.Plan(fleet, 1101).RemoveGateways, ShouldResemble, []string{"frozen", "held", "unheard"})
+		So(tracker.Plan(fleet, 1001).RemoveGateways, ShouldResemble, []string{"frozen", "silent"})
+		So(tracker.Plan(fleet, 1101).RemoveGateways, ShouldResemble, []string{"frozen", "pending", "silent"})
 	})
 	Convey("the pause of a leader does not count towards the timeouts of gateways", t, func() {
 		fleet := NewFleet()
--- a/internal/membership/fleet_tracker.go
+++ b/internal/membership/fleet_tracker.go
@@ -22,7 +22,7 @@
 	// GatewayRepollTimeoutMs is the time within which a gateway must send its next heartbeat
 	// after a reply. A heartbeat is a long poll and the next one follows its reply
 	// immediately, so a gateway that does not poll again is frozen or disconnected.
-	// GatewaySmallDeltaRepollTimeoutMs is the same after a reply with a small delta, which
+	// GatewaySmallUpdateRepollTimeoutMs is the same after a reply with a small update, which
 	// takes almost no time to apply.
 	GatewayRepollTimeoutMs            int64
 	GatewaySmallUpdateRepollTimeoutMs int64
@@ -53,8 +53,9 @@
 // FleetTracker is a leader's soft state about the fleet. A new leader starts with an empty one
 // and measures every timeout from the start of its leadership.
 type FleetTracker struct {
-	options      FleetOptions
-	startMs      int64
+	options FleetOptions
+	startMs int64
+	// lastReportMs holds the time of the last report by engine id or ledger host member.
 	lastReportMs map[string]int64
 	// gateways holds the latest heartbeat of each gateway.
 	gateways map[string]gatewayHeartbeat
@@ -74,7 +75,7 @@
 }
 
 // engineCheckIntervalMs is the interval between checks for engines that timed out, in
-// milliseconds: a tenth of the engine timeout.
+// milliseconds: a tenth of the minimum engine timeout of 10 s, which internal/control defines.
 const engineCheckIntervalMs = 1000
 
 // gatewayHeartbeat is the latest heartbeat of a gateway. A gateway may abandon a heartbeat and
@@ -82,8 +83,8 @@
 type gatewayHeartbeat struct {
 	number     uint64
 	isAnswered bool
-	// isSmallDelta reports that the reply contained no changes or only a few.
-	isSmallDelta bool
+	// isSmallUpdate reports that the gateway can apply the reply in almost no time.
+	isSmallUpdate bool
 	// sinceMs is the time at which the heartbeat arrived or was answered.
 	sinceMs int64
 }
@@ -103,11 +104,11 @@
 	return number
 }
 
-// RecordGatewayReply records that the heartbeat with this number was answered. smallDelta reports
-// that the reply takes almost no time to apply.
-func (t *FleetTracker) RecordGatewayReply(name string, number uint64, smallDelta bool, nowMs int64) {
+// RecordGatewayReply records that the heartbeat with this number was answered. smallUpdate
+// reports that the reply takes almost no time to apply.
+func (t *FleetTracker) RecordGatewayReply(name string, number uint64, smallUpdate bool, nowMs int64) {
 	if latest := t.gateways[name]; latest.number == number && !latest.isAnswered {
-		t.gateways[name] = gatewayHeartbeat{number: number, isAnswered: true, isSmallDelta: smallDelta, sinceMs: nowMs}
+		t.gateways[name] = gatewayHeartbeat{number: number, isAnswered: true, isSmallUpdate: smallUpdate, sinceMs: nowMs}
 	}
 }
 
@@ -129,7 +130,7 @@
 		return nowMs-t.startMs > t.options.GatewayTimeoutMs
 	}
 	switch {
-	case latest.isAnswered && latest.isSmallDelta:
+	case latest.isAnswered && latest.isSmallUpdate:
 		return nowMs-latest.sinceMs > t.options.GatewaySmallUpdateRepollTimeoutMs
 	case latest.isAnswered:
 		return nowMs-latest.sinceMs > t.options.GatewayRepollTimeoutMs
@@ -138,7 +139,7 @@
 }
 
 // RecordEngineAlive records that an engine is alive.
-func (t *FleetTracker) RecordEngineAlive(key string, nowMs int64) { t.lastReportMs[key] = nowMs }
+func (t *FleetTracker) RecordEngineAlive(id string, nowMs int64) { t.lastReportMs[id] = nowMs }
 
 // RecordLedgerReport records a ledger host's report.
 func (t *FleetTracker) RecordLedgerReport(report LedgerReport, nowMs int64) {
@@ -153,7 +154,9 @@
 	}
 }
 
-func (t *FleetTracker) sinceReportMs(key string, nowMs int64) int64 {
+// reportAgeMs returns the time since the last report of an engine or ledger host, or since the
+// start of the leadership if there was none.
+func (t *FleetTracker) reportAgeMs(key string, nowMs int64) int64 {
 	lastMs, known := t.lastReportMs[key]
 	if !known {
 		lastMs = t.startMs
@@ -171,7 +174,8 @@
 	}
 }
 
-// lostEngines returns the engines that timed out, sorted.
+// lostEngines returns the engines that timed out, sorted, or nil if the last check was less than
+// engineCheckIntervalMs ago.
 func (t *FleetTracker) lostEngines(fleet *Fleet, nowMs int64) []string {
 	if nowMs-t.enginesCheckedMs < engineCheckIntervalMs {
 		return nil
@@ -179,7 +183,7 @@
 	t.enginesCheckedMs = nowMs
 	var lost []string
 	for id := range fleet.state.Engines {
-		if t.sinceReportMs(id, nowMs) > t.options.EngineTimeoutMs {
+		if t.reportAgeMs(id, nowMs) > t.options.EngineTimeoutMs {
 			lost = append(lost, id)
 		}
 	}
@@ -188,8 +192,8 @@
 	return lost
 }
 
-// deleteUnlisted deletes the records of engines that are no longer in the fleet, once the
-// records outnumber the listed engines by a factor of two.
+// deleteUnlisted deletes the records of engines and ledger hosts that are no longer in the fleet,
+// once there are more records than twice the listed engines plus the listed ledger hosts.
 func (t *FleetTracker) deleteUnlisted(fleet *Fleet) {
 	if len(t.lastReportMs) <= 2*len(fleet.state.Engines)+len(fleet.state.Ledgers) {
 		return
@@ -218,15 +222,15 @@
 // removableLedgers returns the ledger hosts that have sent no report for the retention time
 // and on which no group is placed.
 func (t *FleetTracker) removableLedgers(fleet *Fleet, nowMs int64) []string {
-	holds := map[string]bool{}
+	isPlaced := map[string]bool{}
 	for _, placement := range fleet.Placements() {
 		for _, member := range placement.Members {
-			holds[member] = true
+			isPlaced[member] = true
 		}
 	}
 	var removable []string
 	for _, host := range fleet.Ledgers() {
-		if !holds[host.Member] && t.sinceReportMs(host.Member, nowMs) > t.options.LedgerRetentionMs {
+		if !isPlaced[host.Member] && t.reportAgeMs(host.Member, nowMs) > t.options.LedgerRetentionMs {
 			removable = append(removable, host.Member)
 		}
 	}
@@ -235,11 +239,11 @@
 
 // IsLedgerHostAlive reports whether a ledger host has reported within its timeout.
 func (t *FleetTracker) IsLedgerHostAlive(member string, nowMs int64) bool {
-	return t.sinceReportMs(member, nowMs) <= t.options.LedgerTimeoutMs
+	return t.reportAgeMs(member, nowMs) <= t.options.LedgerTimeoutMs
 }
 
 // planPlacements returns the placements that need to change: initially all of them together,
-// later the replacement of members that are lost or retiring.
+// later those with members that are lost or retiring, or with too few members.
 func (t *FleetTracker) planPlacements(fleet *Fleet, nowMs int64) []Placement {
 	usable := t.usableHosts(fleet, nowMs)
 	existing := fleet.Placements()
@@ -295,8 +299,8 @@
 }
 
 // repairPlacement replaces one lost or retiring member of a group, or adds a member to a group
-// that has too few. Invariant: a member is replaced only after the group's leader has reported
-// the previous placement as applied, so that repairs do not accumulate.
+// that has too few. Only one member changes per call, but the next call does not wait until the
+// group's leader has reported the previous placement as applied, so repairs may accumulate.
 func (t *FleetTracker) repairPlacement(fleet *Fleet, placement Placement, usable []LedgerHost, load map[string]int, nowMs int64) (Placement, bool) {
 	next := placement
 	next.Members = slices.Clone(placement.Members)
@@ -335,20 +339,20 @@
 	return hosts
 }
 
-// chooseHost returns the usable host, among those not taken, whose zone has the fewest of the
-// other members. Ties are resolved by the lowest load.
+// chooseHost returns a usable host that is not taken. It prefers the host whose zone has the fewest
+// hosts that are in both others and taken, then the lowest load, then the lowest member name.
 func chooseHost(usable []LedgerHost, taken []string, others []LedgerHost, load map[string]int) (LedgerHost, bool) {
-	inZone := map[string]int{}
+	countByZone := map[string]int{}
 	for _, other := range others {
 		if slices.Contains(taken, other.Member) {
-			inZone[other.Zone]++
+			countByZone[other.Zone]++
 		}
 	}
 	var best LedgerHost
 	found := false
 	better := func(a, b LedgerHost) bool {
-		if inZone[a.Zone] != inZone[b.Zone] {
-			return inZone[a.Zone] < inZone[b.Zone]
+		if countByZone[a.Zone] != countByZone[b.Zone] {
+			return countByZone[a.Zone] < countByZone[b.Zone]
 		}
 		if load[a.Member] != load[b.Member] {
 			return load[a.Member] < load[b.Member]
--- a/internal/membership/heat_test.go
+++ b/internal/membership/heat_test.go
@@ -6,17 +6,18 @@
 	"pgregory.net/rapid"
 )
 
-const heartbeatMs = 250
+const heartbeatIntervalMs = 250
 
 // TestOverloadLevelSettles checks that the level of a gateway whose demand is proportional to its
-// capacity factor settles and does not oscillate, for any constant demand up to eight times
-// its processor.
+// capacity factor changes at most maxOverloadLevel times within a minute, and that the utilization
+// is then below the threshold or the level is the maximum, for any constant demand up to eight
+// times the capacity of its processor.
 func TestOverloadLevelSettles(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		demand := rapid.Float64Range(0, 8).Draw(t, "demand")
 		var tracker OverloadTracker
 		level, changes := uint8(0), 0
-		for nowMs := int64(heartbeatMs); nowMs < 60_000; nowMs += heartbeatMs {
+		for nowMs := int64(heartbeatIntervalMs); nowMs < 60_000; nowMs += heartbeatIntervalMs {
 			next := tracker.Observe(min(demand*Gateway{OverloadLevel: level}.capacityFactor(), 1), nowMs)
 			if next != level {
 				changes++
@@ -32,20 +33,19 @@
 	})
 }
 
-// TestOverloadLevelRecovers checks that a burst overloads a gateway within about a second, that the
-// level returns to 0 some seconds later, and that a single heartbeat at full utilization has
-// no effect.
+// TestOverloadLevelRecovers checks that a burst of 1.5 s raises the overload level to 1, that the
+// level is 0 again 6 s later, and that a single heartbeat at full utilization has no effect.
 func TestOverloadLevelRecovers(t *testing.T) {
 	var tracker OverloadTracker
-	nowMs := int64(heartbeatMs)
+	nowMs := int64(heartbeatIntervalMs)
 	observe := func(utilization float64, forMs int64) (level uint8) {
-		for end := nowMs + forMs; nowMs < end; nowMs += heartbeatMs {
+		for end := nowMs + forMs; nowMs < end; nowMs += heartbeatIntervalMs {
 			level = tracker.Observe(utilization, nowMs)
 		}
 		return level
 	}
 	observe(0.1, 5000)
-	if level := observe(1, heartbeatMs); level != 0 {
+	if level := observe(1, heartbeatIntervalMs); level != 0 {
 		t.Fatalf("overload level is %d after one heartbeat at full utilization", level)
 	}
 	observe(0.1, 3000)
--- a/internal/membership/incarnation.go
+++ b/internal/membership/incarnation.go
@@ -5,16 +5,19 @@
 	"strconv"
 )
 
-// Incarnation identifies one run of an engine that reports its start time.
+// Incarnation identifies one run of an engine. StartedMs is 0 if the engine does not report its
+// start time.
 type Incarnation struct {
 	ID        string `msgpack:"i" json:"id"`
 	StartedMs int64  `msgpack:"b" json:"born"`
 }
 
 const (
-	// maxEndedIncarnations bounds the ended incarnations that a fleet retains.
+	// maxEndedIncarnations bounds the number of ended incarnations that a fleet retains. Beyond
+	// it, the older half is discarded.
 	maxEndedIncarnations = 4096
-	// incarnationSeparator separates the id from the incarnation in an engine's key.
+	// incarnationSeparator separates the id from the start time in an engine's key, and
+	// incarnationRadix is the base of the start time.
 	incarnationSeparator = "@"
 	incarnationRadix     = 36
 )
@@ -24,9 +27,9 @@
 	return Incarnation{ID: e.ID, StartedMs: e.StartedMs}
 }
 
-// IncarnationKey identifies an engine's incarnation in state kept elsewhere, because the
-// content of its memory ends with the incarnation. It is the id alone if the engine does not
-// report its start time.
+// IncarnationKey returns the key under which other components record state about the engine. It
+// identifies the incarnation, because an engine loses the content of its memory when it restarts.
+// It is the id alone if the engine does not report its start time.
 func (e ServingEngine) IncarnationKey() string {
 	if e.StartedMs == 0 {
 		return e.ID
@@ -39,7 +42,8 @@
 func (e ServingEngine) MatchesKey(key string) bool { return key == e.ID || key == e.IncarnationKey() }
 
 // IsOutdated reports whether a report no longer describes the current state: its incarnation
-// has left or was replaced by a later one, or a later report of it has been applied.
+// has ended or was replaced by a later one, or a later report of the same incarnation has been
+// applied.
 func (f *Fleet) IsOutdated(engine ServingEngine) bool {
 	if f.hasEnded(engine.Incarnation()) {
 		return true
@@ -60,18 +64,19 @@
 	return known && incarnation.StartedMs <= endedStartMs
 }
 
-// HasLeft reports whether an incarnation has left. For an incarnation without a start time the
-// id decides.
+// HasLeft reports whether an incarnation is known to have ended. An incarnation without a start
+// time has ended if any incarnation of its id has and the id is not listed.
 func (f *Fleet) HasLeft(incarnation Incarnation) bool {
 	_, listed := f.state.Engines[incarnation.ID]
 	return f.hasEnded(incarnation) && !(listed && incarnation.StartedMs == 0)
 }
 
 // IncarnationVersion returns the version at which another incarnation last took over an id, or
-// 0 if it is unknown. Everything recorded about the id before that version is void.
+// 0 if it is unknown. Everything recorded about the id before that version is invalid.
 func (f *Fleet) IncarnationVersion(id string) uint64 { return f.incarnationVersions[id] }
 
-// survivesLeave reports whether a listed engine is a later incarnation than the ended one.
+// survivesLeave reports whether a listed engine stays when an incarnation of its id leaves: it is
+// a later incarnation than those that are known to have ended.
 func (f *Fleet) survivesLeave(current ServingEngine) bool {
 	return current.StartedMs > 0 && !f.hasEnded(current.Incarnation())
 }
@@ -95,7 +100,7 @@
 }
 
 // recordIncarnation records that an incarnation takes over an id from another one. Invariant:
-// a newer incarnation voids everything known about the older ones.
+// a newer incarnation invalidates everything known about the older ones.
 func (f *Fleet) recordIncarnation(engine ServingEngine) {
 	if current, listed := f.state.Engines[engine.ID]; listed {
 		if !engine.isRestartOf(current.Value) {
@@ -112,8 +117,9 @@
 	}
 }
 
-// isRestartOf reports whether a report belongs to a later incarnation than the current one. If
-// it is the first report with a start time, its sequence number decides.
+// isRestartOf reports whether a report belongs to a later incarnation than the current one. The
+// first report with a start time belongs to a later one if its sequence number is lower than the
+// current one.
 func (e ServingEngine) isRestartOf(current ServingEngine) bool {
 	if current.StartedMs == 0 {
 		return e.StartedMs > 0 && e.Sequence < current.Sequence
--- a/internal/membership/incarnation_test.go
+++ b/internal/membership/incarnation_test.go
@@ -14,10 +14,10 @@
 	isLeave bool
 }
 
-// drawIncarnations generates the messages of several incarnations of one engine, each in its
-// order, and returns the last report of the last incarnation, or nil if it has left.
+// drawIncarnations generates the messages of several incarnations of one engine, in the order in
+// which they are sent, and returns the last report of the last incarnation, or nil if it has left.
 func drawIncarnations(run *rapid.T, id string) (messages []engineMessage, last *ServingEngine) {
-	incarnations := rapid.Int64Range(1, 4).Draw(run, "lives")
+	incarnations := rapid.Int64Range(1, 4).Draw(run, "incarnations")
 	for incarnation := int64(1); incarnation <= incarnations; incarnation++ {
 		engine := ServingEngine{ID: id, Backend: "b", Address: fmt.Sprintf("%s:%d", id, rapid.IntRange(1, 2).Draw(run, "port")), Zone: "z", Slots: 2, StartedMs: incarnation * 10}
 		drainsAt := rapid.Uint64Range(1, 6).Draw(run, "drains")
@@ -37,9 +37,8 @@
 	return messages, last
 }
 
-// TestLatestIncarnation checks that the fleet ends with the last state of the last
-// incarnation, regardless of the order of an engine's messages: late, repeated or after those
-// of its next incarnation.
+// TestLatestIncarnation checks that the fleet ends with the last state of the last incarnation,
+// even if messages are late, repeated, or arrive after those of the next incarnation.
 func TestLatestIncarnation(t *testing.T) {
 	rapid.Check(t, func(run *rapid.T) {
 		fleet := NewFleet()
@@ -71,8 +70,9 @@
 	})
 }
 
-// TestUpdatesInAnyOrder checks the same for updates proposed by leaders, whose order in the
-// log is arbitrary when the leadership changes.
+// TestUpdatesInAnyOrder checks that the fleet ends with the last state of the last incarnation,
+// regardless of the order of the updates that leaders propose. Their order in the log is arbitrary
+// when the leadership changes.
 func TestUpdatesInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(run *rapid.T) {
 		fleet := NewFleet()
@@ -175,14 +175,14 @@
 		_, listed := fleet.Engine("good")
 		So(listed, ShouldBeFalse)
 	})
-	Convey("an unknown engine of an unknown back end does not take over an address", t, func() {
+	Convey("an unknown engine of an unknown backend does not take over an address", t, func() {
 		tracker, fleet := newRegistered()
 		unknownBackend := reportContext
 		unknownBackend.IsBackendKnown = false
 		unknown := ServingEngine{ID: "stranger", Backend: "nowhere", Address: registered.Address, Zone: "z", Slots: 2, Sequence: 1, StartedMs: 600}
 		So(handleReport(tracker, fleet, unknown, unknownBackend), ShouldEqual, ReportUnknownBackend)
 		checkUnchanged(fleet)
-		Convey("a listed engine is accepted although its back end is no longer in the routing table", func() {
+		Convey("a listed engine is accepted although its backend is no longer in the routing table", func() {
 			draining := registered
 			draining.Sequence, draining.Draining = 10, true
 			So(handleReport(tracker, fleet, draining, unknownBackend), ShouldEqual, ReportAccepted)
@@ -236,7 +236,7 @@
 		So(fleet.IncarnationVersion("e"), ShouldBeGreaterThan, 0)
 		So(handleReport(tracker, fleet, first, reportContext), ShouldEqual, ReportOutdated)
 	})
-	Convey("a restart is proposed as updates that every release applies identically", t, func() {
+	Convey("a restart is proposed as the loss of the engine and then its report, for releases without incarnations", t, func() {
 		fleet := NewFleet()
 		tracker := NewFleetTracker(testFleetOptions(), 0)
 		first, second := engine, engine
--- a/internal/membership/lookups.go
+++ b/internal/membership/lookups.go
@@ -2,26 +2,26 @@
 
 const (
 	// minTTLMs and maxTTLMs bound the time for which callers may cache the gateways of a
-	// lookup answer. Requests to a lost gateway fail until the caller looks up again, and the
-	// caller's next request waits for a lookup once its answer has expired. At 250 ms,
-	// programs took 2 to 4 % longer than at 1 s. 500 ms needs a third of the additional
-	// lookups and retains three quarters of the savings of 250 ms
+	// lookup answer. With a long TTL, requests to a lost gateway fail for longer, because the
+	// caller looks up gateways again only after the TTL. With a short TTL, more requests wait
+	// for a lookup: at 250 ms, programs took 2 to 4 % longer than at 1 s. Compared with 250 ms,
+	// 500 ms needs a third of the additional lookups and retains three quarters of the benefit
 	// (docs/design/0017-uneven-demand.md).
 	minTTLMs = 500
 	maxTTLMs = 1000
 	// peerSilentTTLMs is the TTL while another process that answers lookups does not respond.
-	// A caller that asks that process first waits one second in vain at every lookup.
+	// A caller that asks that process first waits one second without an answer at every lookup.
 	peerSilentTTLMs = 2000
-	// targetLookupsPerSecond is the rate of lookups that a process accepts in order to shorten
-	// the TTL. At 0.1 ms each this uses 2 % of a processor core.
+	// targetLookupsPerSecond is the rate of lookups up to which a process shortens the TTL. At
+	// 0.1 ms per lookup it uses 2 % of a processor core.
 	targetLookupsPerSecond = 200
 	// lookupWindowMs is the length of the window in which lookups are counted.
 	lookupWindowMs = 1000
 )
 
-// LookupTTL determines the time to live of the directory's lookup answers: as short as the
-// answering process can afford, given that callers then ask again. The zero value has recorded
-// no lookups. Times are in milliseconds.
+// LookupTTL determines the time to live of a control process's answers to gateway lookups: the
+// shortest one, from minTTLMs to maxTTLMs, at which the lookups of all callers do not exceed
+// targetLookupsPerSecond. The zero value has recorded no lookups. Times are in milliseconds.
 type LookupTTL struct {
 	windowStartMs int64
 	// ttlSumMs is the sum of the TTLs of the answers in this window.
@@ -43,18 +43,18 @@
 		l.isEstimated = true
 		l.windowStartMs, l.ttlSumMs = nowMs, 0
 	}
-	ttl := l.ttlMs()
+	ttlMs := l.ttlMs()
 	if peerSilent {
-		ttl = max(ttl, peerSilentTTLMs)
+		ttlMs = max(ttlMs, peerSilentTTLMs)
 	}
-	l.ttlSumMs += ttl
-	return ttl
+	l.ttlSumMs += ttlMs
+	return ttlMs
 }
 
 func (l *LookupTTL) ttlMs() int64 {
 	if !l.isEstimated {
 		return maxTTLMs
 	}
-	affordable := int64(l.callers * 1000 / targetLookupsPerSecond)
-	return min(max(affordable, minTTLMs), maxTTLMs)
+	affordableMs := int64(l.callers * 1000 / targetLookupsPerSecond)
+	return min(max(affordableMs, minTTLMs), maxTTLMs)
 }
--- a/internal/membership/lookups_test.go
+++ b/internal/membership/lookups_test.go
@@ -20,31 +20,31 @@
 	return last
 }
 
-// TestLookUpsAsOftenAsAfforded checks that a few callers look up often, and that many callers
-// do not exceed the rate that one process can answer or the rate that the maximum TTL causes.
-// The load is up to 1,500 callers of one process that look up again as soon as the TTL
+// TestLookUpsAsOftenAsAfforded checks that a few callers receive the minimum TTL, and that many
+// callers exceed neither 1.5 times the target rate nor 1.3 times the rate that the maximum TTL
+// causes. The load is up to 1,500 callers of one process that look up again as soon as the TTL
 // expires, some of them only after three times the TTL.
 func TestLookUpsAsOftenAsAfforded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		callers := rapid.IntRange(1, 1500).Draw(t, "callers")
-		slowInTen := rapid.IntRange(0, 10).Draw(t, "patient in ten")
+		slowInTen := rapid.IntRange(0, 10).Draw(t, "slow in ten")
 		var lookupTTL LookupTTL
 		next := &lookupTimes{}
 		for number := range callers {
 			heap.Push(next, int64(1+number%maxTTLMs))
 		}
 		const measureFromMs, endMs = 8_000, 12_000
-		answers, ttl := 0, int64(0)
+		answers, ttlMs := 0, int64(0)
 		for number := 0; (*next)[0] < endMs; number++ {
 			nowMs := heap.Pop(next).(int64)
-			ttl = lookupTTL.RecordLookup(false, nowMs)
-			if ttl < minTTLMs || ttl > maxTTLMs {
-				t.Fatalf("TTL is %d ms", ttl)
+			ttlMs = lookupTTL.RecordLookup(false, nowMs)
+			if ttlMs < minTTLMs || ttlMs > maxTTLMs {
+				t.Fatalf("TTL is %d ms", ttlMs)
 			}
 			if nowMs >= measureFromMs {
 				answers++
 			}
-			delay := ttl
+			delay := ttlMs
 			if number%10 < slowInTen {
 				delay *= 3
 			}
@@ -54,8 +54,8 @@
 		if limit := max(1.5*targetLookupsPerSecond, 1.3*float64(callers)*1000/maxTTLMs); rate > limit {
 			t.Fatalf("%.0f lookups per second from %d callers", rate, callers)
 		}
-		if callers <= targetLookupsPerSecond*minTTLMs/1000/2 && ttl != minTTLMs {
-			t.Fatalf("%d callers receive a TTL of %d ms", callers, ttl)
+		if callers <= targetLookupsPerSecond*minTTLMs/1000/2 && ttlMs != minTTLMs {
+			t.Fatalf("%d callers receive a TTL of %d ms", callers, ttlMs)
 		}
 	})
 }
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -56,36 +56,37 @@
 		tracker.RecordHeartbeat(testHeartbeat("s2", "b"), 0)
 		tracker.SetInstances(testInstances(4))
 		directory.Apply(tracker.Plan(directory, 0))
-		leaving := testHeartbeat("s1", "a")
-		leaving.Scheduler.Draining = true
-		tracker.RecordHeartbeat(leaving, 10)
+		draining := testHeartbeat("s1", "a")
+		draining.Scheduler.Draining = true
+		tracker.RecordHeartbeat(draining, 10)
 		directory.Apply(tracker.Plan(directory, 10))
 		So(len(directory.OwnedBy("s2")), ShouldEqual, 4)
 	})
 }
 
 // TestPlanSettles checks, after any history, that repeated planning ends without further
-// changes, that every engine has a live owner, and that epochs never decrease.
+// changes, that every engine has a live owner if any scheduler is alive, and that epochs never
+// decrease.
 func TestPlanSettles(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		directory := NewDirectory()
 		tracker := NewTracker(leaseMs, 0)
-		now := int64(0)
+		nowMs := int64(0)
 		for range rapid.IntRange(1, 30).Draw(t, "events") {
-			now += int64(rapid.IntRange(0, 600).Draw(t, "pause"))
+			nowMs += int64(rapid.IntRange(0, 600).Draw(t, "pause"))
 			name := fmt.Sprint("s", rapid.IntRange(1, 4).Draw(t, "scheduler"))
 			switch rapid.IntRange(0, 3).Draw(t, "event") {
 			case 0:
 				tracker.SetInstances(testInstances(rapid.IntRange(0, 12).Draw(t, "engines")))
 			default:
-				tracker.RecordHeartbeat(testHeartbeat(name, rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "zone")), now)
+				tracker.RecordHeartbeat(testHeartbeat(name, rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "zone")), nowMs)
 			}
 			epochs := map[string]uint64{}
 			for _, engine := range directory.Engines {
 				epochs[engine.Name] = engine.Epoch
 			}
 			for round := 0; ; round++ {
-				update := tracker.Plan(directory, now)
+				update := tracker.Plan(directory, nowMs)
 				if update.IsEmpty() {
 					break
 				}
--- a/internal/membership/owners.go
+++ b/internal/membership/owners.go
@@ -53,8 +53,9 @@
 }
 
 // assignOwners assigns each engine without a live owner to the scheduler with the fewest
-// engines of its pool, preferring schedulers in the engine's zone. It also moves engines where
-// the schedulers of a zone differ by more than one engine.
+// engines of its pool, preferring schedulers in the engine's zone. It also moves an engine whose
+// owner is in another zone to a scheduler in its own zone, and engines between schedulers of a zone
+// that differ by more than one engine.
 func assignOwners(engines map[string]Engine, alive map[string]Scheduler) {
 	a := newAssignment(engines, alive)
 	if len(a.candidates) == 0 {
--- a/internal/membership/reports.go
+++ b/internal/membership/reports.go
@@ -12,30 +12,31 @@
 	// ReportOutdated belongs to an incarnation that has ended, or is older than an accepted
 	// report.
 	ReportOutdated
-	// ReportUnknownBackend belongs to an unknown engine of a back end that no routing table
+	// ReportUnknownBackend belongs to an unknown engine of a backend that no routing table
 	// lists.
 	ReportUnknownBackend
 	// ReportContradictory contradicts the state of a listed engine.
 	ReportContradictory
-	// ReportAwaitsUpgrade belongs to an id that has left, while some control processes would
-	// still take it for the engine that left.
+	// ReportAwaitsUpgrade belongs to a later incarnation of an id that has left, while some
+	// control processes do not support incarnations and would attribute the report to the
+	// engine that left.
 	ReportAwaitsUpgrade
 )
 
 // String returns the outcome as used in logs and metrics.
-func (v ReportOutcome) String() string {
-	return [...]string{"taken", "unchanged", "outdated", "unknown_backend", "contradicts", "awaits_upgrade"}[v]
+func (o ReportOutcome) String() string {
+	return [...]string{"taken", "unchanged", "outdated", "unknown_backend", "contradicts", "awaits_upgrade"}[o]
 }
 
 // IsRejected reports whether the report neither changed the fleet nor confirmed its state.
-func (v ReportOutcome) IsRejected() bool { return v > ReportUnchanged }
+func (o ReportOutcome) IsRejected() bool { return o > ReportUnchanged }
 
 // ReportContext is the information that a leader uses for a report in addition to the fleet.
 type ReportContext struct {
 	// IsRelayed reports that a process without support for incarnations forwarded the report,
 	// so that a missing incarnation carries no information.
 	IsRelayed bool
-	// IsBackendKnown reports that a routing table lists the back end, or that there is no
+	// IsBackendKnown reports that a routing table lists the backend, or that there is no
 	// routing table.
 	IsBackendKnown bool
 	// AllSupportIncarnations reports that all processes that apply updates support
@@ -44,9 +45,10 @@
 	NowMs                  int64
 }
 
-// HandleReport returns the updates that an engine's report requires, in order. Invariant: a
-// report that another process wrote, or a late one, neither revives an ended incarnation nor
-// removes or changes a running one.
+// HandleReport returns the updates that an engine's report requires, in order. Invariant: a late
+// report does not revive an incarnation that is known to have ended. A report that contradicts a
+// listed engine is late or was written by another process. It neither removes nor changes that
+// engine unless it is repeated while the engine is silent.
 func (t *FleetTracker) HandleReport(fleet *Fleet, engine ServingEngine, reportContext ReportContext) ([]FleetUpdate, ReportOutcome) {
 	current, listed := fleet.Engine(engine.ID)
 	if reportContext.IsRelayed && engine.StartedMs == 0 {
@@ -109,12 +111,12 @@
 type latestIncarnations map[string]int64
 
 // observe records the engine's incarnation and reports whether no later one has reported.
-func (n latestIncarnations) observe(engine ServingEngine) bool {
-	if engine.StartedMs < n[engine.ID] {
+func (l latestIncarnations) observe(engine ServingEngine) bool {
+	if engine.StartedMs < l[engine.ID] {
 		return false
 	}
 	if engine.StartedMs > 0 {
-		n[engine.ID] = engine.StartedMs
+		l[engine.ID] = engine.StartedMs
 	}
 	return true
 }
--- a/internal/membership/roster.go
+++ b/internal/membership/roster.go
@@ -8,8 +8,8 @@
 // maxRemovals bounds the removals that a roster can include in a delta.
 const maxRemovals = 512
 
-// Roster is the list of schedulers that control distributes to the schedulers and these to
-// their sidecars. It can compute the changes since a version, so that adding or removing one
+// Roster is the list of schedulers. Control distributes it to the schedulers, which forward it
+// to their sidecars. It can compute the changes since a version, so that adding or removing one
 // scheduler costs each follower one entry instead of the full list.
 type Roster struct {
 	version       uint64
--- a/internal/membership/sizing.go
+++ b/internal/membership/sizing.go
@@ -7,13 +7,13 @@
 	// should be in use. The load may then grow to four times its value within the second that
 	// passes before more engines are advertised.
 	targetUtilization = 0.25
-	// remoteCrowdingRatio is the factor by which the utilization of the engines advertised to
-	// other zones must exceed that of all advertised engines of the pool before more engines
-	// are advertised to those zones. If all of them are equally utilized, the load comes from
-	// the zone itself, and every zone would otherwise receive the engines of all other zones.
-	remoteCrowdingRatio = 1.5
-	// shrinkDelayMs is the time for which less than half of a pool's advertised engines must
-	// have been sufficient before their number is halved, in milliseconds.
+	// remoteUtilizationRatio is the factor by which the utilization of the engines advertised
+	// to other zones must exceed that of all advertised engines of the pool before more engines
+	// are advertised to those zones. If both are equal, the load comes from the zone itself.
+	// Without this condition every zone would then receive the engines of all other zones.
+	remoteUtilizationRatio = 1.5
+	// shrinkDelayMs is the time for which at most half of a pool's advertised engines must have
+	// been required before their number is halved, in milliseconds.
 	shrinkDelayMs = 60_000
 )
 
@@ -25,25 +25,26 @@
 }
 
 // utilization returns the share of the slots that is in use.
-func (u poolLoad) utilization() float64 {
-	if u.slots == 0 {
+func (l poolLoad) utilization() float64 {
+	if l.slots == 0 {
 		return 0
 	}
-	return u.inFlight / float64(u.slots)
+	return l.inFlight / float64(l.slots)
 }
 
-// requiredEngines returns the number of engines of this kind that should be advertised.
-func (u poolLoad) requiredEngines() int {
-	if u.engines == 0 || u.slots == 0 {
+// requiredEngines returns the smallest number of engines, with the same average number of slots,
+// whose utilization by this load does not exceed targetUtilization.
+func (l poolLoad) requiredEngines() int {
+	if l.engines == 0 || l.slots == 0 {
 		return 0
 	}
-	slotsEach := float64(u.slots) / float64(u.engines)
-	return int(math.Ceil(u.inFlight / (slotsEach * targetUtilization)))
+	slotsEach := float64(l.slots) / float64(l.engines)
+	return int(math.Ceil(l.inFlight / (slotsEach * targetUtilization)))
 }
 
-// PlanSubsetSizes returns the pools of which more or fewer engines should be advertised.
-// inFlight returns the number of requests in flight at an engine. Subsets grow immediately and
-// shrink only after the additional engines have not been needed for a long time.
+// PlanSubsetSizes returns the new sizes of the subsets that should change. inFlight returns the
+// number of requests in flight at an engine. Subsets grow immediately and shrink only after
+// at most half of the engines have been required for shrinkDelayMs.
 func (t *FleetTracker) PlanSubsetSizes(fleet *Fleet, inFlight func(engine string) float64, nowMs int64) []SubsetSize {
 	var changed []SubsetSize
 	for key, pool := range fleet.advertisements.pools {
@@ -51,7 +52,7 @@
 		wanted := size
 		localLoad := fleet.loadOf(pool, size.Local, inFlight)
 		wanted.Local = max(size.Local, min(localLoad.requiredEngines(), len(pool.ranked)))
-		if remoteLoad := fleet.loadOf(pool, size.Remote, inFlight); remoteLoad.utilization() > remoteCrowdingRatio*localLoad.utilization() {
+		if remoteLoad := fleet.loadOf(pool, size.Remote, inFlight); remoteLoad.utilization() > remoteUtilizationRatio*localLoad.utilization() {
 			wanted.Remote = max(size.Remote, min(remoteLoad.requiredEngines(), wanted.Local))
 		}
 		if wanted == size {
@@ -64,18 +65,19 @@
 	return changed
 }
 
-// loadOf returns the load of the first engines of a pool.
+// loadOf returns the load of the first size engines of a pool.
 func (f *Fleet) loadOf(pool *zonePool, size int, inFlight func(engine string) float64) poolLoad {
-	var use poolLoad
+	var load poolLoad
 	for _, entry := range pool.ranked[:min(size, len(pool.ranked))] {
-		use.engines++
-		use.slots += max(f.state.Engines[entry.id].Value.Slots, 1)
-		use.inFlight += inFlight(entry.id)
+		load.engines++
+		load.slots += max(f.state.Engines[entry.id].Value.Slots, 1)
+		load.inFlight += inFlight(entry.id)
 	}
-	return use
+	return load
 }
 
-// shrinkSize returns half of a size if that has been sufficient for long enough.
+// shrinkSize returns half of a size if that has been sufficient for shrinkDelayMs, otherwise the
+// size. required is the number of engines that the local subset needs.
 func (t *FleetTracker) shrinkSize(key poolKey, size SubsetSize, required int, nowMs int64) SubsetSize {
 	const half = 2
 	if size.Local <= minLocalSubset && size.Remote <= minRemoteSubset || required*half > size.Local {
--- a/internal/membership/spread.go
+++ b/internal/membership/spread.go
@@ -37,12 +37,12 @@
 
 // GatewaySelector selects the gateways for callers. A caller chooses among the selected
 // gateways with equal probability when it opens connections, so a gateway with a larger
-// capacity has to be selected for more callers. The selection is a function of the gateways
-// alone: all control processes return the same answer to a caller.
+// capacity has to be selected for more callers. The selection depends only on the gateways and
+// the caller, so all control processes return the same answer to a caller.
 type GatewaySelector struct {
 	zones map[string]*zoneGateways
-	// byRegion and all hold the ready gateways, sorted by name, for callers whose zone has few
-	// gateways.
+	// byRegion and all hold the ready gateways for callers whose zone has few gateways, in the
+	// order in which they were passed to NewGatewaySelector.
 	byRegion map[string][]Gateway
 	all      []Gateway
 }
@@ -60,7 +60,8 @@
 	allAddresses []string
 }
 
-// NewGatewaySelector returns the selector for those of the gateways that are ready.
+// NewGatewaySelector returns a selector for the ready gateways among the given ones. All control
+// processes must pass them in the same order, because some answers depend on it.
 func NewGatewaySelector(gateways []Gateway) *GatewaySelector {
 	selector := &GatewaySelector{zones: map[string]*zoneGateways{}, byRegion: map[string][]Gateway{}}
 	for _, gateway := range gateways {
@@ -146,7 +147,7 @@
 func (s *GatewaySelector) ReadyCount() int { return len(s.all) }
 
 // Select returns the addresses of the gateways that a caller should use: those of its own
-// zone, and others if that zone has too few.
+// zone, and others if that zone has too few or too many of them are overloaded.
 func (s *GatewaySelector) Select(caller Caller) []string {
 	zone := s.zones[caller.Zone]
 	if zone != nil && len(zone.gateways) >= minZoneGateways {
@@ -170,8 +171,8 @@
 	return addresses
 }
 
-// gatewayWeights returns the relative capacities of the gateways. A gateway that does not
-// report its capacity has the average of the others.
+// gatewayWeights returns the relative capacities of the gateways, reduced by their overload
+// levels. A gateway that does not report its capacity has the average of the others.
 func gatewayWeights(gateways []Gateway) []float64 {
 	total, known := 0.0, 0
 	for _, gateway := range gateways {
@@ -238,11 +239,11 @@
 	return probabilities
 }
 
-// sample returns the gateways for a caller: the first ones in an order that depends on the
-// caller, in which each gateway is included with its inclusion probability (Pareto sampling;
-// Rosén, On Sampling with Probability Proportional to Size, 1997). Adding or removing a
-// gateway, or a small change of its probability, changes few answers and each of them by one
-// gateway, because the other gateways keep their positions in the caller's order.
+// sample returns the first sampleSize gateways in an order that depends on the caller. The order
+// is such that each gateway is selected with its inclusion probability (Pareto sampling; Rosén,
+// On Sampling with Probability Proportional to Size, 1997). Adding or removing a gateway, or a
+// small change of its probability, changes few answers and each of them by one gateway, because
+// the other gateways keep their relative positions in the caller's order.
 func (z *zoneGateways) sample(key string) []string {
 	if z.sampleSize == len(z.gateways) {
 		return z.allAddresses
@@ -271,11 +272,11 @@
 }
 
 // uniformHash returns a value for the pair of caller and gateway, uniformly distributed over
-// [0, 1).
-func uniformHash(key string, gateway uint64) float64 {
+// [0, 1). seed is the hash of the gateway's name.
+func uniformHash(key string, seed uint64) float64 {
 	const fractionBits = 53
 	var digest xxhash.Digest
-	digest.ResetWithSeed(gateway)
+	digest.ResetWithSeed(seed)
 	_, _ = digest.WriteString(key)
 	return float64(digest.Sum64()>>(64-fractionBits)) / (1 << fractionBits)
 }
--- a/internal/membership/spread_test.go
+++ b/internal/membership/spread_test.go
@@ -39,7 +39,7 @@
 }
 
 // TestCallersSpreadByCapacity checks that a gateway's share of a zone's connections is
-// proportional to its capacity. The load is 20 gateways with 0.144 of a core and 6 with 0.48.
+// proportional to its capacity. The zone has 20 gateways with 0.144 of a core and 6 with 0.48.
 func TestCallersSpreadByCapacity(t *testing.T) {
 	Convey("gateways with two capacities", t, func() {
 		gateways := testGateways("a", append(repeatCapacity(0.144, 20), repeatCapacity(0.48, 6)...)...)
@@ -71,8 +71,8 @@
 }
 
 // TestOverloadedZoneOverflows checks that the load that a zone's gateways cannot take goes to other
-// zones of the region and to no other region. The load is callers of other zones that have
-// moved to this one.
+// zones of the region and to no other region. A zone is overloaded, for example, when the callers
+// of other zones move to it.
 func TestOverloadedZoneOverflows(t *testing.T) {
 	const callers = 5000
 	remoteShare := func(gateways []Gateway) float64 {
@@ -110,7 +110,9 @@
 	})
 }
 
-// TestGatewaySelectionProperties checks the properties of every selection, for arbitrary gateways.
+// TestGatewaySelectionProperties checks, for arbitrary gateways, that a selection contains a
+// permitted number of distinct ready gateways, is deterministic, and changes little when a gateway
+// is removed.
 func TestGatewaySelectionProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		capacities := rapid.SliceOfN(rapid.SampledFrom([]float64{0, 0.144, 0.192, 0.48, 1}), 1, 120).Draw(t, "capacities")
@@ -152,7 +154,7 @@
 				changed++
 			}
 		}
-		// It may also reduce the sample size and change the inclusion probabilities.
+		// The removal may also reduce the sample size and change the inclusion probabilities.
 		if allowed := 2 + max(len(selected)-len(after), 0); changed > allowed+len(selected)/4 {
 			t.Fatalf("%d of %d addresses changed with the removal of one gateway of %d", changed, len(selected), ready)
 		}
@@ -167,18 +169,18 @@
 		sampleSize := sampleSizeFor(weights)
 		probabilities := inclusionProbabilities(weights, sampleSize)
 		sum, ratio := 0.0, 0.0
-		for position, share := range probabilities {
-			sum += share
-			if share > 1 || share < 0 {
-				t.Fatalf("probability is %g", share)
+		for position, probability := range probabilities {
+			sum += probability
+			if probability > 1 || probability < 0 {
+				t.Fatalf("probability is %g", probability)
 			}
-			if share == 1 {
+			if probability == 1 {
 				continue
 			}
 			if ratio == 0 {
-				ratio = share / weights[position]
+				ratio = probability / weights[position]
 			}
-			if math.Abs(share/weights[position]-ratio) > 1e-9*ratio {
+			if math.Abs(probability/weights[position]-ratio) > 1e-9*ratio {
 				t.Fatalf("probabilities %v are not proportional to weights %v", probabilities, weights)
 			}
 		}
--- a/internal/membership/superseded.go
+++ b/internal/membership/superseded.go
@@ -4,13 +4,14 @@
 
 const (
 	// requiredContradictions is the number of contradictory reports that must arrive before
-	// they are accepted. A network partition delays fewer reports, while an engine that is
-	// alive reaches this number.
+	// they are accepted. A network partition delays fewer reports than that, while an engine
+	// that is alive continues to report and reaches this number.
 	requiredContradictions = 4
-	// maxContradictions bounds the engines with contradictory reports. When it is reached, all
-	// counts restart.
+	// maxContradictions bounds the number of engines whose contradictory reports are counted.
+	// When it is reached, all counts restart.
 	maxContradictions = 1024
-	// maxSuperseded bounds the ids of superseded engines that a fleet retains.
+	// maxSuperseded bounds the number of superseded engines whose ids a fleet retains. Beyond it,
+	// the older half is discarded.
 	maxSuperseded = 1024
 )
 
@@ -46,10 +47,12 @@
 	return true
 }
 
-// contradictedEngine returns the listed engine that a report contradicts: the engine at the
-// same address, if it took over the address or has a later start time; the engine itself, if
-// one incarnation would be at two locations; or an engine of the same id that has left, if its
-// incarnation is unknown.
+// contradictedEngine returns the id of the engine that a report contradicts:
+//   - the engine listed at the same address ("" if none is), if the reporting engine has been
+//     superseded, or has not started later than that engine, whose start time is known,
+//   - the listed engine of the same id, if the report is the first one with a start time but has
+//     a lower sequence number, or if one incarnation would be at two locations,
+//   - an engine of the same id that has left, if its incarnation is unknown.
 func (f *Fleet) contradictedEngine(engine ServingEngine) (id string, contradictory bool) {
 	holder := f.engineByAddress[engine.Address]
 	isTaken := holder != "" && holder != engine.ID
--- a/internal/membership/tracker.go
+++ b/internal/membership/tracker.go
@@ -18,7 +18,8 @@
 	LaggingSidecars []string `msgpack:"l,omitempty"`
 	// ReadyEngines is the number of engines ready to serve, by pool.
 	ReadyEngines map[string]int `msgpack:"e,omitempty"`
-	// QueueLength and InFlight are totals over the scheduler's cell.
+	// QueueLength is the number of calls that wait in the scheduler, and InFlight the number of
+	// its attempts in flight.
 	QueueLength int `msgpack:"q"`
 	InFlight    int `msgpack:"f"`
 }
@@ -65,7 +66,7 @@
 	t.reports[heartbeat.Scheduler.Name] = Report{Heartbeat: heartbeat, ReceivedMs: nowMs}
 }
 
-// SetInstances records the platform's list of engines.
+// SetInstances records the platform's list of instances.
 func (t *Tracker) SetInstances(instances []Instance) {
 	if !t.hasInstances || !slices.Equal(t.instances, instances) {
 		t.hasChanged = true
--- a/internal/program/close.go
+++ b/internal/program/close.go
@@ -2,7 +2,7 @@
 
 import "github.com/ochrebay/ochrebay/internal/result"
 
-// findOpen returns the program if the fence is that of its open turn.
+// findOpen returns a program with an open turn and whether the fence may close that turn.
 func (l *Ledger) findOpen(id string, fence uint64) (*Header, bool) {
 	header, ok := l.programs[id]
 	if !ok || header.Open == nil {
@@ -92,7 +92,8 @@
 	return Reply{Turn: header.LastTurn, Ended: true, RemainingTokens: header.RemainingTokens()}, effects
 }
 
-// close ends the program. A call in progress loses its turn.
+// close ends the program and closes its open turn: an at-most-once turn with a record of its
+// unknown outcome, any other turn without a record. The reservation is charged in full.
 func (h *Header) close(nowMs int64, reason string) Effects {
 	var effects Effects
 	if h.Open != nil && h.Open.AtMostOnce {
@@ -108,9 +109,9 @@
 }
 
 // IsSweepDue reports whether a Sweep would change anything now.
-func (l *Ledger) IsSweepDue(nowMs, retainMs int64) bool {
+func (l *Ledger) IsSweepDue(nowMs, retentionMs int64) bool {
 	for _, header := range l.programs {
-		if header.isIdle(nowMs) || header.isExpired(nowMs, retainMs) {
+		if header.isIdle(nowMs) || header.isExpired(nowMs, retentionMs) {
 			return true
 		}
 	}
@@ -127,8 +128,8 @@
 	return !h.Ended && h.Limits.IdleTimeoutMs > 0 && nowMs-sinceMs > h.Limits.IdleTimeoutMs
 }
 
-func (h *Header) isExpired(nowMs, retainMs int64) bool {
-	return h.Ended && nowMs-h.LastActiveMs > retainMs
+func (h *Header) isExpired(nowMs, retentionMs int64) bool {
+	return h.Ended && nowMs-h.LastActiveMs > retentionMs
 }
 
 func (l *Ledger) sweep(nowMs int64, sweep *Sweep) (Reply, Effects) {
--- a/internal/program/digest.go
+++ b/internal/program/digest.go
@@ -48,7 +48,8 @@
 	return false
 }
 
-// Conversation concatenates the messages of a thread's records in turn order.
+// Conversation concatenates the messages and answers of the records in a thread's lineage. It
+// skips records without an answer. The records must be in turn order.
 func Conversation(lineage []ThreadPrefix, records []TurnRecord) []Message {
 	var messages []Message
 	for _, record := range records {
--- a/internal/program/ledger.go
+++ b/internal/program/ledger.go
@@ -17,7 +17,8 @@
 	Digest   uint64 `msgpack:"d"`
 }
 
-// OpenTurn is the turn of the call in progress.
+// OpenTurn is the turn of the call in progress. Reserved is the number of tokens that it has
+// reserved from the budget.
 type OpenTurn struct {
 	Turn       uint64 `msgpack:"t"`
 	Fence      uint64 `msgpack:"f"`
@@ -58,10 +59,10 @@
 	Engine         string          `msgpack:"e" json:"engine"`
 	CreatedMs      int64           `msgpack:"c" json:"created_ms"`
 	LastActiveMs   int64           `msgpack:"m" json:"last_ms"`
-	// ClosedFence is the fence of the last closed turn, so that a commit that is proposed
-	// again receives its original reply.
+	// ClosedFence is the fence of the last turn that a commit or an abort closed, so that a
+	// commit or abort that is proposed again receives its original reply.
 	ClosedFence uint64 `msgpack:"g" json:"-"`
-	// ClosedByAbort reports whether an abort closed that turn.
+	// ClosedByAbort reports whether that turn was closed by an abort.
 	ClosedByAbort bool   `msgpack:"ca,omitempty" json:"-"`
 	Ended         bool   `msgpack:"d" json:"ended"`
 	EndReason     string `msgpack:"r" json:"end_reason"`
@@ -81,7 +82,7 @@
 	programs map[string]*Header
 
 	// DisableFencing accepts the result of any attempt. DisableBudget accepts calls beyond the
-	// budget. Both serve runs that show the effect of the mechanism.
+	// budget. Both are for runs that show the effect of the disabled mechanism.
 	DisableFencing bool
 	DisableBudget  bool
 	// DisableAtMostOnce allows a call that is not repeatable to run again.
@@ -193,8 +194,8 @@
 }
 
 // refuseRetry closes the turn of a request whose earlier attempt was lost and which may not be
-// retried. Invariant: a request that an engine may have started is never reported as not run,
-// not even when it is sent again later.
+// retried. The tokens of the lost attempt have already been charged. Invariant: a request that an
+// engine may have started is never reported as not run, not even when it is sent again later.
 func (h *Header) refuseRetry(nowMs int64, lostTurn *OpenTurn, reply Reply) (Reply, Effects) {
 	lostTurn.Reserved = 0
 	h.Open = lostTurn
@@ -223,8 +224,8 @@
 	return Reply{}, false
 }
 
-// resolveOpenTurn handles a new Begin while a turn is open. It returns true if the Begin gets
-// no turn.
+// resolveOpenTurn handles a new Begin while a turn is open. It returns true if the Begin is
+// refused.
 func (l *Ledger) resolveOpenTurn(header *Header, nowMs int64, begin *Begin) (Reply, Effects, bool) {
 	open := header.Open
 	sameRequest := open.Request == begin.Request
--- a/internal/program/ledger_test.go
+++ b/internal/program/ledger_test.go
@@ -108,18 +108,18 @@
 		begin.PrefixDigests = PrefixDigests(sent)
 		So(h.apply(Command{Begin: begin}).Error.Code, ShouldEqual, result.HistoryMismatch)
 	})
-	Convey("a sub-agent sees its parent's history up to the fork and nothing later", t, func() {
+	Convey("the history of a forked thread contains its parent's history up to the fork and nothing later", t, func() {
 		h := newHarness()
 		first := h.apply(Command{Begin: newBegin("p", "r1", "x")})
 		h.apply(Command{Commit: newCommit("p", first.Fence, "x")})
 		child := newBegin("p", "r2", "child")
-		child.Thread = "bearing"
+		child.Thread = "child"
 		forked := h.apply(Command{Begin: child})
 		h.apply(Command{Commit: newCommit("p", forked.Fence, "child")})
 		second := h.apply(Command{Begin: newBegin("p", "r3", "main")})
 		h.apply(Command{Commit: newCommit("p", second.Fence, "main")})
 		header, _ := h.ledger.Get("p")
-		lineage, _ := header.Lineage("bearing")
+		lineage, _ := header.Lineage("child")
 		So(len(Conversation(lineage, h.records["p"])), ShouldEqual, 4)
 		lineage, _ = header.Lineage("")
 		conversation := Conversation(lineage, h.records["p"])
@@ -147,7 +147,10 @@
 	})
 }
 
-// TestAnySequence checks the ledger's invariants after arbitrary commands.
+// TestAnySequence checks, after each of a sequence of arbitrary commands, that no budget is
+// exceeded, that turns are closed one after the other and their records match the digest of the
+// history, and that a call that is not repeatable is granted again only if it has not run. It also
+// checks that a snapshot restores the ledger.
 func TestAnySequence(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := newHarness()
--- a/internal/program/turns.go
+++ b/internal/program/turns.go
@@ -23,8 +23,8 @@
 	maxSessions = 64
 )
 
-// Reserve opens a turn: it reserves the maximum number of tokens that the turn may generate
-// from the program's budget and checks that the previous turn exists.
+// Reserve opens a turn: it reserves, from the program's budget, the maximum number of tokens that
+// the turn may generate, and checks that the previous turn exists.
 type Reserve struct {
 	Program string `msgpack:"p"`
 	Request string `msgpack:"r"`
@@ -55,18 +55,19 @@
 	RetentionMs     int64  `msgpack:"t,omitempty"`
 }
 
-// TurnCommand is one entry of a turn group's log. Exactly one field besides NowMs is set.
+// TurnCommand is one entry of a ledger group's log. Exactly one field besides NowMs is set.
 type TurnCommand struct {
 	// NowMs is the proposer's clock, in milliseconds since 1970.
 	NowMs   int64    `msgpack:"n"`
 	Reserve *Reserve `msgpack:"r,omitempty"`
 	Settle  *Settle  `msgpack:"s,omitempty"`
 	Sweep   bool     `msgpack:"w,omitempty"`
-	// Quota reserves a part of a tenant's limit.
+	// Quota reserves a part of a tenant's limit. TurnLedger does not handle it: the state
+	// machine that contains the TurnLedger applies it.
 	Quota *quota.Reservation `msgpack:"q,omitempty"`
 }
 
-// TurnEffects are the disk writes that a command requires of the owner.
+// TurnEffects are the disk writes that a command requires of the replica's host.
 type TurnEffects struct {
 	// WriteRequest is the request whose content is to be stored.
 	WriteRequest string
@@ -137,7 +138,7 @@
 	return slices.IndexFunc(b.Reserved, func(open reservation) bool { return open.Request == request })
 }
 
-// retainedTurn is one retained turn. Its content is on the owner's disk.
+// retainedTurn is one retained turn. Its content is on the disk of the replica's host.
 type retainedTurn struct {
 	Request   string `msgpack:"r"`
 	Previous  string `msgpack:"v"`
@@ -151,8 +152,8 @@
 	budgets map[string]*budget
 	turns   map[string]*retainedTurn
 
-	// DisableBudget accepts turns beyond their budget, for runs that show the effect of the
-	// check.
+	// DisableBudget accepts turns beyond the budgets of their programs, for runs that show the
+	// effect of the check.
 	DisableBudget bool
 }
 
@@ -204,7 +205,8 @@
 	Error *result.Error
 	// Engine is the engine whose cache most likely holds the prompt of the session.
 	Engine string
-	// IsFirstTurn reports that no turn of the program has run yet and no other turn is open.
+	// IsFirstTurn reports that no turn of the program has run yet and no other turn is open. It
+	// is false for a program without a budget, because the ledger has no record of its turns.
 	IsFirstTurn bool
 }
 
@@ -236,9 +238,9 @@
 	return account.affineEngine(session)
 }
 
-// reserve grants a turn. Invariant: the tokens that a program has generated and those that its
-// open turns may still generate stay within its budget, regardless of the gateways that run
-// the turns. A turn whose end was not reported counts with its maximum.
+// reserve grants a turn. Invariant: as long as the budget is retained, the tokens that a program
+// has generated and those that its open turns may still generate stay within it, regardless of
+// the gateways that run the turns. A turn whose end was not reported counts with its maximum.
 func (t *TurnLedger) reserve(nowMs int64, reserve *Reserve) *result.Error {
 	if reserve.PreviousRequest != "" && !t.HasTurn(reserve.PreviousRequest) {
 		return result.New(result.UnknownTurn, "turn %s does not exist", reserve.PreviousRequest)
@@ -264,7 +266,8 @@
 	return nil
 }
 
-// settle closes a turn. Settling a turn again changes nothing.
+// settle closes a turn. Settling a turn again neither charges nor stores anything, but records
+// the engine and counts as activity.
 func (t *TurnLedger) settle(nowMs int64, settle *Settle) TurnEffects {
 	if account, ok := t.budgets[settle.Program]; ok {
 		if index := account.indexOf(settle.Request); index >= 0 {
--- a/internal/program/turns_test.go
+++ b/internal/program/turns_test.go
@@ -84,7 +84,7 @@
 			command := TurnCommand{NowMs: int64(step) * 10}
 			request := rapid.SampledFrom([]string{"a", "b", "c", "d", "e"}).Draw(t, "request")
 			if rapid.Bool().Draw(t, "reserve") {
-				maxTokens := rapid.Int64Range(1, 200).Draw(t, "most")
+				maxTokens := rapid.Int64Range(1, 200).Draw(t, "maxTokens")
 				command.Reserve = &Reserve{Program: "p", Request: request, BudgetTokens: budgetTokens, MaxTokens: maxTokens}
 				reply, _ := turns.Apply(command)
 				if _, already := open[request]; reply.Error == nil && !already {
@@ -125,7 +125,7 @@
 }
 
 func TestFirstTurns(t *testing.T) {
-	Convey("a turn is its program's first until one has run, and a turn that never ran does not change that", t, func() {
+	Convey("a turn is the first of its program if no turn has run and no other one is open, and a settled turn that never ran does not count", t, func() {
 		turns := NewTurnLedger()
 		reserve := func(request string) bool {
 			reply, _ := turns.Apply(TurnCommand{Reserve: &Reserve{Program: "p", Request: request, BudgetTokens: 100, MaxTokens: 10}})
--- a/internal/program/types.go
+++ b/internal/program/types.go
@@ -1,8 +1,9 @@
 // Package program implements the ledger of programs: a deterministic state machine that
 // enforces the turn order, token budget, at-most-once execution and end of every program
-// (design sections 3 and 4). It runs on the replicas of a log group. Every replica applies the
+// (design sections 3 and 4). It runs on the replicas of a ledger group. Every replica applies the
 // same commands in the same order and reaches the same state. Headers are held in memory; turn
-// records, which form the history, are written to the owner's disk as Effects.
+// records, which form the history, are written to the disk of the replica's host as Effects.
+// TurnLedger is a second state machine of this kind, for turns whose content is opaque to it.
 package program
 
 import "github.com/ochrebay/ochrebay/internal/result"
@@ -14,7 +15,7 @@
 	Name    string `json:"name,omitempty" msgpack:"n,omitempty"`
 }
 
-// Usage is the number of tokens of one call.
+// Usage holds the token counts of one call.
 type Usage struct {
 	// PromptTokens is the length of the whole prompt, including the history.
 	PromptTokens int64 `json:"prompt_tokens" msgpack:"p"`
@@ -48,10 +49,11 @@
 	// PrefixDigests holds the chain digests after 0 to n of the messages if the caller sent
 	// the full history. It is nil if the caller sent only new messages.
 	PrefixDigests []uint64 `msgpack:"x,omitempty"`
-	// NewTokens and MaxTokens are reserved from the budget.
+	// NewTokens, the number of new prompt tokens, and MaxTokens, the maximum number of tokens
+	// that the call may generate, are reserved from the budget.
 	NewTokens int64 `msgpack:"n"`
 	MaxTokens int64 `msgpack:"m"`
-	// Scheduler is the process that will run the call.
+	// Scheduler is the name of the scheduler that will run the call.
 	Scheduler string `msgpack:"w"`
 	// TakeOver reports that the scheduler that held the open turn is lost.
 	TakeOver bool `msgpack:"k,omitempty"`
@@ -141,7 +143,7 @@
 	RemainingTokens int64 `msgpack:"r,omitempty"`
 }
 
-// ThreadPrefix is the turns of one thread up to and including Last.
+// ThreadPrefix identifies the turns of one thread up to and including turn Last.
 type ThreadPrefix struct {
 	Thread string `msgpack:"t"`
 	Last   uint64 `msgpack:"l"`
@@ -160,7 +162,7 @@
 	ClosedMs int64       `msgpack:"w" json:"at_ms"`
 }
 
-// Effects are the disk writes that Apply requires of the owner.
+// Effects are the disk writes that Apply requires of the replica's host.
 type Effects struct {
 	Write *TurnRecord
 	// Program is the program to which Write belongs.
