--- a/internal/compat/compat.go
+++ b/internal/compat/compat.go
@@ -1,11 +1,11 @@
-// Package compat holds what processes of an earlier release send and store against the types
-// of this one, for tests. While a fleet is upgraded both releases talk to each other, and a
-// process may start on the disk that the other release wrote, so that each must read what the
-// other one writes.
+// Package compat lets tests check that the messages and stored records of this release are
+// compatible with those of earlier releases. During an upgrade of a fleet both releases exchange
+// messages, and a process may start on a disk that the other release wrote, so each release must
+// be able to read what the other one writes.
 //
-// A golden file of a release lists, for each message or record, its shape and the encoding of
-// a sample. Hold decodes the sample by the present type, and decodes a present sample by a
-// type made from the old shape, which is what the old release does with it.
+// The golden file of a release holds, for each message or record, its shape and the encoding of
+// a sample value. CheckTypes decodes the old sample into the current type. It also decodes a
+// sample of the current type into a type built from the old shape, as the old release would.
 package compat
 
 import (
@@ -23,25 +23,25 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// record names the release that this run writes golden files for.
-var record = flag.String("compat.record", "", "write golden files of this release in place of holding them")
+// recordRelease is the release for which this run writes golden files; empty to check instead.
+var recordRelease = flag.String("compat.record", "", "write golden files under this release name instead of checking against the existing ones")
 
 const folderMode, fileMode = 0o750, 0o600
 
-// golden is one message or record of a release.
-type golden struct {
+// goldenEntry is the shape and the encoded sample of one message or record of a release.
+type goldenEntry struct {
 	Shape   shape  `json:"shape"`
 	Encoded []byte `json:"encoded"`
 }
 
-// CheckTypes checks the types of one package, given by name as pointers to zero values, against the
-// golden files in testdata/compat. Types that a release did not have yet are left alone, but a
-// type that it had must be given.
+// CheckTypes checks the types of one package, given by name as pointers to zero values, against
+// the golden files in testdata/compat. Types that a release did not have yet are not checked
+// against it, but every type that it had must be given.
 func CheckTypes(t *testing.T, types map[string]any) {
 	t.Helper()
 	folder := filepath.Join("testdata", "compat")
-	if *record != "" {
-		if err := write(filepath.Join(folder, *record+".json"), types); err != nil {
+	if *recordRelease != "" {
+		if err := writeRelease(filepath.Join(folder, *recordRelease+".json"), types); err != nil {
 			t.Fatal(err)
 		}
 		return
@@ -51,12 +51,12 @@
 		t.Fatalf("no golden files in %s: %v", folder, err)
 	}
 	for _, file := range files {
-		release, err := read(file)
+		release, err := readRelease(file)
 		if err != nil {
 			t.Fatal(err)
 		}
 		for _, name := range sortedNames(release) {
-			if err := check(release[name], types[name]); err != nil {
+			if err := checkType(release[name], types[name]); err != nil {
 				t.Errorf("%s of %s: %v", name, filepath.Base(file), err)
 			}
 		}
@@ -72,10 +72,10 @@
 	return names
 }
 
-func write(file string, types map[string]any) error {
-	release := map[string]golden{}
+func writeRelease(file string, types map[string]any) error {
+	release := map[string]goldenEntry{}
 	for name, zero := range types {
-		of, err := shapeOf(reflect.TypeOf(zero).Elem(), nil)
+		typeShape, err := shapeOf(reflect.TypeOf(zero).Elem(), nil)
 		if err != nil {
 			return fmt.Errorf("%s: %w", name, err)
 		}
@@ -83,7 +83,7 @@
 		if err != nil {
 			return fmt.Errorf("%s: %w", name, err)
 		}
-		release[name] = golden{Shape: *of, Encoded: encoded}
+		release[name] = goldenEntry{Shape: *typeShape, Encoded: encoded}
 	}
 	raw, err := json.MarshalIndent(release, "", " ")
 	if err != nil {
@@ -95,74 +95,74 @@
 	return os.WriteFile(file, append(raw, '\n'), fileMode)
 }
 
-func read(file string) (map[string]golden, error) {
+func readRelease(file string) (map[string]goldenEntry, error) {
 	raw, err := os.ReadFile(file)
 	if err != nil {
 		return nil, err
 	}
-	release := map[string]golden{}
+	release := map[string]goldenEntry{}
 	return release, json.Unmarshal(raw, &release)
 }
 
-// check holds one type both ways.
-func check(old golden, zero any) error {
+// checkType checks that the current type and the golden type can read each other's encodings.
+func checkType(old goldenEntry, zero any) error {
 	if zero == nil {
-		return errors.New("is gone; processes of that release still send or store it")
+		return errors.New("the type is missing; processes of that release still send or store it")
 	}
-	present := reflect.TypeOf(zero).Elem()
-	if err := readsOld(old, present); err != nil {
+	current := reflect.TypeOf(zero).Elem()
+	if err := checkReadsOld(old, current); err != nil {
 		return err
 	}
-	return oldReads(old, present)
+	return checkOldReads(old, current)
 }
 
-// readsOld holds that the present type reads what the old release wrote, and that passing it
-// on changes nothing: a new field that is always written would make digests differ.
-func readsOld(old golden, present reflect.Type) error {
-	value := reflect.New(present)
+// checkReadsOld checks that the current type reads what the old release wrote, and that encoding
+// the value again yields the same bytes: a new field that is always written would change digests.
+func checkReadsOld(old goldenEntry, current reflect.Type) error {
+	value := reflect.New(current)
 	if err := msgpack.Unmarshal(old.Encoded, value.Interface()); err != nil {
-		return fmt.Errorf("its encoding can't be read any more: %w", err)
+		return fmt.Errorf("the encoding of that release can no longer be decoded: %w", err)
 	}
-	again, err := encode(value.Interface())
+	reencoded, err := encode(value.Interface())
 	if err != nil {
 		return err
 	}
-	if !bytes.Equal(again, old.Encoded) {
-		return fmt.Errorf("its encoding changes when it is read and written again: %s", describe(old.Encoded, again))
+	if !bytes.Equal(reencoded, old.Encoded) {
+		return fmt.Errorf("the encoding of that release changes when it is decoded and encoded again: %s", describeDifference(old.Encoded, reencoded))
 	}
 	return nil
 }
 
-// oldReads holds that the old release reads what the present type writes, with the same values
-// in what it knows.
-func oldReads(old golden, present reflect.Type) error {
-	encoded, err := encode(sampleOf(present, &old.Shape).Interface())
+// checkOldReads checks that the old release can read what the current type writes, and gets the
+// same values in the fields that it has.
+func checkOldReads(old goldenEntry, current reflect.Type) error {
+	encoded, err := encode(sampleOf(current, &old.Shape).Interface())
 	if err != nil {
 		return err
 	}
 	value := reflect.New(old.Shape.goType())
 	if err := msgpack.Unmarshal(encoded, value.Interface()); err != nil {
-		return fmt.Errorf("processes of that release can't read the present encoding: %w", err)
+		return fmt.Errorf("processes of that release can't decode the current encoding: %w", err)
 	}
-	again, err := encode(value.Interface())
+	reencoded, err := encode(value.Interface())
 	if err != nil {
 		return err
 	}
-	if !bytes.Equal(again, old.Encoded) {
-		return fmt.Errorf("processes of that release read other values from the present encoding: %s", describe(old.Encoded, again))
+	if !bytes.Equal(reencoded, old.Encoded) {
+		return fmt.Errorf("processes of that release decode different values from the current encoding: %s", describeDifference(old.Encoded, reencoded))
 	}
 	return nil
 }
 
-func describe(old, present []byte) string {
+func describeDifference(old, current []byte) string {
 	var before, after any
-	if errors.Join(msgpack.Unmarshal(old, &before), msgpack.Unmarshal(present, &after)) != nil {
-		return fmt.Sprintf("%x, then %x", old, present)
+	if errors.Join(msgpack.Unmarshal(old, &before), msgpack.Unmarshal(current, &after)) != nil {
+		return fmt.Sprintf("%x became %x", old, current)
 	}
-	return fmt.Sprintf("%v, then %v", before, after)
+	return fmt.Sprintf("%v became %v", before, after)
 }
 
-// encode encodes as the inner protocol does.
+// encode encodes a value with the options of the inner protocol.
 func encode(value any) ([]byte, error) {
 	var buffer bytes.Buffer
 	encoder := msgpack.NewEncoder(&buffer)
@@ -171,23 +171,23 @@
 	return buffer.Bytes(), err
 }
 
-// CheckBytes checks that this release writes the same bytes as earlier ones, for what has a
-// form of its own, and returns those of each release by its name.
-func CheckBytes(t *testing.T, name string, present []byte) map[string][]byte {
+// CheckBytes checks that this release writes the same bytes as earlier ones, for data with its
+// own binary format. It returns the golden bytes of all releases by the name of their file.
+func CheckBytes(t *testing.T, name string, current []byte) map[string][]byte {
 	t.Helper()
 	folder := filepath.Join("testdata", "compat")
-	if *record != "" {
+	if *recordRelease != "" {
 		if err := os.MkdirAll(folder, folderMode); err != nil {
 			t.Fatal(err)
 		}
-		if err := os.WriteFile(filepath.Join(folder, *record+"."+name), present, fileMode); err != nil {
+		if err := os.WriteFile(filepath.Join(folder, *recordRelease+"."+name), current, fileMode); err != nil {
 			t.Fatal(err)
 		}
 		return nil
 	}
 	files, err := filepath.Glob(filepath.Join(folder, "*."+name))
 	if err != nil || len(files) == 0 {
-		t.Fatalf("no golden files of %s in %s: %v", name, folder, err)
+		t.Fatalf("no golden files for %s in %s: %v", name, folder, err)
 	}
 	releases := map[string][]byte{}
 	for _, file := range files {
@@ -195,8 +195,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if !bytes.Equal(old, present) {
-			t.Errorf("%s: %x, this release writes %x", file, old, present)
+		if !bytes.Equal(old, current) {
+			t.Errorf("%s holds %x, but this release writes %x", file, old, current)
 		}
 		releases[filepath.Base(file)] = old
 	}
--- a/internal/compat/compat_test.go
+++ b/internal/compat/compat_test.go
@@ -22,21 +22,21 @@
 	Next  *pair             `msgpack:"x,omitempty"`
 }
 
-// goldenOf returns what a release with a type would have recorded.
-func goldenOf(zero any) golden {
-	of := reflect.TypeOf(zero).Elem()
-	described, err := shapeOf(of, nil)
+// goldenOf returns the golden entry that a release with the type would have recorded.
+func goldenOf(zero any) goldenEntry {
+	goType := reflect.TypeOf(zero).Elem()
+	typeShape, err := shapeOf(goType, nil)
 	So(err, ShouldBeNil)
-	encoded, err := encode(sampleOf(of, nil).Interface())
+	encoded, err := encode(sampleOf(goType, nil).Interface())
 	So(err, ShouldBeNil)
-	return golden{Shape: *described, Encoded: encoded}
+	return goldenEntry{Shape: *typeShape, Encoded: encoded}
 }
 
 func TestWhatMayChange(t *testing.T) {
-	Convey("a type that did not change is held", t, func() {
-		So(check(goldenOf(&message{}), &message{}), ShouldBeNil)
+	Convey("an unchanged type passes the check", t, func() {
+		So(checkType(goldenOf(&message{}), &message{}), ShouldBeNil)
 	})
-	Convey("a field may be added under a name of its own, left out where it is empty", t, func() {
+	Convey("a field may be added under a new name if it is omitted when empty", t, func() {
 		type later struct {
 			Name  string            `msgpack:"n"`
 			Count uint64            `msgpack:"c,omitempty"`
@@ -45,9 +45,9 @@
 			Next  *pair             `msgpack:"x,omitempty"`
 			More  []string          `msgpack:"m,omitempty"`
 		}
-		So(check(goldenOf(&message{}), &later{}), ShouldBeNil)
+		So(checkType(goldenOf(&message{}), &later{}), ShouldBeNil)
 	})
-	Convey("one that is always written may not", t, func() {
+	Convey("a field that is always written must not be added", t, func() {
 		type later struct {
 			Name string `msgpack:"n"`
 			More string `msgpack:"m"`
@@ -55,9 +55,9 @@
 		type earlier struct {
 			Name string `msgpack:"n"`
 		}
-		So(check(goldenOf(&earlier{}), &later{}), ShouldNotBeNil)
+		So(checkType(goldenOf(&earlier{}), &later{}), ShouldNotBeNil)
 	})
-	Convey("a struct without names may not grow", t, func() {
+	Convey("a struct that is encoded without field names must not gain a field", t, func() {
 		type longer struct {
 			//lint:ignore U1000 It tells the codec to leave the fields' names out.
 			_msgpack struct{} `msgpack:",as_array"`
@@ -65,9 +65,9 @@
 			Second   float32
 			Third    float32
 		}
-		So(check(goldenOf(&pair{}), &longer{}), ShouldNotBeNil)
+		So(checkType(goldenOf(&pair{}), &longer{}), ShouldNotBeNil)
 	})
-	Convey("a field may not go, change its name or its type", t, func() {
+	Convey("a field must not be removed or change its key or type", t, func() {
 		type without struct {
 			Count uint64 `msgpack:"c,omitempty"`
 		}
@@ -83,11 +83,11 @@
 			Name  string `msgpack:"n"`
 			Count uint64 `msgpack:"c,omitempty"`
 		}
-		So(check(goldenOf(&earlier{}), &without{}), ShouldNotBeNil)
-		So(check(goldenOf(&earlier{}), &renamed{}), ShouldNotBeNil)
-		So(check(goldenOf(&earlier{}), &retyped{}), ShouldNotBeNil)
+		So(checkType(goldenOf(&earlier{}), &without{}), ShouldNotBeNil)
+		So(checkType(goldenOf(&earlier{}), &renamed{}), ShouldNotBeNil)
+		So(checkType(goldenOf(&earlier{}), &retyped{}), ShouldNotBeNil)
 	})
-	Convey("a field may be renamed in Go, at any depth, while its key stays", t, func() {
+	Convey("a field may be renamed in Go, at any depth, if it keeps its key", t, func() {
 		type renamedPair struct {
 			//lint:ignore U1000 It tells the codec to leave the fields' names out.
 			_msgpack struct{} `msgpack:",as_array"`
@@ -101,9 +101,9 @@
 			Labels  map[string]uint32 `msgpack:"t,omitempty"`
 			Next    *renamedPair      `msgpack:"x,omitempty"`
 		}
-		So(check(goldenOf(&message{}), &renamed{}), ShouldBeNil)
+		So(checkType(goldenOf(&message{}), &renamed{}), ShouldBeNil)
 	})
-	Convey("a renamed field may not change its type, nor take the key of a field that stays", t, func() {
+	Convey("a renamed field must not change its type or take the key of a remaining field", t, func() {
 		type earlier struct {
 			First  string `msgpack:"f"`
 			Second string `msgpack:"s"`
@@ -120,9 +120,9 @@
 			Other string `msgpack:"f"`
 			First string `msgpack:"s"`
 		}
-		So(check(goldenOf(&earlier{}), &retyped{}), ShouldNotBeNil)
-		So(check(goldenOf(&earlier{}), &swapped{}), ShouldNotBeNil)
-		So(check(goldenOf(&earlier{}), &shifted{}), ShouldNotBeNil)
+		So(checkType(goldenOf(&earlier{}), &retyped{}), ShouldNotBeNil)
+		So(checkType(goldenOf(&earlier{}), &swapped{}), ShouldNotBeNil)
+		So(checkType(goldenOf(&earlier{}), &shifted{}), ShouldNotBeNil)
 		type twoNumbers struct {
 			//lint:ignore U1000 It tells the codec to leave the fields' names out.
 			_msgpack struct{} `msgpack:",as_array"`
@@ -135,9 +135,9 @@
 			Second   float32
 			First    float32
 		}
-		So(check(goldenOf(&twoNumbers{}), &exchanged{}), ShouldNotBeNil)
+		So(checkType(goldenOf(&twoNumbers{}), &exchanged{}), ShouldNotBeNil)
 	})
-	Convey("a type may not go", t, func() {
-		So(check(goldenOf(&pair{}), nil), ShouldNotBeNil)
+	Convey("a type must not be removed", t, func() {
+		So(checkType(goldenOf(&pair{}), nil), ShouldNotBeNil)
 	})
 }
--- a/internal/compat/shape.go
+++ b/internal/compat/shape.go
@@ -9,14 +9,14 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// shape describes a type as its encoding sees it.
+// shape describes those properties of a type that determine its encoding.
 type shape struct {
 	Kind string `json:"kind"`
-	// Key and Element belong to maps, Element also to slices, arrays and pointers.
+	// Key is set for maps; Element is set for maps, slices, arrays and pointers.
 	Key     *shape `json:"key,omitempty"`
 	Element *shape `json:"element,omitempty"`
 	Length  int    `json:"length,omitempty"`
-	// Fields belong to structs; an Array struct is encoded without its fields' names.
+	// Fields is set for structs. A struct with Array set is encoded without field names.
 	Fields []fieldShape `json:"fields,omitempty"`
 	Array  bool         `json:"array,omitempty"`
 }
@@ -27,7 +27,7 @@
 	Shape shape  `json:"shape"`
 }
 
-// arrayMarker is the field by which the codec knows structs without names.
+// arrayMarker is the field whose tag makes the codec encode a struct without field names.
 const arrayMarker = "_msgpack"
 
 var basicTypes = map[string]reflect.Type{
@@ -39,69 +39,70 @@
 	"float32": reflect.TypeFor[float32](), "float64": reflect.TypeFor[float64](),
 }
 
-// shapeOf describes a type; open are the types around it.
-func shapeOf(of reflect.Type, open []reflect.Type) (*shape, error) {
-	for _, around := range open {
-		if around == of {
-			return nil, fmt.Errorf("%s holds itself", of)
+// shapeOf returns the shape of a type; enclosing lists the types that contain it, in order to
+// detect recursion.
+func shapeOf(goType reflect.Type, enclosing []reflect.Type) (*shape, error) {
+	for _, outer := range enclosing {
+		if outer == goType {
+			return nil, fmt.Errorf("type %s contains itself", goType)
 		}
 	}
-	open = append(open, of)
-	if value, ok := sharedValue(of); ok {
-		return shapeOf(value, open)
+	enclosing = append(enclosing, goType)
+	if value, ok := wrappedValue(goType); ok {
+		return shapeOf(value, enclosing)
 	}
-	described := &shape{Kind: of.Kind().String()}
+	result := &shape{Kind: goType.Kind().String()}
 	var err error
-	switch of.Kind() {
+	switch goType.Kind() {
 	case reflect.Pointer, reflect.Slice:
-		described.Element, err = shapeOf(of.Elem(), open)
+		result.Element, err = shapeOf(goType.Elem(), enclosing)
 	case reflect.Array:
-		described.Length = of.Len()
-		described.Element, err = shapeOf(of.Elem(), open)
+		result.Length = goType.Len()
+		result.Element, err = shapeOf(goType.Elem(), enclosing)
 	case reflect.Map:
-		if described.Key, err = shapeOf(of.Key(), open); err == nil {
-			described.Element, err = shapeOf(of.Elem(), open)
+		if result.Key, err = shapeOf(goType.Key(), enclosing); err == nil {
+			result.Element, err = shapeOf(goType.Elem(), enclosing)
 		}
 	case reflect.Struct:
-		err = described.addFields(of, open)
+		err = result.addFields(goType, enclosing)
 	default:
-		if basicTypes[described.Kind] == nil {
-			return nil, fmt.Errorf("%s has no shape", of)
+		if basicTypes[result.Kind] == nil {
+			return nil, fmt.Errorf("type %s has no supported shape", goType)
 		}
 	}
-	return described, err
+	return result, err
 }
 
-func (s *shape) addFields(of reflect.Type, open []reflect.Type) error {
-	for position := range of.NumField() {
-		field := of.Field(position)
+func (s *shape) addFields(structType reflect.Type, enclosing []reflect.Type) error {
+	for index := range structType.NumField() {
+		field := structType.Field(index)
 		if field.Name == arrayMarker {
 			s.Array = strings.Contains(field.Tag.Get("msgpack"), "as_array")
 		}
 		if !field.IsExported() || field.Tag.Get("msgpack") == "-" {
 			continue
 		}
-		of, err := shapeOf(field.Type, open)
+		nestedShape, err := shapeOf(field.Type, enclosing)
 		if err != nil {
 			return fmt.Errorf("%s: %w", field.Name, err)
 		}
-		s.Fields = append(s.Fields, fieldShape{Name: field.Name, Tag: field.Tag.Get("msgpack"), Shape: *of})
+		s.Fields = append(s.Fields, fieldShape{Name: field.Name, Tag: field.Tag.Get("msgpack"), Shape: *nestedShape})
 	}
 	return nil
 }
 
-// sharedValue returns the type that one with an encoding of its own wraps: its pointer has
-// both methods of the codec, and its field Value is what they encode.
-func sharedValue(of reflect.Type) (reflect.Type, bool) {
-	custom := reflect.PointerTo(of).Implements(reflect.TypeFor[msgpack.CustomDecoder]())
-	if !custom || of.Kind() != reflect.Struct {
+// wrappedValue returns the type that a type with a custom encoding wraps: its pointer implements
+// the codec's decoder, and its Value field is what the custom encoding holds.
+func wrappedValue(goType reflect.Type) (reflect.Type, bool) {
+	hasCustomDecoder := reflect.PointerTo(goType).Implements(reflect.TypeFor[msgpack.CustomDecoder]())
+	if !hasCustomDecoder || goType.Kind() != reflect.Struct {
 		return nil, false
 	}
-	value, ok := of.FieldByName("Value")
+	value, ok := goType.FieldByName("Value")
 	return value.Type, ok
 }
 
-// goType makes a type of a shape.
+// goType builds a Go type from a shape.
 func (s *shape) goType() reflect.Type {
 	switch s.Kind {
 	case "ptr":
@@ -133,28 +134,28 @@
 	return reflect.StructOf(fields)
 }
 
-// sampleElements is how many elements the slices of a sample have.
+// sampleElements is the number of elements of each slice in a sample.
 const sampleElements = 2
 
-// sampleOf returns a pointer to a value of a type with no field at zero. A field's value
-// depends on its path alone, so that a field that is added changes no other. Where earlier is
-// the shape of the type in an earlier release, a field that was renamed in Go and kept its key
-// has the value that the earlier release gives it; nil stands for no earlier release.
-func sampleOf(of reflect.Type, earlier *shape) reflect.Value {
-	value := reflect.New(of)
-	fill(value.Elem(), "", earlier)
+// sampleOf returns a pointer to a value of the type with no zero field. The value of a field
+// depends only on its path, so that an added field does not change the values of others. If
+// earlier, the shape of the type in an earlier release, is not nil, a field that was renamed in
+// Go but kept its key gets the value that the earlier release gives it.
+func sampleOf(goType reflect.Type, earlier *shape) reflect.Value {
+	value := reflect.New(goType)
+	fillValue(value.Elem(), "", earlier)
 	return value
 }
 
-func fill(value reflect.Value, path string, earlier *shape) {
-	if _, shared := sharedValue(value.Type()); shared {
-		fill(value.FieldByName("Value"), path, earlier)
+func fillValue(value reflect.Value, path string, earlier *shape) {
+	if _, isWrapper := wrappedValue(value.Type()); isWrapper {
+		fillValue(value.FieldByName("Value"), path, earlier)
 		return
 	}
 	if earlier == nil || earlier.Kind != value.Kind().String() {
 		earlier = &shape{}
 	}
-	// number is between 1 and 100: it fits all kinds of numbers.
+	// number is between 1 and 100, so that it fits all numeric types.
 	digest := fnv.New32a()
 	_, _ = digest.Write([]byte(path))
 	number := int64(digest.Sum32()%100) + 1
@@ -167,7 +168,7 @@
 		value.SetFloat(float64(number) + 0.5)
 	case reflect.Pointer:
 		value.Set(reflect.New(value.Type().Elem()))
-		fill(value.Elem(), path, earlier.Element)
+		fillValue(value.Elem(), path, earlier.Element)
 	case reflect.Slice:
 		value.Set(reflect.MakeSlice(value.Type(), sampleElements, sampleElements))
 		fillElements(value, path, earlier.Element)
@@ -175,8 +176,8 @@
 		fillElements(value, path, earlier.Element)
 	case reflect.Map:
 		key, element := reflect.New(value.Type().Key()).Elem(), reflect.New(value.Type().Elem()).Elem()
-		fill(key, path+"/key", earlier.Key)
-		fill(element, path+"/value", earlier.Element)
+		fillValue(key, path+"/key", earlier.Key)
+		fillValue(element, path+"/value", earlier.Element)
 		value.Set(reflect.MakeMap(value.Type()))
 		value.SetMapIndex(key, element)
 	case reflect.Struct:
@@ -191,39 +192,40 @@
 }
 
 func fillElements(value reflect.Value, path string, earlier *shape) {
-	for position := range value.Len() {
-		fill(value.Index(position), fmt.Sprintf("%s/%d", path, position), earlier)
+	for index := range value.Len() {
+		fillValue(value.Index(index), fmt.Sprintf("%s/%d", path, index), earlier)
 	}
 }
 
 func fillFields(value reflect.Value, path string, earlier *shape) {
 	encoded := 0
-	for position := range value.NumField() {
-		field := value.Type().Field(position)
+	for index := range value.NumField() {
+		field := value.Type().Field(index)
 		if field.IsExported() && field.Tag.Get("msgpack") != "-" {
-			name, of := earlier.earlierField(value.Type(), field, encoded)
-			fill(value.Field(position), path+"/"+name, of)
+			name, earlierShape := earlier.earlierField(value.Type(), field, encoded)
+			fillValue(value.Field(index), path+"/"+name, earlierShape)
 			encoded++
 		}
 	}
 }
 
-// earlierField returns the name in Go and the shape that a field of a struct had in the earlier
-// release that s describes; position counts the encoded fields of the struct. A field whose name
-// is new there is the earlier one of the same key (of the same position in an array struct),
-// unless the struct still has a field of that one's name.
-func (s *shape) earlierField(in reflect.Type, field reflect.StructField, position int) (string, *shape) {
+// earlierField returns the Go name and the shape that a field of a struct had in the earlier
+// release whose shape is s. position is the index of the field among the encoded fields of the
+// struct. A field whose name did not exist in that release corresponds to the earlier field with
+// the same key, or with the same position in an array struct, unless the struct still has a field
+// with the name of that earlier field.
+func (s *shape) earlierField(structType reflect.Type, field reflect.StructField, position int) (string, *shape) {
 	for index := range s.Fields {
 		if s.Fields[index].Name == field.Name {
 			return field.Name, &s.Fields[index].Shape
 		}
 	}
 	for index, candidate := range s.Fields {
-		same := candidate.key() == encodedKey(field.Name, field.Tag.Get("msgpack"))
+		matches := candidate.key() == encodedKey(field.Name, field.Tag.Get("msgpack"))
 		if s.Array {
-			same = index == position
+			matches = index == position
 		}
-		if _, kept := in.FieldByName(candidate.Name); same && !kept {
+		if _, isKept := structType.FieldByName(candidate.Name); matches && !isKept {
 			return candidate.Name, &s.Fields[index].Shape
 		}
 	}
