--- a/internal/config/fuzz_test.go
+++ b/internal/config/fuzz_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// FuzzLoad feeds settings files: a fault is told in one line that names the file,
-// and nothing else happens.
+// FuzzLoad loads arbitrary settings files and checks that every line of an error names the
+// file, and that accepted settings have a name and a zone.
 func FuzzLoad(f *testing.F) {
 	f.Add("role: sidecar\nname: s\nzone: east\nschedulers: [{name: a, zone: east, address: 127.0.0.1:1}]\n")
 	f.Add("role: control\nname: c\n")
@@ -22,13 +22,13 @@
 		process, err := Load(file, func(*Process) {})
 		if err == nil {
 			if process.Name == "" || process.Zone == "" {
-				t.Fatalf("taken: %+v", process)
+				t.Fatalf("settings without a name or a zone were accepted: %+v", process)
 			}
 			return
 		}
 		for _, line := range strings.Split(strings.TrimSpace(err.Error()), "\n") {
 			if !strings.Contains(line, file) {
-				t.Fatalf("a fault that doesn't name the file: %q", line)
+				t.Fatalf("an error line does not name the file: %q", line)
 			}
 		}
 	})
--- a/internal/config/policy_test.go
+++ b/internal/config/policy_test.go
@@ -18,7 +18,7 @@
 		So(os.WriteFile(file, []byte(text), 0o600), ShouldBeNil)
 		return Load(file, nil)
 	}
-	Convey("mechanisms can be turned off by name, all are on without", t, func() {
+	Convey("mechanisms can be turned off by name, and all are on by default", t, func() {
 		process, err := load(settings)
 		So(err, ShouldBeNil)
 		So(process.Policy.Disable, ShouldBeEmpty)
@@ -28,7 +28,7 @@
 			So(process.Policy.Disable.Has(mechanism), ShouldBeTrue)
 		}
 	})
-	Convey("a name that is none is refused, with the names that there are", t, func() {
+	Convey("an unknown mechanism name is rejected with a list of the valid names", t, func() {
 		_, err := load(settings + "policy: {disable: [home, hoem]}\n")
 		So(err, ShouldNotBeNil)
 		So(err.Error(), ShouldContainSubstring, "hoem")
