--- a/cmd/ochrebay/checkconfiguration.go
+++ b/cmd/ochrebay/checkconfiguration.go
@@ -10,8 +10,8 @@
 )
 
 func registerCheckConfiguration(app *kingpin.Application, registered commands) {
-	command := app.Command("check-configuration", "Validate a configuration document of the platform's operator without a fleet. It names what is wrong by its place, and never a key.\n\nExample: ochrebay check-configuration configuration.json")
-	file := command.Arg("file", "The document; - for standard input.").Required().String()
+	command := app.Command("check-configuration", "Validate a configuration document of the platform's operator without a fleet. Errors name the location of the fault, but never contain an API key.\n\nExample: ochrebay check-configuration configuration.json")
+	file := command.Arg("file", "Configuration document; - for standard input.").Required().String()
 	registered[command.FullCommand()] = withoutContext(func() error {
 		document, err := readDocument(*file, os.Stdin)
 		if err != nil {
@@ -21,19 +21,19 @@
 	})
 }
 
-// readDocument reads a file, or standard input for "-".
+// readDocument reads a file, or standard input if the file is "-".
 func readDocument(file string, standardInput io.Reader) ([]byte, error) {
 	if file == "-" {
 		return io.ReadAll(standardInput)
 	}
 	document, err := os.ReadFile(file)
 	if err != nil {
-		return nil, errorx.Decorate(err, "reading the configuration")
+		return nil, errorx.Decorate(err, "reading the configuration document")
 	}
 	return document, nil
 }
 
-// checkConfiguration says what a document holds, or returns its first fault.
+// checkConfiguration prints a summary of a valid document, or returns its first error.
 func checkConfiguration(output io.Writer, document []byte) error {
 	table, failure := parseConfiguration(document)
 	if failure == nil {
--- a/cmd/ochrebay/compare.go
+++ b/cmd/ochrebay/compare.go
@@ -9,18 +9,18 @@
 )
 
 func registerCompare(app *kingpin.Application, registered commands) {
-	command := app.Command("compare", "Compare the variants of an experiment with its base, paired by site, day and seed.\n\nExample: ochrebay compare table.tsv")
-	file := command.Arg("table", "Table that scripts/experiment wrote.").Required().String()
+	command := app.Command("compare", "Compare the variants of an experiment with its baseline, paired by site, day and seed.\n\nExample: ochrebay compare table.tsv")
+	file := command.Arg("table", "Result table written by scripts/experiment.").Required().String()
 	registered[command.FullCommand()] = withoutContext(func() error {
-		opened, err := os.Open(*file)
+		reader, err := os.Open(*file)
 		if err != nil {
 			return err
 		}
-		defer opened.Close()
-		plays, err := experiment.ReadRuns(opened)
+		defer reader.Close()
+		runs, err := experiment.ReadRuns(reader)
 		if err != nil {
 			return err
 		}
-		return experiment.WriteTable(os.Stdout, experiment.Compare(plays))
+		return experiment.WriteTable(os.Stdout, experiment.Compare(runs))
 	})
 }
--- a/cmd/ochrebay/control.go
+++ b/cmd/ochrebay/control.go
@@ -17,7 +17,7 @@
 }
 
 func registerControl(app *kingpin.Application, registered commands) {
-	command := app.Command("control", "Run a control process: replicas of the settings and ledger groups.\n\nExample: ochrebay control --config.file etc/control-1.yaml")
+	command := app.Command("control", "Run a control process, which hosts replicas of the settings and ledger groups.\n\nExample: ochrebay control --config.file etc/control-1.yaml")
 	flags := registerProcessFlags(command)
 	registered[command.FullCommand()] = func(ctx context.Context) error { return runControl(ctx, flags) }
 }
@@ -30,7 +30,7 @@
 	}
 	daemon, err := control.NewDaemon(process, logger)
 	if errors.Is(err, storage.ErrInUse) {
-		return dataInUse(flags, process)
+		return dataFolderInUseError(flags, process)
 	}
 	if err != nil {
 		return err
@@ -45,8 +45,8 @@
 	return err
 }
 
-// dataInUse is the fault of a data folder that another process holds.
-func dataInUse(flags processFlags, process config.Process) error {
+// dataFolderInUseError returns the error for a data folder that another process has locked.
+func dataFolderInUseError(flags processFlags, process config.Process) error {
 	return settingsError{config.FileError{
 		File: *flags.file, Field: "data.path", Value: process.Data.Path, Reason: "another process uses this data folder",
 	}}
--- a/cmd/ochrebay/docs_test.go
+++ b/cmd/ochrebay/docs_test.go
@@ -12,9 +12,9 @@
 	"testing"
 )
 
-// literals returns the string literals that stand at a place of the calls of some
-// functions, over the packages given.
-func literals(t *testing.T, packages []string, functions map[string]int) []string {
+// stringArguments returns the string literals that the given packages pass to the given
+// functions, each mapped to the index of the argument.
+func stringArguments(t *testing.T, packages []string, functions map[string]int) []string {
 	t.Helper()
 	var found []string
 	for _, folder := range packages {
@@ -39,11 +39,11 @@
 				if !ok {
 					return true
 				}
-				place, wanted := functions[selector.Sel.Name]
-				if !wanted || place >= len(call.Args) {
+				position, isWanted := functions[selector.Sel.Name]
+				if !isWanted || position >= len(call.Args) {
 					return true
 				}
-				if literal, ok := call.Args[place].(*ast.BasicLit); ok && literal.Kind == token.STRING {
+				if literal, ok := call.Args[position].(*ast.BasicLit); ok && literal.Kind == token.STRING {
 					if text, err := strconv.Unquote(literal.Value); err == nil {
 						found = append(found, text)
 					}
@@ -56,30 +56,30 @@
 	return slices.Compact(found)
 }
 
-// TestDocsHoldLogsAndMetrics holds the tables of log messages and metrics together
-// with the code, in both directions for metrics.
+// TestDocsHoldLogsAndMetrics checks that every log message and every metric in the code is
+// listed in its table in docs.
 func TestDocsHoldLogsAndMetrics(t *testing.T) {
 	packages := []string{"internal/gateway", "internal/ledger", "internal/control", "internal/daemon", "cmd/ochrebay"}
 	logs, err := os.ReadFile("../../docs/LOGS.md")
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, message := range literals(t, packages, map[string]int{"Info": 1, "Warn": 1, "InfoSampled": 2, "logFailure": 0}) {
+	for _, message := range stringArguments(t, packages, map[string]int{"Info": 1, "Warn": 1, "InfoSampled": 2, "logFailure": 0}) {
 		if !strings.Contains(string(logs), "| `"+message+"` |") {
-			t.Errorf("docs/LOGS.md lacks the message %q", message)
+			t.Errorf("docs/LOGS.md does not list the message %q", message)
 		}
 	}
 	metrics, err := os.ReadFile("../../docs/METRICS.md")
 	if err != nil {
 		t.Fatal(err)
 	}
-	names := literals(t, packages, map[string]int{"RegisterGauge": 0, "RegisterCounter": 0, "RegisterLatencyHistogram": 0})
+	names := stringArguments(t, packages, map[string]int{"RegisterGauge": 0, "RegisterCounter": 0, "RegisterLatencyHistogram": 0})
 	for _, name := range names {
 		if !strings.Contains(string(metrics), "| `ochrebay_"+name+"` |") {
-			t.Errorf("docs/METRICS.md lacks ochrebay_%s", name)
+			t.Errorf("docs/METRICS.md does not list ochrebay_%s", name)
 		}
 	}
 	if len(names) < 10 {
-		t.Errorf("only %d metrics found in the code", len(names))
+		t.Errorf("found only %d metrics in the code, expected at least 10", len(names))
 	}
 }
--- a/cmd/ochrebay/emulate.go
+++ b/cmd/ochrebay/emulate.go
@@ -10,23 +10,23 @@
 	"github.com/ochrebay/ochrebay/internal/emulator"
 )
 
-// standIn is one of the processes that stand in for what ochrebay doesn't own.
-type standIn interface {
+// emulatorProcess is an emulated process of a component outside ochrebay, such as an engine.
+type emulatorProcess interface {
 	Run(ctx context.Context) error
 }
 
 func registerEmulate(app *kingpin.Application, registered commands) {
-	command := app.Command("emulate", "Run a stand-in for what ochrebay doesn't own.")
+	command := app.Command("emulate", "Run an emulator of a component outside ochrebay.")
 	registerEmulateFleet(command, registered)
 	kinds := []struct {
 		role string
 		help string
-		make func(config.Process, log.Logger) standIn
+		make func(config.Process, log.Logger) emulatorProcess
 	}{
-		{config.RoleEngine, "A model engine.", func(p config.Process, l log.Logger) standIn { return emulator.NewEngine(p, l) }},
-		{config.RoleWeights, "The weight store.", func(p config.Process, l log.Logger) standIn { return emulator.NewWeightStore(p, l) }},
-		{config.RoleTools, "Tool services.", func(p config.Process, l log.Logger) standIn { return emulator.NewToolServices(p, l) }},
-		{config.RolePlatform, "The platform's list of machines.", func(p config.Process, l log.Logger) standIn { return emulator.NewPlatform(p, l) }},
+		{config.RoleEngine, "A model engine.", func(p config.Process, l log.Logger) emulatorProcess { return emulator.NewEngine(p, l) }},
+		{config.RoleWeights, "The weight store.", func(p config.Process, l log.Logger) emulatorProcess { return emulator.NewWeightStore(p, l) }},
+		{config.RoleTools, "Tool services.", func(p config.Process, l log.Logger) emulatorProcess { return emulator.NewToolServices(p, l) }},
+		{config.RolePlatform, "The platform's instance list.", func(p config.Process, l log.Logger) emulatorProcess { return emulator.NewPlatform(p, l) }},
 	}
 	for _, kind := range kinds {
 		sub := command.Command(kind.role, kind.help+"\n\nExample: ochrebay emulate "+kind.role+" --config.file etc/"+kind.role+".yaml")
--- a/cmd/ochrebay/emulatefleet_test.go
+++ b/cmd/ochrebay/emulatefleet_test.go
@@ -12,17 +12,17 @@
 	"github.com/ochrebay/ochrebay/internal/emulator"
 )
 
-// TestHollowFleet plays a fleet of engines and gateways against real control processes.
+// TestHollowFleet runs an emulated fleet of engines and gateways against real control processes.
 func TestHollowFleet(t *testing.T) {
-	Convey("engines register, gateways follow those advertised, and hear of one that drains", t, func() {
+	Convey("engines register, and gateways receive the advertised engines and learn that one drains", t, func() {
 		f := startPlatformFleet(t)
 		var out bytes.Buffer
 		fleet := &emulator.EmulatedFleet{
 			ControlAddresses: f.operators, SeedAddresses: []string{f.addresses["control-0"], f.addresses["control-1"], f.addresses["control-2"]},
 			EngineCount: 500, GatewayCount: 20, ZoneCount: 5, HeartbeatInterval: time.Second, SteadyDuration: time.Second,
-			// 12 engines of its own zone and 4 of each other.
+			// A gateway is sent 12 engines of its own zone and 4 of each of the 4 other zones.
 			EnginesPerGateway: 28,
-			SendReport:        hollowReporter(), Out: &out, Logger: log.NewNopLogger(),
+			SendReport:        newEngineReporter(), Out: &out, Logger: log.NewNopLogger(),
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
--- a/cmd/ochrebay/failure_test.go
+++ b/cmd/ochrebay/failure_test.go
@@ -12,11 +12,10 @@
 	"github.com/ochrebay/ochrebay/internal/workload"
 )
 
-const leaseAndMore = 4 * time.Second
+const longerThanLease = 4 * time.Second
 
-// TestFailures brings failures about among real processes under load. What
-// callers see is checked by the driver; every program must be answered to its
-// end.
+// TestFailures injects failures into real processes under load. The driver checks the responses
+// that callers get, and every program must complete.
 func TestFailures(t *testing.T) {
 	f := startFleet(t, "small.yaml")
 	cases := []struct {
@@ -25,29 +24,29 @@
 	}{
 		{"the ledger leader is killed", killLedgerLeader},
 		{"a scheduler with open streams is killed", killScheduler},
-		{"an engine is killed in mid stream", killEngine},
+		{"an engine is killed in the middle of streams", killEngine},
 		{"the leader is frozen for longer than its lease", freezeLeader},
-		{"every daemon is restarted in turn", rollingRestart},
+		{"every daemon is restarted one after the other", rollingRestart},
 		{"hundreds of settings change while a daemon is down", changesWhileDown},
-		{"a data folder is lost and repaired, then a second one", loseDisks},
+		{"a data folder is lost and repaired, then a second one", loseDataFolders},
 	}
 	for seed, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			disturbed := &fleet{t: t, data: f.data}
 			driver := disturbed.driver()
-			outcomes := disturbed.underLoad(driver, disturbed.programs(uint64(seed+1)), func() {
+			outcomes := disturbed.runUnderLoad(driver, disturbed.programs(uint64(seed+1)), func() {
 				time.Sleep(time.Second)
 				c.disturb(t, disturbed)
 			})
 			disturbed.expectAllEnded(driver, outcomes)
-			if c.name == "every daemon is restarted in turn" {
-				disturbed.expectNoneCut(outcomes)
+			if c.name == "every daemon is restarted one after the other" {
+				disturbed.expectNoTruncation(outcomes)
 			}
 		})
 	}
 }
 
-// programs returns a few seconds of the deployment's workload.
+// programs returns 5 s of arrivals of the deployment's workload at twice its rate.
 func (f *fleet) programs(seed uint64) []workload.Program {
 	f.t.Helper()
 	deployment, err := workload.LoadDeployment("../../deployments/small.yaml")
@@ -57,23 +56,23 @@
 	return workload.Generate(deployment, seed, 2, 5000)
 }
 
-func (f *fleet) expectNoneCut(outcomes []workload.ProgramOutcome) {
+func (f *fleet) expectNoTruncation(outcomes []workload.ProgramOutcome) {
 	f.t.Helper()
 	for _, outcome := range outcomes {
 		if outcome.TruncatedStreams > 0 {
-			f.t.Errorf("program %s: %d answers were cut off by a planned stop", outcome.ID, outcome.TruncatedStreams)
+			f.t.Errorf("program %s: %d responses were truncated by a planned stop", outcome.ID, outcome.TruncatedStreams)
 		}
 	}
 }
 
-// leader returns the control process that leads a log group.
+// leader waits for a leader of a consensus group and returns its name.
 func (f *fleet) leader(group uint32) string {
 	f.t.Helper()
 	name := ""
-	f.until(fmt.Sprintf("a leader of group %d", group), func() bool {
-		for _, known := range f.status().Groups {
-			if known.Group == group && known.Leader != "" {
-				name = known.Leader
+	f.waitFor(fmt.Sprintf("a leader of group %d", group), func() bool {
+		for _, groupView := range f.status().Groups {
+			if groupView.Group == group && groupView.Leader != "" {
+				name = groupView.Leader
 			}
 		}
 		return name != ""
@@ -81,7 +80,7 @@
 	return name
 }
 
-// voters returns the replica id of a member's voter in each group.
+// voters returns the replica IDs of a member by group, for those groups in which it is a voter.
 func (f *fleet) voters(member string) map[uint32]consensus.ReplicaID {
 	f.t.Helper()
 	voters := map[uint32]consensus.ReplicaID{}
@@ -95,15 +94,15 @@
 	return voters
 }
 
-// whole waits until every control process is a voter of every group again.
-func (f *fleet) whole() {
+// waitAllVoters waits until every control process is a voter of every group.
+func (f *fleet) waitAllVoters() {
 	f.t.Helper()
 	controls := f.addresses("control-")
-	f.ready("control-")
-	f.until("three voters in every group", func() bool {
+	f.waitReady("control-")
+	f.waitFor("three voters in every group", func() bool {
 		groups := len(f.status().Groups)
-		for _, line := range controls {
-			if len(f.voters(line.name)) != groups {
+		for _, process := range controls {
+			if len(f.voters(process.name)) != groups {
 				return false
 			}
 		}
@@ -113,15 +112,15 @@
 
 func (f *fleet) killAndStart(name string) {
 	f.t.Helper()
-	f.script("kill", name)
-	time.Sleep(leaseAndMore)
-	f.script("start", name)
-	f.ready(name)
+	f.runScript("kill", name)
+	time.Sleep(longerThanLease)
+	f.runScript("start", name)
+	f.waitReady(name)
 }
 
 func killLedgerLeader(t *testing.T, f *fleet) {
 	f.killAndStart(f.leader(1))
-	f.whole()
+	f.waitAllVoters()
 }
 
 func killScheduler(t *testing.T, f *fleet) {
@@ -134,20 +133,20 @@
 
 func freezeLeader(t *testing.T, f *fleet) {
 	leader := f.leader(1)
-	f.script("freeze", leader)
-	time.Sleep(leaseAndMore)
-	f.script("thaw", leader)
-	f.whole()
+	f.runScript("freeze", leader)
+	time.Sleep(longerThanLease)
+	f.runScript("thaw", leader)
+	f.waitAllVoters()
 }
 
 func rollingRestart(t *testing.T, f *fleet) {
 	for _, prefix := range []string{"sidecar-", "scheduler-", "control-"} {
-		for _, line := range f.addresses(prefix) {
-			f.script("stop", line.name)
-			f.script("start", line.name)
-			f.ready(line.name)
+		for _, process := range f.addresses(prefix) {
+			f.runScript("stop", process.name)
+			f.runScript("start", process.name)
+			f.waitReady(process.name)
 			if prefix == "control-" {
-				f.whole()
+				f.waitAllVoters()
 			}
 		}
 	}
@@ -155,18 +154,18 @@
 
 func changesWhileDown(t *testing.T, f *fleet) {
 	const changes = 300
-	down := "control-2"
-	f.script("stop", down)
-	f.script("stop", "scheduler-west-1")
+	stopped := "control-2"
+	f.runScript("stop", stopped)
+	f.runScript("stop", "scheduler-west-1")
 	for number := range changes {
-		f.must("settings", "set", "/tenants/busy", fmt.Sprintf("tenant_in_flight=%d", 100+number))
+		f.mustRun("settings", "set", "/tenants/busy", fmt.Sprintf("tenant_in_flight=%d", 100+number))
 	}
 	before := f.status().Revision
-	f.script("start", down)
-	f.script("start", "scheduler-west-1")
-	f.whole()
-	f.ready("scheduler-west-1")
-	f.until("the revision in force everywhere", func() bool {
+	f.runScript("start", stopped)
+	f.runScript("start", "scheduler-west-1")
+	f.waitAllVoters()
+	f.waitReady("scheduler-west-1")
+	f.waitFor("the revision in force everywhere", func() bool {
 		status := f.status()
 		for _, daemon := range status.Daemons {
 			if daemon.Revision < before {
@@ -177,32 +176,32 @@
 	})
 }
 
-func loseDisks(t *testing.T, f *fleet) {
+func loseDataFolders(t *testing.T, f *fleet) {
 	for _, name := range []string{"control-1", "control-2"} {
-		f.script("kill", name)
+		f.runScript("kill", name)
 		if err := os.RemoveAll(filepath.Join(f.data, "data", name)); err != nil {
 			t.Fatal(err)
 		}
-		lost := f.voters(name)
-		f.script("start", name)
-		f.until("new replicas to take the place of the lost ones", func() bool {
-			present := f.voters(name)
-			for group, id := range lost {
-				if now, ok := present[group]; !ok || now == id {
+		lostReplicas := f.voters(name)
+		f.runScript("start", name)
+		f.waitFor("new replicas to replace the lost ones", func() bool {
+			current := f.voters(name)
+			for group, id := range lostReplicas {
+				if currentID, ok := current[group]; !ok || currentID == id {
 					return false
 				}
 			}
 			return true
 		})
-		f.whole()
+		f.waitAllVoters()
 	}
 	if f.status().Revision == 0 {
-		t.Error("the settings were lost with the disks")
+		t.Error("the settings were lost together with the disks")
 	}
 }
 
-// endedHonestly reports whether an error is the truthful end of a call that may
-// not be repeated and whose engine or scheduler was lost.
-func endedHonestly(outcome workload.ProgramOutcome) bool {
+// hasUnknownOutcome reports whether a program failed with outcome_unknown as it should: its calls
+// run at most once, so a call can't be retried when its engine or scheduler is lost.
+func hasUnknownOutcome(outcome workload.ProgramOutcome) bool {
 	return outcome.Program.AtMostOnce && outcome.Err.Code == result.OutcomeUnknown
 }
--- a/cmd/ochrebay/fleet_test.go
+++ b/cmd/ochrebay/fleet_test.go
@@ -17,12 +17,12 @@
 	"github.com/ochrebay/ochrebay/internal/workload"
 )
 
-// patience bounds every wait of these tests; it is no measure of anything.
-const patience = 90 * time.Second
+// waitTimeout bounds every wait of these tests; it is generous and no requirement on any latency.
+const waitTimeout = 90 * time.Second
 
 var testBinary string
 
-// TestMain builds the binary that the fleets of these tests run.
+// TestMain builds the binary that the test fleets run.
 func TestMain(m *testing.M) {
 	folder, err := os.MkdirTemp("", "ochrebay-test")
 	if err != nil {
@@ -40,7 +40,7 @@
 	os.Exit(status)
 }
 
-// fleet is a running fleet of real processes.
+// fleet is a running fleet of real processes, controlled by scripts/fleet.
 type fleet struct {
 	t    *testing.T
 	data string
@@ -50,12 +50,12 @@
 	t.Helper()
 	f := &fleet{t: t, data: t.TempDir()}
 	t.Cleanup(func() {
-		f.script("down")
+		f.runScript("down")
 		if t.Failed() {
 			f.showWarnings()
 		}
 	})
-	f.script("up", "--deployment", "../../deployments/"+deployment)
+	f.runScript("up", "--deployment", "../../deployments/"+deployment)
 	return f
 }
 
@@ -71,51 +71,51 @@
 	}
 }
 
-func (f *fleet) script(words ...string) {
+func (f *fleet) runScript(arguments ...string) {
 	f.t.Helper()
-	command := exec.Command("../../scripts/fleet", append(words, "--data", f.data)...)
+	command := exec.Command("../../scripts/fleet", append(arguments, "--data", f.data)...)
 	command.Env = append(os.Environ(), "OCHREBAY_BINARY="+testBinary)
 	if output, err := command.CombinedOutput(); err != nil {
-		f.t.Fatalf("fleet %v: %v\n%s", words, err, output)
+		f.t.Fatalf("fleet %v: %v\n%s", arguments, err, output)
 	}
 }
 
-// run runs one ochrebay command against the fleet and returns its exit status.
-func (f *fleet) run(words ...string) (string, int) {
+// run runs one ochrebay command against the fleet and returns its output and exit status.
+func (f *fleet) run(arguments ...string) (string, int) {
 	f.t.Helper()
-	command := exec.Command(testBinary, append(words, "--data", f.data)...)
+	command := exec.Command(testBinary, append(arguments, "--data", f.data)...)
 	output, err := command.CombinedOutput()
 	if err != nil && command.ProcessState == nil {
-		f.t.Fatalf("ochrebay %v: %v", words, err)
+		f.t.Fatalf("ochrebay %v: %v", arguments, err)
 	}
 	return string(output), command.ProcessState.ExitCode()
 }
 
-func (f *fleet) must(words ...string) string {
+func (f *fleet) mustRun(arguments ...string) string {
 	f.t.Helper()
-	output, status := f.run(words...)
+	output, status := f.run(arguments...)
 	if status != 0 {
-		f.t.Fatalf("ochrebay %v: exit status %d\n%s", words, status, output)
+		f.t.Fatalf("ochrebay %v: exit status %d\n%s", arguments, status, output)
 	}
 	return output
 }
 
-func (f *fleet) addresses(prefix string) []processLine {
+func (f *fleet) addresses(prefix string) []fleetProcess {
 	f.t.Helper()
-	lines, err := readAddresses(f.data, prefix)
+	processes, err := readAddresses(f.data, prefix)
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	return lines
+	return processes
 }
 
 func (f *fleet) address(name string) string {
 	f.t.Helper()
-	lines := f.addresses(name)
-	if len(lines) == 0 {
+	processes := f.addresses(name)
+	if len(processes) == 0 {
 		f.t.Fatalf("no process %s", name)
 	}
-	return lines[0].address
+	return processes[0].address
 }
 
 func (f *fleet) client() *workload.Client {
@@ -125,7 +125,7 @@
 func (f *fleet) status() control.StatusView {
 	f.t.Helper()
 	var view control.StatusView
-	if err := json.Unmarshal([]byte(f.must("status", "--output", "json")), &view); err != nil {
+	if err := json.Unmarshal([]byte(f.mustRun("status", "--output", "json")), &view); err != nil {
 		f.t.Fatal(err)
 	}
 	return view
@@ -135,27 +135,27 @@
 	return engine.NewClient().State(context.Background(), f.address(name), true)
 }
 
-// until polls a condition with a generous limit.
-func (f *fleet) until(what string, condition func() bool) {
+// waitFor polls until the condition holds, and fails the test after waitTimeout.
+func (f *fleet) waitFor(what string, condition func() bool) {
 	f.t.Helper()
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(waitTimeout)
 	for !condition() {
 		if time.Now().After(deadline) {
-			f.t.Fatalf("waited in vain for: %s", what)
+			f.t.Fatalf("timed out waiting for %s", what)
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
 }
 
-// ready waits until a restarted process serves again.
-func (f *fleet) ready(prefix string) {
+// waitReady waits until all processes with a name prefix are ready.
+func (f *fleet) waitReady(prefix string) {
 	f.t.Helper()
-	for _, line := range f.addresses(prefix) {
-		f.until(line.name+" to be ready", func() bool { return isReady(line.address) })
+	for _, process := range f.addresses(prefix) {
+		f.waitFor(process.name+" to become ready", func() bool { return isReady(process.address) })
 	}
 }
 
-// driver returns a driver of the fleet's own workload.
+// driver returns a workload driver for the fleet.
 func (f *fleet) driver() *workload.Driver {
 	f.t.Helper()
 	driver, err := newDriver(f.data, 1)
@@ -166,27 +166,25 @@
 	return driver
 }
 
-// underLoad drives programs while disturb runs, and returns their outcomes once
-// both are done.
-func (f *fleet) underLoad(driver *workload.Driver, programs []workload.Program, disturb func()) []workload.ProgramOutcome {
+// runUnderLoad runs programs while disturb runs, and returns the outcomes once both are done.
+func (f *fleet) runUnderLoad(driver *workload.Driver, programs []workload.Program, disturb func()) []workload.ProgramOutcome {
 	f.t.Helper()
 	done := make(chan []workload.ProgramOutcome, 1)
-	ctx, cancel := context.WithTimeout(context.Background(), 2*patience)
+	ctx, cancel := context.WithTimeout(context.Background(), 2*waitTimeout)
 	defer cancel()
 	go func() { done <- driver.RunAll(ctx, programs) }()
 	disturb()
 	return <-done
 }
 
-// expectAllEnded fails the test for violations and for programs that were not
-// answered to their end.
+// expectAllEnded fails the test for violations and for programs that did not complete.
 func (f *fleet) expectAllEnded(driver *workload.Driver, outcomes []workload.ProgramOutcome) {
 	f.t.Helper()
 	for _, violation := range driver.Violations() {
 		f.t.Error("violation: ", violation)
 	}
 	for _, outcome := range outcomes {
-		if outcome.Err != nil && !endedHonestly(outcome) {
+		if outcome.Err != nil && !hasUnknownOutcome(outcome) {
 			f.t.Errorf("program %s (%s): %v", outcome.ID, outcome.Program.Service, outcome.Err)
 		}
 	}
@@ -218,8 +216,8 @@
 	return response.StatusCode, response.Header, text.String()
 }
 
-func runBinary(words ...string) (string, int) {
-	command := exec.Command(testBinary, words...)
+func runBinary(arguments ...string) (string, int) {
+	command := exec.Command(testBinary, arguments...)
 	output, _ := command.CombinedOutput()
 	return string(output), command.ProcessState.ExitCode()
 }
--- a/cmd/ochrebay/gateway.go
+++ b/cmd/ochrebay/gateway.go
@@ -11,7 +11,7 @@
 )
 
 func registerGateway(app *kingpin.Application, registered commands) {
-	command := app.Command("gateway", "Run a gateway: it takes callers' requests and sends them to engines.\n\nExample: ochrebay gateway --config.file etc/gateway-1.yaml")
+	command := app.Command("gateway", "Run a gateway, which accepts callers' requests and sends them to engines.\n\nExample: ochrebay gateway --config.file etc/gateway-1.yaml")
 	flags := registerProcessFlags(command)
 	registered[command.FullCommand()] = func(ctx context.Context) error { return runGateway(ctx, flags) }
 }
--- a/cmd/ochrebay/ledger.go
+++ b/cmd/ochrebay/ledger.go
@@ -13,7 +13,7 @@
 )
 
 func registerLedger(app *kingpin.Application, registered commands) {
-	command := app.Command("ledger", "Run a ledger host: replicas of the groups that keep turns and budgets.\n\nExample: ochrebay ledger --config.file etc/ledger-1.yaml")
+	command := app.Command("ledger", "Run a ledger host, which hosts replicas of the groups that store turns and budgets.\n\nExample: ochrebay ledger --config.file etc/ledger-1.yaml")
 	flags := registerProcessFlags(command)
 	registered[command.FullCommand()] = func(ctx context.Context) error { return runLedger(ctx, flags) }
 }
@@ -26,7 +26,7 @@
 	}
 	daemon, err := ledger.NewDaemon(process, logger)
 	if errors.Is(err, storage.ErrInUse) {
-		return dataInUse(flags, process)
+		return dataFolderInUseError(flags, process)
 	}
 	if err != nil {
 		return err
--- a/cmd/ochrebay/load.go
+++ b/cmd/ochrebay/load.go
@@ -16,7 +16,7 @@
 	"github.com/ochrebay/ochrebay/internal/workload"
 )
 
-// loadFlags describe one run of load.
+// loadFlags are the flags of the load command.
 type loadFlags struct {
 	deployment *string
 	data       *string
@@ -30,17 +30,17 @@
 }
 
 func registerLoad(app *kingpin.Application, registered commands) {
-	command := app.Command("load", "Drive a running fleet with its deployment's workload, and check what callers see.\n\nExample: ochrebay load --deployment deployments/small.yaml --data run --duration 20s")
+	command := app.Command("load", "Run the workload of a deployment against its running fleet, and check the responses that callers get.\n\nExample: ochrebay load --deployment deployments/small.yaml --data run --duration 20s")
 	flags := loadFlags{
 		deployment: command.Flag("deployment", "Deployment file.").Required().String(),
 		data:       command.Flag("data", "Folder of the fleet.").Required().String(),
-		scale:      command.Flag("time-scale", "The fleet's time scale.").Default("1").Float64(),
+		scale:      command.Flag("time-scale", "Time scale of the fleet.").Default("1").Float64(),
 		seed:       command.Flag("seed", "Seed of the workload.").Default("1").Uint64(),
-		load:       command.Flag("load", "Arrival rate relative to the deployment's.").Default("1").Float64(),
-		duration:   command.Flag("duration", "How long programs arrive, in the workload's time.").Default("20s").Duration(),
-		demo:       command.Flag("demo", "Run one program with a tool and a sub-agent, and print each answer.").Bool(),
-		callers:    command.Flag("callers", "Instead of the workload: this many callers, each sending its next call at once; for deployments whose engines answer at once.").Int(),
-		output:     command.Flag("output", "table or json.").Default("table").Enum("table", "json"),
+		load:       command.Flag("load", "Arrival rate relative to that of the deployment.").Default("1").Float64(),
+		duration:   command.Flag("duration", "How long programs arrive, in workload time.").Default("20s").Duration(),
+		demo:       command.Flag("demo", "Run one program with a tool and a sub-agent, and print each response.").Bool(),
+		callers:    command.Flag("callers", "Instead of the workload, run this many closed-loop callers that send the next call without delay; for deployments whose engines respond instantly.").Int(),
+		output:     command.Flag("output", "Output format: table or json.").Default("table").Enum("table", "json"),
 	}
 	registered[command.FullCommand()] = func(ctx context.Context) error { return runLoad(ctx, flags) }
 }
@@ -58,7 +58,7 @@
 		return runDemo(ctx, driver, deployment)
 	}
 	if *flags.callers > 0 {
-		return runPath(ctx, driver, deployment, flags)
+		return runPathBenchmark(ctx, driver, deployment, flags)
 	}
 	programs := workload.Generate(deployment, *flags.seed, *flags.load, flags.duration.Milliseconds())
 	driver.RequestIDPrefix = fmt.Sprintf("load-%d-%d", *flags.seed, time.Now().UnixNano())
@@ -71,12 +71,12 @@
 		report.Print(os.Stdout)
 	}
 	if len(report.Violations) > 0 {
-		return errors.New("ochrebay: the load saw violations")
+		return errors.New("ochrebay: the load run found violations")
 	}
 	return nil
 }
 
-// newDriver finds the sidecars and tools of a running fleet.
+// newDriver returns a workload driver for the sidecars and tools of a running fleet.
 func newDriver(data string, scale float64) (*workload.Driver, error) {
 	sidecars, err := readAddresses(data, "sidecar-")
 	if err != nil {
@@ -86,8 +86,8 @@
 		return nil, errors.New("ochrebay: the fleet has no sidecar")
 	}
 	driver := &workload.Driver{TimeScale: scale}
-	for _, line := range sidecars {
-		driver.Sidecars = append(driver.Sidecars, workload.NewClient(line.address))
+	for _, process := range sidecars {
+		driver.Sidecars = append(driver.Sidecars, workload.NewClient(process.address))
 	}
 	tools, err := readAddresses(data, "tools")
 	if err != nil {
@@ -99,8 +99,8 @@
 	return driver, nil
 }
 
-// runDemo drives one program of several dependent turns, with a tool between
-// them and a sub-agent, and shows its ledger entry.
+// runDemo runs one program of several dependent turns with a tool and a sub-agent, and prints
+// its ledger entry.
 func runDemo(ctx context.Context, driver *workload.Driver, deployment workload.Deployment) error {
 	service := deployment.Workload[0]
 	tool := "lookup"
@@ -142,13 +142,14 @@
 		fmt.Println("violation:", violation)
 	}
 	if len(driver.Violations()) > 0 || !view.Ended || view.LastTurn != uint64(program.CallCount()) {
-		return errors.New("ochrebay: the program did not go as it should")
+		return errors.New("ochrebay: the demo program had violations or did not end after its last turn")
 	}
 	return nil
 }
 
-// runPath measures what ochrebay adds to calls whose engine answers at once.
-func runPath(ctx context.Context, driver *workload.Driver, deployment workload.Deployment, flags loadFlags) error {
+// runPathBenchmark measures the latency that ochrebay adds to calls whose engine responds
+// instantly.
+func runPathBenchmark(ctx context.Context, driver *workload.Driver, deployment workload.Deployment, flags loadFlags) error {
 	engines, err := readAddresses(*flags.data, "engine-")
 	if err != nil {
 		return settingsError{err}
@@ -161,8 +162,8 @@
 		return errors.New("ochrebay: the fleet has no engine or no control process")
 	}
 	var addresses []string
-	for _, line := range controls {
-		addresses = append(addresses, line.address)
+	for _, process := range controls {
+		addresses = append(addresses, process.address)
 	}
 	state, err := engine.NewClient().State(ctx, engines[0].address, false)
 	if err != nil {
--- a/cmd/ochrebay/main.go
+++ b/cmd/ochrebay/main.go
@@ -1,6 +1,5 @@
-// Command ochrebay is every process of the scheduler for agent programs, its
-// operators' commands, its stand-ins and its tools; docs/operations has a page
-// for each component.
+// Command ochrebay provides all processes of the scheduler for agent programs, the commands
+// for operators, the emulators and the tools; docs/operations has a page for each component.
 package main
 
 import (
@@ -16,23 +15,23 @@
 	"github.com/ochrebay/ochrebay/internal/telemetry"
 )
 
-// Exit statuses: a usage or settings fault is told apart from a failed run.
+// Exit statuses distinguish errors in flags or settings from failed runs.
 const (
 	exitFailed   = 1
 	exitSettings = 2
 )
 
-// runFunc carries out one command until it is done or ctx ends.
+// runFunc runs one command until it is done or ctx ends.
 type runFunc func(ctx context.Context) error
 
-// commands maps a full command name to what carries it out.
+// commands maps full command names to the functions that run them.
 type commands map[string]runFunc
 
-// settingsError marks a fault in flags or files: exit status 2.
+// settingsError marks an error in flags or settings files, which leads to exit status 2.
 type settingsError struct{ error }
 
 func main() {
-	app := kingpin.New("ochrebay", "A scheduler for agent programs. `make run` shows the whole path.")
+	app := kingpin.New("ochrebay", "A scheduler for agent programs. `make run` runs a complete example fleet.")
 	app.HelpFlag.Short('h')
 	registered := commands{}
 	registerControl(app, registered)
@@ -45,7 +44,7 @@
 	registerStatus(app, registered)
 	registerTenants(app, registered)
 	registerProgram(app, registered)
-	registerConfig(app, registered)
+	registerCheckConfig(app, registered)
 	registerPlan(app, registered)
 	registerLoad(app, registered)
 	registerSimulate(app, registered)
@@ -66,16 +65,16 @@
 	telemetry.FlushLog()
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
-		var fault settingsError
-		if errors.As(err, &fault) {
+		var invalid settingsError
+		if errors.As(err, &invalid) {
 			os.Exit(exitSettings)
 		}
 		os.Exit(exitFailed)
 	}
 }
 
-// terminationContext ends at the first SIGTERM or SIGINT, which drains; the
-// second one ends the process at once.
+// terminationContext returns a context that ends at the first SIGTERM or SIGINT, so that the
+// process drains; the second signal ends the process immediately.
 func terminationContext() (context.Context, func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	signals := make(chan os.Signal, 2)
--- a/cmd/ochrebay/operator.go
+++ b/cmd/ochrebay/operator.go
@@ -17,7 +17,7 @@
 
 const operatorTimeout = 15 * time.Second
 
-// operatorFlags say whom to ask and how to print.
+// operatorFlags select the control processes to query and the output format.
 type operatorFlags struct {
 	addresses *[]string
 	data      *string
@@ -26,9 +26,9 @@
 
 func registerOperatorFlags(command *kingpin.CmdClause) operatorFlags {
 	return operatorFlags{
-		addresses: command.Flag("control.address", "HTTP IP:port of a control process; any member may be asked.").Envar("OCHREBAY_CONTROL").Strings(),
-		data:      command.Flag("data", "Folder of a fleet, instead of addresses.").Envar("OCHREBAY_FLEET").String(),
-		output:    command.Flag("output", "table or json.").Default("table").Enum("table", "json"),
+		addresses: command.Flag("control.address", "HTTP IP:port of a control process; any member can answer; repeatable.").Envar("OCHREBAY_CONTROL").Strings(),
+		data:      command.Flag("data", "Folder of a fleet, as an alternative to addresses.").Envar("OCHREBAY_FLEET").String(),
+		output:    command.Flag("output", "Output format: table or json.").Default("table").Enum("table", "json"),
 	}
 }
 
@@ -37,79 +37,80 @@
 		return *f.addresses, nil
 	}
 	if *f.data == "" {
-		return nil, settingsError{errors.New("ochrebay: --control.address or --data says whom to ask")}
+		return nil, settingsError{errors.New("ochrebay: --control.address or --data is required")}
 	}
-	lines, err := readAddresses(*f.data, "control-")
+	processes, err := readAddresses(*f.data, "control-")
 	if err != nil {
 		return nil, settingsError{err}
 	}
 	var targets []string
-	for _, line := range lines {
-		targets = append(targets, line.address)
+	for _, process := range processes {
+		targets = append(targets, process.address)
 	}
 	return targets, nil
 }
 
-// ask sends a request to the first control process that answers. An answer that
-// carries an error is returned as that error beside its body.
-func (f operatorFlags) ask(method, path string, body []byte) ([]byte, error) {
+// callControl sends a request to the control processes one after the other until one gives an
+// answer other than no_quorum or not_leader. If that answer contains an error, callControl
+// returns the error together with the body.
+func (f operatorFlags) callControl(method, path string, body []byte) ([]byte, error) {
 	targets, err := f.targets()
 	if err != nil {
 		return nil, err
 	}
-	var last error
+	var lastErr error
 	for _, target := range targets {
-		answer, status, err := request(method, "http://"+target+path, body)
+		response, status, err := httpRequest(method, "http://"+target+path, body)
 		if err != nil {
-			last = err
+			lastErr = err
 			continue
 		}
 		if status == fasthttp.StatusOK {
-			return answer, nil
+			return response, nil
 		}
 		var failure result.Body
-		if json.Unmarshal(answer, &failure) == nil && failure.Error != nil {
+		if json.Unmarshal(response, &failure) == nil && failure.Error != nil {
 			if failure.Error.Code == result.NoQuorum || failure.Error.Code == result.NotLeader {
-				last = failure.Error
+				lastErr = failure.Error
 				continue
 			}
-			return answer, failure.Error
+			return response, failure.Error
 		}
-		return answer, fmt.Errorf("ochrebay: %s answered with status %d", target, status)
+		return response, fmt.Errorf("ochrebay: %s answered with status %d", target, status)
 	}
-	return nil, fmt.Errorf("ochrebay: no control process answered: %w", last)
+	return nil, fmt.Errorf("ochrebay: no control process answered the request: %w", lastErr)
 }
 
-func request(method, url string, body []byte) ([]byte, int, error) {
-	outgoing := fasthttp.AcquireRequest()
-	incoming := fasthttp.AcquireResponse()
-	defer fasthttp.ReleaseRequest(outgoing)
-	defer fasthttp.ReleaseResponse(incoming)
-	outgoing.Header.SetMethod(method)
-	outgoing.SetRequestURI(url)
-	outgoing.SetBody(body)
-	if err := fasthttp.DoTimeout(outgoing, incoming, operatorTimeout); err != nil {
+func httpRequest(method, url string, body []byte) ([]byte, int, error) {
+	request := fasthttp.AcquireRequest()
+	response := fasthttp.AcquireResponse()
+	defer fasthttp.ReleaseRequest(request)
+	defer fasthttp.ReleaseResponse(response)
+	request.Header.SetMethod(method)
+	request.SetRequestURI(url)
+	request.SetBody(body)
+	if err := fasthttp.DoTimeout(request, response, operatorTimeout); err != nil {
 		return nil, 0, err
 	}
-	return append([]byte(nil), incoming.Body()...), incoming.StatusCode(), nil
+	return append([]byte(nil), response.Body()...), response.StatusCode(), nil
 }
 
-// show asks, decodes and prints: as JSON, or as the table that print makes.
+// show sends a request and prints the response, as JSON or as the table that print writes.
 func show[T any](flags operatorFlags, method, path string, body []byte, print func(*tabwriter.Writer, T)) error {
-	answer, err := flags.ask(method, path, body)
+	response, err := flags.callControl(method, path, body)
 	if err != nil {
 		return err
 	}
-	return printAnswer(flags, answer, print)
+	return printResponse(flags, response, print)
 }
 
-func printAnswer[T any](flags operatorFlags, answer []byte, print func(*tabwriter.Writer, T)) error {
+func printResponse[T any](flags operatorFlags, response []byte, print func(*tabwriter.Writer, T)) error {
 	if *flags.output == "json" {
-		fmt.Println(strings.TrimSpace(string(answer)))
+		fmt.Println(strings.TrimSpace(string(response)))
 		return nil
 	}
 	var decoded T
-	if err := json.Unmarshal(answer, &decoded); err != nil {
+	if err := json.Unmarshal(response, &decoded); err != nil {
 		return err
 	}
 	table := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
@@ -117,9 +118,9 @@
 	return table.Flush()
 }
 
-func row(table *tabwriter.Writer, cells ...any) {
-	for position, cell := range cells {
-		if position > 0 {
+func printRow(table *tabwriter.Writer, cells ...any) {
+	for index, cell := range cells {
+		if index > 0 {
 			_, _ = fmt.Fprint(table, "\t")
 		}
 		_, _ = fmt.Fprint(table, cell)
@@ -127,7 +128,7 @@
 	_, _ = fmt.Fprintln(table)
 }
 
-// printJSON prints a value in one line, for --output json.
+// printJSON prints a value as one line of JSON, for --output json.
 func printJSON(value any) error {
 	raw, err := json.Marshal(value)
 	if err != nil {
--- a/cmd/ochrebay/path_test.go
+++ b/cmd/ochrebay/path_test.go
@@ -26,7 +26,7 @@
 	return program.Message{Role: "assistant", Content: text}
 }
 
-// TestPath drives one fleet through what a caller and an operator can ask.
+// TestPath tests the requests of callers and operators against one fleet.
 func TestPath(t *testing.T) {
 	f := startFleet(t, "small.yaml")
 	t.Run("engine killed between two turns", func(t *testing.T) { testEngineKilledBetweenTurns(t, f) })
@@ -38,26 +38,26 @@
 }
 
 func testEngineKilledBetweenTurns(t *testing.T, f *fleet) {
-	Convey("the engine that holds a program dies between two turns; the next is answered with the whole history", t, func() {
+	Convey("after the engine of a program dies between two turns, the next turn is answered with the complete history", t, func() {
 		client := f.client()
 		first, err := client.Do(context.Background(), workload.Call{Service: "triage", Messages: []program.Message{user("vibration #out=20")}})
 		So(err, ShouldBeNil)
 		So(first.Error, ShouldBeNil)
 		var view control.ProgramView
-		So(json.Unmarshal([]byte(f.must("program", "show", first.Program, "--output", "json")), &view), ShouldBeNil)
-		f.script("kill", view.Engine)
+		So(json.Unmarshal([]byte(f.mustRun("program", "show", first.Program, "--output", "json")), &view), ShouldBeNil)
+		f.runScript("kill", view.Engine)
 		second, err := client.Do(context.Background(), workload.Call{
-			Service: "triage", Program: first.Program, Messages: []program.Message{user("and the gearbox? #out=20")}, TimeoutMs: patience.Milliseconds(),
+			Service: "triage", Program: first.Program, Messages: []program.Message{user("and the gearbox? #out=20")}, TimeoutMs: waitTimeout.Milliseconds(),
 		})
 		So(err, ShouldBeNil)
 		So(second.Error, ShouldBeNil)
 		history := []program.Message{user("vibration #out=20"), assistant(first.Content), user("and the gearbox? #out=20")}
 		So(second.Content, ShouldStartWith, emulator.ResponsePrefix(history))
-		So(json.Unmarshal([]byte(f.must("program", "show", first.Program, "--output", "json")), &view), ShouldBeNil)
+		So(json.Unmarshal([]byte(f.mustRun("program", "show", first.Program, "--output", "json")), &view), ShouldBeNil)
 		So(view.LastTurn, ShouldEqual, 2)
 		So(view.Turns[0].Engine, ShouldNotEqual, view.Turns[1].Engine)
-		f.script("start", view.Turns[0].Engine)
-		f.ready(view.Turns[0].Engine)
+		f.runScript("start", view.Turns[0].Engine)
+		f.waitReady(view.Turns[0].Engine)
 	})
 }
 
@@ -68,7 +68,7 @@
 		So(err, ShouldBeNil)
 		return reply
 	}
-	Convey("the same request id gives the same answer and no second run", t, func() {
+	Convey("a repeated request ID returns the same response and is not executed again", t, func() {
 		call := workload.Call{Service: "notices", RequestID: "ack-1", AtMostOnce: true, Messages: []program.Message{user("ack #out=10")}}
 		first := do(call)
 		So(first.Error, ShouldBeNil)
@@ -76,8 +76,8 @@
 		So(again.Program, ShouldEqual, first.Program)
 		So(again.Content, ShouldEqual, first.Content)
 		runs := 0
-		for _, line := range f.addresses("engine-notices") {
-			_, _, body := httpDo(t, "GET", "http://"+line.address+"/v1/emulator/served", "", nil)
+		for _, process := range f.addresses("engine-notices") {
+			_, _, body := httpDo(t, "GET", "http://"+process.address+"/v1/emulator/served", "", nil)
 			served := map[string]int{}
 			So(json.Unmarshal([]byte(body), &served), ShouldBeNil)
 			runs += served["ack-1"]
@@ -86,16 +86,16 @@
 		call.Messages = []program.Message{user("something else")}
 		So(do(call).Error.Code, ShouldEqual, result.RequestConflict)
 	})
-	Convey("a whole history is checked, new messages alone are enough, and a sub-agent forks", t, func() {
+	Convey("a complete history is verified, new messages alone suffice, and a sub-agent forks the thread", t, func() {
 		first := do(workload.Call{Service: "triage", Messages: []program.Message{user("one #out=10")}})
-		whole := []program.Message{user("one #out=10"), assistant(first.Content), user("two #out=10")}
-		second := do(workload.Call{Service: "triage", Program: first.Program, Messages: whole})
+		fullHistory := []program.Message{user("one #out=10"), assistant(first.Content), user("two #out=10")}
+		second := do(workload.Call{Service: "triage", Program: first.Program, Messages: fullHistory})
 		So(second.Error, ShouldBeNil)
-		So(second.Content, ShouldStartWith, emulator.ResponsePrefix(whole))
+		So(second.Content, ShouldStartWith, emulator.ResponsePrefix(fullHistory))
 		wrong := []program.Message{user("one #out=10"), assistant("never said"), user("three")}
 		So(do(workload.Call{Service: "triage", Program: first.Program, Messages: wrong}).Error.Code, ShouldEqual, result.HistoryMismatch)
 		forked := do(workload.Call{Service: "triage", Program: first.Program, Thread: "bearing", Messages: []program.Message{user("sub #out=10")}})
-		So(forked.Content, ShouldStartWith, emulator.ResponsePrefix(append(whole, assistant(second.Content), user("sub #out=10"))))
+		So(forked.Content, ShouldStartWith, emulator.ResponsePrefix(append(fullHistory, assistant(second.Content), user("sub #out=10"))))
 		orphan := do(workload.Call{Service: "triage", Program: first.Program, Thread: "x", ParentThread: "nowhere", Messages: []program.Message{user("sub")}})
 		So(orphan.Error.Code, ShouldEqual, result.UnknownThread)
 		_, _, body := httpDo(t, "GET", "http://"+f.address("sidecar-")+"/v1/programs/"+first.Program+"/history?thread=bearing", "", nil)
@@ -103,27 +103,27 @@
 		So(json.Unmarshal([]byte(body), &history), ShouldBeNil)
 		So(len(history.Messages), ShouldEqual, 6)
 	})
-	Convey("a program ends, its engine memory is released, and calls after that are refused", t, func() {
+	Convey("when a program ends, its engine memory is released and later calls are rejected", t, func() {
 		first := do(workload.Call{Service: "triage", Messages: []program.Message{user("end soon #out=10")}})
 		status, _, body := httpDo(t, "DELETE", "http://"+f.address("sidecar-")+"/v1/programs/"+first.Program, "", nil)
 		So(status, ShouldEqual, http.StatusOK)
 		So(body, ShouldContainSubstring, `"state":"ended"`)
 		So(do(workload.Call{Service: "triage", Program: first.Program, Messages: []program.Message{user("more")}}).Error.Code, ShouldEqual, result.ProgramClosed)
-		f.until("engines to release the program", func() bool { return !f.held(first.Program) })
+		f.waitFor("engines to release the program", func() bool { return !f.isHeld(first.Program) })
 	})
-	Convey("a program that an operator ends is released too", t, func() {
+	Convey("engine memory is also released when an operator ends a program", t, func() {
 		first := do(workload.Call{Service: "triage", Messages: []program.Message{user("operator #out=10")}})
-		f.must("program", "end", first.Program)
-		f.until("engines to release the program", func() bool { return !f.held(first.Program) })
+		f.mustRun("program", "end", first.Program)
+		f.waitFor("engines to release the program", func() bool { return !f.isHeld(first.Program) })
 	})
-	Convey("a budget holds, and the refusal says that nothing ran", t, func() {
+	Convey("a budget is enforced, and the error reports that the request was not run", t, func() {
 		first := do(workload.Call{Service: "triage", BudgetTokens: 500, MaxTokens: 20, Messages: []program.Message{user(workload.Text("a", 400, 20))}})
 		So(first.Error, ShouldBeNil)
 		refused := do(workload.Call{Service: "triage", Program: first.Program, MaxTokens: 20, Messages: []program.Message{user(workload.Text("b", 400, 20))}})
 		So(refused.Error.Code, ShouldEqual, result.BudgetExhausted)
 		So(refused.Error.Outcome, ShouldEqual, result.NotRun)
 	})
-	Convey("a whole answer without streaming has the OpenAI shape", t, func() {
+	Convey("a response without streaming has the format of the OpenAI API", t, func() {
 		status, headers, body := httpDo(t, "POST", "http://"+f.address("sidecar-")+"/v1/chat/completions",
 			`{"model":"triage","messages":[{"role":"user","content":"x #out=12"}]}`, nil)
 		So(status, ShouldEqual, http.StatusOK)
@@ -133,10 +133,11 @@
 	})
 }
 
-// held reports whether any engine holds a program.
-func (f *fleet) held(id string) bool {
-	for _, line := range f.addresses("engine-") {
-		state, err := f.engineState(line.name)
+// isHeld reports whether an engine holds memory for a program; also true if an engine can't be
+// queried.
+func (f *fleet) isHeld(id string) bool {
+	for _, process := range f.addresses("engine-") {
+		state, err := f.engineState(process.name)
 		if err != nil {
 			return true
 		}
@@ -178,8 +179,8 @@
 		{"an id over the limit", "POST", good, map[string]string{"Ochrebay-Request": strings.Repeat("x", 200)}, result.InvalidHeader},
 		{"wrong method", "GET", "", nil, result.MethodNotAllowed},
 	}
-	Convey("bad input gets a numbered error in the one shape, and nothing runs", t, func() {
-		before := f.must("program", "list", "--limit", "10000", "--output", "json")
+	Convey("invalid requests get an error with its code in the common format, and nothing is executed", t, func() {
+		before := f.mustRun("program", "list", "--limit", "10000", "--output", "json")
 		for _, item := range cases {
 			status, headers, body := httpDo(t, item.method, url, item.body, item.headers)
 			var failure result.Body
@@ -190,34 +191,34 @@
 			So(failure.Error.Outcome, ShouldEqual, result.NotRun)
 			So(headers.Get("Retry-After") != "", ShouldEqual, failure.Error.RetryAfterMs > 0)
 		}
-		So(f.must("program", "list", "--limit", "10000", "--output", "json"), ShouldEqual, before)
+		So(f.mustRun("program", "list", "--limit", "10000", "--output", "json"), ShouldEqual, before)
 	})
 }
 
 func testOperators(t *testing.T, f *fleet) {
-	Convey("a change is in force on every daemon, from whichever member is asked", t, func() {
-		for position, line := range f.addresses("control-") {
-			words := []string{"settings", "set", "/services/triage", fmt.Sprint("max_turns=", 70+position), "--wait", "--timeout", patience.String(), "--control.address", line.address}
-			So(f.must(words...), ShouldContainSubstring, "in force on every live daemon")
-			So(f.must("settings", "get", "/services/triage", "--control.address", line.address), ShouldContainSubstring, fmt.Sprint(70+position))
+	Convey("a change is in force on every daemon, regardless of the member that received it", t, func() {
+		for index, process := range f.addresses("control-") {
+			arguments := []string{"settings", "set", "/services/triage", fmt.Sprint("max_turns=", 70+index), "--wait", "--timeout", waitTimeout.String(), "--control.address", process.address}
+			So(f.mustRun(arguments...), ShouldContainSubstring, "in force on every live daemon")
+			So(f.mustRun("settings", "get", "/services/triage", "--control.address", process.address), ShouldContainSubstring, fmt.Sprint(70+index))
 		}
 	})
-	Convey("operators who race with the same version: one wins and the other is shown the winner", t, func() {
+	Convey("when operators change the same version, one wins and the other gets the winning change", t, func() {
 		var view control.SettingsView
-		So(json.Unmarshal([]byte(f.must("settings", "get", "/services/notices", "--output", "json")), &view), ShouldBeNil)
+		So(json.Unmarshal([]byte(f.mustRun("settings", "get", "/services/notices", "--output", "json")), &view), ShouldBeNil)
 		version := fmt.Sprint(view.Version)
-		f.must("settings", "set", "/services/notices", "rank=3", "--operator", "ana", "--number", "7", "--version", version)
-		resent := f.must("settings", "set", "/services/notices", "rank=3", "--operator", "ana", "--number", "7", "--version", version)
+		f.mustRun("settings", "set", "/services/notices", "rank=3", "--operator", "ana", "--number", "7", "--version", version)
+		resent := f.mustRun("settings", "set", "/services/notices", "rank=3", "--operator", "ana", "--number", "7", "--version", version)
 		So(resent, ShouldContainSubstring, "accepted")
-		lost, status := f.run("settings", "set", "/services/notices", "rank=4", "--operator", "ion", "--number", "7", "--version", version)
+		rejected, status := f.run("settings", "set", "/services/notices", "rank=4", "--operator", "ion", "--number", "7", "--version", version)
 		So(status, ShouldEqual, 1)
-		So(lost, ShouldContainSubstring, "settings_conflict")
-		So(lost, ShouldContainSubstring, `"operator":"ana"`)
+		So(rejected, ShouldContainSubstring, "settings_conflict")
+		So(rejected, ShouldContainSubstring, `"operator":"ana"`)
 		reused, status := f.run("settings", "set", "/services/notices", "rank=5", "--operator", "ana", "--number", "7", "--version", "any")
 		So(status, ShouldEqual, 1)
 		So(reused, ShouldContainSubstring, "change_number_reuse")
 	})
-	Convey("an invalid change names path and field and changes nothing", t, func() {
+	Convey("an invalid change is rejected with its path and field, and changes nothing", t, func() {
 		before := f.status().Revision
 		output, status := f.run("settings", "set", "/services/triage", "rank=12")
 		So(status, ShouldEqual, 1)
@@ -230,22 +231,22 @@
 		So(status, ShouldEqual, 1)
 		_, status = f.run("settings", "validate", "/pools/agents", "role=cook")
 		So(status, ShouldEqual, 1)
-		So(f.must("settings", "validate", "/pools/agents", "role=serve"), ShouldContainSubstring, "valid")
+		So(f.mustRun("settings", "validate", "/pools/agents", "role=serve"), ShouldContainSubstring, "valid")
 		So(f.status().Revision, ShouldEqual, before)
 	})
-	Convey("each daemon answers for its health, readiness and metrics", t, func() {
-		for _, line := range f.addresses("") {
+	Convey("each daemon serves its health, readiness and metrics", t, func() {
+		for _, process := range f.addresses("") {
 			for path, expected := range map[string]string{"/healthz": "ok", "/readyz": "ready", "/metrics": "ochrebay_"} {
-				status, _, body := httpDo(t, "GET", "http://"+line.address+path, "", nil)
-				So(fmt.Sprint(line.name, path, status), ShouldEqual, fmt.Sprint(line.name, path, 200))
+				status, _, body := httpDo(t, "GET", "http://"+process.address+path, "", nil)
+				So(fmt.Sprint(process.name, path, status), ShouldEqual, fmt.Sprint(process.name, path, 200))
 				So(body, ShouldContainSubstring, expected)
 			}
 		}
 	})
-	Convey("a settings file is refused in clear lines, with exit status 2, before anything starts", t, func() {
+	Convey("an invalid settings file is rejected with one clear line and exit status 2, before anything starts", t, func() {
 		raw, err := os.ReadFile(filepath.Join(f.data, "etc", "control-1.yaml"))
 		So(err, ShouldBeNil)
-		faults := map[string][2]string{
+		replacements := map[string][2]string{
 			"unknown field":  {"zone: east", "zone: east\nzoen: west"},
 			"missing zone":   {"zone: east\nlisten", "listen"},
 			"bad port":       {"level: info", "level: loud"},
@@ -256,12 +257,12 @@
 			"unknown field": "zoen", "missing zone": "zone: is missing", "bad port": `log.level: "loud"`,
 			"host name": "listen.http", "data path gone": "data.path",
 		}
-		for name, fault := range faults {
-			So(string(raw), ShouldContainSubstring, fault[0])
+		for name, replacement := range replacements {
+			So(string(raw), ShouldContainSubstring, replacement[0])
 			file := filepath.Join(t.TempDir(), "bad.yaml")
-			So(os.WriteFile(file, []byte(strings.Replace(string(raw), fault[0], fault[1], 1)), 0o600), ShouldBeNil)
-			for _, words := range [][]string{{"check-config", file}, {"control", "--config.file", file}} {
-				output, status := runBinary(words...)
+			So(os.WriteFile(file, []byte(strings.Replace(string(raw), replacement[0], replacement[1], 1)), 0o600), ShouldBeNil)
+			for _, arguments := range [][]string{{"check-config", file}, {"control", "--config.file", file}} {
+				output, status := runBinary(arguments...)
 				So(fmt.Sprint(name, status), ShouldEqual, fmt.Sprint(name, 2))
 				So(output, ShouldContainSubstring, file)
 				So(output, ShouldContainSubstring, expected[name])
@@ -269,7 +270,7 @@
 			}
 		}
 	})
-	Convey("two processes on one data folder: the second is refused", t, func() {
+	Convey("a second process on the same data folder is rejected", t, func() {
 		output, status := runBinary("control", "--config.file", filepath.Join(f.data, "etc", "control-1.yaml"), "--listen.address", "127.0.0.1:0", "--listen.http", "127.0.0.1:0")
 		So(status, ShouldEqual, 2)
 		So(output, ShouldContainSubstring, "another process uses this data folder")
@@ -277,13 +278,13 @@
 }
 
 func testModelChange(t *testing.T, f *fleet) {
-	Convey("a change of version reaches every engine as fenced orders, never below the floor of ready engines", t, func() {
-		f.must("settings", "set", "/pools/agents", "version=2", "--wait", "--timeout", patience.String())
+	Convey("a model version change reaches every engine as fenced orders, and the number of ready engines never drops below the floor", t, func() {
+		f.mustRun("settings", "set", "/pools/agents", "version=2", "--wait", "--timeout", waitTimeout.String())
 		lowest := 2
-		f.until("all engines to serve version 2", func() bool {
+		f.waitFor("all engines to serve version 2", func() bool {
 			ready, updated := 0, 0
-			for _, line := range f.addresses("engine-agents") {
-				state, err := f.engineState(line.name)
+			for _, process := range f.addresses("engine-agents") {
+				state, err := f.engineState(process.name)
 				if err != nil {
 					continue
 				}
@@ -299,7 +300,7 @@
 		})
 		So(lowest, ShouldBeGreaterThanOrEqualTo, 1)
 	})
-	Convey("an engine refuses an order whose fence is older", t, func() {
+	Convey("an engine rejects an order with an older fence", t, func() {
 		status, _, body := httpDo(t, "POST", "http://"+f.address("engine-agents-1")+"/v1/engine/orders",
 			`{"fence":{"epoch":0,"revision":1},"target":{"model":"other"}}`, nil)
 		So(status, ShouldEqual, result.Describe(result.StaleOrder).HTTPStatus)
@@ -308,12 +309,12 @@
 }
 
 func testLeavingEngine(t *testing.T, f *fleet) {
-	Convey("an engine that is leaving gets no new work once the list has been heard", t, func() {
+	Convey("a leaving engine gets no new requests after the directory shows that it is leaving", t, func() {
 		platform := "http://" + f.address("platform") + "/v1/instances/engine-agents-1"
 		status, _, _ := httpDo(t, "PUT", platform, `{"leaving":true}`, nil)
 		So(status, ShouldEqual, http.StatusOK)
-		f.until("the directory to show it leaving", func() bool {
-			return strings.Contains(f.must("engines", "--output", "json"), `"leaving":true`)
+		f.waitFor("the directory to show it leaving", func() bool {
+			return strings.Contains(f.mustRun("engines", "--output", "json"), `"leaving":true`)
 		})
 		time.Sleep(time.Second)
 		served := func() string {
@@ -322,7 +323,7 @@
 		}
 		before := served()
 		for range 8 {
-			reply, err := f.client().Do(context.Background(), workload.Call{Service: "triage", Messages: []program.Message{user("x #out=8")}, TimeoutMs: patience.Milliseconds()})
+			reply, err := f.client().Do(context.Background(), workload.Call{Service: "triage", Messages: []program.Message{user("x #out=8")}, TimeoutMs: waitTimeout.Milliseconds()})
 			So(err, ShouldBeNil)
 			So(reply.Error, ShouldBeNil)
 		}
--- a/cmd/ochrebay/plan.go
+++ b/cmd/ochrebay/plan.go
@@ -15,21 +15,21 @@
 )
 
 const (
-	readyTimeout = time.Second
-	readyPause   = 50 * time.Millisecond
+	readyTimeout      = time.Second
+	readyPollInterval = 50 * time.Millisecond
 )
 
 func registerPlan(app *kingpin.Application, registered commands) {
-	plan := app.Command("plan", "Write the settings files of a fleet and the list of its processes; start nothing.\n\nExample: ochrebay plan --deployment deployments/small.yaml --data run")
+	plan := app.Command("plan", "Write the settings files of a fleet and the list of its processes, without starting any.\n\nExample: ochrebay plan --deployment deployments/small.yaml --data run")
 	deployment := plan.Flag("deployment", "Deployment file.").Required().String()
 	data := plan.Flag("data", "Folder of the fleet.").Required().String()
-	scale := plan.Flag("time-scale", "How much faster than real time stand-ins run.").Default("1").Float64()
+	scale := plan.Flag("time-scale", "Ratio of virtual time to real time in the emulators.").Default("1").Float64()
 	registered[plan.FullCommand()] = withoutContext(func() error { return runPlan(*deployment, *data, *scale) })
 
 	wait := app.Command("wait", "Wait until every process of a fleet is ready.\n\nExample: ochrebay wait --data run control")
 	folder := wait.Flag("data", "Folder of the fleet.").Required().String()
-	timeout := wait.Flag("timeout", "How long to wait.").Default("60s").Duration()
-	prefixes := wait.Arg("prefix", "Only processes whose names begin so.").Strings()
+	timeout := wait.Flag("timeout", "Maximum time to wait.").Default("60s").Duration()
+	prefixes := wait.Arg("prefix", "Wait only for processes whose names have one of these prefixes.").Strings()
 	registered[wait.FullCommand()] = func(ctx context.Context) error {
 		return runWait(ctx, *folder, *prefixes, *timeout)
 	}
@@ -48,29 +48,29 @@
 	return nil
 }
 
-// processLine is one line of a fleet's addresses file: NAME PID IP:PORT.
-type processLine struct {
+// fleetProcess is one line of a fleet's addresses file: NAME PID IP:PORT.
+type fleetProcess struct {
 	name    string
 	address string
 }
 
-// readAddresses returns the processes of a fleet whose names begin with one of
-// the prefixes; all where there is none.
-func readAddresses(folder string, prefixes ...string) ([]processLine, error) {
+// readAddresses returns the processes of a fleet whose names have one of the prefixes, or all
+// processes if no prefix is given.
+func readAddresses(folder string, prefixes ...string) ([]fleetProcess, error) {
 	file, err := os.Open(folder + "/addresses")
 	if err != nil {
 		return nil, err
 	}
 	defer file.Close()
-	var lines []processLine
+	var processes []fleetProcess
 	scanner := bufio.NewScanner(file)
 	for scanner.Scan() {
-		words := strings.Fields(scanner.Text())
-		if len(words) == 3 && hasPrefix(words[0], prefixes) {
-			lines = append(lines, processLine{name: words[0], address: words[2]})
+		fields := strings.Fields(scanner.Text())
+		if len(fields) == 3 && hasPrefix(fields[0], prefixes) {
+			processes = append(processes, fleetProcess{name: fields[0], address: fields[2]})
 		}
 	}
-	return lines, scanner.Err()
+	return processes, scanner.Err()
 }
 
 func hasPrefix(name string, prefixes []string) bool {
@@ -83,17 +83,17 @@
 }
 
 func runWait(ctx context.Context, folder string, prefixes []string, timeout time.Duration) error {
-	lines, err := readAddresses(folder, prefixes...)
+	processes, err := readAddresses(folder, prefixes...)
 	if err != nil {
 		return err
 	}
 	deadline := time.Now().Add(timeout)
-	for _, line := range lines {
-		for !isReady(line.address) {
+	for _, process := range processes {
+		for !isReady(process.address) {
 			if time.Now().After(deadline) || ctx.Err() != nil {
-				return fmt.Errorf("%s at %s is not ready after %s", line.name, line.address, timeout)
+				return fmt.Errorf("process %s at %s is not ready after %s", process.name, process.address, timeout)
 			}
-			time.Sleep(readyPause)
+			time.Sleep(readyPollInterval)
 		}
 	}
 	return nil
--- a/cmd/ochrebay/planned_work_test.go
+++ b/cmd/ochrebay/planned_work_test.go
@@ -17,26 +17,26 @@
 const (
 	plannedCallers = 6
 	plannedEngines = 3
-	// plannedEventPause makes a stream last some tenths of a second, so that each kind of
-	// planned work meets streams under way.
+	// plannedEventPause makes a stream last a few tenths of a second, so that each kind of
+	// planned work happens while streams are in progress.
 	plannedEventPause = 60 * time.Millisecond
-	// longestGap is the longest time between two kinds of planned work: all five fall into
+	// maxGap is the longest time between two kinds of planned work: all five happen within
 	// one second.
-	longestGap = 200 * time.Millisecond
-	// afterLast is how long callers go on after the last kind of planned work.
-	afterLast = 300 * time.Millisecond
-	// plannedCases is how many orders are tried where -rapid.checks doesn't say: each takes
-	// about 4 s, the time that a gateway serves on after a stop.
+	maxGap = 200 * time.Millisecond
+	// settleTime is how long callers continue after the last kind of planned work.
+	settleTime = 300 * time.Millisecond
+	// plannedCases is the number of orders that are tested by default, without -rapid.checks. Each
+	// takes about 4 s, the time for which a gateway continues to serve after a stop.
 	plannedCases = "6"
-	// beatEvery is how often the stand-ins of engines report.
-	beatEvery = time.Second
+	// heartbeatInterval is the interval between reports of the fake engines.
+	heartbeatInterval = time.Second
 )
 
-// plannedStand is a fleet with several engines that report by themselves.
-type plannedStand struct {
+// plannedWorkFleet is a fleet with several engines that report periodically.
+type plannedWorkFleet struct {
 	*platformFleet
-	engines []*engineStand
-	// draining is the engine that reports that it is leaving, -1 for none.
+	engines []*fakeEngine
+	// draining is the index of the engine that reports that it is draining, -1 for none.
 	draining   atomic.Int64
 	sequence   atomic.Int64
 	generation int
@@ -44,23 +44,23 @@
 	requests   atomic.Int64
 }
 
-func newPlannedStand(t *testing.T) *plannedStand {
-	stand := &plannedStand{platformFleet: startPlatformFleet(t), generation: 1}
-	stand.draining.Store(-1)
+func newPlannedWorkFleet(t *testing.T) *plannedWorkFleet {
+	fleet := &plannedWorkFleet{platformFleet: startPlatformFleet(t), generation: 1}
+	fleet.draining.Store(-1)
 	for number := range plannedEngines {
-		engine := newEngineStand(t, fmt.Sprintf("engine-%d", number+1))
+		engine := newFakeEngine(t, fmt.Sprintf("engine-%d", number+1))
 		engine.pause = plannedEventPause
-		stand.engines = append(stand.engines, engine)
+		fleet.engines = append(fleet.engines, engine)
 	}
-	stand.operate("POST", "/ochrebay/Config.Replace", configuration(stand.generation))
+	fleet.operate("POST", "/ochrebay/Config.Replace", configuration(fleet.generation))
 	ctx, stop := context.WithCancel(context.Background())
 	var reporting sync.WaitGroup
 	reporting.Go(func() {
 		for ctx.Err() == nil {
-			stand.report(ctx)
+			fleet.report(ctx)
 			select {
 			case <-ctx.Done():
-			case <-time.After(beatEvery):
+			case <-time.After(heartbeatInterval):
 			}
 		}
 	})
@@ -68,74 +68,74 @@
 		stop()
 		reporting.Wait()
 	})
-	return stand
+	return fleet
 }
 
-// report sends one heartbeat of each engine, to whichever control process takes it.
-func (s *plannedStand) report(ctx context.Context) {
+// report sends one heartbeat of each engine to the first control process that accepts it.
+func (s *plannedWorkFleet) report(ctx context.Context) {
 	for number, engine := range s.engines {
 		state := "ready"
 		if int64(number) == s.draining.Load() {
 			state = "draining"
 		}
-		body := registration(engine.address, state, int(s.sequence.Add(1)))
+		body := heartbeatBody(engine.address, state, int(s.sequence.Add(1)))
 		for _, address := range s.operators {
-			answer, err := sendContext(ctx, "POST", "http://"+address+"/ochrebay/Instances.Heartbeat/"+engine.id, body, nil)
-			if err == nil && answer.status < 300 {
+			reply, err := sendContext(ctx, "POST", "http://"+address+"/ochrebay/Instances.Heartbeat/"+engine.id, body, nil)
+			if err == nil && reply.status < 300 {
 				break
 			}
 		}
 	}
 }
 
-// ran returns how many engines began work on a request.
-func (s *plannedStand) ran(id string) int {
+// runCount returns how often engines started to execute a request.
+func (s *plannedWorkFleet) runCount(id string) int {
 	runs := 0
 	for _, engine := range s.engines {
-		runs += engine.ran(id)
+		runs += engine.runCount(id)
 	}
 	return runs
 }
 
-// startGateway starts a gateway of this case's own and waits until it serves.
-func (s *plannedStand) startGateway() string {
+// startGateway starts a gateway for one test case and waits until it serves.
+func (s *plannedWorkFleet) startGateway() string {
 	s.cases++
 	name := fmt.Sprintf("gateway-planned%d", s.cases)
 	s.addresses[name] = freeAddress(s.t)
 	s.addresses["ready-"+name] = freeAddress(s.t)
-	s.write(name, "gateway", 0, freeAddress(s.t), []string{s.addresses["control-0"], s.addresses["control-1"], s.addresses["control-2"]},
+	s.writeSettings(name, "gateway", 0, freeAddress(s.t), []string{s.addresses["control-0"], s.addresses["control-1"], s.addresses["control-2"]},
 		fmt.Sprintf("  callers: %s\n  readiness: %s\n", s.addresses[name], s.addresses["ready-"+name]))
 	s.start(name)
-	s.until("a served stream", func() bool {
-		answer, _ := s.stream(name)
-		return answer.status == 200 && !answer.broken
+	s.waitFor("a stream to be served", func() bool {
+		reply, _ := s.sendStream(name)
+		return reply.status == 200 && !reply.isTruncated
 	})
 	return name
 }
 
-// stream sends one turn that is kept; a request that found nobody listening has status 0.
-func (s *plannedStand) stream(gateway string) (answer response, id string) {
+// sendStream sends one turn that is retained. The status is 0 if there was no response.
+func (s *plannedWorkFleet) sendStream(gateway string) (reply response, id string) {
 	number := s.requests.Add(1)
 	id = fmt.Sprintf("planned-%d", number)
 	headers := map[string]string{
-		"Host": standHost, "Request-Id": id, "Deadline-Ms": "20000", "Program-Id": fmt.Sprintf("planned-%d", number),
+		"Host": testHost, "Request-Id": id, "Deadline-Ms": "20000", "Program-Id": fmt.Sprintf("planned-%d", number),
 		"Session-Id": "s", "Token-Usage": "10,50", "Token-Budget": "10000",
 	}
-	answer, err := send("POST", "http://"+s.addresses[gateway]+"/kept/", "input", headers)
+	reply, err := send("POST", "http://"+s.addresses[gateway]+"/kept/", "input", headers)
 	if err != nil {
-		return response{broken: true}, id
+		return response{isTruncated: true}, id
 	}
-	return answer, id
+	return reply, id
 }
 
-// leadingControl returns the control process that leads the settings group.
-func (s *plannedStand) leadingControl() string {
+// controlLeader waits for a control process that leads its group, and returns its name.
+func (s *plannedWorkFleet) controlLeader() string {
 	leader := ""
-	s.until("a leader of control", func() bool {
+	s.waitFor("a leader of the control group", func() bool {
 		for number := range 3 {
 			name := fmt.Sprintf("control-%d", number)
-			answer, err := send("GET", "http://"+s.addresses["http-"+name]+"/metrics", "", nil)
-			if err == nil && strings.Contains(answer.body, "\nochrebay_groups_led 1") {
+			reply, err := send("GET", "http://"+s.addresses["http-"+name]+"/metrics", "", nil)
+			if err == nil && strings.Contains(reply.body, "\nochrebay_groups_led 1") {
 				leader = name
 				return true
 			}
@@ -145,8 +145,8 @@
 	return leader
 }
 
-// plannedWork maps each kind of planned work to what brings it about.
-func (s *plannedStand) plannedWork(gateway, leader string) map[string]func() {
+// plannedWork maps each kind of planned work to the function that starts it.
+func (s *plannedWorkFleet) plannedWork(gateway, leader string) map[string]func() {
 	process := s.processes[gateway].Process
 	signal := func(number syscall.Signal) func() {
 		return func() { _ = process.Signal(number) }
@@ -163,15 +163,14 @@
 	}
 }
 
-// outcome is how one request of a caller ended.
+// plannedOutcome is the response to one request of a caller.
 type plannedOutcome struct {
-	id     string
-	answer response
+	id    string
+	reply response
 }
 
-// callWhile keeps callers busy at a gateway while the work goes on, and returns what they
-// were answered.
-func (s *plannedStand) callWhile(gateway string, work func()) []plannedOutcome {
+// callWhile lets callers send requests to a gateway while work runs, and returns their outcomes.
+func (s *plannedWorkFleet) callWhile(gateway string, work func()) []plannedOutcome {
 	var mutex sync.Mutex
 	var outcomes []plannedOutcome
 	var callers sync.WaitGroup
@@ -184,28 +183,28 @@
 					return
 				default:
 				}
-				answer, id := s.stream(gateway)
+				reply, id := s.sendStream(gateway)
 				mutex.Lock()
-				outcomes = append(outcomes, plannedOutcome{id, answer})
+				outcomes = append(outcomes, plannedOutcome{id, reply})
 				mutex.Unlock()
-				if answer.status == 0 {
+				if reply.status == 0 {
 					return
 				}
 			}
 		})
 	}
 	work()
-	time.Sleep(afterLast)
+	time.Sleep(settleTime)
 	close(done)
 	callers.Wait()
 	return outcomes
 }
 
-// TestGatewayUnderPlannedWork holds that a stop, a reload, a new routing table, an engine
-// that drains and a lost leader of control, in any order within a second, cut off no
-// stream and leave no request without an answer.
+// TestGatewayUnderPlannedWork checks that a stop, a reload, a new routing table, a draining
+// engine and the loss of the control leader, in any order within a second, truncate no stream
+// and leave no request without a response.
 func TestGatewayUnderPlannedWork(t *testing.T) {
-	stand := newPlannedStand(t)
+	fleet := newPlannedWorkFleet(t)
 	if checks := flag.Lookup("rapid.checks"); checks.Value.String() == checks.DefValue {
 		if err := checks.Value.Set(plannedCases); err != nil {
 			t.Fatal(err)
@@ -214,30 +213,30 @@
 	}
 	rapid.Check(t, func(rt *rapid.T) {
 		order := rapid.Permutation([]string{"stop", "reload", "routing", "drain", "leader"}).Draw(rt, "order")
-		gaps := rapid.SliceOfN(rapid.IntRange(0, int(longestGap.Milliseconds())), len(order), len(order)).Draw(rt, "gaps in ms")
-		stand.generation++
-		gateway := stand.startGateway()
-		leader := stand.leadingControl()
-		work := stand.plannedWork(gateway, leader)
-		outcomes := stand.callWhile(gateway, func() {
-			var under sync.WaitGroup
+		gaps := rapid.SliceOfN(rapid.IntRange(0, int(maxGap.Milliseconds())), len(order), len(order)).Draw(rt, "gaps in ms")
+		fleet.generation++
+		gateway := fleet.startGateway()
+		leader := fleet.controlLeader()
+		work := fleet.plannedWork(gateway, leader)
+		outcomes := fleet.callWhile(gateway, func() {
+			var running sync.WaitGroup
 			for position, name := range order {
 				time.Sleep(time.Duration(gaps[position]) * time.Millisecond)
-				under.Go(work[name])
+				running.Go(work[name])
 			}
-			under.Wait()
+			running.Wait()
 		})
-		if err := stand.processes[gateway].Wait(); err != nil {
-			rt.Errorf("the gateway did not end by itself after its stop: %v", err)
+		if err := fleet.processes[gateway].Wait(); err != nil {
+			rt.Errorf("the gateway did not exit cleanly after its stop: %v", err)
 		}
-		delete(stand.processes, gateway)
+		delete(fleet.processes, gateway)
 		for _, outcome := range outcomes {
-			whole := outcome.answer.status == 200 && !outcome.answer.broken && strings.Count(outcome.answer.body, "data:") == eventCount
-			if !whole && (outcome.answer.broken || stand.ran(outcome.id) > 0) {
-				rt.Errorf("request %s, which %d engines ran, ended with %+v", outcome.id, stand.ran(outcome.id), outcome.answer)
+			isComplete := outcome.reply.status == 200 && !outcome.reply.isTruncated && strings.Count(outcome.reply.body, "data:") == eventCount
+			if !isComplete && (outcome.reply.isTruncated || fleet.runCount(outcome.id) > 0) {
+				rt.Errorf("request %s, executed %d times, ended with %+v", outcome.id, fleet.runCount(outcome.id), outcome.reply)
 			}
 		}
-		stand.draining.Store(-1)
-		stand.start(leader)
+		fleet.draining.Store(-1)
+		fleet.start(leader)
 	})
 }
--- a/cmd/ochrebay/platform.go
+++ b/cmd/ochrebay/platform.go
@@ -14,11 +14,11 @@
 	"github.com/ochrebay/ochrebay/platform"
 )
 
-// interfacePlatform chooses the platform's names, formats and calls; this file is
-// the one place that wires them to the product.
+// interfacePlatform selects the names, formats and calls of the platform. Only this file
+// connects them to the product.
 const interfacePlatform = "platform"
 
-// gatewayHeaders returns the headers by which a gateway speaks.
+// gatewayHeaders returns the names of the HTTP headers that a gateway uses.
 func gatewayHeaders(process config.Process) gateway.HeaderNames {
 	if process.Interface == interfacePlatform {
 		return platform.HeaderNames()
@@ -26,7 +26,7 @@
 	return gateway.DefaultHeaderNames()
 }
 
-// gatewayFrontends returns what a gateway serves besides its callers.
+// gatewayFrontends returns the frontends that a gateway serves besides that for callers.
 func gatewayFrontends(process config.Process, served *gateway.Daemon) []daemon.Frontend {
 	if process.Interface != interfacePlatform || process.Listen.Readiness == "" {
 		return nil
@@ -34,7 +34,7 @@
 	return []daemon.Frontend{{Address: process.Listen.Readiness, Handler: platform.ReadinessHandler(served.Ready)}}
 }
 
-// controlFrontends returns what a control process serves besides its own interface.
+// controlFrontends returns the frontends that a control process serves besides its own interface.
 func controlFrontends(process config.Process, served *control.Daemon) []daemon.Frontend {
 	if process.Interface != interfacePlatform {
 		return nil
@@ -51,12 +51,12 @@
 	return frontends
 }
 
-// parseConfiguration translates a configuration document of the platform.
+// parseConfiguration translates a configuration document of the platform into a routing table.
 func parseConfiguration(document []byte) (*routing.Table, *result.Error) {
 	return platform.ParseConfiguration(document)
 }
 
-// reportEngine carries an engine's report to a control process as the platform's engines do.
+// reportEngine sends an engine's report to a control process, as engines of the platform do.
 func reportEngine(ctx context.Context, client *http.Client, control string, engine membership.ServingEngine) error {
 	return platform.ReportEngine(ctx, client, control, engine)
 }
--- a/cmd/ochrebay/platform_stand_test.go
+++ b/cmd/ochrebay/platform_stand_test.go
@@ -18,61 +18,63 @@
 )
 
 const (
-	standHost  = "h.example"
+	testHost   = "h.example"
 	eventCount = 5
-	// eventTokens is how many tokens an event of the stand-in counts.
+	// eventTokens is the number of tokens per event of the fake engine.
 	eventTokens = 10
 )
 
-// platformFleet runs real control, ledger and gateway processes on the platform's
-// interface, with a stand-in for its engines.
+// platformFleet runs real control, ledger and gateway processes with the platform's interface
+// and a fake engine.
 type platformFleet struct {
 	t         *testing.T
 	folder    string
 	processes map[string]*exec.Cmd
 	addresses map[string]string
 	operators []string
-	engine    *engineStand
+	engine    *fakeEngine
 	limits    string
-	// binary picks what a process runs at its next start, nil for what this folder builds.
+	// binary returns the binary that a process runs at its next start; nil for testBinary always.
 	binary func(name string) string
 }
 
-// given are the addresses that freeAddress has returned. The kernel may name a port again
-// that a process of the fleet has not bound yet, or has not bound again after its kill.
-var given sync.Map
+// assignedAddresses are the addresses that freeAddress has returned. The kernel may choose a port
+// again if its process has not bound it yet, or has not bound it again after it was killed.
+var assignedAddresses sync.Map
 
-// ownLoopback is a loopback address of this test process's own, so that no other process
-// on the machine takes its ports meanwhile.
-func ownLoopback() string {
+// processLoopback returns a loopback address derived from the ID of this test process, so that
+// other processes on the machine don't bind the chosen ports in the meantime.
+func processLoopback() string {
 	pid := os.Getpid()
 	return fmt.Sprintf("127.%d.%d.%d", 1+pid>>16&0x7f, pid>>8&0xff, 2+pid&0xff%250)
 }
 
-// freeAddress returns an address that the kernel says is free, each only once.
+// freeAddress returns an unused address chosen by the kernel. It returns no address twice.
 func freeAddress(t *testing.T) string {
 	for {
-		listener, err := net.Listen("tcp", ownLoopback()+":0")
+		listener, err := net.Listen("tcp", processLoopback()+":0")
 		if err != nil {
 			t.Fatal(err)
 		}
 		address := listener.Addr().String()
 		_ = listener.Close()
-		if _, taken := given.LoadOrStore(address, true); !taken {
+		if _, isAssigned := assignedAddresses.LoadOrStore(address, true); !isAssigned {
 			return address
 		}
 	}
 }
 
-// startPlatformFleet starts a fleet; limits are further lines of its processes' limits.
+// startPlatformFleet starts a fleet; limits are additional lines in the limits section of the
+// settings files.
 func startPlatformFleet(t *testing.T, limits ...string) *platformFleet {
-	return startMixedFleet(t, nil, limits...)
+	return startFleetWithBinaries(t, nil, limits...)
 }
 
-// startMixedFleet starts a fleet whose processes run what binary says at each start.
-func startMixedFleet(t *testing.T, binary func(name string) string, limits ...string) *platformFleet {
+// startFleetWithBinaries starts a fleet in which binary returns the binary for each start of a
+// process.
+func startFleetWithBinaries(t *testing.T, binary func(name string) string, limits ...string) *platformFleet {
 	f := &platformFleet{t: t, binary: binary, limits: strings.Join(limits, ""), folder: t.TempDir(), processes: map[string]*exec.Cmd{}, addresses: map[string]string{}}
-	t.Cleanup(f.stop)
+	t.Cleanup(f.killAll)
 	var seeds []string
 	for number := range 3 {
 		inner := freeAddress(t)
@@ -84,29 +86,29 @@
 		operators := freeAddress(t)
 		f.operators = append(f.operators, operators)
 		f.addresses["directory-"+fmt.Sprint(number)] = freeAddress(t)
-		f.write(name, "control", number, f.addresses[name], seeds, fmt.Sprintf("  operators: %s\n  directory: %s\n", operators, f.addresses["directory-"+fmt.Sprint(number)]))
+		f.writeSettings(name, "control", number, f.addresses[name], seeds, fmt.Sprintf("  operators: %s\n  directory: %s\n", operators, f.addresses["directory-"+fmt.Sprint(number)]))
 		name = fmt.Sprintf("ledger-%d", number)
-		f.write(name, "ledger", number, freeAddress(t), seeds, "")
+		f.writeSettings(name, "ledger", number, freeAddress(t), seeds, "")
 	}
 	for number := range 2 {
 		name := fmt.Sprintf("gateway-%d", number)
 		f.addresses[name] = freeAddress(t)
 		f.addresses["ready-"+name] = freeAddress(t)
-		f.write(name, "gateway", number, freeAddress(t), seeds, fmt.Sprintf("  callers: %s\n  readiness: %s\n", f.addresses[name], f.addresses["ready-"+name]))
+		f.writeSettings(name, "gateway", number, freeAddress(t), seeds, fmt.Sprintf("  callers: %s\n  readiness: %s\n", f.addresses[name], f.addresses["ready-"+name]))
 	}
 	for _, name := range []string{"control-0", "control-1", "control-2", "ledger-0", "ledger-1", "ledger-2", "gateway-0", "gateway-1"} {
 		f.start(name)
 	}
-	f.engine = newEngineStand(t, "engine-1")
+	f.engine = newFakeEngine(t, "engine-1")
 	return f
 }
 
-func (f *platformFleet) write(name, role string, zone int, inner string, seeds []string, listen string) {
-	quoted, _ := json.Marshal(seeds)
+func (f *platformFleet) writeSettings(name, role string, zone int, inner string, seeds []string, listen string) {
+	seedList, _ := json.Marshal(seeds)
 	f.addresses["http-"+name] = freeAddress(f.t)
 	text := fmt.Sprintf("role: %s\nname: %s\nzone: z%d\nregion: r\ninterface: platform\nlisten:\n  address: %s\n  http: %s\n%slimits:\n  memory_mb: 256\n  grace_s: 8\n%s"+
 		"data:\n  path: %s\ncluster:\n  seeds: %s\n  bootstrap: true\n  tolerated_machines: 1\n  ledger_groups: 3\n",
-		role, name, zone, inner, f.addresses["http-"+name], listen, f.limits, filepath.Join(f.folder, "data", name), quoted)
+		role, name, zone, inner, f.addresses["http-"+name], listen, f.limits, filepath.Join(f.folder, "data", name), seedList)
 	if err := os.WriteFile(filepath.Join(f.folder, name+".yaml"), []byte(text), 0o600); err != nil {
 		f.t.Fatal(err)
 	}
@@ -132,14 +134,14 @@
 	f.processes[name] = command
 }
 
-// kill ends a process at once and waits until it is gone.
+// kill kills a process and waits until it has exited.
 func (f *platformFleet) kill(name string) {
 	_ = f.processes[name].Process.Kill()
 	_ = f.processes[name].Wait()
 	delete(f.processes, name)
 }
 
-func (f *platformFleet) stop() {
+func (f *platformFleet) killAll() {
 	for name := range f.processes {
 		f.kill(name)
 	}
@@ -154,26 +156,26 @@
 	}
 }
 
-// until polls generously until a condition holds.
-func (f *platformFleet) until(what string, condition func() bool) {
+// waitFor polls until the condition holds, and fails the test after waitTimeout.
+func (f *platformFleet) waitFor(what string, condition func() bool) {
 	f.t.Helper()
-	for deadline := time.Now().Add(patience); time.Now().Before(deadline); time.Sleep(50 * time.Millisecond) {
+	for deadline := time.Now().Add(waitTimeout); time.Now().Before(deadline); time.Sleep(50 * time.Millisecond) {
 		if condition() {
 			return
 		}
 	}
-	f.t.Fatalf("%s did not happen", what)
+	f.t.Fatalf("timed out waiting for %s", what)
 }
 
-// response is an answer read to its end.
+// response is an HTTP response with its body.
 type response struct {
 	status int
 	header http.Header
 	body   string
-	// broken says that the answer ended before it was whole.
-	broken bool
-	// closes says that the server asked for a new connection next time.
-	closes bool
+	// isTruncated reports that the connection failed, or ended before the response was complete.
+	isTruncated bool
+	// closesConnection reports that the server asked the client to close the connection.
+	closesConnection bool
 }
 
 func send(method, url, body string, headers map[string]string) (response, error) {
@@ -191,25 +193,26 @@
 	if host := headers["Host"]; host != "" {
 		request.Host = host
 	}
-	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: patience}
-	answer, err := client.Do(request)
+	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: waitTimeout}
+	httpResponse, err := client.Do(request)
 	if err != nil {
 		return response{}, err
 	}
-	defer answer.Body.Close()
-	raw, err := io.ReadAll(answer.Body)
-	return response{answer.StatusCode, answer.Header, string(raw), err != nil, answer.Close}, nil
+	defer httpResponse.Body.Close()
+	raw, err := io.ReadAll(httpResponse.Body)
+	return response{httpResponse.StatusCode, httpResponse.Header, string(raw), err != nil, httpResponse.Close}, nil
 }
 
-// operate sends an order to any control process until it is taken or refused.
+// operate sends an operator's request to any control process until one answers with a status
+// below 500.
 func (f *platformFleet) operate(method, path, body string) response {
 	f.t.Helper()
 	var last response
-	f.until(method+" "+path, func() bool {
+	f.waitFor(method+" "+path, func() bool {
 		for _, address := range f.operators {
-			answer, err := send(method, "http://"+address+path, body, nil)
-			if err == nil && answer.status < 500 {
-				last = answer
+			reply, err := send(method, "http://"+address+path, body, nil)
+			if err == nil && reply.status < 500 {
+				last = reply
 				return true
 			}
 		}
@@ -218,39 +221,40 @@
 	return last
 }
 
-// requestNumber is that of the latest request.
+// requestNumber is the number of the latest request.
 var requestNumber atomic.Int64
 
-// turn asks a gateway for a turn of a program and returns its request's id too.
-func (f *platformFleet) turn(gateway, path, input string, headers map[string]string) (response, string) {
+// sendTurn sends one turn of a program to a gateway, and returns the response and the request ID.
+func (f *platformFleet) sendTurn(gateway, path, input string, headers map[string]string) (response, string) {
 	f.t.Helper()
 	id := fmt.Sprintf("req-%d", requestNumber.Add(1))
-	all := map[string]string{
-		"Host": standHost, "Request-Id": id, "Deadline-Ms": "20000", "Program-Id": "prog", "Session-Id": "s", "Token-Usage": "10,50", "Token-Budget": "10000",
+	allHeaders := map[string]string{
+		"Host": testHost, "Request-Id": id, "Deadline-Ms": "20000", "Program-Id": "prog", "Session-Id": "s", "Token-Usage": "10,50", "Token-Budget": "10000",
 	}
 	for name, value := range headers {
-		all[name] = value
+		allHeaders[name] = value
 	}
-	answer, err := send("POST", "http://"+f.addresses[gateway]+path, input, all)
+	reply, err := send("POST", "http://"+f.addresses[gateway]+path, input, allHeaders)
 	if err != nil {
-		return response{broken: true}, id
+		return response{isTruncated: true}, id
 	}
-	return answer, id
+	return reply, id
 }
 
-// settledTurn repeats a turn until it gets another answer than 503, as clients do.
-func (f *platformFleet) settledTurn(gateway, path, input string, headers map[string]string) (answer response, id string) {
+// turnWithRetries repeats a turn under new request IDs until it gets a response other than 503, as
+// clients do.
+func (f *platformFleet) turnWithRetries(gateway, path, input string, headers map[string]string) (reply response, id string) {
 	f.t.Helper()
-	f.until("an answer to a turn", func() bool {
-		answer, id = f.turn(gateway, path, input, headers)
-		return answer.status != 503 && !(answer.broken && answer.status == 0)
+	f.waitFor("a response to a turn", func() bool {
+		reply, id = f.sendTurn(gateway, path, input, headers)
+		return reply.status != 503 && !(reply.isTruncated && reply.status == 0)
 	})
-	return answer, id
+	return reply, id
 }
 
 func configuration(generation int) string {
 	route := func(name, prefix, kind, more string) string {
-		return fmt.Sprintf(`{"name":%q,"host":%q,"pathPrefix":%q,"kind":%q,"timeoutMs":30000,"backend":"b","maxAttempts":1%s}`, name, standHost, prefix, kind, more)
+		return fmt.Sprintf(`{"name":%q,"host":%q,"pathPrefix":%q,"kind":%q,"timeoutMs":30000,"backend":"b","maxAttempts":1%s}`, name, testHost, prefix, kind, more)
 	}
 	return fmt.Sprintf(`{"generation":%d,"routes":[%s,%s,%s,%s],"services":[{"name":"b","healthPath":"/health","maxConns":99,"engine":{"slots":9,"stride":%d}}],`+
 		`"limits":{"maxHeaderBytes":16384,"maxBodyBytes":100000,"headerTimeoutMs":3000,"idleTimeoutMs":15000},"extra":{"kept":true}}`,
@@ -258,45 +262,46 @@
 		route("safe", "/safe/", "safe", ""), route("unsafe", "/unsafe/", "unsafe", ""), eventTokens)
 }
 
-// engineStand is an engine of the platform, written for these tests.
-type engineStand struct {
+// fakeEngine emulates an engine of the platform.
+type fakeEngine struct {
 	id      string
 	address string
 	mutex   sync.Mutex
-	// bodies are the request bodies by request id; runs counts them.
+	// bodies holds the latest body and runs the number of executions by request ID.
 	bodies map[string]string
 	runs   map[string]int
-	// headers are those of the requests by request id.
+	// headers holds the latest headers by request ID.
 	headers map[string]http.Header
-	// hold stops streams after their first event until it is closed.
-	hold chan struct{}
-	// pause is how long the engine takes for each event.
+	// release blocks streams after each event until it is closed; nil to not block.
+	release chan struct{}
+	// pause is the delay after each event.
 	pause time.Duration
-	// cancelled receives the ids of requests whose connection was closed.
+	// cancelled receives the IDs of blocked requests whose connection was closed.
 	cancelled chan string
-	// fault is how the engine fails requests of /unsafe/.
+	// fault is how requests to /unsafe/ fail: "cut" drops the connection after the execution
+	// began, "full" rejects the request before it.
 	fault string
 }
 
-func newEngineStand(t *testing.T, id string) *engineStand {
-	stand := &engineStand{id: id, bodies: map[string]string{}, runs: map[string]int{}, headers: map[string]http.Header{}, cancelled: make(chan string, 16)}
+func newFakeEngine(t *testing.T, id string) *fakeEngine {
+	engine := &fakeEngine{id: id, bodies: map[string]string{}, runs: map[string]int{}, headers: map[string]http.Header{}, cancelled: make(chan string, 16)}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	stand.address = listener.Addr().String()
-	server := &http.Server{Handler: stand}
+	engine.address = listener.Addr().String()
+	server := &http.Server{Handler: engine}
 	go func() { _ = server.Serve(listener) }()
 	t.Cleanup(func() { _ = server.Close() })
-	return stand
+	return engine
 }
 
-func (e *engineStand) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (e *fakeEngine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get("Request-Id")
 	body, _ := io.ReadAll(r.Body)
 	w.Header().Set("Request-Id", id)
 	e.mutex.Lock()
-	fault, hold, pause := e.fault, e.hold, e.pause
+	fault, release, pause := e.fault, e.release, e.pause
 	if r.Header.Get("Expect-Instance") != e.id {
 		e.mutex.Unlock()
 		w.WriteHeader(http.StatusMisdirectedRequest)
@@ -325,11 +330,11 @@
 		_, _ = fmt.Fprintf(w, "id: %d\ndata: %s/%d\n\n", number, id, number)
 		w.(http.Flusher).Flush()
 		time.Sleep(pause)
-		if hold == nil {
+		if release == nil {
 			continue
 		}
 		select {
-		case <-hold:
+		case <-release:
 		case <-r.Context().Done():
 			e.cancelled <- id
 			return
@@ -337,32 +342,32 @@
 	}
 }
 
-// set changes how the stand-in behaves.
-func (e *engineStand) set(change func(*engineStand)) {
+// update changes the behavior of the engine.
+func (e *fakeEngine) update(change func(*fakeEngine)) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	change(e)
 }
 
-func (e *engineStand) body(id string) string {
+func (e *fakeEngine) body(id string) string {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	return e.bodies[id]
 }
 
-func (e *engineStand) header(id string) http.Header {
+func (e *fakeEngine) header(id string) http.Header {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	return e.headers[id]
 }
 
-func (e *engineStand) ran(id string) int {
+func (e *fakeEngine) runCount(id string) int {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	return e.runs[id]
 }
 
-func output(id string) string {
+func streamOutput(id string) string {
 	var text strings.Builder
 	for number := 1; number <= eventCount; number++ {
 		fmt.Fprintf(&text, "%s/%d\n", id, number)
@@ -371,10 +376,10 @@
 }
 
 func (f *platformFleet) heartbeat(id, state string, sequence int) int {
-	return f.operate("POST", "/ochrebay/Instances.Heartbeat/"+id, registration(f.engine.address, state, sequence)).status
+	return f.operate("POST", "/ochrebay/Instances.Heartbeat/"+id, heartbeatBody(f.engine.address, state, sequence)).status
 }
 
-// registration is the body of an engine's heartbeat.
-func registration(address, state string, sequence int) string {
+// heartbeatBody returns the body of an engine's heartbeat.
+func heartbeatBody(address, state string, sequence int) string {
 	return fmt.Sprintf(`{"backend":"b","address":%q,"zone":"z0","generation":"v1","slots":9,"state":%q,"seq":%d}`, address, state, sequence)
 }
--- a/cmd/ochrebay/process.go
+++ b/cmd/ochrebay/process.go
@@ -12,10 +12,10 @@
 	"github.com/ochrebay/ochrebay/internal/telemetry"
 )
 
-// settingsVariable names the settings file where no flag does.
+// settingsVariable is the environment variable with the settings file, used without the flag.
 const settingsVariable = "OCHREBAY_CONFIG"
 
-// processFlags are the flags that every daemon takes over its settings file.
+// processFlags are the flags of every daemon; they override its settings file.
 type processFlags struct {
 	file    *string
 	name    *string
@@ -29,61 +29,61 @@
 func registerProcessFlags(command *kingpin.CmdClause) processFlags {
 	return processFlags{
 		file:    command.Flag("config.file", "Settings file of this process (YAML).").Envar(settingsVariable).Required().String(),
-		name:    command.Flag("name", "Name of this process; over the file.").String(),
-		zone:    command.Flag("zone", "Zone of this process; over the file.").String(),
-		address: command.Flag("listen.address", "IP:port of the inner protocol; over the file.").String(),
-		http:    command.Flag("listen.http", "IP:port for HTTP; over the file.").String(),
-		data:    command.Flag("data.path", "Data folder; over the file.").String(),
-		level:   command.Flag("log.level", "debug, info, warn or error; over the file.").String(),
+		name:    command.Flag("name", "Name of this process; overrides the file.").String(),
+		zone:    command.Flag("zone", "Zone of this process; overrides the file.").String(),
+		address: command.Flag("listen.address", "IP:port of the inner protocol; overrides the file.").String(),
+		http:    command.Flag("listen.http", "IP:port for HTTP; overrides the file.").String(),
+		data:    command.Flag("data.path", "Data folder; overrides the file.").String(),
+		level:   command.Flag("log.level", "Log level: debug, info, warn or error; overrides the file.").String(),
 	}
 }
 
-// load reads and validates the file with the flags over it.
+// load reads the settings file, applies the flags and validates the result.
 func (f processFlags) load(role string) (config.Process, log.Logger, error) {
 	process, err := config.Load(*f.file, func(p *config.Process) {
-		over := func(flag string, field *string) {
+		override := func(flag string, field *string) {
 			if flag != "" {
 				*field = flag
 			}
 		}
-		over(*f.name, &p.Name)
-		over(*f.zone, &p.Zone)
-		over(*f.address, &p.Listen.Address)
-		over(*f.http, &p.Listen.HTTP)
-		over(*f.data, &p.Data.Path)
-		over(*f.level, &p.Log.Level)
+		override(*f.name, &p.Name)
+		override(*f.zone, &p.Zone)
+		override(*f.address, &p.Listen.Address)
+		override(*f.http, &p.Listen.HTTP)
+		override(*f.data, &p.Data.Path)
+		override(*f.level, &p.Log.Level)
 	})
 	if err != nil {
 		return process, nil, settingsError{err}
 	}
 	if process.Role != role {
-		problem := config.FileError{File: *f.file, Field: "role", Value: process.Role, Reason: "this command starts a " + role}
-		return process, nil, settingsError{problem}
+		fileErr := config.FileError{File: *f.file, Field: "role", Value: process.Role, Reason: "this command runs the role " + role}
+		return process, nil, settingsError{fileErr}
 	}
 	limitMemory(process.Limits)
 	return process, telemetry.NewLogger(telemetry.SetLogOutput(os.Stdout), role, process.Name, process.Log.Level), nil
 }
 
-// heapShare is the part of the process's memory that the heap may take before the
-// garbage collector works harder: the rest is for stacks, file pages and bytes that
-// have arrived and are not read yet.
-const heapShare = 0.55
+// heapFraction is the fraction of the process's memory limit that is set as the soft memory
+// limit of the Go runtime, near which the garbage collector works harder. The rest is for
+// stacks, file pages and received bytes that have not been read yet.
+const heapFraction = 0.55
 
-// heapGrowthPercent is how much the heap may grow beyond what lives before it is
-// collected: half of the runtime's own choice, since memory is dearer on small machines
-// than the processor time of collecting more often.
+// heapGrowthPercent is how much the heap may grow beyond the live heap before the next garbage
+// collection, percent. It is less than half of the runtime's default of 100, since memory is
+// scarcer on small machines than the processor time of more frequent collections.
 const heapGrowthPercent = 40
 
-// limitMemory keeps the heap below what the machine grants.
+// limitMemory configures the garbage collector for the memory limit of the process.
 func limitMemory(limits config.Limits) {
 	debug.SetGCPercent(heapGrowthPercent)
 	if limits.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(float64(limits.MemoryMB<<20) * heapShare))
+		debug.SetMemoryLimit(int64(float64(limits.MemoryMB<<20) * heapFraction))
 	}
 }
 
-func registerConfig(app *kingpin.Application, registered commands) {
-	command := app.Command("check-config", "Check the settings file of a process and start nothing.\n\nExample: ochrebay check-config etc/control-1.yaml")
+func registerCheckConfig(app *kingpin.Application, registered commands) {
+	command := app.Command("check-config", "Check the settings file of a process without starting it.\n\nExample: ochrebay check-config etc/control-1.yaml")
 	file := command.Arg("file", "Settings file.").Required().String()
 	registered[command.FullCommand()] = checkConfig(file)
 }
--- a/cmd/ochrebay/report.go
+++ b/cmd/ochrebay/report.go
@@ -11,31 +11,31 @@
 )
 
 func registerReport(app *kingpin.Application, registered commands) {
-	command := app.Command("report", "Draw outcomes and times of the requests in gateways' logs as one HTML page.\n\nExample: ochrebay report --output day.html gateway-*.log")
-	output := command.Flag("output", "File to write.").Default("report.html").String()
+	command := app.Command("report", "Plot outcomes and latencies of the requests in gateway logs as one HTML page.\n\nExample: ochrebay report --output day.html gateway-*.log")
+	output := command.Flag("output", "HTML file to write.").Default("report.html").String()
 	files := command.Arg("file", "Logs.").Required().Strings()
 	registered[command.FullCommand()] = withoutContext(func() error { return writeReport(*output, *files) })
 }
 
-// writeReport reads logs and writes the page; it says on standard output what it found.
+// writeReport reads logs, writes the HTML page and prints the number of requests.
 func writeReport(output string, files []string) error {
 	report := &logreport.Report{}
-	err := eachLine(files, func(line logLine) { report.AddLine(line.keys) })
+	err := forEachLine(files, func(line logLine) { report.AddLine(line.keys) })
 	if err != nil {
 		return err
 	}
 	if report.Len() == 0 {
-		return errorx.DataUnavailable.New("no request ends in these logs: are they gateways' logs?")
+		return errorx.DataUnavailable.New("the logs contain no completed request: are they gateway logs?")
 	}
-	page, err := os.Create(output)
+	file, err := os.Create(output)
 	if err != nil {
-		return errorx.Decorate(err, "making the page")
+		return errorx.Decorate(err, "creating the report file")
 	}
-	if err := report.WriteHTML(page); err != nil {
-		_ = page.Close()
+	if err := report.WriteHTML(file); err != nil {
+		_ = file.Close()
 		return errorx.Decorate(err, "writing %s", output)
 	}
-	if err := page.Close(); err != nil {
+	if err := file.Close(); err != nil {
 		return errorx.Decorate(err, "writing %s", output)
 	}
 	fmt.Printf("%s: %d requests\n", output, report.Len())
--- a/cmd/ochrebay/scheduler.go
+++ b/cmd/ochrebay/scheduler.go
@@ -11,7 +11,7 @@
 )
 
 func registerScheduler(app *kingpin.Application, registered commands) {
-	command := app.Command("scheduler", "Run a scheduler: the owner of a cell of engines.\n\nExample: ochrebay scheduler --config.file etc/scheduler-east-1.yaml")
+	command := app.Command("scheduler", "Run a scheduler, which owns a cell of engines.\n\nExample: ochrebay scheduler --config.file etc/scheduler-east-1.yaml")
 	flags := registerProcessFlags(command)
 	registered[command.FullCommand()] = func(ctx context.Context) error { return runScheduler(ctx, flags) }
 }
--- a/cmd/ochrebay/settings.go
+++ b/cmd/ochrebay/settings.go
@@ -20,9 +20,9 @@
 	"github.com/ochrebay/ochrebay/internal/workload"
 )
 
-const watchPause = 300 * time.Millisecond
+const watchPollInterval = 300 * time.Millisecond
 
-// changeFlags identify a change and say how long to wait for it.
+// changeFlags identify a change of settings and define how long to wait for it.
 type changeFlags struct {
 	operatorFlags
 	operator *string
@@ -35,23 +35,23 @@
 func registerChangeFlags(command *kingpin.CmdClause) changeFlags {
 	return changeFlags{
 		operatorFlags: registerOperatorFlags(command),
-		operator:      command.Flag("operator", "Who makes the change.").Default("operator").Envar("USER").String(),
-		number:        command.Flag("number", "The operator's own number of the change; the same number is never carried out twice. By default the time.").Uint64(),
-		version:       command.Flag("version", "Version of the node that the change is made against; by default the one read now, \"any\" for no check.").String(),
-		wait:          command.Flag("wait", "Return when all live daemons report the change in force.").Bool(),
-		timeout:       command.Flag("timeout", "How long to wait.").Default("10s").Duration(),
+		operator:      command.Flag("operator", "Name of the operator who makes the change.").Default("operator").Envar("USER").String(),
+		number:        command.Flag("number", "Number of the change, chosen by the operator; a number is applied at most once. The default is the current time.").Uint64(),
+		version:       command.Flag("version", "Expected version of the node; the default is the current version, and \"any\" skips the check.").String(),
+		wait:          command.Flag("wait", "Wait until all live daemons report that the change is in force.").Bool(),
+		timeout:       command.Flag("timeout", "Maximum time to wait.").Default("10s").Duration(),
 	}
 }
 
 func registerSettings(app *kingpin.Application, registered commands) {
 	command := app.Command("settings", "Read and change the settings tree.")
 
-	get := command.Command("get", "Show a node, its own fields and what it inherits.\n\nExample: ochrebay settings get /services/triage --data run")
+	get := command.Command("get", "Show a node with its own and its inherited fields.\n\nExample: ochrebay settings get /services/triage --data run")
 	getFlags := registerOperatorFlags(get)
 	getPath := get.Arg("path", "Path of the node.").Default("/").String()
 	registered[get.FullCommand()] = withoutContext(func() error { return settingsGet(getFlags, *getPath) })
 
-	set := command.Command("set", "Set fields of a node; FIELD= takes a field away.\n\nExample: ochrebay settings set /pools/agents version=2 --wait --data run")
+	set := command.Command("set", "Set fields of a node; FIELD= removes a field.\n\nExample: ochrebay settings set /pools/agents version=2 --wait --data run")
 	setFlags := registerChangeFlags(set)
 	setPath := set.Arg("path", "Path of the node.").Required().String()
 	setFields := set.Arg("field=value", "Fields to set.").Required().Strings()
@@ -59,7 +59,7 @@
 		return settingsSet(ctx, setFlags, *setPath, *setFields, false)
 	}
 
-	validate := command.Command("validate", "Check a change as set would make it, and change nothing.\n\nExample: ochrebay settings validate /services/triage rank=12 --data run")
+	validate := command.Command("validate", "Validate a change without applying it.\n\nExample: ochrebay settings validate /services/triage rank=12 --data run")
 	validateFlags := registerChangeFlags(validate)
 	validatePath := validate.Arg("path", "Path of the node.").Required().String()
 	validateFields := validate.Arg("field=value", "Fields to set.").Required().Strings()
@@ -72,38 +72,38 @@
 	removePath := remove.Arg("path", "Path of the node.").Required().String()
 	registered[remove.FullCommand()] = func(ctx context.Context) error { return settingsDelete(ctx, removeFlags, *removePath) }
 
-	bulk := command.Command("import", "Set every node of a YAML file (path: fields) in one change.\n\nExample: ochrebay settings import etc/settings.yaml --wait --data run")
-	bulkFlags := registerChangeFlags(bulk)
-	bulkFile := bulk.Arg("file", "YAML file.").Required().String()
-	registered[bulk.FullCommand()] = func(ctx context.Context) error { return settingsImport(ctx, bulkFlags, *bulkFile) }
+	importCommand := command.Command("import", "Set every node of a YAML file (path: fields) in one change.\n\nExample: ochrebay settings import etc/settings.yaml --wait --data run")
+	importFlags := registerChangeFlags(importCommand)
+	importFile := importCommand.Arg("file", "YAML file.").Required().String()
+	registered[importCommand.FullCommand()] = func(ctx context.Context) error { return settingsImport(ctx, importFlags, *importFile) }
 
 	history := command.Command("history", "List accepted changes, newest last.\n\nExample: ochrebay settings history /services/triage --data run")
 	historyFlags := registerOperatorFlags(history)
-	historyPath := history.Arg("path", "Path of the node; all by default.").Default("/").String()
+	historyPath := history.Arg("path", "Path of the node; by default all nodes.").Default("/").String()
 	registered[history.FullCommand()] = withoutContext(func() error { return settingsHistory(historyFlags, *historyPath) })
 
 	watch := command.Command("watch", "Print changes as they are accepted, until interrupted.\n\nExample: ochrebay settings watch / --data run")
 	watchFlags := registerOperatorFlags(watch)
-	watchPath := watch.Arg("path", "Path of the node; all by default.").Default("/").String()
+	watchPath := watch.Arg("path", "Path of the node; by default all nodes.").Default("/").String()
 	registered[watch.FullCommand()] = func(ctx context.Context) error { return settingsWatch(ctx, watchFlags, *watchPath) }
 }
 
 func settingsGet(flags operatorFlags, path string) error {
 	return show(flags, "GET", "/v1/settings?path="+url.QueryEscape(path), nil, func(table *tabwriter.Writer, view control.SettingsView) {
-		row(table, "path", view.Path)
-		row(table, "revision", view.Revision)
-		row(table, "version", view.Version)
-		row(table, "operator", view.Operator)
+		printRow(table, "path", view.Path)
+		printRow(table, "revision", view.Revision)
+		printRow(table, "version", view.Version)
+		printRow(table, "operator", view.Operator)
 		own := fieldMap(view.Own)
 		for _, name := range sortedFieldNames(view.Effective) {
 			from := "inherited"
 			if _, ok := own[name]; ok {
 				from = "set here"
 			}
-			row(table, "  "+name, fieldMap(view.Effective)[name], from)
+			printRow(table, "  "+name, fieldMap(view.Effective)[name], from)
 		}
 		for _, child := range view.Children {
-			row(table, "child", child)
+			printRow(table, "child", child)
 		}
 	})
 }
@@ -136,13 +136,13 @@
 	}
 }
 
-// parseFields merges FIELD=VALUE words into a node's own fields.
-func parseFields(own settings.Fields, words []string) (settings.Fields, error) {
+// parseFields merges FIELD=VALUE assignments into the own fields of a node.
+func parseFields(own settings.Fields, assignments []string) (settings.Fields, error) {
 	values := fieldMap(own)
-	for _, word := range words {
-		name, value, ok := strings.Cut(word, "=")
+	for _, assignment := range assignments {
+		name, value, ok := strings.Cut(assignment, "=")
 		if !ok {
-			return own, settingsError{fmt.Errorf("ochrebay: %q is not FIELD=VALUE", word)}
+			return own, settingsError{fmt.Errorf("ochrebay: argument %q does not have the form FIELD=VALUE", assignment)}
 		}
 		if value == "" {
 			delete(values, name)
@@ -172,14 +172,14 @@
 
 func (f changeFlags) readNode(path string) (control.SettingsView, error) {
 	var view control.SettingsView
-	answer, err := f.ask("GET", "/v1/settings?path="+url.QueryEscape(path), nil)
+	response, err := f.callControl("GET", "/v1/settings?path="+url.QueryEscape(path), nil)
 	if result.CodeOf(err) == result.NotFound {
 		return view, nil
 	}
 	if err != nil {
 		return view, err
 	}
-	return view, json.Unmarshal(answer, &view)
+	return view, json.Unmarshal(response, &view)
 }
 
 func (f changeFlags) nodeVersion(view control.SettingsView) (uint64, error) {
@@ -192,12 +192,12 @@
 	return strconv.ParseUint(*f.version, 10, 64)
 }
 
-func settingsSet(ctx context.Context, flags changeFlags, path string, words []string, validate bool) error {
+func settingsSet(ctx context.Context, flags changeFlags, path string, assignments []string, validate bool) error {
 	view, err := flags.readNode(path)
 	if err != nil {
 		return err
 	}
-	fields, err := parseFields(view.Own, words)
+	fields, err := parseFields(view.Own, assignments)
 	if err != nil {
 		return err
 	}
@@ -205,7 +205,7 @@
 	if err != nil {
 		return settingsError{err}
 	}
-	return flags.send(ctx, []settings.NodeChange{{Path: path, Version: version, Fields: fields}}, validate)
+	return flags.propose(ctx, []settings.NodeChange{{Path: path, Version: version, Fields: fields}}, validate)
 }
 
 func settingsDelete(ctx context.Context, flags changeFlags, path string) error {
@@ -217,7 +217,7 @@
 	if err != nil {
 		return settingsError{err}
 	}
-	return flags.send(ctx, []settings.NodeChange{{Path: path, Version: version, Delete: true}}, false)
+	return flags.propose(ctx, []settings.NodeChange{{Path: path, Version: version, Delete: true}}, false)
 }
 
 func settingsImport(ctx context.Context, flags changeFlags, file string) error {
@@ -233,12 +233,12 @@
 	if err != nil {
 		return settingsError{fmt.Errorf("%s: %w", file, err)}
 	}
-	return flags.send(ctx, change.Nodes, false)
+	return flags.propose(ctx, change.Nodes, false)
 }
 
-// send proposes a change; a lost answer is asked for again under the same
-// number, which can't carry the change out twice.
-func (f changeFlags) send(ctx context.Context, nodes []settings.NodeChange, validate bool) error {
+// propose proposes a change. If a control process gives no answer, the change is sent to the next
+// one under the same number, which ensures that it is applied at most once.
+func (f changeFlags) propose(ctx context.Context, nodes []settings.NodeChange, validate bool) error {
 	change := settings.Change{Operator: *f.operator, Number: *f.number, Nodes: nodes}
 	if change.Number == 0 {
 		change.Number = uint64(time.Now().UnixNano())
@@ -251,9 +251,9 @@
 	if err != nil {
 		return err
 	}
-	answer, err := f.ask("POST", path, body)
+	response, err := f.callControl("POST", path, body)
 	var reply settings.Reply
-	if len(answer) > 0 && json.Unmarshal(answer, &reply) == nil && reply.Winner != nil {
+	if len(response) > 0 && json.Unmarshal(response, &reply) == nil && reply.Winner != nil {
 		winner, _ := json.Marshal(reply.Winner)
 		fmt.Fprintf(os.Stderr, "in force: %s\n", winner)
 	}
@@ -271,46 +271,46 @@
 	return f.waitInForce(ctx, reply.Revision)
 }
 
-// waitInForce polls until every live daemon reports the revision.
+// waitInForce polls until every live daemon reports at least the revision.
 func (f changeFlags) waitInForce(ctx context.Context, revision uint64) error {
 	started := time.Now()
-	var behind []string
+	var lagging []string
 	for time.Since(started) < *f.timeout && ctx.Err() == nil {
-		answer, err := f.ask("GET", "/v1/status", nil)
+		response, err := f.callControl("GET", "/v1/status", nil)
 		if err == nil {
 			var view control.StatusView
-			if err := json.Unmarshal(answer, &view); err != nil {
+			if err := json.Unmarshal(response, &view); err != nil {
 				return err
 			}
-			if behind = daemonsBehind(view, revision); len(behind) == 0 {
+			if lagging = laggingDaemons(view, revision); len(lagging) == 0 {
 				fmt.Printf("in force on every live daemon after %d ms\n", time.Since(started).Milliseconds())
 				return nil
 			}
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	return result.New(result.NotInForce, "revision %d is not in force yet on: %s", revision, strings.Join(behind, ", "))
+	return result.New(result.NotInForce, "revision %d is not yet in force on: %s", revision, strings.Join(lagging, ", "))
 }
 
-func daemonsBehind(view control.StatusView, revision uint64) []string {
-	var behind []string
+func laggingDaemons(view control.StatusView, revision uint64) []string {
+	var lagging []string
 	for _, daemon := range view.Daemons {
 		if !daemon.Alive {
 			continue
 		}
 		if daemon.Revision < revision {
-			behind = append(behind, daemon.Name)
+			lagging = append(lagging, daemon.Name)
 		}
 		if daemon.Sidecars > 0 && daemon.SidecarRevision < revision {
-			behind = append(behind, "sidecars of "+daemon.Name)
+			lagging = append(lagging, "sidecars of "+daemon.Name)
 		}
 	}
-	return behind
+	return lagging
 }
 
 func settingsHistory(flags operatorFlags, path string) error {
 	return show(flags, "GET", "/v1/settings/history?path="+url.QueryEscape(path), nil, func(table *tabwriter.Writer, view control.HistoryView) {
-		row(table, "REVISION", "AT", "OPERATOR", "NUMBER", "NODES")
+		printRow(table, "REVISION", "AT", "OPERATOR", "NUMBER", "NODES")
 		for _, accepted := range view.Changes {
 			printChange(table, accepted)
 		}
@@ -328,24 +328,24 @@
 		nodes = append(nodes, node.Path+" "+string(raw))
 	}
 	at := time.UnixMilli(accepted.Change.AtMs).UTC().Format(time.RFC3339)
-	row(table, accepted.Revision, at, accepted.Change.Operator, accepted.Change.Number, strings.Join(nodes, " "))
+	printRow(table, accepted.Revision, at, accepted.Change.Operator, accepted.Change.Number, strings.Join(nodes, " "))
 }
 
 func settingsWatch(ctx context.Context, flags operatorFlags, path string) error {
-	seen := uint64(0)
+	lastRevision := uint64(0)
 	for ctx.Err() == nil {
-		answer, err := flags.ask("GET", "/v1/settings/history?path="+url.QueryEscape(path), nil)
+		response, err := flags.callControl("GET", "/v1/settings/history?path="+url.QueryEscape(path), nil)
 		if err != nil {
 			return err
 		}
 		var view control.HistoryView
-		if err := json.Unmarshal(answer, &view); err != nil {
+		if err := json.Unmarshal(response, &view); err != nil {
 			return err
 		}
 		table := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
 		for _, accepted := range view.Changes {
-			if accepted.Revision > seen {
-				seen = accepted.Revision
+			if accepted.Revision > lastRevision {
+				lastRevision = accepted.Revision
 				printChange(table, accepted)
 			}
 		}
@@ -354,7 +354,7 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(watchPause):
+		case <-time.After(watchPollInterval):
 		}
 	}
 	return nil
--- a/cmd/ochrebay/sidecar.go
+++ b/cmd/ochrebay/sidecar.go
@@ -11,7 +11,7 @@
 )
 
 func registerSidecar(app *kingpin.Application, registered commands) {
-	command := app.Command("sidecar", "Run a sidecar: the process beside each caller.\n\nExample: ochrebay sidecar --config.file etc/sidecar-east-1.yaml")
+	command := app.Command("sidecar", "Run a sidecar, the process next to each caller.\n\nExample: ochrebay sidecar --config.file etc/sidecar-east-1.yaml")
 	flags := registerProcessFlags(command)
 	registered[command.FullCommand()] = func(ctx context.Context) error { return runSidecar(ctx, flags) }
 }
--- a/cmd/ochrebay/simulate.go
+++ b/cmd/ochrebay/simulate.go
@@ -16,7 +16,7 @@
 	"github.com/ochrebay/ochrebay/internal/workload"
 )
 
-type simulateFlagSet struct {
+type simulateFlags struct {
 	seeds      *string
 	deployment *string
 	faults     *string
@@ -26,14 +26,14 @@
 }
 
 func registerSimulate(app *kingpin.Application, registered commands) {
-	command := app.Command("simulate", "Run the daemons' cores in virtual time under failures, and check what must always hold.\n\nExample: ochrebay simulate --seeds 1..500 --deployment small")
-	flags := simulateFlagSet{
-		seeds:      command.Flag("seeds", "First and last seed, A..B.").Default("1..100").String(),
-		deployment: command.Flag("deployment", "small, vantul, court, or a deployment file.").Default("small").String(),
-		faults:     command.Flag("faults", "Comma-separated kinds of failures; all by default. Known: "+strings.Join(simulation.FaultKinds(), ",")+".").String(),
-		disable:    command.Flag("disable", "Comma-separated mechanisms to turn off. Known: "+strings.Join(mechanismNames(), ",")+".").String(),
-		parallel:   command.Flag("parallel", "Runs at once; as many as processors by default.").Default("0").Int(),
-		output:     command.Flag("output", "table or json.").Default("table").Enum("table", "json"),
+	command := app.Command("simulate", "Run the cores of the daemons in virtual time under injected failures, and check the invariants.\n\nExample: ochrebay simulate --seeds 1..500 --deployment small")
+	flags := simulateFlags{
+		seeds:      command.Flag("seeds", "Range of seeds, FIRST..LAST.").Default("1..100").String(),
+		deployment: command.Flag("deployment", "Deployment: small, vantul, court, or a deployment file.").Default("small").String(),
+		faults:     command.Flag("faults", "Comma-separated kinds of faults, or none; all by default. Valid kinds: "+strings.Join(simulation.FaultKinds(), ",")+".").String(),
+		disable:    command.Flag("disable", "Comma-separated mechanisms to turn off. Valid mechanisms: "+strings.Join(mechanismNames(), ",")+".").String(),
+		parallel:   command.Flag("parallel", "Number of concurrent runs; 0 for the number of processors.").Default("0").Int(),
+		output:     command.Flag("output", "Output format: table or json.").Default("table").Enum("table", "json"),
 	}
 	registered[command.FullCommand()] = func(context.Context) error { return runSimulate(flags) }
 }
@@ -47,7 +47,7 @@
 	return names
 }
 
-func runSimulate(flags simulateFlagSet) error {
+func runSimulate(flags simulateFlags) error {
 	first, last, err := parseSeeds(*flags.seeds)
 	if err != nil {
 		return settingsError{err}
@@ -73,21 +73,21 @@
 		printSimulation(deployment, summary, options)
 	}
 	if len(summary.Failed) > 0 {
-		return errors.New("ochrebay: the simulator saw violations")
+		return errors.New("ochrebay: the simulation found violations")
 	}
 	return nil
 }
 
 func printSimulation(deployment workload.Deployment, summary simulation.Summary, options simulation.Options) {
 	for _, failed := range summary.Failed {
-		shortest := simulation.Shrink(deployment, failed, options)
-		violation := shortest.Violations[0]
-		fmt.Printf("violation of %s, seed %d, at %d ms: %s\n", violation.Invariant, shortest.Seed, violation.AtMs, violation.Detail)
-		for _, fault := range shortest.Applied {
+		shrunk := simulation.Shrink(deployment, failed, options)
+		violation := shrunk.Violations[0]
+		fmt.Printf("violation of %s, seed %d, at %d ms: %s\n", violation.Invariant, shrunk.Seed, violation.AtMs, violation.Detail)
+		for _, fault := range shrunk.Applied {
 			fmt.Printf("  needs: %s\n", fault)
 		}
 	}
-	fmt.Printf("programs: %d answered to their end, %d refused or gone; %d messages; %d s of virtual time; digest %016x\n",
+	fmt.Printf("programs: %d completed, %d rejected or not completed; %d messages; %d s of virtual time; digest %016x\n",
 		summary.Answered, summary.Refused, summary.Messages, summary.VirtualMs/1000, summary.Digest)
 	fmt.Println(summary)
 }
@@ -99,11 +99,11 @@
 	}
 	first, err := strconv.ParseUint(low, 10, 64)
 	if err != nil {
-		return 0, 0, fmt.Errorf("--seeds %q: not A..B", text)
+		return 0, 0, fmt.Errorf("--seeds %q is not a range FIRST..LAST", text)
 	}
 	last, err := strconv.ParseUint(high, 10, 64)
 	if err != nil || last < first {
-		return 0, 0, fmt.Errorf("--seeds %q: not A..B", text)
+		return 0, 0, fmt.Errorf("--seeds %q is not a range FIRST..LAST", text)
 	}
 	return first, last, nil
 }
@@ -118,13 +118,13 @@
 			continue
 		}
 		if !slices.Contains(simulation.FaultKinds(), kind) {
-			return options, fmt.Errorf("--faults: no kind %q", kind)
+			return options, fmt.Errorf("--faults: unknown kind %q", kind)
 		}
 		options.Faults = append(options.Faults, kind)
 	}
 	for _, mechanism := range strings.FieldsFunc(disable, isComma) {
 		if _, ok := simulation.Mechanisms[mechanism]; !ok {
-			return options, fmt.Errorf("--disable: no mechanism %q", mechanism)
+			return options, fmt.Errorf("--disable: unknown mechanism %q", mechanism)
 		}
 		options.Disable = append(options.Disable, mechanism)
 	}
@@ -133,7 +133,7 @@
 
 func isComma(r rune) bool { return r == ',' }
 
-// loadNamedDeployment takes a file, or the name of one below deployments/.
+// loadNamedDeployment loads a deployment from a file, or by its name from deployments/.
 func loadNamedDeployment(name string) (workload.Deployment, error) {
 	if _, err := os.Stat(name); err != nil {
 		name = "deployments/" + name + ".yaml"
@@ -142,11 +142,11 @@
 }
 
 func registerReplay(app *kingpin.Application, registered commands) {
-	command := app.Command("replay", "Tell one simulated run in words.\n\nExample: ochrebay replay --seed 7 --deployment small")
+	command := app.Command("replay", "Print the event log of one simulated run.\n\nExample: ochrebay replay --seed 7 --deployment small")
 	seed := command.Flag("seed", "Seed of the run.").Required().Uint64()
-	deployment := command.Flag("deployment", "small, vantul, court, or a deployment file.").Default("small").String()
-	faults := command.Flag("faults", "As for simulate.").String()
-	disable := command.Flag("disable", "As for simulate.").String()
+	deployment := command.Flag("deployment", "Deployment: small, vantul, court, or a deployment file.").Default("small").String()
+	faults := command.Flag("faults", "Same as for simulate.").String()
+	disable := command.Flag("disable", "Same as for simulate.").String()
 	registered[command.FullCommand()] = func(context.Context) error {
 		options, err := simulationOptions(*faults, *disable)
 		if err != nil {
--- a/cmd/ochrebay/soak_callers_test.go
+++ b/cmd/ochrebay/soak_callers_test.go
@@ -14,132 +14,134 @@
 
 const (
 	soakDeadline  = 3 * time.Second
-	longestChain  = 10
+	maxChainTurns = 10
 	soakBudget    = 170
-	soakMostATurn = eventCount * eventTokens
+	maxTurnTokens = eventCount * eventTokens
 )
 
-// soak is what the callers of a soak have seen, and the rules that were broken.
+// soak holds what the callers of a soak test have observed, and the violations.
 type soak struct {
 	fleet *platformFleet
 	runs  *soakRuns
-	// acknowledged is the newest generation that the operator was told is taken.
+	// acknowledged is the newest generation that was acknowledged to the operator.
 	acknowledged atomic.Int64
 	requests     atomic.Int64
 	served       atomic.Int64
 
-	mutex  sync.Mutex
-	broken []string
-	// promised are the requests that were said not to have run and will never run, once
-	// those that may run once at most.
-	promised []string
-	once     []string
-	// lines are the ends of chains of kept turns.
-	lines []soakLine
-	// lives counts the starts of each gateway, newest what each life has shown.
-	lives map[string]int
+	mutex         sync.Mutex
+	violationList []string
+	// notExecuted holds the requests that were reported as not executed and must never run.
+	// atMostOnce holds the requests that may run at most once.
+	notExecuted []string
+	atMostOnce  []string
+	// chains holds the last turns of the chains of retained turns.
+	chains []turnChain
+	// incarnations counts stops and starts of each process; a change means that the process was
+	// restarted.
+	incarnations map[string]int
 }
 
-// soakLine is a line of kept turns: its last turn and what an engine must be sent of it.
-type soakLine struct {
-	program string
-	last    string
-	content string
-	turns   int
+// turnChain is a chain of retained turns: its last turn, and the history that the engine of the
+// next turn must receive.
+type turnChain struct {
+	program   string
+	lastTurn  string
+	history   string
+	turnCount int
 }
 
-func (s *soak) violate(format string, values ...any) {
+func (s *soak) addViolation(format string, values ...any) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.broken = append(s.broken, fmt.Sprintf(format, values...))
+	s.violationList = append(s.violationList, fmt.Sprintf(format, values...))
 }
 
-// violations returns what was broken so far.
+// violations returns the violations that were found so far.
 func (s *soak) violations() []string {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return append([]string(nil), s.broken...)
+	return append([]string(nil), s.violationList...)
 }
 
-func (s *soak) note(into *[]string, id string) {
+func (s *soak) recordID(into *[]string, id string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	*into = append(*into, id)
 }
 
-// ask sends one request to a gateway under an id of its own.
-func (s *soak) ask(gateway, path, body string, headers map[string]string) (response, string) {
+// request sends one request to a gateway under a new ID.
+func (s *soak) request(gateway, path, body string, headers map[string]string) (response, string) {
 	id := fmt.Sprintf("soak-%d", s.requests.Add(1))
-	all := map[string]string{
-		"Host": standHost, "Request-Id": id, "Deadline-Ms": strconv.FormatInt(soakDeadline.Milliseconds(), 10), "Token-Usage": fmt.Sprintf("10,%d", soakMostATurn),
+	allHeaders := map[string]string{
+		"Host": testHost, "Request-Id": id, "Deadline-Ms": strconv.FormatInt(soakDeadline.Milliseconds(), 10), "Token-Usage": fmt.Sprintf("10,%d", maxTurnTokens),
 	}
 	for name, value := range headers {
-		all[name] = value
+		allHeaders[name] = value
 	}
-	answer, err := send("POST", "http://"+s.fleet.addresses[gateway]+path, body, all)
+	reply, err := send("POST", "http://"+s.fleet.addresses[gateway]+path, body, allHeaders)
 	if err != nil {
-		return response{broken: true}, id
+		return response{isTruncated: true}, id
 	}
-	s.checkAnswer(answer, id)
-	return answer, id
+	s.checkResponse(reply, id)
+	return reply, id
 }
 
-// checkAnswer holds what is true of every answer: a success is the engine's and this
-// request's, and a promise is kept.
-func (s *soak) checkAnswer(answer response, id string) {
-	switch answer.status {
+// checkResponse checks what holds for every response: a successful one has the engine's
+// signature for this request. It records requests that were reported as not executed.
+func (s *soak) checkResponse(reply response, id string) {
+	switch reply.status {
 	case http.StatusOK:
 		s.served.Add(1)
-		if seal := answer.header.Get("Response-Seal"); seal != "seal-"+id {
-			s.violate("%s: a success with the signature %q", id, seal)
+		if seal := reply.header.Get("Response-Seal"); seal != "seal-"+id {
+			s.addViolation("%s: a successful response has the signature %q", id, seal)
 		}
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
-		s.note(&s.promised, id)
+		s.recordID(&s.notExecuted, id)
 	}
 }
 
 var dataLine = regexp.MustCompile(`(?m)^data: (.*)$`)
 
-// events returns the data of the whole events of a stream, and holds that they are this
-// request's, in order and without a gap, and that a whole stream has them all.
-func (s *soak) events(answer response, id string) int {
-	if answer.status != http.StatusOK {
+// checkEvents returns the number of events of a stream. It checks that they belong to this
+// request, in order and without a gap, and that a complete stream has all events.
+func (s *soak) checkEvents(reply response, id string) int {
+	if reply.status != http.StatusOK {
 		return 0
 	}
-	found := dataLine.FindAllStringSubmatch(answer.body, -1)
+	found := dataLine.FindAllStringSubmatch(reply.body, -1)
 	for position, match := range found {
 		if expected := fmt.Sprintf("%s/%d", id, position+1); match[1] != expected {
-			s.violate("%s: event %d is %q", id, position+1, match[1])
+			s.addViolation("%s: event %d is %q", id, position+1, match[1])
 		}
 	}
-	if !answer.broken && len(found) != eventCount {
-		s.violate("%s: a stream of %d events looks whole", id, len(found))
+	if !reply.isTruncated && len(found) != eventCount {
+		s.addViolation("%s: a stream with only %d events ended as complete", id, len(found))
 	}
 	return len(found)
 }
 
-// call drives one program of a kind chosen at random.
-func (s *soak) call(random *rand.Rand) {
+// runProgram runs one program of a random kind.
+func (s *soak) runProgram(random *rand.Rand) {
 	program := fmt.Sprintf("p%d", s.requests.Add(1))
 	switch random.IntN(5) {
 	case 0:
-		s.chain(random, program)
+		s.runChain(random, program)
 	case 1:
-		s.spend(random, program)
+		s.spendBudget(random, program)
 	case 2:
-		answer, id := s.ask(s.gateway(random), "/unsafe/", "x", nil)
-		s.note(&s.once, id)
-		if expected := "answer to " + id + " x"; answer.status == http.StatusOK && !answer.broken && answer.body != expected {
-			s.violate("%s: answered %q", id, answer.body)
+		reply, id := s.request(s.gateway(random), "/unsafe/", "x", nil)
+		s.recordID(&s.atMostOnce, id)
+		if expected := "answer to " + id + " x"; reply.status == http.StatusOK && !reply.isTruncated && reply.body != expected {
+			s.addViolation("%s: answered %q", id, reply.body)
 		}
 	case 3:
-		answer, id := s.ask(s.gateway(random), "/safe/", "y", nil)
-		if expected := "answer to " + id + " y"; answer.status == http.StatusOK && !answer.broken && answer.body != expected {
-			s.violate("%s: answered %q", id, answer.body)
+		reply, id := s.request(s.gateway(random), "/safe/", "y", nil)
+		if expected := "answer to " + id + " y"; reply.status == http.StatusOK && !reply.isTruncated && reply.body != expected {
+			s.addViolation("%s: answered %q", id, reply.body)
 		}
 	case 4:
-		answer, id := s.ask(s.gateway(random), "/resumable/", "z", map[string]string{"Program-Id": program, "Session-Id": "s"})
-		s.events(answer, id)
+		reply, id := s.request(s.gateway(random), "/resumable/", "z", map[string]string{"Program-Id": program, "Session-Id": "s"})
+		s.checkEvents(reply, id)
 	}
 }
 
@@ -147,101 +149,103 @@
 	return fmt.Sprintf("gateway-%d", random.IntN(soakGateways))
 }
 
-// chain drives a line of kept turns through any gateways.
-func (s *soak) chain(random *rand.Rand, program string) {
-	line := soakLine{program: program}
-	for turn := range 2 + random.IntN(longestChain) {
-		if !s.goOn(random, &line, fmt.Sprintf("<%s %d>", program, turn)) {
+// runChain runs a chain of retained turns through random gateways.
+func (s *soak) runChain(random *rand.Rand, program string) {
+	chain := turnChain{program: program}
+	for turn := range 2 + random.IntN(maxChainTurns) {
+		if !s.continueChain(random, &chain, fmt.Sprintf("<%s %d>", program, turn)) {
 			break
 		}
 	}
-	if line.last != "" {
+	if chain.lastTurn != "" {
 		s.mutex.Lock()
 		defer s.mutex.Unlock()
-		s.lines = append(s.lines, line)
+		s.chains = append(s.chains, chain)
 	}
 }
 
-// goOn asks for the next turn of a line; false where it did not end whole. Invariant held
-// here: a turn that was answered whole is never unknown later, and the engine gets exactly
-// what was said before.
-func (s *soak) goOn(random *rand.Rand, line *soakLine, input string) bool {
-	headers := map[string]string{"Program-Id": line.program, "Session-Id": "s"}
-	if line.last != "" {
-		headers["Previous-Turn"] = line.last
+// continueChain requests the next turn of a chain; false if it did not complete. It checks that
+// a completed turn is never unknown later, and that the engine receives exactly the history of
+// the chain.
+func (s *soak) continueChain(random *rand.Rand, chain *turnChain, input string) bool {
+	headers := map[string]string{"Program-Id": chain.program, "Session-Id": "s"}
+	if chain.lastTurn != "" {
+		headers["Previous-Turn"] = chain.lastTurn
 	}
-	answer, id := s.ask(s.gateway(random), "/kept/", input, headers)
-	s.note(&s.once, id)
-	body, runs := s.runs.of(id)
-	if runs > 0 && body != line.content+input {
-		s.violate("%s: the engine was sent %q after turn %s, not %q", id, body, line.last, line.content+input)
+	reply, id := s.request(s.gateway(random), "/kept/", input, headers)
+	s.recordID(&s.atMostOnce, id)
+	body, runs := s.runs.bodyAndRuns(id)
+	if runs > 0 && body != chain.history+input {
+		s.addViolation("%s: the engine received %q after turn %s, expected %q", id, body, chain.lastTurn, chain.history+input)
 	}
-	s.events(answer, id)
-	if answer.status == http.StatusNotFound && line.last != "" {
-		s.violate("%s: turn %s, answered whole, is unknown", id, line.last)
+	s.checkEvents(reply, id)
+	if reply.status == http.StatusNotFound && chain.lastTurn != "" {
+		s.addViolation("%s: the completed turn %s is unknown", id, chain.lastTurn)
 	}
-	if answer.status != http.StatusOK || answer.broken {
+	if reply.status != http.StatusOK || reply.isTruncated {
 		return false
 	}
-	line.last, line.content = id, line.content+input+output(id)
-	line.turns++
+	chain.lastTurn, chain.history = id, chain.history+input+streamOutput(id)
+	chain.turnCount++
 	return true
 }
 
-// spend uses a budget up and holds that callers are handed no more than it and one turn.
-func (s *soak) spend(random *rand.Rand, program string) {
+// spendBudget exhausts a token budget and checks that the caller receives at most the budget plus
+// one turn.
+func (s *soak) spendBudget(random *rand.Rand, program string) {
 	headers := map[string]string{"Program-Id": program, "Session-Id": "s", "Token-Budget": strconv.Itoa(soakBudget)}
-	handed, latest := 0, ""
+	deliveredTokens, latest := 0, ""
 	for range 8 {
-		answer, id := s.ask(s.gateway(random), "/stream/", "w", headers)
-		s.note(&s.once, id)
-		handed += s.events(answer, id) * eventTokens
+		reply, id := s.request(s.gateway(random), "/stream/", "w", headers)
+		s.recordID(&s.atMostOnce, id)
+		deliveredTokens += s.checkEvents(reply, id) * eventTokens
 		latest = id
-		if answer.status == http.StatusPaymentRequired {
-			if _, runs := s.runs.of(id); runs > 0 {
-				s.violate("%s: refused for its budget and run", id)
+		if reply.status == http.StatusPaymentRequired {
+			if _, runs := s.runs.bodyAndRuns(id); runs > 0 {
+				s.addViolation("%s: rejected for its budget, but executed", id)
 			}
 			break
 		}
 	}
-	if handed > soakBudget+soakMostATurn {
-		s.violate("%s: %d tokens handed out of a budget of %d", latest, handed, soakBudget)
+	if deliveredTokens > soakBudget+maxTurnTokens {
+		s.addViolation("%s: %d tokens delivered from a budget of %d", latest, deliveredTokens, soakBudget)
 	}
 }
 
-// checkRuns holds what can only be known once nothing runs any more.
+// checkRuns checks the number of executions of all requests, once no request is running.
 func (s *soak) checkRuns() {
 	s.mutex.Lock()
-	promised, once := s.promised, s.once
+	notExecuted, atMostOnce := s.notExecuted, s.atMostOnce
 	s.mutex.Unlock()
-	repeated := map[string]bool{}
-	for _, id := range once {
-		repeated[id] = true
-		if _, runs := s.runs.of(id); runs > 1 {
-			s.violate("%s: run %d times", id, runs)
+	isAtMostOnce := map[string]bool{}
+	for _, id := range atMostOnce {
+		isAtMostOnce[id] = true
+		if _, runs := s.runs.bodyAndRuns(id); runs > 1 {
+			s.addViolation("%s: executed %d times", id, runs)
 		}
 	}
-	for _, id := range promised {
-		if _, runs := s.runs.of(id); runs > 0 && repeated[id] {
-			s.violate("%s: said not to have run, and ran", id)
+	for _, id := range notExecuted {
+		if _, runs := s.runs.bodyAndRuns(id); runs > 0 && isAtMostOnce[id] {
+			s.addViolation("%s: reported as not executed, but executed", id)
 		}
 	}
 }
 
-// soakConfiguration is a whole configuration whose one marker route names its generation.
+// soakConfiguration returns a configuration with a marker route whose path contains the
+// generation.
 func soakConfiguration(generation int64) string {
 	text := configuration(int(generation))
-	marker := fmt.Sprintf(`{"name":"marker","host":%q,"pathPrefix":"/generation/%d/","kind":"safe","timeoutMs":30000,"backend":"b","maxAttempts":2},`, standHost, generation)
-	resumable := fmt.Sprintf(`{"name":"resumable","host":%q,"pathPrefix":"/resumable/","kind":"stream","timeoutMs":30000,"backend":"b","maxAttempts":3,"resumable":true},`, standHost)
+	marker := fmt.Sprintf(`{"name":"marker","host":%q,"pathPrefix":"/generation/%d/","kind":"safe","timeoutMs":30000,"backend":"b","maxAttempts":2},`, testHost, generation)
+	resumable := fmt.Sprintf(`{"name":"resumable","host":%q,"pathPrefix":"/resumable/","kind":"stream","timeoutMs":30000,"backend":"b","maxAttempts":3,"resumable":true},`, testHost)
 	text = strings.Replace(text, `"routes":[`, `"routes":[`+marker+resumable, 1)
 	return strings.Replace(text, `"retentionS":60`, `"retentionS":7200`, 1)
 }
 
 var generationField = regexp.MustCompile(`"generation":(\d+)`)
 
-// operate sends one configuration after the other, each to any control process until it
-// is acknowledged, and reads back in between: what was acknowledged is never shown in an
-// older state. It ends with the channel.
+// operate sends one configuration after the other, each to random control processes until it
+// is acknowledged. In between it reads configurations back and checks that none is older than
+// the last acknowledged one. It returns when stop is closed.
 func (s *soak) operate(random *rand.Rand, stop <-chan struct{}) {
 	for generation := int64(1); ; generation++ {
 		for !s.replace(random, generation) {
@@ -264,30 +268,30 @@
 }
 
 func (s *soak) replace(random *rand.Rand, generation int64) bool {
-	answer, err := send("POST", "http://"+s.control(random)+"/ochrebay/Config.Replace", soakConfiguration(generation), nil)
-	if err == nil && answer.status >= 400 && answer.status < 500 && answer.status != 408 && answer.status != 429 {
-		s.violate("generation %d was refused with %d: %s", generation, answer.status, answer.body)
+	reply, err := send("POST", "http://"+s.control(random)+"/ochrebay/Config.Replace", soakConfiguration(generation), nil)
+	if err == nil && reply.status >= 400 && reply.status < 500 && reply.status != 408 && reply.status != 429 {
+		s.addViolation("generation %d was rejected with status %d: %s", generation, reply.status, reply.body)
 	}
-	return err == nil && answer.status == http.StatusOK
+	return err == nil && reply.status == http.StatusOK
 }
 
 func (s *soak) readBack(random *rand.Rand) {
-	least := s.acknowledged.Load()
-	answer, err := send("GET", "http://"+s.control(random)+"/ochrebay/Config.Read", "", nil)
-	if err != nil || answer.status != http.StatusOK || answer.broken {
+	minGeneration := s.acknowledged.Load()
+	reply, err := send("GET", "http://"+s.control(random)+"/ochrebay/Config.Read", "", nil)
+	if err != nil || reply.status != http.StatusOK || reply.isTruncated {
 		return
 	}
-	match := generationField.FindStringSubmatch(answer.body)
+	match := generationField.FindStringSubmatch(reply.body)
 	if match == nil {
-		s.violate("a configuration without a generation was read: %s", answer.body)
+		s.addViolation("a configuration without a generation was read: %s", reply.body)
 		return
 	}
-	if got, _ := strconv.ParseInt(match[1], 10, 64); got < least || answer.body != soakConfiguration(got) {
-		s.violate("generation %d was read after %d was acknowledged", got, least)
+	if got, _ := strconv.ParseInt(match[1], 10, 64); got < minGeneration || reply.body != soakConfiguration(got) {
+		s.addViolation("generation %d was read, or read altered, after generation %d was acknowledged", got, minGeneration)
 	}
 }
 
-// pause waits; false where the channel ended meanwhile.
+// pause waits for the duration; false if stop is closed first.
 func pause(stop <-chan struct{}, duration time.Duration) bool {
 	select {
 	case <-stop:
@@ -297,30 +301,30 @@
 	}
 }
 
-// watchGateway asks one gateway for markers: within one life of its process, a marker
-// older than one that it has served is never served again.
+// watchGateway requests marker routes from one gateway and checks that, within one incarnation of
+// its process, no marker older than one that it has served is served again.
 func (s *soak) watchGateway(name string, stop <-chan struct{}) {
-	newest, life := int64(0), s.life(name)
+	newest, incarnation := int64(0), s.incarnation(name)
 	for pause(stop, 60*time.Millisecond) {
-		if current := s.life(name); current != life {
-			newest, life = 0, current
+		if current := s.incarnation(name); current != incarnation {
+			newest, incarnation = 0, current
 		}
 		generation := s.acknowledged.Load()
 		if older := newest - 1; older > 0 {
-			answer, _ := s.ask(name, fmt.Sprintf("/generation/%d/", older), "", nil)
-			if answer.status == http.StatusOK && s.life(name) == life {
-				s.violate("%s served generation %d after %d", name, older, newest)
+			reply, _ := s.request(name, fmt.Sprintf("/generation/%d/", older), "", nil)
+			if reply.status == http.StatusOK && s.incarnation(name) == incarnation {
+				s.addViolation("%s served generation %d after generation %d", name, older, newest)
 			}
 		}
-		answer, _ := s.ask(name, fmt.Sprintf("/generation/%d/", generation), "", nil)
-		if answer.status == http.StatusOK && s.life(name) == life {
+		reply, _ := s.request(name, fmt.Sprintf("/generation/%d/", generation), "", nil)
+		if reply.status == http.StatusOK && s.incarnation(name) == incarnation {
 			newest = max(newest, generation)
 		}
 	}
 }
 
-func (s *soak) life(gateway string) int {
+func (s *soak) incarnation(gateway string) int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.lives[gateway]
+	return s.incarnations[gateway]
 }
--- a/cmd/ochrebay/soak_engine_test.go
+++ b/cmd/ochrebay/soak_engine_test.go
@@ -13,12 +13,12 @@
 	"time"
 )
 
-// soakRuns is what the engines of a soak have run, by request.
+// soakRuns records the requests that the engines of a soak test executed.
 type soakRuns struct {
 	mutex  sync.Mutex
 	bodies map[string]string
 	counts map[string]int
-	// resumed counts the runs that went on from an earlier event.
+	// resumed counts the executions that resumed a stream after an earlier event.
 	resumed map[string]int
 }
 
@@ -26,7 +26,7 @@
 	return &soakRuns{bodies: map[string]string{}, counts: map[string]int{}, resumed: map[string]int{}}
 }
 
-func (r *soakRuns) note(id, body string, resumes bool) {
+func (r *soakRuns) record(id, body string, resumes bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.bodies[id] = body
@@ -37,24 +37,24 @@
 	r.counts[id]++
 }
 
-func (r *soakRuns) of(id string) (body string, runs int) {
+func (r *soakRuns) bodyAndRuns(id string) (body string, runs int) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.bodies[id], r.counts[id]
 }
 
-// soakEngine is an engine that fails in every way the platform's pages name, now and
-// then, and may change its identity at the same address.
+// soakEngine is a fake engine that randomly fails in all ways described in the platform's
+// documentation, and that may change its ID at the same address.
 type soakEngine struct {
 	address string
 	runs    *soakRuns
 	mutex   sync.Mutex
-	// instance is the engine's id; a restart mostly gives it a new one. born is when it
-	// started, Unix milliseconds, and sequence the number of its last report.
-	instance string
-	born     int64
-	sequence int
-	random   *rand.Rand
+	// instance is the ID of the engine, which a restart may change. startedMs is its start time,
+	// Unix milliseconds, and sequence the number of its last report.
+	instance  string
+	startedMs int64
+	sequence  int
+	random    *rand.Rand
 }
 
 func newSoakEngine(t *testing.T, runs *soakRuns, seed uint64) *soakEngine {
@@ -63,7 +63,7 @@
 		t.Fatal(err)
 	}
 	engine := &soakEngine{
-		address: listener.Addr().String(), runs: runs, instance: fmt.Sprintf("engine-%d-0", seed), born: time.Now().UnixMilli(), random: rand.New(rand.NewPCG(seed, 7)),
+		address: listener.Addr().String(), runs: runs, instance: fmt.Sprintf("engine-%d-0", seed), startedMs: time.Now().UnixMilli(), random: rand.New(rand.NewPCG(seed, 7)),
 	}
 	server := &http.Server{Handler: engine}
 	go func() { _ = server.Serve(listener) }()
@@ -77,51 +77,51 @@
 	return e.instance
 }
 
-// startAgain begins a new life of the engine, under an id that may be the one it had.
-func (e *soakEngine) startAgain(instance string) {
+// restart starts a new incarnation of the engine, under the same or another ID.
+func (e *soakEngine) restart(instance string) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	e.instance = instance
-	e.born = max(time.Now().UnixMilli(), e.born+1)
+	e.startedMs = max(time.Now().UnixMilli(), e.startedMs+1)
 	e.sequence = 0
 }
 
-// report returns the engine's id and its next report.
+// report returns the ID of the engine and the body of its next report.
 func (e *soakEngine) report(zone int) (id, body string) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	e.sequence++
 	return e.instance, fmt.Sprintf(`{"backend":"b","address":%q,"zone":"z%d","generation":"v1","slots":9,"state":"ready","seq":%d,"born":%d}`,
-		e.address, zone, e.sequence, e.born)
+		e.address, zone, e.sequence, e.startedMs)
 }
 
-// leave returns the engine's id and its word that it ends.
+// leave returns the ID of the engine and the body of its leave message.
 func (e *soakEngine) leave() (id, body string) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	return e.instance, fmt.Sprintf(`{"born":%d}`, e.born)
+	return e.instance, fmt.Sprintf(`{"born":%d}`, e.startedMs)
 }
 
-// soakFault is how an engine treats one request.
-type soakFault int
+// engineFault is the way in which an engine fails one request.
+type engineFault int
 
 const (
-	soakSound soakFault = iota
-	soakFull
-	soakCutBefore
-	soakCutWithin
-	soakSlow
-	soakStray
+	faultNone engineFault = iota
+	faultFull
+	faultDropBeforeResponse
+	faultDropWithinResponse
+	faultSlow
+	faultWrongResponse
 )
 
-// draw picks a fault: most requests have none.
-func (e *soakEngine) draw() soakFault {
+// pickFault returns a random fault; most requests have none.
+func (e *soakEngine) pickFault() engineFault {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	if number := e.random.IntN(100); number < 10 {
-		return soakFault(1 + number%5)
+		return engineFault(1 + number%5)
 	}
-	return soakSound
+	return faultNone
 }
 
 func (e *soakEngine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -135,31 +135,31 @@
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
-	fault := e.draw()
-	if fault == soakFull {
+	fault := e.pickFault()
+	if fault == faultFull {
 		w.Header().Set("Not-Executed", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
 	after, _ := strconv.Atoi(r.Header.Get("Last-Event-Id"))
-	e.runs.note(id, string(body), after > 0)
+	e.runs.record(id, string(body), after > 0)
 	switch fault {
-	case soakCutBefore:
+	case faultDropBeforeResponse:
 		panic(http.ErrAbortHandler)
-	case soakSlow:
+	case faultSlow:
 		time.Sleep(100 * time.Millisecond)
-	case soakStray:
-		e.answerAnother(w)
+	case faultWrongResponse:
+		e.respondForOther(w)
 		return
 	}
 	w.Header().Set("Response-Seal", "seal-"+id)
 	if !strings.HasPrefix(r.URL.Path, "/stream/") && !strings.HasPrefix(r.URL.Path, "/kept/") && !strings.HasPrefix(r.URL.Path, "/resumable/") {
-		e.answerWhole(w, "answer to "+id+" "+string(body), fault)
+		e.respond(w, "answer to "+id+" "+string(body), fault)
 		return
 	}
 	w.Header().Set("Content-Type", "text/event-stream")
 	for number := after + 1; number <= eventCount; number++ {
-		if fault == soakCutWithin && number == eventCount-1 {
+		if fault == faultDropWithinResponse && number == eventCount-1 {
 			_, _ = fmt.Fprintf(w, "id: %d\ndata: half of an ev", number)
 			w.(http.Flusher).Flush()
 			panic(http.ErrAbortHandler)
@@ -169,10 +169,10 @@
 	}
 }
 
-// answerWhole answers with a length, or breaks off in the middle of the body.
-func (e *soakEngine) answerWhole(w http.ResponseWriter, text string, fault soakFault) {
+// respond sends a response with its length, or drops the connection in the middle of the body.
+func (e *soakEngine) respond(w http.ResponseWriter, text string, fault engineFault) {
 	w.Header().Set("Content-Length", strconv.Itoa(len(text)))
-	if fault != soakCutWithin {
+	if fault != faultDropWithinResponse {
 		_, _ = io.WriteString(w, text)
 		return
 	}
@@ -181,8 +181,8 @@
 	panic(http.ErrAbortHandler)
 }
 
-// answerAnother sends an answer that belongs to another request and then nothing.
-func (e *soakEngine) answerAnother(w http.ResponseWriter) {
+// respondForOther sends a response that belongs to another request, and nothing else.
+func (e *soakEngine) respondForOther(w http.ResponseWriter) {
 	w.Header().Set("Request-Id", "another")
 	w.Header().Set("Response-Seal", "seal-another")
 	_, _ = io.WriteString(w, "answer to another")
--- a/cmd/ochrebay/soak_test.go
+++ b/cmd/ochrebay/soak_test.go
@@ -15,11 +15,11 @@
 	"time"
 )
 
-// make soak sets these; the rounds and the seed of make test are the same every time.
+// make soak sets these flags; make test uses the same rounds and seed every time.
 var (
-	soakRounds = flag.Int("soak.rounds", 7, "rounds of faults of TestSoak")
-	soakSeed   = flag.Uint64("soak.seed", 1, "seed of TestSoak's faults")
-	soakBeside = flag.String("soak.beside", "", "binary of another release, which TestSoak's processes run at every other start or so")
+	soakRounds      = flag.Int("soak.rounds", 7, "number of fault rounds in TestSoak")
+	soakSeed        = flag.Uint64("soak.seed", 1, "seed of the faults in TestSoak")
+	soakOtherBinary = flag.String("soak.beside", "", "binary of another release, which the processes of TestSoak run at about every other start")
 )
 
 const (
@@ -29,10 +29,10 @@
 	soakGroups   = 3
 )
 
-// soakFaultRound is one round's fault: it is done and undone by one call.
+// soakFaultRound is the fault of one round; inject causes the fault and ends it.
 type soakFaultRound struct {
-	name string
-	do   func(s *soak, random *rand.Rand)
+	name   string
+	inject func(s *soak, random *rand.Rand)
 }
 
 func soakProcesses(role string) []string {
@@ -51,53 +51,53 @@
 	return append(append(soakProcesses("control"), soakProcesses("ledger")...), soakProcesses("gateway")...)
 }
 
-func oneOf(random *rand.Rand, names []string) string { return names[random.IntN(len(names))] }
+func pickName(random *rand.Rand, names []string) string { return names[random.IntN(len(names))] }
 
-// soakFaults are the faults that the platform's pages name and that processes on one
-// machine can suffer. At most one disk is lost at a time, as the fleet tolerates.
+// soakFaults are those faults in the platform's documentation that can occur to processes on one
+// machine. At most one disk is lost at a time, which is what the fleet tolerates.
 var soakFaults = []soakFaultRound{
 	{"one process is killed", func(s *soak, random *rand.Rand) {
-		s.restart(oneOf(random, allSoakProcesses()), syscall.SIGKILL, false)
+		s.restart(pickName(random, allSoakProcesses()), syscall.SIGKILL, false)
 	}},
 	{"one process is frozen", func(s *soak, random *rand.Rand) {
-		s.freeze(oneOf(random, allSoakProcesses()), time.Duration(300+random.IntN(2500))*time.Millisecond)
+		s.freeze(pickName(random, allSoakProcesses()), time.Duration(300+random.IntN(2500))*time.Millisecond)
 	}},
 	{"one process is stopped and started", func(s *soak, random *rand.Rand) {
-		s.restart(oneOf(random, allSoakProcesses()), syscall.SIGTERM, false)
+		s.restart(pickName(random, allSoakProcesses()), syscall.SIGTERM, false)
 	}},
 	{"a ledger host loses its disk", func(s *soak, random *rand.Rand) {
-		s.restart(oneOf(random, soakProcesses("ledger")), syscall.SIGKILL, true)
+		s.restart(pickName(random, soakProcesses("ledger")), syscall.SIGKILL, true)
 	}},
 	{"a control process loses its disk", func(s *soak, random *rand.Rand) {
-		s.restart(oneOf(random, soakProcesses("control")), syscall.SIGKILL, true)
+		s.restart(pickName(random, soakProcesses("control")), syscall.SIGKILL, true)
 	}},
 	{"all processes of a role are killed", func(s *soak, random *rand.Rand) {
-		s.killTogether(soakProcesses(oneOf(random, []string{"control", "ledger", "gateway"})))
+		s.killTogether(soakProcesses(pickName(random, []string{"control", "ledger", "gateway"})))
 	}},
 	{"everything is killed", func(s *soak, _ *rand.Rand) { s.killTogether(allSoakProcesses()) }},
 }
 
-func (s *soak) started(name string) {
+func (s *soak) advanceIncarnation(name string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.lives[name]++
+	s.incarnations[name]++
 }
 
-// restart ends a process by a signal and starts it again, with an empty disk where asked.
+// restart stops a process with a signal and starts it again, with an empty disk if wipe is set.
 func (s *soak) restart(name string, signal syscall.Signal, wipe bool) {
 	process := s.fleet.processes[name]
-	s.started(name)
+	s.advanceIncarnation(name)
 	_ = process.Process.Signal(signal)
 	_ = process.Wait()
 	if wipe {
 		s.wipe(name)
 	}
 	s.fleet.start(name)
-	s.started(name)
+	s.advanceIncarnation(name)
 }
 
-// wipe empties a process's data folder. Its settings say from then on, as the platform
-// does, that the system does not start for the first time.
+// wipe removes the data folder of a process. It also clears bootstrap in its settings, as the
+// platform does, since the system does not start for the first time.
 func (s *soak) wipe(name string) {
 	if err := os.RemoveAll(filepath.Join(s.fleet.folder, "data", name)); err != nil {
 		s.fleet.t.Fatal(err)
@@ -112,10 +112,10 @@
 	}
 }
 
-// killTogether kills processes at the same moment and starts them again.
+// killTogether kills processes at the same time and starts them again.
 func (s *soak) killTogether(names []string) {
 	for _, name := range names {
-		s.started(name)
+		s.advanceIncarnation(name)
 		_ = s.fleet.processes[name].Process.Kill()
 	}
 	for _, name := range names {
@@ -123,7 +123,7 @@
 	}
 	for _, name := range names {
 		s.fleet.start(name)
-		s.started(name)
+		s.advanceIncarnation(name)
 	}
 }
 
@@ -136,15 +136,15 @@
 
 var metricLine = regexp.MustCompile(`(?m)^ochrebay_ledger_groups_voting (\S+)$`)
 
-// healed reports whether every process does its work again: control takes part, each
-// ledger host counts in all quorums, each gateway takes requests.
-func (s *soak) healed() bool {
+// isHealthy reports whether every process has recovered: control processes and gateways are
+// ready, and each ledger host is a voter of all groups.
+func (s *soak) isHealthy() bool {
 	for _, name := range soakProcesses("ledger") {
-		answer, err := send("GET", "http://"+s.fleet.addresses["http-"+name]+"/metrics", "", nil)
+		reply, err := send("GET", "http://"+s.fleet.addresses["http-"+name]+"/metrics", "", nil)
 		if err != nil {
 			return false
 		}
-		match := metricLine.FindStringSubmatch(answer.body)
+		match := metricLine.FindStringSubmatch(reply.body)
 		if match == nil {
 			return false
 		}
@@ -153,44 +153,45 @@
 		}
 	}
 	for _, name := range append(soakProcesses("control"), soakProcesses("gateway")...) {
-		answer, err := send("GET", "http://"+s.fleet.addresses["http-"+name]+"/readyz", "", nil)
-		if err != nil || answer.status != 200 {
+		reply, err := send("GET", "http://"+s.fleet.addresses["http-"+name]+"/readyz", "", nil)
+		if err != nil || reply.status != 200 {
 			return false
 		}
 	}
 	return true
 }
 
-// heartbeats reports the engines to any control process until the channel ends. Now and
-// then an engine leaves and another one comes at its address, or it starts again under the id
-// that it had; late reports of the life before follow, and reports that others write.
+// heartbeats reports the engines to random control processes until stop is closed. From time to
+// time, an engine leaves and another one starts at its address, or an engine restarts under the
+// same ID. Delayed reports of the previous incarnation and malformed reports follow.
 func (s *soak) heartbeats(random *rand.Rand, engines []*soakEngine, stop <-chan struct{}) {
 	for round := 1; pause(stop, 200*time.Millisecond); round++ {
-		for position, engine := range engines {
-			id, late := engine.report(position)
+		for index, engine := range engines {
+			id, delayedReport := engine.report(index)
 			switch random.IntN(80) {
 			case 0:
 				_, body := engine.leave()
-				s.tell(random, "/ochrebay/Instances.Leave/"+id, body)
-				engine.startAgain(fmt.Sprintf("engine-%d-%d", position, round))
+				s.post(random, "/ochrebay/Instances.Leave/"+id, body)
+				engine.restart(fmt.Sprintf("engine-%d-%d", index, round))
 			case 1:
-				engine.startAgain(id)
+				engine.restart(id)
 			case 2:
-				s.tell(random, "/ochrebay/Instances.Heartbeat/"+id, foreignReport(random, late))
+				s.post(random, "/ochrebay/Instances.Heartbeat/"+id, malformedReport(random, delayedReport))
 			}
-			current, body := engine.report(position)
-			s.tell(random, "/ochrebay/Instances.Heartbeat/"+current, body)
+			current, body := engine.report(index)
+			s.post(random, "/ochrebay/Instances.Heartbeat/"+current, body)
 			if random.IntN(10) == 0 {
-				s.tell(random, "/ochrebay/Instances.Heartbeat/"+id, late)
+				s.post(random, "/ochrebay/Instances.Heartbeat/"+id, delayedReport)
 			}
 		}
 	}
 }
 
-// foreignReport spoils an engine's report as others that write to the registry do. Beside an
-// earlier release, which takes such a report for the engine's, only its bytes are spoilt.
-func foreignReport(random *rand.Rand, report string) string {
-	if *soakBeside != "" {
+// malformedReport corrupts an engine's report, as other programs that write to the registry do.
+// If processes of an earlier release run too, the report is only truncated, since that release
+// accepts the other malformed reports as reports of the engine.
+func malformedReport(random *rand.Rand, report string) string {
+	if *soakOtherBinary != "" {
 		return report[:len(report)/2]
 	}
 	return [...]string{
@@ -199,26 +200,25 @@
 	}[random.IntN(6)]
 }
 
-func (s *soak) tell(random *rand.Rand, path, body string) {
+func (s *soak) post(random *rand.Rand, path, body string) {
 	_, _ = send("POST", "http://"+s.control(random)+path, body, nil)
 }
 
-// soakBinary draws at each start of a process which of the two releases it runs, nil where
-// there is one.
+// soakBinary returns a function that chooses one of the two releases at random for each start of
+// a process; nil if there is only one release.
 func soakBinary(random *rand.Rand) func(name string) string {
-	if *soakBeside == "" {
+	if *soakOtherBinary == "" {
 		return nil
 	}
-	return func(string) string { return [...]string{testBinary, *soakBeside}[random.IntN(2)] }
+	return func(string) string { return [...]string{testBinary, *soakOtherBinary}[random.IntN(2)] }
 }
 
-// TestSoak runs a fleet of real processes under load and strikes it with faults drawn at
-// random, one after the other. It judges what callers, engines and the operator have
-// seen; how long anything took is not judged.
+// TestSoak runs a fleet of real processes under load and injects random faults one after the
+// other. It checks what callers, engines and the operator observe, but no latencies.
 func TestSoak(t *testing.T) {
 	t.Logf("seed %d, %d rounds", *soakSeed, *soakRounds)
-	fleet := startMixedFleet(t, soakBinary(rand.New(rand.NewPCG(*soakSeed, 5))))
-	s := &soak{fleet: fleet, runs: newSoakRuns(), lives: map[string]int{}}
+	fleet := startFleetWithBinaries(t, soakBinary(rand.New(rand.NewPCG(*soakSeed, 5))))
+	s := &soak{fleet: fleet, runs: newSoakRuns(), incarnations: map[string]int{}}
 	random := func(part uint64) *rand.Rand { return rand.New(rand.NewPCG(*soakSeed, part)) }
 	var engines []*soakEngine
 	for number := range uint64(soakEngines) {
@@ -230,57 +230,58 @@
 	running.Go(func() { s.operate(random(2), stop) })
 	for number := range soakCallers {
 		running.Go(func() {
-			own := random(uint64(100 + number))
-			for pause(stop, time.Duration(own.IntN(20))*time.Millisecond) {
-				s.call(own)
+			callerRandom := random(uint64(100 + number))
+			for pause(stop, time.Duration(callerRandom.IntN(20))*time.Millisecond) {
+				s.runProgram(callerRandom)
 			}
 		})
 	}
 	for _, name := range soakProcesses("gateway") {
 		running.Go(func() { s.watchGateway(name, stop) })
 	}
-	s.strike(random(3))
+	s.injectFaults(random(3))
 	close(stop)
 	running.Wait()
-	s.goOnWithAll(random(4))
+	s.continueLatestChains(random(4))
 	s.checkRuns()
-	t.Logf("%d requests, %d served, generation %d acknowledged, %d lines of turns", s.requests.Load(), s.served.Load(), s.acknowledged.Load(), len(s.lines))
-	if broken := s.violations(); len(broken) > 0 {
-		t.Fatalf("%d rules broken:\n%s", len(broken), strings.Join(broken[:min(len(broken), 20)], "\n"))
+	t.Logf("%d requests, %d served, generation %d acknowledged, %d turn chains", s.requests.Load(), s.served.Load(), s.acknowledged.Load(), len(s.chains))
+	if violations := s.violations(); len(violations) > 0 {
+		t.Fatalf("%d violations:\n%s", len(violations), strings.Join(violations[:min(len(violations), 20)], "\n"))
 	}
-	if s.served.Load() == 0 || len(s.lines) == 0 {
-		t.Fatal("nothing was served")
+	if s.served.Load() == 0 || len(s.chains) == 0 {
+		t.Fatal("no request was served, or no turn chain was built")
 	}
 }
 
-// strike plays the rounds of faults; every fault once before any comes again.
-func (s *soak) strike(random *rand.Rand) {
+// injectFaults runs the fault rounds, in permutations of all faults, so that no fault recurs
+// before every other one has occurred.
+func (s *soak) injectFaults(random *rand.Rand) {
 	var order []int
 	for round := range *soakRounds {
-		s.fleet.until("healing", s.healed)
+		s.fleet.waitFor("all processes to recover", s.isHealthy)
 		before := s.served.Load()
-		s.fleet.until("service", func() bool { return s.served.Load() > before+20 })
+		s.fleet.waitFor("requests to be served", func() bool { return s.served.Load() > before+20 })
 		if len(order) == 0 {
 			order = random.Perm(len(soakFaults))
 		}
 		fault := soakFaults[order[0]]
 		order = order[1:]
 		s.fleet.t.Logf("round %d: %s", round, fault.name)
-		fault.do(s, random)
+		fault.inject(s, random)
 		if len(s.violations()) > 0 {
 			break
 		}
 	}
-	s.fleet.until("healing after the last round", s.healed)
+	s.fleet.waitFor("all processes to recover after the last round", s.isHealthy)
 }
 
-// goOnWithAll goes on with the latest lines of turns: none may be lost.
-func (s *soak) goOnWithAll(random *rand.Rand) {
+// continueLatestChains adds a turn to each of the latest turn chains, since none may be lost.
+func (s *soak) continueLatestChains(random *rand.Rand) {
 	const latest = 40
-	for _, line := range s.lines[max(0, len(s.lines)-latest):] {
-		line.turns = 0
-		s.fleet.until("a further turn of "+line.program, func() bool {
-			return len(s.violations()) > 0 || s.goOn(random, &line, "<again>")
+	for _, chain := range s.chains[max(0, len(s.chains)-latest):] {
+		chain.turnCount = 0
+		s.fleet.waitFor("another turn of program "+chain.program, func() bool {
+			return len(s.violations()) > 0 || s.continueChain(random, &chain, "<again>")
 		})
 	}
 }
--- a/cmd/ochrebay/status.go
+++ b/cmd/ochrebay/status.go
@@ -12,12 +12,12 @@
 )
 
 func registerStatus(app *kingpin.Application, registered commands) {
-	status := app.Command("status", "Show daemons, the settings revision in force on each, and log groups.\n\nExample: ochrebay status --data run")
+	status := app.Command("status", "Show the daemons with their settings revisions, and the consensus groups.\n\nExample: ochrebay status --data run")
 	statusFlags := registerOperatorFlags(status)
 	registered[status.FullCommand()] = withoutContext(func() error {
 		return show(statusFlags, "GET", "/v1/status", nil, printStatus)
 	})
-	engines := app.Command("engines", "List engines: their owners, or how slow each is, what it holds and why gateways avoid it.\n\nExample: ochrebay engines --data run")
+	engines := app.Command("engines", "List engines with their owners, or with their slowdown, load and the reason why gateways avoid them.\n\nExample: ochrebay engines --data run")
 	enginesFlags := registerOperatorFlags(engines)
 	registered[engines.FullCommand()] = withoutContext(func() error {
 		return show(enginesFlags, "GET", "/v1/engines", nil, printEngines)
@@ -25,10 +25,10 @@
 }
 
 func printStatus(table *tabwriter.Writer, view control.StatusView) {
-	row(table, "settings revision", view.Revision)
-	row(table, "directory", view.DirectoryVersion)
-	row(table)
-	row(table, "NAME", "ROLE", "ZONE", "ADDRESS", "ALIVE", "REVISION", "SIDECARS", "DETAIL")
+	printRow(table, "settings revision", view.Revision)
+	printRow(table, "directory", view.DirectoryVersion)
+	printRow(table)
+	printRow(table, "NAME", "ROLE", "ZONE", "ADDRESS", "ALIVE", "REVISION", "SIDECARS", "DETAIL")
 	for _, daemon := range view.Daemons {
 		sidecars := "-"
 		if daemon.Role == "scheduler" {
@@ -38,10 +38,10 @@
 		if len(daemon.Lagging) > 0 {
 			detail += " behind: " + strings.Join(daemon.Lagging, ", ")
 		}
-		row(table, daemon.Name, daemon.Role, daemon.Zone, daemon.Address, daemon.Alive, daemon.Revision, sidecars, detail)
+		printRow(table, daemon.Name, daemon.Role, daemon.Zone, daemon.Address, daemon.Alive, daemon.Revision, sidecars, detail)
 	}
-	row(table)
-	row(table, "GROUP", "LEADER", "TERM", "COMMITTED", "REPLICAS")
+	printRow(table)
+	printRow(table, "GROUP", "LEADER", "TERM", "COMMITTED", "REPLICAS")
 	for _, group := range view.Groups {
 		var replicas []string
 		for _, replica := range group.Replicas {
@@ -51,38 +51,39 @@
 			}
 			replicas = append(replicas, name)
 		}
-		row(table, group.Group, group.Leader, group.Term, group.Committed, strings.Join(replicas, ", "))
+		printRow(table, group.Group, group.Leader, group.Term, group.Committed, strings.Join(replicas, ", "))
 	}
 }
 
 func printEngines(table *tabwriter.Writer, view control.EnginesView) {
 	if len(view.Engines) > 0 || len(view.Serving) == 0 {
-		row(table, "NAME", "ZONE", "POOL", "ADDRESS", "OWNER", "EPOCH", "LEAVING")
+		printRow(table, "NAME", "ZONE", "POOL", "ADDRESS", "OWNER", "EPOCH", "LEAVING")
 	}
 	for _, engine := range view.Engines {
-		row(table, engine.Name, engine.Zone, engine.Pool, engine.Address, engine.Owner, engine.Epoch, engine.Leaving)
+		printRow(table, engine.Name, engine.Zone, engine.Pool, engine.Address, engine.Owner, engine.Epoch, engine.Leaving)
 	}
 	if len(view.Serving) > 0 {
 		printServing(table, view.Serving)
 	}
 }
 
-// printServing lists the engines that gateways send to: how slow each is against the others of
-// its back end, what it holds, since when its incarnation lives, and why it is avoided.
+// printServing lists the engines that gateways send requests to, with the slowdown relative to
+// the other engines of the back end, the load, the start time of the incarnation, and the reason
+// why gateways avoid the engine.
 func printServing(table *tabwriter.Writer, engines []control.ServingView) {
-	row(table, "ID", "BACKEND", "ZONE", "ADDRESS", "SLOTS", "IN FLIGHT", "TOKENS HELD", "SLOWNESS", "BORN", "AVOIDED")
+	printRow(table, "ID", "BACKEND", "ZONE", "ADDRESS", "SLOTS", "IN FLIGHT", "TOKENS HELD", "SLOWNESS", "BORN", "AVOIDED")
 	for _, engine := range engines {
-		slowness, born, avoided := "-", "-", "-"
+		slowdown, started, avoidReason := "-", "-", "-"
 		if engine.Slowdown > 0 {
-			slowness = fmt.Sprintf("%.2f", engine.Slowdown)
+			slowdown = fmt.Sprintf("%.2f", engine.Slowdown)
 		}
 		if engine.StartedMs > 0 {
-			born = time.UnixMilli(engine.StartedMs).UTC().Format(time.RFC3339)
+			started = time.UnixMilli(engine.StartedMs).UTC().Format(time.RFC3339)
 		}
 		if engine.AvoidReason != "" {
-			avoided = engine.AvoidReason
+			avoidReason = engine.AvoidReason
 		}
-		row(table, engine.ID, engine.Backend, engine.Zone, engine.Address, engine.Slots, fmt.Sprintf("%.1f", engine.InFlight),
-			fmt.Sprintf("%.0f", engine.ReservedKVCacheTokens), slowness, born, avoided)
+		printRow(table, engine.ID, engine.Backend, engine.Zone, engine.Address, engine.Slots, fmt.Sprintf("%.1f", engine.InFlight),
+			fmt.Sprintf("%.0f", engine.ReservedKVCacheTokens), slowdown, started, avoidReason)
 	}
 }
--- a/cmd/ochrebay/status_test.go
+++ b/cmd/ochrebay/status_test.go
@@ -12,7 +12,7 @@
 )
 
 func TestPrintEngines(t *testing.T) {
-	Convey("engines that gateways send to are listed with what is known of them", t, func() {
+	Convey("serving engines are listed with their load, slowdown, start time and avoid reason", t, func() {
 		var out strings.Builder
 		table := tabwriter.NewWriter(&out, 0, 0, 1, ' ', 0)
 		printEngines(table, control.EnginesView{Serving: []control.ServingView{
--- a/cmd/ochrebay/tenants_test.go
+++ b/cmd/ochrebay/tenants_test.go
@@ -16,13 +16,13 @@
 	firstKey   = "key-of-alpha-first"
 	secondKey  = "key-of-alpha-second"
 	limitedKey = "key-of-beta"
-	// testRevokeWithin is the bound of revocation, milliseconds.
+	// testRevokeWithin is the bound on the use of revoked keys, milliseconds.
 	testRevokeWithin = 2000
-	// limitedWindow is what the tenant beta may send in a window of 5 s.
+	// limitedWindow is the number of requests that the tenant beta may send in a window of 5 s.
 	limitedWindow = 15
 )
 
-// tenantConfiguration is a table whose tenant alpha holds the keys given.
+// tenantConfiguration returns a configuration in which the tenant alpha has the given keys.
 func tenantConfiguration(generation int, keys ...string) string {
 	return strings.Replace(strings.Replace(configuration(generation), `"limits"`,
 		fmt.Sprintf(`"tenants":[{"name":"alpha","apiKeys":["%s"],"ratePerS":0},{"name":"beta","apiKeys":["%s"],"ratePerS":2,"burst":5}],"limits"`,
@@ -39,97 +39,98 @@
 	}
 }
 
-// withKey asks a gateway for a plain answer with a key.
+// withKey sends a request with an API key, and with headers that gateways must not forward.
 func (f *platformFleet) withKey(gateway, path, key string) (response, string) {
-	return f.turn(gateway, path, "", map[string]string{"Api-Key": key, "Tenant": "somebody", "Hold": "h"})
+	return f.sendTurn(gateway, path, "", map[string]string{"Api-Key": key, "Tenant": "somebody", "Hold": "h"})
 }
 
-// hurried is withKey for a caller who can't wait for room in its tenant's limit.
-func (f *platformFleet) hurried(gateway, path, key string) (response, string) {
-	return f.turn(gateway, path, "", map[string]string{"Api-Key": key, "Deadline-Ms": "400"})
+// withShortDeadline sends a request with an API key and a deadline too short to wait for
+// capacity within the limit of the tenant.
+func (f *platformFleet) withShortDeadline(gateway, path, key string) (response, string) {
+	return f.sendTurn(gateway, path, "", map[string]string{"Api-Key": key, "Deadline-Ms": "400"})
 }
 
-// TestTenants drives keys, their revocation and limits over real processes.
+// TestTenants tests API keys, their revocation and tenants' limits with real processes.
 func TestTenants(t *testing.T) {
 	f := startPlatformFleet(t, fmt.Sprintf("  revoke_within_ms: %d\n  quota_window_s: 5\n", testRevokeWithin))
 	controls := []string{"control-0", "control-1", "control-2"}
 	status := func(gateway, path, key string) int {
-		answer, _ := f.withKey(gateway, path, key)
-		return answer.status
+		reply, _ := f.withKey(gateway, path, key)
+		return reply.status
 	}
 	sequence := 1
-	// alive has the engine report again, as it does for as long as it runs: one that is silent for
-	// 10 s is taken out of the fleet, and requests that wait for room in a limit take their time.
-	alive := func() {
+	// sendHeartbeat sends another heartbeat of the engine. An engine without a heartbeat for 10 s is
+	// removed from the fleet, and requests that wait for capacity within a limit may take longer.
+	sendHeartbeat := func() {
 		sequence++
 		f.heartbeat("engine-1", "ready", sequence)
 	}
-	Convey("tenants", t, func() {
-		Convey("a key leads to its tenant, at every gateway, and goes no further", func() {
+	Convey("tenants are authenticated and limited", t, func() {
+		Convey("a key identifies its tenant at every gateway and is not forwarded to engines", func() {
 			shared := strings.Replace(tenantConfiguration(1, firstKey), limitedKey, firstKey, 1)
 			So(f.operate("POST", "/ochrebay/Config.Replace", shared).status, ShouldEqual, 400)
 			So(f.operate("POST", "/ochrebay/Config.Replace", tenantConfiguration(2, firstKey, secondKey)).status, ShouldEqual, 200)
 			So(f.heartbeat("engine-1", "ready", 1), ShouldEqual, 200)
 			for _, gateway := range []string{"gateway-0", "gateway-1"} {
-				f.until("an answer through "+gateway, func() bool { return status(gateway, "/safe/", firstKey) == 200 })
-				answer, id := f.withKey(gateway, "/safe/", secondKey)
-				So(answer.status, ShouldEqual, 200)
+				f.waitFor("a response through "+gateway, func() bool { return status(gateway, "/safe/", firstKey) == 200 })
+				reply, id := f.withKey(gateway, "/safe/", secondKey)
+				So(reply.status, ShouldEqual, 200)
 				header := f.engine.header(id)
 				So(header["Tenant"], ShouldResemble, []string{"alpha"})
 				So(header, ShouldNotContainKey, "Api-Key")
 				So(header, ShouldNotContainKey, "Hold")
-				f.until("an unknown key's refusal", func() bool { return status(gateway, "/safe/", "nobody") == 401 })
+				f.waitFor("the rejection of an unknown key", func() bool { return status(gateway, "/safe/", "nobody") == 401 })
 				So(status(gateway, "/unsafe/", ""), ShouldEqual, 200)
 			}
 		})
-		Convey("a limit holds over both gateways, and a refusal says when to come back", func() {
+		Convey("a limit holds across both gateways, and a rejection has a Retry-After header", func() {
 			began := time.Now()
-			f.until("a grant", func() bool { return status("gateway-0", "/safe/", limitedKey) == 200 })
+			f.waitFor("a request to be granted", func() bool { return status("gateway-0", "/safe/", limitedKey) == 200 })
 			granted, denied := 1, 0
 			for number := range 3 * limitedWindow {
-				answer, id := f.hurried(fmt.Sprintf("gateway-%d", number%2), "/safe/", limitedKey)
-				switch answer.status {
+				reply, id := f.withShortDeadline(fmt.Sprintf("gateway-%d", number%2), "/safe/", limitedKey)
+				switch reply.status {
 				case 200:
 					granted++
 				case 429:
 					denied++
-					So(answer.header.Get("Retry-After"), ShouldNotBeBlank)
-					So(f.engine.ran(id), ShouldEqual, 0)
+					So(reply.header.Get("Retry-After"), ShouldNotBeBlank)
+					So(f.engine.runCount(id), ShouldEqual, 0)
 				}
 			}
 			windows := 1 + int(time.Since(began)/(5*time.Second))
 			So(granted, ShouldBeLessThanOrEqualTo, limitedWindow*windows)
 			So(denied, ShouldBeGreaterThanOrEqualTo, 3*limitedWindow-limitedWindow*windows)
-			// Who can wait is served when there is room again.
+			// A request that can wait is served once the limit has capacity again.
 			So(status("gateway-0", "/safe/", limitedKey), ShouldEqual, 200)
 		})
-		Convey("a withdrawn key is refused by a gateway that was frozen over the revocation", func() {
+		Convey("a revoked key is rejected by a gateway that was frozen during the revocation", func() {
 			f.signal(syscall.SIGSTOP, "gateway-1")
 			So(f.operate("POST", "/ochrebay/Config.Replace", tenantConfiguration(4, firstKey)).status, ShouldEqual, 200)
 			time.Sleep(testRevokeWithin * time.Millisecond)
 			f.signal(syscall.SIGCONT, "gateway-1")
 			for range 20 {
-				answer, id := f.withKey("gateway-1", "/safe/", secondKey)
-				So(answer.status, ShouldBeIn, 401, 503)
-				So(f.engine.ran(id), ShouldEqual, 0)
+				reply, id := f.withKey("gateway-1", "/safe/", secondKey)
+				So(reply.status, ShouldBeIn, 401, 503)
+				So(f.engine.runCount(id), ShouldEqual, 0)
 			}
-			f.until("the other key's answer", func() bool {
-				alive()
+			f.waitFor("a response for the remaining key", func() bool {
+				sendHeartbeat()
 				return status("gateway-1", "/safe/", firstKey) == 200
 			})
 		})
-		Convey("gateways that are cut off serve no key beyond the bound, and what needs none still", func() {
+		Convey("gateways partitioned from control serve no key beyond the bound, but still serve anonymous requests", func() {
 			f.signal(syscall.SIGSTOP, controls...)
-			f.until("the end of the proof", func() bool { return status("gateway-0", "/safe/", firstKey) == 503 })
+			f.waitFor("the expiry of the routing-table confirmation", func() bool { return status("gateway-0", "/safe/", firstKey) == 503 })
 			So(status("gateway-0", "/unsafe/", ""), ShouldEqual, 200)
 			So(status("gateway-0", "/safe/", "nobody"), ShouldEqual, 503)
 			f.signal(syscall.SIGCONT, controls...)
-			f.until("an answer again", func() bool {
-				alive()
+			f.waitFor("a response after control resumed", func() bool {
+				sendHeartbeat()
 				return status("gateway-0", "/safe/", firstKey) == 200
 			})
 		})
-		Convey("no log holds a key, whole or in part", func() {
+		Convey("no log and no metric contains a key or a part of one", func() {
 			logs, err := filepath.Glob(filepath.Join(f.folder, "*.log"))
 			So(err, ShouldBeNil)
 			So(len(logs), ShouldBeGreaterThan, 5)
@@ -139,9 +140,9 @@
 				So(string(raw), ShouldNotContainSubstring, "key-of-")
 			}
 			for _, name := range []string{"gateway-0", "control-0", "ledger-0"} {
-				answer, err := send("GET", "http://"+f.addresses["http-"+name]+"/metrics", "", nil)
+				reply, err := send("GET", "http://"+f.addresses["http-"+name]+"/metrics", "", nil)
 				So(err, ShouldBeNil)
-				So(answer.body, ShouldNotContainSubstring, "key-of-")
+				So(reply.body, ShouldNotContainSubstring, "key-of-")
 			}
 		})
 	})
--- a/cmd/ochrebay/tenantscommand_test.go
+++ b/cmd/ochrebay/tenantscommand_test.go
@@ -21,12 +21,12 @@
 		_, _ = w.Write([]byte(`{"leads":true,"backends":[{"backend":"m","engines":4,"room":28,"demand":40,"short":true,"tenants":[{"tenant":"hot","weight":10,"demand":30,"share":18,"above":true}]}]}`))
 	}))
 	defer controlProcess.Close()
-	Convey("tenants at their limit come first, shares follow, and who does not answer is named", t, func() {
+	Convey("tenants at their limit come first, shares follow, and unreachable processes are named", t, func() {
 		address := func(server *httptest.Server) string { return strings.TrimPrefix(server.URL, "http://") }
-		answer := askTenants([]string{address(ledgerHost), "127.0.0.1:1"}, []string{address(controlProcess)})
+		report := fetchTenants([]string{address(ledgerHost), "127.0.0.1:1"}, []string{address(controlProcess)})
 		var out strings.Builder
 		table := tabwriter.NewWriter(&out, 0, 4, 2, ' ', 0)
-		printTenants(table, answer)
+		printTenants(table, report)
 		So(table.Flush(), ShouldBeNil)
 		lines := strings.Split(out.String(), "\n")
 		So(lines[1], ShouldStartWith, "hot")
--- a/cmd/ochrebay/trace.go
+++ b/cmd/ochrebay/trace.go
@@ -13,21 +13,21 @@
 	"github.com/joomcode/errorx"
 )
 
-// longestLogLine bounds one line of a log, bytes.
-const longestLogLine = 1 << 20
+// maxLogLineBytes is the maximum length of a log line.
+const maxLogLineBytes = 1 << 20
 
-// logLine is one line of a process's log.
+// logLine is one parsed line of a process's log.
 type logLine struct {
-	at   string
-	text string
-	keys map[string]string
+	timestamp string
+	text      string
+	keys      map[string]string
 }
 
 func registerTrace(app *kingpin.Application, registered commands) {
-	command := app.Command("trace", "Put the lines of one request from several processes' logs in order and say what ended it.\n\nExample: ochrebay trace 9c41d07be2a35f68 gateway-*.log ledger-*.log")
-	request := command.Arg("request", "Id of the request, or of a program with --program.").Required().String()
+	command := app.Command("trace", "Merge the log lines of one request from several processes in order of time, and show how the request ended.\n\nExample: ochrebay trace 9c41d07be2a35f68 gateway-*.log ledger-*.log")
+	request := command.Arg("request", "ID of the request, or of a program with --program.").Required().String()
 	files := command.Arg("file", "Logs.").Required().Strings()
-	byProgram := command.Flag("program", "Take the lines of all requests of a program.").Bool()
+	byProgram := command.Flag("program", "Select the lines of all requests of a program.").Bool()
 	registered[command.FullCommand()] = withoutContext(func() error {
 		key := "request"
 		if *byProgram {
@@ -41,51 +41,50 @@
 	})
 }
 
-// readLines returns the lines of several logs whose key has a value, in order of
-// time.
+// readLines returns the lines of several logs in which the key has the value, in order of time.
 func readLines(files []string, key, value string) ([]logLine, error) {
 	var lines []logLine
-	err := eachLine(files, func(line logLine) {
-		// The ledger names turns and programs TENANT/ID where there are tenants.
-		if found := line.keys[key]; found == value || strings.HasSuffix(found, "/"+value) {
+	err := forEachLine(files, func(line logLine) {
+		// With tenants, the ledger logs turns and programs as TENANT/ID.
+		if actual := line.keys[key]; actual == value || strings.HasSuffix(actual, "/"+value) {
 			lines = append(lines, line)
 		}
 	})
 	if err != nil {
 		return nil, err
 	}
-	slices.SortStableFunc(lines, func(a, b logLine) int { return strings.Compare(a.at, b.at) })
+	slices.SortStableFunc(lines, func(a, b logLine) int { return strings.Compare(a.timestamp, b.timestamp) })
 	return lines, nil
 }
 
-// eachLine calls take for each line of several logs.
-func eachLine(files []string, take func(line logLine)) error {
+// forEachLine calls visit for each line of several logs.
+func forEachLine(files []string, visit func(line logLine)) error {
 	for _, file := range files {
-		if err := eachLineOf(file, take); err != nil {
+		if err := forEachLineIn(file, visit); err != nil {
 			return errorx.Decorate(err, "reading %s", file)
 		}
 	}
 	return nil
 }
 
-func eachLineOf(file string, take func(line logLine)) error {
-	opened, err := os.Open(file)
+func forEachLineIn(file string, visit func(line logLine)) error {
+	reader, err := os.Open(file)
 	if err != nil {
 		return err
 	}
-	defer opened.Close()
-	scanner := bufio.NewScanner(opened)
-	scanner.Buffer(nil, longestLogLine)
+	defer reader.Close()
+	scanner := bufio.NewScanner(reader)
+	scanner.Buffer(nil, maxLogLineBytes)
 	for scanner.Scan() {
 		if line, ok := parseLine(scanner.Text()); ok {
-			take(line)
+			visit(line)
 		}
 	}
 	return scanner.Err()
 }
 
-// parseLine reads a line of a log; whatever stands before its first key, as log
-// collectors put there, is left out.
+// parseLine parses a log line. It ignores any text before the first key, such as the prefixes
+// of log collectors.
 func parseLine(text string) (logLine, bool) {
 	start := strings.Index(text, "level=")
 	if start < 0 {
@@ -98,18 +97,18 @@
 			line.keys[string(decoder.Key())] = string(decoder.Value())
 		}
 	}
-	line.at = line.keys["ts"]
-	return line, decoder.Err() == nil && line.at != ""
+	line.timestamp = line.keys["ts"]
+	return line, decoder.Err() == nil && line.timestamp != ""
 }
 
-// printTrace writes the lines and, last, what ended the request.
+// printTrace prints the lines, followed by how the request ended.
 func printTrace(output io.Writer, request string, lines []logLine) error {
 	if len(lines) == 0 {
-		return errorx.DataUnavailable.New("no line of %s: was it thinned out, or is a log missing?", request)
+		return errorx.DataUnavailable.New("no log line of %s found: its lines may have been sampled out, or a log is missing", request)
 	}
-	ending := "not known: no gateway says how it ended; the process may have died"
+	ending := "unknown: no gateway logged the end of the request; the gateway process may have died"
 	for _, line := range lines {
-		fmt.Fprintf(output, "%s %s %q%s\n", line.at, line.keys["process"], line.keys["msg"], details(line))
+		fmt.Fprintf(output, "%s %s %q%s\n", line.timestamp, line.keys["process"], line.keys["msg"], details(line))
 		switch line.keys["msg"] {
 		case "served":
 			ending = fmt.Sprintf("answered with %s by engine %s after %s", line.keys["status"], line.keys["engine"], line.keys["took"])
@@ -121,8 +120,7 @@
 	return err
 }
 
-// details returns the keys of a line that are not shown otherwise, in the line's
-// order.
+// details returns the part of a line after its message: the keys that are not printed otherwise.
 func details(line logLine) string {
 	_, rest, found := strings.Cut(line.text, " msg=")
 	if !found {
--- a/cmd/ochrebay/trace_test.go
+++ b/cmd/ochrebay/trace_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestTrace(t *testing.T) {
-	Convey("the lines of a request from several logs come in order, with what ended it", t, func() {
+	Convey("the log lines of a request are merged in order of time, followed by how it ended", t, func() {
 		folder := t.TempDir()
 		gateway := filepath.Join(folder, "gateway.log")
 		ledger := filepath.Join(folder, "ledger.log")
--- a/cmd/ochrebay/watch.go
+++ b/cmd/ochrebay/watch.go
@@ -13,31 +13,31 @@
 	"github.com/ochrebay/ochrebay/internal/telemetry"
 )
 
-// watchEvery is how often the settings file is looked at: it may change without a
-// signal.
-const watchEvery = 2 * time.Second
+// watchInterval is the interval at which the settings file is checked, since it may change
+// without a signal.
+const watchInterval = 2 * time.Second
 
-// hangups delivers SIGHUP, which a platform sends when the settings file has changed.
-type hangups <-chan os.Signal
+// hangupSignals delivers SIGHUP, which a platform sends when the settings file has changed.
+type hangupSignals <-chan os.Signal
 
-// catchHangups is called before a process reads its settings. Invariant: from then on
-// SIGHUP never has its default action, which is to end the process; it may come while the
-// process still starts and while it drains.
-func catchHangups() hangups {
+// catchHangups starts to catch SIGHUP; it is called before a process reads its settings.
+// Invariant: from then on SIGHUP never has its default action, which ends the process, even
+// when it arrives while the process is starting or draining.
+func catchHangups() hangupSignals {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGHUP)
 	return signals
 }
 
-// watchSettings takes the seeds of a settings file that changes while the process
-// runs, at SIGHUP or by the file's time; all else needs a restart. A file with a
-// fault changes nothing. The function returned ends it.
-func watchSettings(signals hangups, flags processFlags, logger log.Logger, seeds func([]string)) func() {
+// watchSettings reloads the seeds from the settings file while the process runs, on SIGHUP or
+// when the modification time of the file changes. Other settings need a restart. An invalid file
+// changes nothing. The returned function stops watching.
+func watchSettings(signals hangupSignals, flags processFlags, logger log.Logger, setSeeds func([]string)) func() {
 	watching, stop := context.WithCancel(context.Background())
 	go func() {
-		ticker := time.NewTicker(watchEvery)
+		ticker := time.NewTicker(watchInterval)
 		defer ticker.Stop()
-		changed := modified(*flags.file)
+		lastModified := modificationTime(*flags.file)
 		for {
 			signalled := false
 			select {
@@ -47,16 +47,16 @@
 				signalled = true
 			case <-ticker.C:
 			}
-			if now := modified(*flags.file); signalled || !now.Equal(changed) {
-				changed = now
-				reload(*flags.file, logger, seeds)
+			if current := modificationTime(*flags.file); signalled || !current.Equal(lastModified) {
+				lastModified = current
+				reloadSeeds(*flags.file, logger, setSeeds)
 			}
 		}
 	}()
 	return stop
 }
 
-func modified(file string) time.Time {
+func modificationTime(file string) time.Time {
 	info, err := os.Stat(file)
 	if err != nil {
 		return time.Time{}
@@ -64,12 +64,12 @@
 	return info.ModTime()
 }
 
-func reload(file string, logger log.Logger, seeds func([]string)) {
+func reloadSeeds(file string, logger log.Logger, setSeeds func([]string)) {
 	process, err := config.Load(file, nil)
 	if err != nil {
 		telemetry.Warn(logger, "settings not reloaded", "err", telemetry.OneLine(err))
 		return
 	}
-	seeds(process.Cluster.Seeds)
+	setSeeds(process.Cluster.Seeds)
 	telemetry.Info(logger, "settings reloaded", "seeds", len(process.Cluster.Seeds))
 }
