--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -8,10 +8,10 @@
 	"pgregory.net/rapid"
 )
 
-// TestNowMs checks that NowMs follows the monotonic clock: a step of the wall clock does not count
-// as elapsed time.
+// TestNowMs checks that the time advances by the elapsed time in whole milliseconds. The wall-clock
+// and the monotonic reading advance together here; the test simulates no step of the wall clock.
 func TestNowMs(t *testing.T) {
-	Convey("elapsed time is the monotonic time, whatever the wall clock reads", t, func() {
+	Convey("the time is that of the start plus the elapsed time in whole milliseconds", t, func() {
 		rapid.Check(t, func(rt *rapid.T) {
 			elapsed := time.Duration(rapid.Int64Range(0, int64(24*time.Hour)).Draw(rt, "elapsed"))
 			start := time.Now()
--- a/internal/control/api.go
+++ b/internal/control/api.go
@@ -13,16 +13,16 @@
 )
 
 const (
-	// orderTimeout is shorter than the second after which callers try another process.
-	orderTimeout = 900 * time.Millisecond
-	// defaultLookupTTL is how long callers may keep a look-up's answer while the mechanism that
-	// tracks the rate of look-ups is turned off.
+	// fleetRequestTimeout is shorter than the second after which callers try another process.
+	fleetRequestTimeout = 900 * time.Millisecond
+	// defaultLookupTTL is how long callers may keep a lookup's answer while the mechanism that
+	// tracks the rate of lookups is turned off.
 	defaultLookupTTL = time.Second
 )
 
-// sendOrder has the leader execute a fleet order.
-func (d *Daemon) sendOrder(order *protocol.FleetRequest) *protocol.FleetReply {
-	answer := d.askLeaderWithin(orderTimeout, protocol.KindFleetRequest, order, func() any { return &protocol.FleetReply{} },
+// sendFleetRequest has the leader execute a fleet request.
+func (d *Daemon) sendFleetRequest(request *protocol.FleetRequest) *protocol.FleetReply {
+	answer := d.askLeaderWithin(fleetRequestTimeout, protocol.KindFleetRequest, request, func() any { return &protocol.FleetReply{} },
 		func(reply any) (*result.Error, string) {
 			typed := reply.(*protocol.FleetReply)
 			return typed.Error, typed.Leader
@@ -36,7 +36,7 @@
 // ReportEngine handles an engine's report about itself. It returns once any change is
 // committed.
 func (d *Daemon) ReportEngine(engine membership.ServingEngine) *result.Error {
-	reply := d.sendOrder(&protocol.FleetRequest{Report: &engine, SupportsIncarnations: true})
+	reply := d.sendFleetRequest(&protocol.FleetRequest{Report: &engine, SupportsIncarnations: true})
 	if reply.IgnoredReason != "" {
 		d.recordIgnoredReport(engine, reply.IgnoredReason)
 	}
@@ -58,7 +58,7 @@
 
 // DeregisterEngine handles an engine's announcement that it is stopping.
 func (d *Daemon) DeregisterEngine(incarnation membership.Incarnation) *result.Error {
-	reply := d.sendOrder(&protocol.FleetRequest{LeaveEngine: incarnation.ID, LeaveStartedMs: incarnation.StartedMs, SupportsIncarnations: true})
+	reply := d.sendFleetRequest(&protocol.FleetRequest{LeaveEngine: incarnation.ID, LeaveStartedMs: incarnation.StartedMs, SupportsIncarnations: true})
 	if reply.IgnoredReason != "" {
 		d.recordIgnoredReport(membership.ServingEngine{ID: incarnation.ID, StartedMs: incarnation.StartedMs}, reply.IgnoredReason)
 	}
@@ -89,7 +89,7 @@
 		telemetry.Info(d.logger, "routing table rejected", "generation", table.Generation, "err", failure)
 		return failure
 	}
-	failure := d.sendOrder(&protocol.FleetRequest{Routing: table}).Error
+	failure := d.sendFleetRequest(&protocol.FleetRequest{Routing: table}).Error
 	telemetry.Info(d.logger, "routing table replacement finished", "generation", table.Generation, "routes", len(table.Routes), "tenants", len(table.Tenants), "err", failure)
 	return failure
 }
@@ -97,20 +97,20 @@
 // ReadRouting returns the routing table in force, confirmed by a quorum; nil if there
 // is none yet.
 func (d *Daemon) ReadRouting() (*routing.Table, *result.Error) {
-	reply := d.sendOrder(&protocol.FleetRequest{ReadRouting: true})
+	reply := d.sendFleetRequest(&protocol.FleetRequest{ReadRouting: true})
 	return reply.Routing, reply.Error
 }
 
 // RetireLedgerHost starts to move all groups off a ledger host.
 func (d *Daemon) RetireLedgerHost(name string) *result.Error {
-	failure := d.sendOrder(&protocol.FleetRequest{RetireLedgerHost: name}).Error
+	failure := d.sendFleetRequest(&protocol.FleetRequest{RetireLedgerHost: name}).Error
 	telemetry.Info(d.logger, "ledger host retirement requested", "host", name, "err", failure)
 	return failure
 }
 
 // IsLedgerHostRetired reports whether a retiring ledger host holds no group any more.
 func (d *Daemon) IsLedgerHostRetired(name string) (bool, *result.Error) {
-	reply := d.sendOrder(&protocol.FleetRequest{RetirementStatusOf: name})
+	reply := d.sendFleetRequest(&protocol.FleetRequest{RetirementStatusOf: name})
 	return reply.IsRetired, reply.Error
 }
 
--- a/internal/control/core.go
+++ b/internal/control/core.go
@@ -74,7 +74,8 @@
 	// LeaseMs is how long a scheduler may be silent before its engines are reassigned,
 	// in milliseconds.
 	LeaseMs int64
-	// CompactEntries is the maximum number of applied entries that a group keeps.
+	// CompactEntries is the number of applied entries since the last compaction after which a
+	// group's log is compacted.
 	CompactEntries uint64
 
 	// The remaining options each turn off one mechanism, for runs that demonstrate
@@ -122,16 +123,19 @@
 	// bytes of one message and the number of messages.
 	maxAppendBytes     = 1 << 20
 	maxInflightAppends = 64
-	// compactBytes is how many bytes of applied entries a group's log keeps.
+	// compactBytes is the number of bytes of applied entries since the last compaction after
+	// which a group's log is compacted.
 	compactBytes = 2 << 20
 	// startElectionTicks is the shortest election timeout of a replica that has known no
-	// leader since its start.
+	// leader since its start, in ticks. It is shorter than the regular timeout, since such a
+	// replica has no leader whose failure it would have to detect.
 	startElectionTicks = 3
-	// maxRecentTables is how many routing tables are kept to compute deltas for followers.
+	// maxRecentTables is how many routing tables are kept to compute deltas for followers. A
+	// follower that has an older table receives the whole table.
 	maxRecentTables = 4
 	// pauseThresholdTicks is the time between two ticks, in tick intervals, above which the
-	// process counts as having been paused: well below the silence allowed to gateways,
-	// above the delay of a busy event loop.
+	// process counts as having been paused. It is well below the silence allowed to gateways
+	// and above the delay of a busy event loop.
 	pauseThresholdTicks = 4
 )
 
@@ -173,13 +177,13 @@
 	usageAggregator   *admission.UsageAggregator
 	pendingFleetSyncs []pendingFleetSync
 	// engineReports holds the engine reports that this process passes on to the leader in
-	// lists.
+	// batches.
 	engineReports engineReports
 	// unconfirmedFleetSyncs are heartbeats that wait for the next round in which a quorum
 	// confirms this leader; confirmationInProgress says that a round is in progress.
 	unconfirmedFleetSyncs []pendingFleetSync
-	// notifiedFleetVersion is the fleet version whose changes held heartbeats were last
-	// answered for, and fleetNotifiedMs when that round of answers began.
+	// notifiedFleetVersion is the fleet version at the start of the last round of answers to
+	// held heartbeats, and fleetNotifiedMs the time of that start.
 	notifiedFleetVersion   uint64
 	fleetNotifiedMs        int64
 	confirmationInProgress bool
@@ -203,7 +207,8 @@
 	leadingSinceMs int64
 }
 
-// candidate is a replica on a new disk that asks to be admitted to the groups.
+// candidate is a replica that asks to be admitted to the groups: one on a new disk, or one that
+// has known no leader for orphanTimeoutMs.
 type candidate struct {
 	replica     consensus.ReplicaID
 	helloCount  int
@@ -250,7 +255,7 @@
 }
 
 // createGroups creates the replicas of all groups. With an empty bootstrap
-// configuration they are no members of their groups and wait until they are admitted.
+// configuration they are not members of their groups until they are admitted.
 func (c *Core) createGroups(bootstrap consensus.Configuration) error {
 	c.system = newSystemStateMachine(c.options)
 	for id := 0; id <= c.options.LedgerGroups; id++ {
@@ -296,13 +301,14 @@
 	return c.system.tree.Revision()
 }
 
-// Fleet returns the fleet; callers must not change it.
+// Fleet returns the fleet; callers must not change it. The process must have formed.
 func (c *Core) Fleet() *membership.Fleet { return c.system.fleet }
 
-// SettingsTree returns the settings tree; callers must not change it.
+// SettingsTree returns the settings tree; callers must not change it. The process must have formed.
 func (c *Core) SettingsTree() *settings.Tree { return c.system.tree }
 
-// Directory returns the directory of schedulers and their engines; callers must not change it.
+// Directory returns the directory of schedulers and their engines; callers must not change it. The
+// process must have formed.
 func (c *Core) Directory() *membership.Directory { return c.system.directory }
 
 // Ledger returns the state of a ledger group; callers must not change it.
@@ -372,7 +378,7 @@
 		for _, member := range c.memberNames() {
 			if member != c.options.Name {
 				c.transport.Send(member, protocol.KindPeer, protocol.PeerBatch{
-					From: c.options.Name, Revision: c.SettingsRevision(), EngineLiveness: c.engineList(member), SupportsIncarnations: true,
+					From: c.options.Name, Revision: c.SettingsRevision(), EngineLiveness: c.engineLiveness(member), SupportsIncarnations: true,
 				})
 			}
 		}
@@ -414,7 +420,8 @@
 	return c.nowMs - lastMs
 }
 
-// HandlePeerBatch processes a batch of consensus messages from another control process.
+// HandlePeerBatch handles a batch of consensus messages or a presence message, which is a batch
+// without any, from another control process.
 func (c *Core) HandlePeerBatch(batch protocol.PeerBatch, nowMs int64) {
 	c.setNow(nowMs)
 	c.lastReceivedMs[batch.From] = nowMs
@@ -425,7 +432,7 @@
 	}
 	c.host.Step(batch)
 	c.updateLeaderState()
-	c.handleEngineList(batch.From, batch.EngineLiveness)
+	c.handleEngineLiveness(batch.From, batch.EngineLiveness)
 }
 
 // sendBatch sends the replication host's messages to another control process.
@@ -448,7 +455,8 @@
 	}
 }
 
-// Drain transfers the leadership of all groups at the start of a planned stop.
+// Drain begins a planned stop: the process starts to transfer the leadership of its groups and
+// continues to do so at each tick.
 func (c *Core) Drain() {
 	c.draining = true
 	for _, group := range c.host.Groups {
@@ -478,8 +486,9 @@
 	}
 }
 
-// balanceLeaders transfers each group to the voter that its number selects from the
-// sorted member names, so that no process leads all groups.
+// balanceLeaders transfers the leadership of the groups that this process leads so that the
+// leaders spread over the processes: the group's number selects a voter from the sorted member
+// names, and that voter becomes the leader unless it is silent.
 func (c *Core) balanceLeaders() {
 	if c.nowMs-c.lastBalanceMs < balanceIntervalMs {
 		return
--- a/internal/control/daemon.go
+++ b/internal/control/daemon.go
@@ -24,26 +24,31 @@
 const (
 	drainTimeout = 5 * time.Second
 
-	// The minimum silence, in milliseconds, after which engines, gateways and ledger hosts count
-	// as lost, the time after which a silent ledger host without groups is removed, and how long
-	// the first placement waits for further ledger hosts.
+	// engineTimeoutMs and gatewayTimeoutMs are the silence after which engines and gateways count
+	// as lost. The engines' timeout is longer if engineTimeoutReports requires it.
 	engineTimeoutMs  = 10_000
 	gatewayTimeoutMs = 2_500
 	// engineTimeoutReports is how many report intervals of an engine its silence may last: one
 	// report may be lost with the process that took it, and another may be in flight.
 	engineTimeoutReports = 3
-	// gatewayRepollTimeoutMs is twice the 200 ms after which a lost packet is retransmitted. The
-	// comparison of 500 and 400 ms in docs/measurements/large.md covers only frozen machines.
+	// gatewayRepollTimeoutMs is the time within which a gateway must send its next heartbeat after
+	// an answer: twice the 200 ms after which a lost packet is retransmitted. The comparison of 500
+	// and 400 ms in docs/measurements/large.md covers only frozen machines.
 	gatewayRepollTimeoutMs = 400
-	// gatewaySmallDeltaRepollTimeoutMs covers one lost packet and a network round trip. A false
-	// positive costs little: the gateway is listed again with its next heartbeat.
-	gatewaySmallDeltaRepollTimeoutMs = 250
-	ledgerTimeoutMs                  = 2_000
-	ledgerRetentionMs                = 60_000
-	initialPlacementDelayMs          = 1_500
+	// gatewaySmallUpdateRepollTimeoutMs is the same time after an answer that the gateway applies
+	// almost at once. It covers one lost packet and a network round trip. A false positive costs
+	// little: the gateway is listed again with its next heartbeat.
+	gatewaySmallUpdateRepollTimeoutMs = 250
+	// ledgerTimeoutMs is the silence after which a ledger host counts as lost, ledgerRetentionMs
+	// the silence after which one that holds no groups is removed, and initialPlacementDelayMs how
+	// long the first placement waits for further ledger hosts.
+	ledgerTimeoutMs         = 2_000
+	ledgerRetentionMs       = 60_000
+	initialPlacementDelayMs = 1_500
 
-	// discoveredElectionTicks is shorter than the election timeout of a cluster with
-	// listed members, since callers wait for the leader of a platform's fleet.
+	// discoveredElectionTicks is the election timeout in ticks of a cluster whose members are
+	// discovered. It is shorter than that of a cluster with listed members, since callers wait
+	// for the leader of a platform's fleet.
 	discoveredElectionTicks = 7
 
 	// fleetLogInterval is the minimum time between two log lines about the fleet's version: at a
@@ -71,7 +76,8 @@
 	groupsLed      int
 	programCount   int
 	entriesApplied uint64
-	// hasSilentMember says that another control process has been silent for too long.
+	// hasSilentMember says that another control process has been silent for longer than
+	// suspectTimeoutMs.
 	hasSilentMember bool
 	// gatewaySelector selects gateways for callers, gatewaysVersion is the version of the fleet's
 	// gateways that it was built from, selectorBuiltAt the time of the last rebuild, and
@@ -171,7 +177,7 @@
 	options.Fleet = membership.FleetOptions{
 		Groups: process.Cluster.LedgerGroups, Replicas: options.MinVoters,
 		EngineTimeoutMs:  max(engineTimeoutMs, engineTimeoutReports*process.Cluster.EngineHeartbeatMs),
-		GatewayTimeoutMs: gatewayTimeoutMs, GatewayRepollTimeoutMs: gatewayRepollTimeoutMs, GatewaySmallUpdateRepollTimeoutMs: gatewaySmallDeltaRepollTimeoutMs, LedgerTimeoutMs: ledgerTimeoutMs, LedgerRetentionMs: ledgerRetentionMs,
+		GatewayTimeoutMs: gatewayTimeoutMs, GatewayRepollTimeoutMs: gatewayRepollTimeoutMs, GatewaySmallUpdateRepollTimeoutMs: gatewaySmallUpdateRepollTimeoutMs, LedgerTimeoutMs: ledgerTimeoutMs, LedgerRetentionMs: ledgerRetentionMs,
 		InitialPlacementDelayMs: initialPlacementDelayMs,
 	}
 	return options
@@ -249,8 +255,8 @@
 	return err
 }
 
-// drain transfers leadership and waits until this process leads no group, for
-// drainTimeout at most.
+// drain transfers leadership and waits until this process leads no group, but at most for
+// drainTimeout.
 func (d *Daemon) drain(ctx context.Context) {
 	telemetry.Info(d.logger, "draining")
 	d.loop.Post(d.core.Drain)
@@ -263,7 +269,7 @@
 	}
 }
 
-// newLoop returns the event loop, whose goroutine alone uses the core.
+// newLoop returns the event loop. Only its goroutine uses the core.
 func (d *Daemon) newLoop() *daemon.EventLoop {
 	loop := daemon.NewEventLoop(time.Duration(d.core.options.TickMs) * time.Millisecond)
 	wasFormed := d.core.Formed()
--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -15,15 +15,15 @@
 // fell silent.
 const fleetPlanIntervalMs = 100
 
-// subsetPlanIntervalMs is how often the leader checks whether enough engines are advertised:
-// gateways report their in-flight requests every 0.7 s.
+// subsetPlanIntervalMs is how often the leader checks whether enough engines are advertised. The
+// check uses the requests in flight, which gateways report every 0.7 s.
 const subsetPlanIntervalMs = 300
 
-// handleFleetOrder executes one order of an engine or of the platform's operator.
-func (c *Core) handleFleetOrder(id RequestID, order *protocol.FleetRequest) {
+// handleFleetRequest executes one request of an engine or of the platform's operator.
+func (c *Core) handleFleetRequest(id RequestID, request *protocol.FleetRequest) {
 	group, leader, failure := c.ledGroup(0)
 	if failure != nil || c.fleetTracker == nil {
-		if order.Report != nil && c.acknowledgeLocally(*order.Report) {
+		if request.Report != nil && c.acknowledgeLocally(*request.Report) {
 			c.transport.Reply(id, &protocol.FleetReply{})
 			return
 		}
@@ -31,28 +31,28 @@
 		return
 	}
 	switch {
-	case order.Report != nil:
-		c.handleEngineReport(id, group, order)
-	case order.LeaveEngine != "":
-		c.handleEngineLeave(id, group, order)
-	case order.Routing != nil:
-		c.replaceRouting(id, group, order.Routing)
-	case order.ReadRouting:
+	case request.Report != nil:
+		c.handleEngineReport(id, group, request)
+	case request.LeaveEngine != "":
+		c.handleEngineLeave(id, group, request)
+	case request.Routing != nil:
+		c.replaceRouting(id, group, request.Routing)
+	case request.ReadRouting:
 		c.readRouting(id, group)
-	case order.RetireLedgerHost != "":
-		c.retireLedgerHost(id, group, order.RetireLedgerHost)
-	case order.RetirementStatusOf != "":
-		c.readRetirement(id, group, order.RetirementStatusOf)
+	case request.RetireLedgerHost != "":
+		c.retireLedgerHost(id, group, request.RetireLedgerHost)
+	case request.RetirementStatusOf != "":
+		c.readRetirement(id, group, request.RetirementStatusOf)
 	}
 }
 
-// proposeFleetUpdate proposes an update and answers the order once the update is applied.
+// proposeFleetUpdate proposes an update and answers the request once the update is applied.
 func (c *Core) proposeFleetUpdate(id RequestID, group *replication.Group, update *membership.FleetUpdate) {
-	c.proposeOrder(id, group, &systemCommand{Fleet: update}, &protocol.FleetReply{})
+	c.proposeAndReply(id, group, &systemCommand{Fleet: update}, &protocol.FleetReply{})
 }
 
-// proposeOrder proposes a command and sends the reply once the command is applied.
-func (c *Core) proposeOrder(id RequestID, group *replication.Group, command *systemCommand, reply *protocol.FleetReply) {
+// proposeAndReply proposes a command and sends the reply once the command is applied.
+func (c *Core) proposeAndReply(id RequestID, group *replication.Group, command *systemCommand, reply *protocol.FleetReply) {
 	failure := c.host.Propose(group, command, func(outcome any) {
 		switch typed := outcome.(type) {
 		case *result.Error:
@@ -70,24 +70,25 @@
 // handleEngineReport records that an engine is alive and replicates what has changed
 // about it. Invariant: a change, above all that the engine drains, is acknowledged only
 // once it is committed.
-func (c *Core) handleEngineReport(id RequestID, group *replication.Group, order *protocol.FleetRequest) {
-	updates, reportOutcome := c.fleetTracker.HandleReport(c.system.fleet, *order.Report, membership.ReportContext{
-		IsRelayed: !order.SupportsIncarnations, IsBackendKnown: c.isBackendKnown(order.Report.Backend), AllSupportIncarnations: c.allSupportIncarnations(), NowMs: c.nowMs,
+func (c *Core) handleEngineReport(id RequestID, group *replication.Group, request *protocol.FleetRequest) {
+	updates, reportOutcome := c.fleetTracker.HandleReport(c.system.fleet, *request.Report, membership.ReportContext{
+		IsRelayed: !request.SupportsIncarnations, IsBackendKnown: c.isBackendKnown(request.Report.Backend), AllSupportIncarnations: c.allSupportIncarnations(), NowMs: c.nowMs,
 	})
-	current, inFleet := c.system.fleet.Engine(order.Report.ID)
-	if reportOutcome == membership.ReportAccepted && !(inFleet && current.StartedMs == order.Report.StartedMs) {
-		// Whatever gateways have reported so far is about an earlier incarnation, if any.
-		c.loadAggregator.ForgetEngine(order.Report.ID)
+	current, inFleet := c.system.fleet.Engine(request.Report.ID)
+	if reportOutcome == membership.ReportAccepted && !(inFleet && current.StartedMs == request.Report.StartedMs) {
+		// The gateways' reports so far, if any, concern an earlier incarnation.
+		c.loadAggregator.ForgetEngine(request.Report.ID)
 	}
 	c.proposeUpdates(id, group, updates, reportOutcome)
 }
 
-func (c *Core) handleEngineLeave(id RequestID, group *replication.Group, order *protocol.FleetRequest) {
-	updates, reportOutcome := c.fleetTracker.HandleLeave(c.system.fleet, membership.Incarnation{ID: order.LeaveEngine, StartedMs: order.LeaveStartedMs})
+func (c *Core) handleEngineLeave(id RequestID, group *replication.Group, request *protocol.FleetRequest) {
+	updates, reportOutcome := c.fleetTracker.HandleLeave(c.system.fleet, membership.Incarnation{ID: request.LeaveEngine, StartedMs: request.LeaveStartedMs})
 	c.proposeUpdates(id, group, updates, reportOutcome)
 }
 
-// proposeUpdates proposes updates in order and answers the order once the last one is applied.
+// proposeUpdates proposes updates in order and answers the request once the last one is applied.
+// A new incarnation of an engine takes two updates, any other change one.
 func (c *Core) proposeUpdates(id RequestID, group *replication.Group, updates []membership.FleetUpdate, reportOutcome membership.ReportOutcome) {
 	if len(updates) == 0 {
 		reply := &protocol.FleetReply{}
@@ -102,7 +103,7 @@
 		// If this entry is lost, the entries after it are lost too, and the last one reports it.
 		_ = c.host.Propose(group, &systemCommand{Fleet: &updates[position]}, func(any) {})
 	}
-	c.proposeOrder(id, group, &systemCommand{Fleet: &updates[last]}, &protocol.FleetReply{IsNewIncarnation: last > 0})
+	c.proposeAndReply(id, group, &systemCommand{Fleet: &updates[last]}, &protocol.FleetReply{IsNewIncarnation: last > 0})
 }
 
 // isBackendKnown reports whether engines of a backend may register: the routing table in force
@@ -113,8 +114,8 @@
 }
 
 // allSupportIncarnations reports whether all processes that hold the settings group have
-// announced support for engine incarnations. Invariant: an update that a replica of an earlier
-// release would apply with a different result is not proposed before.
+// announced support for engine incarnations. Invariant: no update is proposed that a replica of an
+// earlier release in the group would apply with a different result.
 func (c *Core) allSupportIncarnations() bool {
 	for _, member := range c.memberNames() {
 		if member != c.options.Name && !c.supportsIncarnations[member] {
@@ -130,7 +131,7 @@
 		c.transport.Reply(id, &protocol.FleetReply{Error: failure})
 		return
 	}
-	c.proposeOrder(id, group, &systemCommand{Change: &settings.Change{AtMs: c.nowMs, Routing: table}}, &protocol.FleetReply{})
+	c.proposeAndReply(id, group, &systemCommand{Change: &settings.Change{AtMs: c.nowMs, Routing: table}}, &protocol.FleetReply{})
 }
 
 func (c *Core) readRouting(id RequestID, group *replication.Group) {
@@ -175,8 +176,8 @@
 	})
 }
 
-// planFleet proposes the changes that silent members, lost hosts and pool sizes require, one
-// update at a time.
+// planFleet proposes the changes that silent gateways and engines, lost ledger hosts and subset
+// sizes require, one update at a time.
 func (c *Core) planFleet() {
 	if c.fleetUpdatePending || c.nowMs-c.lastFleetPlanMs < fleetPlanIntervalMs {
 		return
@@ -197,7 +198,8 @@
 	c.fleetUpdatePending = failure == nil
 }
 
-// planSubsetSizes returns the pools of which more or fewer engines should be advertised.
+// planSubsetSizes returns the new sizes of the subsets in which more or fewer engines should be
+// advertised.
 func (c *Core) planSubsetSizes() []membership.SubsetSize {
 	if c.nowMs-c.lastSubsetPlanMs < subsetPlanIntervalMs {
 		return nil
--- a/internal/control/fleetnews_test.go
+++ b/internal/control/fleetnews_test.go
@@ -10,8 +10,8 @@
 	"github.com/ochrebay/ochrebay/internal/protocol"
 )
 
-// TestFleetChangesAreBatched checks that the number of answers does not grow with the product of
-// gateways and changes: engines that register one after the other are announced together.
+// TestFleetChangesAreBatched checks that engines that register one after the other are announced
+// together, so that the number of answers does not grow with the product of gateways and changes.
 func TestFleetChangesAreBatched(t *testing.T) {
 	Convey("a gateway receives many changes in one answer, and a single change soon", t, func() {
 		transport := &encodingTransport{t: t}
--- a/internal/control/formation.go
+++ b/internal/control/formation.go
@@ -12,7 +12,8 @@
 const (
 	// orphanTimeoutMs is how long a member waits for a leader before it asks to be
 	// admitted again, and lostMemberTimeoutMs the silence after which a member may be
-	// removed.
+	// removed. minVoters is the smallest number of voters to which such removals shrink the
+	// settings group, even if Options.MinVoters is smaller.
 	orphanTimeoutMs     = 3000
 	lostMemberTimeoutMs = 6000
 	minVoters           = 3
@@ -70,7 +71,7 @@
 	return c.options.Discovered && c.nowMs-c.leaderSeenMs > orphanTimeoutMs
 }
 
-// recordLeader records that the settings group has a leader now.
+// recordLeader records the time if this process knows a leader of the settings group.
 func (c *Core) recordLeader() {
 	if c.host.Groups[0].Node.Leader() != consensus.None {
 		c.leaderSeenMs = c.nowMs
@@ -116,10 +117,10 @@
 		return
 	}
 	// Invariant: a replica that the first configuration does not name must not vote
-	// before the groups admit it, since its disk holds no earlier votes. A sender that
-	// was itself admitted later does not have the first configuration. It is enough
-	// that a cluster exists; otherwise a third repair would wait for a disk that is
-	// permanently gone.
+	// before the groups admit it, since its disk holds no earlier votes. It is enough to
+	// know that a cluster exists: a sender that was itself admitted later does not have the
+	// first configuration, and if the process waited for a sender that has it, a third
+	// repair would wait for a disk that is permanently gone.
 	c.applyBootstrap(consensus.Configuration{})
 }
 
@@ -192,9 +193,9 @@
 	}
 }
 
-// admitCandidates admits replicas on new disks to the groups that this process leads: the
-// member's previous replica is removed, the new one becomes a learner and, once it has
-// caught up, a voter.
+// admitCandidates admits candidates to the groups that this process leads: the member's
+// previous replica, if there is one, is removed, the candidate becomes a learner and, once it
+// has caught up, a voter.
 func (c *Core) admitCandidates() {
 	for _, name := range replication.SortedKeys(c.candidates) {
 		joining := c.candidates[name]
@@ -214,9 +215,9 @@
 }
 
 // removeLostVoter removes a voter from the settings group that has been silent for
-// lostMemberTimeoutMs, if enough voters remain. Invariant: the group never shrinks below
+// lostMemberTimeoutMs, if enough voters remain. Invariant: it never shrinks the group below
 // the number of voters needed for the machine failures that it must tolerate, so that
-// members that are only down temporarily remain members.
+// members that are only temporarily down remain members.
 func (c *Core) removeLostVoter() {
 	group := c.host.Groups[0]
 	if !c.options.Discovered || !group.IsLeader() || c.nowMs-c.leadingSinceMs < lostMemberTimeoutMs {
--- a/internal/control/heartbeats.go
+++ b/internal/control/heartbeats.go
@@ -24,8 +24,9 @@
 
 const (
 	// minHoldMs is the shortest time for which a gateway's heartbeat is held while nothing has
-	// changed. A gateway that freezes is detected when its next heartbeat is overdue, so on average
-	// callers lose the requests that they send it for half of this time longer.
+	// changed. A frozen gateway is detected when its next heartbeat is overdue, so the hold delays
+	// the detection by half of this time on average. Callers lose the requests that they send to
+	// the gateway meanwhile.
 	minHoldMs = 250
 	// maxHoldExpiriesPerSecond bounds the rate at which held heartbeats of gateways end without any
 	// change, so that their cost to the leader does not grow with the number of gateways.
@@ -58,7 +59,7 @@
 	if request.Gateway != nil {
 		pending.heartbeatNumber = c.fleetTracker.RecordGatewayHeartbeat(request.Gateway.Name, c.nowMs)
 	}
-	c.recordSender(group, request)
+	c.recordReports(group, request)
 	if !request.ConfirmNow && !request.ConfirmLeadership {
 		c.answerOrHoldFleetSync(pending)
 		return
@@ -82,7 +83,7 @@
 // holds any other.
 func (c *Core) answerOrHoldFleetSync(pending pendingFleetSync) {
 	if pending.request.LongPollMs == 0 || c.hasFleetChanges(pending.request) {
-		c.answerFleetSync(pending, c.fleetReply(pending.request))
+		c.answerFleetSync(pending, c.fleetSyncReply(pending.request))
 		return
 	}
 	c.pendingFleetSyncs = append(c.pendingFleetSyncs, pending)
@@ -112,7 +113,7 @@
 			}
 			pending.confirmed = true
 			if pending.request.ConfirmNow {
-				c.answerFleetSync(pending, c.fleetReply(pending.request))
+				c.answerFleetSync(pending, c.fleetSyncReply(pending.request))
 				continue
 			}
 			c.answerOrHoldFleetSync(pending)
@@ -144,8 +145,9 @@
 	return entries <= maxSmallUpdateEntries
 }
 
-// recordSender takes the reports in a heartbeat and replicates what has changed about its sender.
-func (c *Core) recordSender(group *replication.Group, request *protocol.FleetSync) {
+// recordReports records the reports in a heartbeat and replicates what has changed about its
+// sender.
+func (c *Core) recordReports(group *replication.Group, request *protocol.FleetSync) {
 	var update membership.FleetUpdate
 	if gateway := request.Gateway; gateway != nil {
 		// A gateway that has not received an engine's restart yet reports on the previous
@@ -168,7 +170,7 @@
 		c.fleetTracker.RecordLedgerReport(*report, c.nowMs)
 		host := report.Host
 		known, ok := c.system.fleet.Ledger(host.Member)
-		// Invariant: a host retires only on an operator's order. An empty disk at
+		// Invariant: a host retires only at an operator's request. An empty disk at
 		// the same address is a different host.
 		host.Retiring = ok && known.Retiring && known.Replica == host.Replica
 		if !ok || known != host {
@@ -193,12 +195,13 @@
 	if request.WithRouting && table != nil && table.Generation > request.RoutingGeneration {
 		return true
 	}
-	return c.fleetNotifyDue() && c.system.fleet.ChangedSince(request.FleetVersion, scopeOf(request))
+	return c.startNotifyRoundIfDue() && c.system.fleet.ChangedSince(request.FleetVersion, scopeOf(request))
 }
 
-// fleetNotifyDue reports whether changes of the fleet may be sent now, and starts a new round of
-// answers when one is due. Changes that came after the start of a round wait for the next one.
-func (c *Core) fleetNotifyDue() bool {
+// startNotifyRoundIfDue reports whether changes of the fleet may be sent now, and starts a new
+// round of answers when one is due. Changes that came after the start of a round wait for the next
+// one.
+func (c *Core) startNotifyRoundIfDue() bool {
 	if c.notifiedFleetVersion == c.system.fleet.Version() {
 		return true
 	}
@@ -219,7 +222,7 @@
 	return membership.Scope{IncludesEngines: true, Zone: request.Gateway.Zone}
 }
 
-func (c *Core) fleetReply(request *protocol.FleetSync) *protocol.FleetSyncReply {
+func (c *Core) fleetSyncReply(request *protocol.FleetSync) *protocol.FleetSyncReply {
 	reply := &protocol.FleetSyncReply{}
 	if controls := c.memberNames(); protocol.ControlsDigest(controls) != request.ControlsDigest {
 		reply.ControlAddresses = controls
@@ -258,20 +261,22 @@
 			waiting = append(waiting, pending)
 			continue
 		}
-		c.answerFleetSync(pending, c.fleetReply(pending.request))
+		c.answerFleetSync(pending, c.fleetSyncReply(pending.request))
 	}
 	clear(c.pendingFleetSyncs[len(waiting):])
 	c.pendingFleetSyncs = waiting
 }
 
-// expireFleetSyncs answers held heartbeats whose hold time is over.
+// expireFleetSyncs answers the held heartbeats whose hold time is over, and those whose senders lack
+// a change for which a round of answers has become due.
 func (c *Core) expireFleetSyncs() {
 	if len(c.pendingFleetSyncs) > 0 && c.fleetTracker != nil {
 		c.answerFleetSyncs()
 	}
 }
 
-// refuseFleetSyncs refuses all waiting heartbeats because the term of this leader is over.
+// refuseFleetSyncs refuses the held heartbeats and those that wait for a confirmation because the
+// term of this leader is over.
 func (c *Core) refuseFleetSyncs() {
 	leader := c.leaderName(c.host.Groups[0])
 	for _, pending := range slices.Concat(c.pendingFleetSyncs, c.unconfirmedFleetSyncs) {
--- a/internal/control/incarnations_test.go
+++ b/internal/control/incarnations_test.go
@@ -11,17 +11,17 @@
 	"github.com/ochrebay/ochrebay/internal/scheduling"
 )
 
-// orderReply returns the reply to an order, nil if there is none yet.
-func (s *scriptedControl) orderReply(id RequestID) *protocol.FleetReply {
+// fleetRequestReply returns the reply to a fleet request, nil if there is none yet.
+func (s *scriptedControl) fleetRequestReply(id RequestID) *protocol.FleetReply {
 	reply, _ := s.replies[id].(*protocol.FleetReply)
 	return reply
 }
 
-// report sends an engine's report to the leader and returns the reply, once all is committed.
+// report sends an engine's report to the leader and returns the reply once the log is committed.
 func (s *scriptedControl) report(engine membership.ServingEngine) *protocol.FleetReply {
 	id := s.ask(&protocol.FleetRequest{Report: &engine, SupportsIncarnations: true})
 	s.confirm()
-	return s.orderReply(id)
+	return s.fleetRequestReply(id)
 }
 
 func TestEngineRestarts(t *testing.T) {
@@ -55,8 +55,8 @@
 			newerID := s.ask(&protocol.FleetRequest{Report: &third, SupportsIncarnations: true})
 			lateID := s.ask(&protocol.FleetRequest{Report: &lateReport, SupportsIncarnations: true})
 			s.confirm()
-			So(s.orderReply(newerID).Error, ShouldBeNil)
-			So(s.orderReply(lateID).IgnoredReason, ShouldEqual, membership.ReportOutdated.String())
+			So(s.fleetRequestReply(newerID).Error, ShouldBeNil)
+			So(s.fleetRequestReply(lateID).IgnoredReason, ShouldEqual, membership.ReportOutdated.String())
 			current, _ := s.core.Fleet().Engine("e")
 			So(current, ShouldResemble, third)
 		})
@@ -86,7 +86,7 @@
 		s.report(first)
 		leaveID := s.ask(&protocol.FleetRequest{LeaveEngine: "e", LeaveStartedMs: first.StartedMs, SupportsIncarnations: true})
 		s.confirm()
-		So(s.orderReply(leaveID).Error, ShouldBeNil)
+		So(s.fleetRequestReply(leaveID).Error, ShouldBeNil)
 		So(s.report(second).IgnoredReason, ShouldEqual, membership.ReportAwaitsUpgrade.String())
 		for _, member := range []string{"b:1", "c:1"} {
 			s.core.HandlePeerBatch(protocol.PeerBatch{From: member, SupportsIncarnations: true}, s.nowMs)
@@ -97,7 +97,7 @@
 		So(current, ShouldResemble, second)
 		So(s.report(first).IgnoredReason, ShouldEqual, membership.ReportOutdated.String())
 	})
-	Convey("an unknown engine of a backend that the routing table does not name is acknowledged and ignored", t, func() {
+	Convey("a report of an unknown engine is ignored if the routing table does not name its backend", t, func() {
 		s := newLeader()
 		table := &routing.Table{Generation: 1, Backends: []routing.Backend{{Name: "b"}}}
 		s.ask(&protocol.FleetRequest{Routing: table})
--- a/internal/control/leader.go
+++ b/internal/control/leader.go
@@ -10,9 +10,9 @@
 	"github.com/ochrebay/ochrebay/internal/scheduling"
 )
 
-// updateLeaderState drops the leader's soft state when its term is over, and creates it again when
-// this process leads. Invariant: soft state belongs to one term. A leader that lost the leadership
-// and regained it between two ticks has missed what happened in between, as any new leader has.
+// updateLeaderState drops the leader's soft state when its term is over, and creates new state when
+// this process leads. Invariant: soft state does not outlive its term, since a leader that lost the
+// leadership and regained it between two ticks has missed the events in between, like any new leader.
 func (c *Core) updateLeaderState() {
 	node := c.host.Groups[0].Node
 	leads := node.Role() == consensus.Leader
@@ -39,8 +39,8 @@
 	c.fleetUpdatePending = false
 }
 
-// endTerm drops the soft state and redirects the waiting heartbeats to the current leader: they
-// were recorded by the trackers of the term that ended.
+// endTerm drops the soft state and refuses the heartbeats that wait for an answer, naming the
+// current leader: the trackers that recorded them belong to the term that ended.
 func (c *Core) endTerm() {
 	c.schedulerTracker = nil
 	c.permits = nil
@@ -54,7 +54,7 @@
 // tickLeader runs the periodic tasks of group leaders.
 func (c *Core) tickLeader() {
 	c.admitCandidates()
-	c.sweepIdlePrograms()
+	c.sweepPrograms()
 	if c.draining {
 		for _, group := range c.host.Groups {
 			c.transferLeadership(group)
@@ -91,7 +91,7 @@
 	}
 }
 
-// handleApplied answers waiting heartbeats after a change of the settings group.
+// handleApplied answers held heartbeats after a change of the settings group.
 func (c *Core) handleApplied(group *replication.Group) {
 	if group.ID == 0 && c.host.Groups[0].Node.Role() == consensus.Leader {
 		c.answerSyncs(false)
@@ -99,8 +99,9 @@
 	}
 }
 
-// sweepIdlePrograms ends idle programs in the groups that this process leads.
-func (c *Core) sweepIdlePrograms() {
+// sweepPrograms ends idle programs and deletes those past their retention time in the groups that
+// this process leads.
+func (c *Core) sweepPrograms() {
 	if c.nowMs-c.lastSweepMs < sweepIntervalMs {
 		return
 	}
--- a/internal/control/liveness_test.go
+++ b/internal/control/liveness_test.go
@@ -71,10 +71,9 @@
 	return names
 }
 
-// TestFrozenGatewayLeavesTheDirectory checks that a frozen gateway is removed from the
-// directory for callers, and that the leader does not count a pause of its own process as
-// silence of the gateways.
-func TestFrozenGatewayLeavesTheDirectory(t *testing.T) {
+// TestFrozenGatewayLeavesTheFleet checks that a frozen gateway is removed from the fleet, and that
+// the leader does not count a pause of its own process as silence of the gateways.
+func TestFrozenGatewayLeavesTheFleet(t *testing.T) {
 	Convey("with gateways that send heartbeats to the leader", t, func() {
 		transport := &encodingTransport{t: t}
 		h := &heartbeatDriver{core: leadingCore(t, transport), senders: map[RequestID]string{}, frozen: map[string]bool{}, holdMs: testHoldMs}
@@ -125,14 +124,14 @@
 		h.advance(t, minHoldMs+gatewayRepollTimeoutMs+fleetPlanIntervalMs+4*h.core.options.TickMs, h.core.options.TickMs)
 		So(h.listedGateways(), ShouldHaveLength, 19)
 	})
-	Convey("a gateway that received a small update is removed sooner than one that received a large one", t, func() {
+	Convey("a frozen gateway that received a small update is removed within the shorter timeout, and large updates do not count as small", t, func() {
 		h := newDriver(20)
 		tickMs := h.core.options.TickMs
 		h.frozen["gateway-7"] = true
 		const reportID = 1 << 40
 		report := &membership.ServingEngine{ID: "e", Backend: "b", Address: "e", Slots: 8, Sequence: 1}
 		h.core.HandleRequest(reportID, &protocol.FleetRequest{Report: report}, h.nowMs)
-		h.advance(t, fleetNotifyIntervalMs+gatewaySmallDeltaRepollTimeoutMs+fleetPlanIntervalMs+4*tickMs, tickMs)
+		h.advance(t, fleetNotifyIntervalMs+gatewaySmallUpdateRepollTimeoutMs+fleetPlanIntervalMs+4*tickMs, tickMs)
 		So(h.listedGateways(), ShouldHaveLength, 19)
 		replyWithEngines := func(engines int) *protocol.FleetSyncReply {
 			return &protocol.FleetSyncReply{Fleet: protocol.NewShared(membership.FleetDelta{Engines: make([]membership.ServingEngine, engines)})}
@@ -147,7 +146,7 @@
 		h.advance(t, 2*longHoldMs, h.core.options.TickMs)
 		So(h.replyCount-before, ShouldBeLessThanOrEqualTo, 2*800)
 	})
-	Convey("an intermediate number of gateways is limited to the rate of hold expiries", t, func() {
+	Convey("the heartbeats of an intermediate number of gateways stay near the maximum rate of hold expiries", t, func() {
 		h := newDriver(150)
 		before := h.replyCount
 		h.advance(t, 2000, h.core.options.TickMs)
--- a/internal/control/news.go
+++ b/internal/control/news.go
@@ -9,16 +9,17 @@
 )
 
 // loadsMaxAgeMs is how old the aggregates of the gateways' reports may be, in milliseconds: a
-// tenth of the time between two answers to one gateway. Computing them takes a number of steps
-// proportional to the pairs of gateway and engine.
+// tenth of the time between two answers to one gateway. The cost of computing them grows with the
+// number of pairs of gateway and engine.
 const loadsMaxAgeMs = 70
 
-// deltaCache holds the content of heartbeat answers by the version that their senders had: after a
-// change, or when all processes reconnect at once, hundreds of them need the same content.
+// deltaCache caches the content of heartbeat answers by the version that the sender of the heartbeat
+// has: after a change, or when all processes reconnect at once, hundreds of senders need the same
+// content.
 type deltaCache struct {
 	fleet   map[membership.Scope]*versionedDeltas[membership.FleetDelta]
 	routing versionedDeltas[routing.Delta]
-	// loads holds the load aggregates last sent to gateways, by their scope.
+	// loads holds the load aggregates last sent to gateways, by the gateways' scope.
 	loads map[membership.Scope]loadAggregates
 	// usage is the tenant usage last sent to gateways, aggregated by usageAggregator at usageVersion.
 	usage           *protocol.Shared[[]admission.BackendUsage]
@@ -40,8 +41,8 @@
 	since   map[uint64]*protocol.Shared[T]
 }
 
-// get returns the delta from one version to another, and builds it on the first request.
-// Invariant: no delta to a version other than the current one is kept.
+// get returns the delta from one version to the current one, and builds it on the first request. A
+// new current version discards the deltas to the previous one.
 func (d *versionedDeltas[T]) get(version, from uint64, build func() T) *protocol.Shared[T] {
 	if d.since == nil || d.version != version {
 		d.version = version
@@ -76,7 +77,8 @@
 }
 
 // loadsFor returns the recent reports of all gateways, aggregated for the engines that are
-// advertised to a scope. Its size does not grow with the number of engines in the fleet.
+// advertised to a scope. The size of the result does not grow with the number of engines in the
+// fleet.
 func (c *deltaCache) loadsFor(aggregator *scheduling.LoadAggregator, fleet *membership.Fleet, scope membership.Scope, nowMs int64) loadAggregates {
 	cached, found := c.loads[scope]
 	if found && nowMs-cached.atMs < loadsMaxAgeMs && nowMs >= cached.atMs {
--- a/internal/control/news_test.go
+++ b/internal/control/news_test.go
@@ -11,9 +11,10 @@
 	"github.com/ochrebay/ochrebay/internal/scheduling"
 )
 
-// TestDeltaCache checks that a cached answer is never older than the state in force.
+// TestDeltaCache checks that cached content is shared, that fleet and routing deltas are never older
+// than the state in force, and that load aggregates are no older than loadsMaxAgeMs.
 func TestDeltaCache(t *testing.T) {
-	Convey("content of heartbeat answers is shared until something changes", t, func() {
+	Convey("content of heartbeat answers is shared while it is current", t, func() {
 		var deltas deltaCache
 		Convey("fleet deltas are shared by the version that the sender has", func() {
 			fleet := membership.NewFleet()
--- a/internal/control/proof_test.go
+++ b/internal/control/proof_test.go
@@ -73,7 +73,7 @@
 		options := DefaultOptions(member.name, members, 0)
 		options.Discovered = true
 		options.MinVoters = 3
-		options.Fleet = membership.FleetOptions{EngineTimeoutMs: engineTimeoutMs, GatewayTimeoutMs: gatewayTimeoutMs, GatewayRepollTimeoutMs: gatewayRepollTimeoutMs, GatewaySmallUpdateRepollTimeoutMs: gatewaySmallDeltaRepollTimeoutMs, LedgerTimeoutMs: ledgerTimeoutMs, LedgerRetentionMs: ledgerRetentionMs, InitialPlacementDelayMs: initialPlacementDelayMs}
+		options.Fleet = membership.FleetOptions{EngineTimeoutMs: engineTimeoutMs, GatewayTimeoutMs: gatewayTimeoutMs, GatewayRepollTimeoutMs: gatewayRepollTimeoutMs, GatewaySmallUpdateRepollTimeoutMs: gatewaySmallUpdateRepollTimeoutMs, LedgerTimeoutMs: ledgerTimeoutMs, LedgerRetentionMs: ledgerRetentionMs, InitialPlacementDelayMs: initialPlacementDelayMs}
 		core, err := NewCore(options, member.store, member, c.nowMs)
 		if err != nil {
 			t.Fatal(err)
@@ -189,8 +189,8 @@
 	}
 }
 
-// TestConfirmations checks, with knowledge of every acknowledgement, that no process confirms a
-// routing table that has been superseded, even if leaders are partitioned, paused and replaced.
+// TestConfirmations records every acknowledgement of a routing table and checks that no process
+// confirms an older table, even if leaders are partitioned, paused and replaced.
 func TestConfirmations(t *testing.T) {
 	confirmations, refused := 0, 0
 	for seed := range uint64(60) {
--- a/internal/control/reads.go
+++ b/internal/control/reads.go
@@ -31,7 +31,7 @@
 	Changes  []settings.AcceptedChange `json:"changes"`
 }
 
-// DaemonView describes one daemon from the view of the settings group's leader.
+// DaemonView describes one daemon as the leader of the settings group sees it.
 type DaemonView struct {
 	Name     string `json:"name"`
 	Role     string `json:"role"`
@@ -41,13 +41,13 @@
 	Revision uint64 `json:"revision"`
 	Detail   string `json:"detail"`
 	// Sidecars and SidecarRevision describe the sidecars of a scheduler, and Lagging
-	// names some whose settings are out of date.
+	// names some of those whose settings are out of date.
 	Sidecars        int      `json:"sidecars,omitempty"`
 	SidecarRevision uint64   `json:"sidecar_revision,omitempty"`
 	Lagging         []string `json:"lagging,omitempty"`
 }
 
-// GroupView describes one replication group from the view of this process.
+// GroupView describes one replication group as this process sees it.
 type GroupView struct {
 	Group     uint32              `json:"group"`
 	Leader    string              `json:"leader"`
@@ -142,6 +142,7 @@
 	if request.Topic == protocol.ReadPrograms {
 		return c.programsView(group, request.Limit), nil
 	}
+	// A limit above 0 in a request for one program asks for its turn records.
 	return c.programView(group, request.Program, request.Limit > 0)
 }
 
--- a/internal/control/reports_test.go
+++ b/internal/control/reports_test.go
@@ -11,7 +11,7 @@
 	"github.com/ochrebay/ochrebay/internal/result"
 )
 
-// reportTo sends an engine's report to a process; onReply gets the failure, nil for none.
+// reportTo sends an engine's report to a process; onReply receives the error of the reply or nil.
 func (c *testCluster) reportTo(member *testMember, engine membership.ServingEngine, onReply func(failure *result.Error)) {
 	member.ask(&protocol.FleetRequest{Report: &engine}, func(reply any) { onReply(reply.(*protocol.FleetReply).Error) })
 }
@@ -70,7 +70,7 @@
 			_, inFleet := c.leader().core.Fleet().Engine(testEngine(engines-1, 0).ID)
 			So(inFleet, ShouldBeFalse)
 		})
-		Convey("only the leader acknowledges that an engine drains, once the change is committed", func() {
+		Convey("only the leader acknowledges that an engine drains, and the fleet then holds the change", func() {
 			draining := testEngine(0, 20)
 			draining.Draining = true
 			for _, member := range c.members {
@@ -96,7 +96,7 @@
 }
 
 // TestEngineReportsThroughFaults checks that an engine whose reports are all acknowledged by some
-// process never counts as lost, whichever processes are partitioned or paused.
+// process never counts as lost, whichever process is partitioned or paused.
 func TestEngineReportsThroughFaults(t *testing.T) {
 	const engines, reportIntervalMs = 10, 2500
 	acknowledged, refused := 0, 0
--- a/internal/control/requests.go
+++ b/internal/control/requests.go
@@ -20,7 +20,7 @@
 	case *protocol.SyncRequest:
 		c.handleSyncRequest(id, typed)
 	case *protocol.EndedProgramsRequest:
-		c.handleReleasedRequest(id, typed)
+		c.handleEndedProgramsRequest(id, typed)
 	case *protocol.PermitRequest:
 		c.handlePermitRequest(id, typed)
 	case *protocol.SettingsRequest:
@@ -28,7 +28,7 @@
 	case *protocol.ReadRequest:
 		c.handleReadRequest(id, typed)
 	case *protocol.FleetRequest:
-		c.handleFleetOrder(id, typed)
+		c.handleFleetRequest(id, typed)
 	case *protocol.FleetSync:
 		c.handleFleetSync(id, typed)
 	}
@@ -80,6 +80,9 @@
 	c.transport.Reply(id, answer)
 }
 
+// recordsForGrant returns the turn records for the reply to a Begin command: the history after the
+// last turn that the scheduler has cached or, if the command had been completed before, the record
+// of its turn.
 func (c *Core) recordsForGrant(group *replication.Group, request *protocol.LedgerRequest, reply program.Reply) ([][]byte, error) {
 	name := request.Command.Begin.Program
 	if reply.ClosedTurn > 0 {
@@ -95,7 +98,7 @@
 	return c.host.Records(group, name, request.CachedTurn)
 }
 
-func (c *Core) handleReleasedRequest(id RequestID, request *protocol.EndedProgramsRequest) {
+func (c *Core) handleEndedProgramsRequest(id RequestID, request *protocol.EndedProgramsRequest) {
 	group, leader, failure := c.ledGroup(request.Group)
 	if failure != nil {
 		c.transport.Reply(id, &protocol.EndedProgramsReply{Error: failure, Leader: leader})
--- a/internal/control/restart_bench_test.go
+++ b/internal/control/restart_bench_test.go
@@ -13,7 +13,7 @@
 	benchGateways = 259
 	benchEngines  = 140
 	benchRoutes   = 50
-	// benchBatch is how many requests the event loop handles between two flushes.
+	// benchBatch is the number of requests that the core handles between two flushes.
 	benchBatch = 16
 )
 
--- a/internal/control/servingengines.go
+++ b/internal/control/servingengines.go
@@ -8,14 +8,14 @@
 type ServingView struct {
 	membership.ServingEngine
 	// InFlight is the number of requests that all gateways have in flight at the engine, and
-	// HeldTokens the KV cache tokens reserved for them, both as means since the gateways' last
-	// reports.
+	// ReservedKVCacheTokens the number of KV cache tokens reserved for them, both as means since
+	// the gateways' last reports.
 	InFlight              float64 `json:"in_flight"`
 	ReservedKVCacheTokens float64 `json:"held_tokens"`
-	// Slowdown is the engine's slowdown: its time per token relative to the usual engine of its
+	// Slowdown is the engine's time per token as a multiple of the time at the usual engine of its
 	// backend, 0 if its streams have given no recent samples.
 	Slowdown float64 `json:"slowness,omitempty"`
-	// Advertised says that the engine is announced to gateways.
+	// Advertised says that the engine is advertised to the gateways of at least one zone.
 	Advertised bool `json:"advertised"`
 	// AvoidReason says why gateways send the engine no new work; empty if they do.
 	AvoidReason string `json:"avoided,omitempty"`
--- a/internal/control/servingengines_test.go
+++ b/internal/control/servingengines_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestServingViews(t *testing.T) {
-	Convey("a view shows an engine's slowness, the tokens it holds and why it is avoided", t, func() {
+	Convey("a view shows an engine's requests in flight, reserved tokens and slowdown, and why it is avoided", t, func() {
 		core := &Core{loadAggregator: scheduling.NewLoadAggregator(), system: newSystemStateMachine(Options{}), nowMs: 1000}
 		core.system.fleet.Apply(membership.FleetUpdate{
 			PutGateways: []membership.Gateway{{Name: "g1", Zone: "z"}, {Name: "g2", Zone: "z"}},
--- a/internal/control/stand_test.go
+++ b/internal/control/stand_test.go
@@ -37,7 +37,7 @@
 	options := DefaultOptions("a:1", []Member{{Name: "a:1", Address: "a:1"}}, 0)
 	options.Discovered = true
 	options.MinVoters = 1
-	options.Fleet = membership.FleetOptions{EngineTimeoutMs: engineTimeoutMs, GatewayTimeoutMs: gatewayTimeoutMs, GatewayRepollTimeoutMs: gatewayRepollTimeoutMs, GatewaySmallUpdateRepollTimeoutMs: gatewaySmallDeltaRepollTimeoutMs, LedgerTimeoutMs: ledgerTimeoutMs, LedgerRetentionMs: ledgerRetentionMs, InitialPlacementDelayMs: initialPlacementDelayMs}
+	options.Fleet = membership.FleetOptions{EngineTimeoutMs: engineTimeoutMs, GatewayTimeoutMs: gatewayTimeoutMs, GatewayRepollTimeoutMs: gatewayRepollTimeoutMs, GatewaySmallUpdateRepollTimeoutMs: gatewaySmallUpdateRepollTimeoutMs, LedgerTimeoutMs: ledgerTimeoutMs, LedgerRetentionMs: ledgerRetentionMs, InitialPlacementDelayMs: initialPlacementDelayMs}
 	configuration := consensus.Configuration{Replicas: []consensus.Replica{{ID: store.Replica(), Member: "a:1"}}}
 	if err := store.SetBootstrap(configuration); err != nil {
 		test.Fatal(err)
--- a/internal/control/terms_test.go
+++ b/internal/control/terms_test.go
@@ -77,8 +77,8 @@
 	flush(s.t, s.core)
 }
 
-// becomeLeader transfers leadership to the process, and loseLeadership takes it away; neither
-// needs a tick.
+// becomeLeader has peers B and C transfer the leadership to the process. It needs no tick, and
+// neither does loseLeadership, which has peer B announce a later term.
 func (s *scriptedControl) becomeLeader() {
 	s.sendFromPeer(peerB, consensus.Message{Kind: consensus.MessageTimeoutNow, Term: s.node().Term()})
 	s.sendFromPeer(peerC, consensus.Message{Kind: consensus.MessageVoteResponse, Term: s.node().Term()})
@@ -116,14 +116,14 @@
 	return s.lastRequest
 }
 
-func (s *scriptedControl) fleetReply(id RequestID) *protocol.FleetSyncReply {
+func (s *scriptedControl) fleetSyncReply(id RequestID) *protocol.FleetSyncReply {
 	reply, _ := s.replies[id].(*protocol.FleetSyncReply)
 	return reply
 }
 
 // isRefused reports whether a heartbeat was refused because this process does not lead.
 func (s *scriptedControl) isRefused(id RequestID) bool {
-	reply := s.fleetReply(id)
+	reply := s.fleetSyncReply(id)
 	return reply != nil && reply.Error != nil && reply.Error.Code == result.NotLeader
 }
 
@@ -143,12 +143,12 @@
 		s.confirm()
 		return s
 	}
-	Convey("heartbeats that request a confirmation are refused with the end of the term, and those of the next term are confirmed", t, func() {
+	Convey("heartbeats that request a confirmation are refused when the term ends, and those of the next term are confirmed", t, func() {
 		s := newLeader()
 		first := s.ask(confirmationRequest("g1", 0))
 		second := s.ask(confirmationRequest("g2", 0))
 		flush(t, s.core)
-		So(s.fleetReply(first), ShouldBeNil)
+		So(s.fleetSyncReply(first), ShouldBeNil)
 		s.loseLeadership()
 		s.becomeLeader()
 		flush(t, s.core)
@@ -156,18 +156,18 @@
 		So(s.isRefused(second), ShouldBeTrue)
 		afterTerm := s.ask(confirmationRequest("g1", 0))
 		s.confirm()
-		So(s.fleetReply(afterTerm), ShouldNotBeNil)
-		So(s.fleetReply(afterTerm).Error, ShouldBeNil)
-		So(s.fleetReply(afterTerm).IsConfirmed, ShouldBeTrue)
+		So(s.fleetSyncReply(afterTerm), ShouldNotBeNil)
+		So(s.fleetSyncReply(afterTerm).Error, ShouldBeNil)
+		So(s.fleetSyncReply(afterTerm).IsConfirmed, ShouldBeTrue)
 	})
-	Convey("held heartbeats are refused with the end of the term", t, func() {
+	Convey("held heartbeats are refused when the term ends", t, func() {
 		s := newLeader()
 		held := s.ask(confirmationRequest("g1", 700))
 		s.confirm()
 		unconfirmed := s.ask(&protocol.FleetSync{Gateway: &membership.Gateway{Name: "g2", IsReady: true}, FleetVersion: s.core.system.fleet.Version(), LongPollMs: 700})
 		flush(t, s.core)
-		So(s.fleetReply(held), ShouldBeNil)
-		So(s.fleetReply(unconfirmed), ShouldBeNil)
+		So(s.fleetSyncReply(held), ShouldBeNil)
+		So(s.fleetSyncReply(unconfirmed), ShouldBeNil)
 		s.loseLeadership()
 		So(s.isRefused(held), ShouldBeTrue)
 		So(s.isRefused(unconfirmed), ShouldBeTrue)
--- a/internal/control/web.go
+++ b/internal/control/web.go
@@ -93,12 +93,13 @@
 }
 
 // askLeader sends a request to this process's core, and to the leader if that is
-// another process.
+// another process, within requestTimeout.
 func (d *Daemon) askLeader(kind protocol.Kind, request any, newReply func() any, errorOf func(any) (*result.Error, string)) any {
 	return d.askLeaderWithin(requestTimeout, kind, request, newReply, errorOf)
 }
 
-// askLeaderWithin is askLeader with a time limit. It returns nil if no process answered.
+// askLeaderWithin is askLeader with a given timeout. While no leader answers, it retries after
+// retryInterval. It returns nil if no process answered, the local one included.
 func (d *Daemon) askLeaderWithin(timeout time.Duration, kind protocol.Kind, request any, newReply func() any, errorOf func(any) (*result.Error, string)) any {
 	deadline := time.Now().Add(timeout)
 	var lastReply any
