--- a/cmd/ochrebay/simulate.go
+++ b/cmd/ochrebay/simulate.go
@@ -83,12 +83,12 @@
 		shrunk := simulation.Shrink(deployment, failed, options)
 		violation := shrunk.Violations[0]
 		fmt.Printf("violation of %s, seed %d, at %d ms: %s\n", violation.Invariant, shrunk.Seed, violation.AtMs, violation.Detail)
-		for _, fault := range shrunk.Applied {
+		for _, fault := range shrunk.FaultSchedule {
 			fmt.Printf("  needs: %s\n", fault)
 		}
 	}
 	fmt.Printf("programs: %d completed, %d rejected or not completed; %d messages; %d s of virtual time; digest %016x\n",
-		summary.Answered, summary.Refused, summary.Messages, summary.VirtualMs/1000, summary.Digest)
+		summary.Completed, summary.NotCompleted, summary.Messages, summary.VirtualMs/1000, summary.Digest)
 	fmt.Println(summary)
 }
 
@@ -111,7 +111,7 @@
 func simulationOptions(faults, disable string) (simulation.Options, error) {
 	var options simulation.Options
 	if faults != "" {
-		options.Faults = []string{}
+		options.FaultKinds = []string{}
 	}
 	for _, kind := range strings.FieldsFunc(faults, isComma) {
 		if kind == "none" {
@@ -120,13 +120,13 @@
 		if !slices.Contains(simulation.FaultKinds(), kind) {
 			return options, fmt.Errorf("--faults: unknown kind %q", kind)
 		}
-		options.Faults = append(options.Faults, kind)
+		options.FaultKinds = append(options.FaultKinds, kind)
 	}
 	for _, mechanism := range strings.FieldsFunc(disable, isComma) {
 		if _, ok := simulation.Mechanisms[mechanism]; !ok {
 			return options, fmt.Errorf("--disable: unknown mechanism %q", mechanism)
 		}
-		options.Disable = append(options.Disable, mechanism)
+		options.DisabledMechanisms = append(options.DisabledMechanisms, mechanism)
 	}
 	return options, nil
 }
@@ -156,13 +156,13 @@
 		if err != nil {
 			return settingsError{err}
 		}
-		options.Story = true
+		options.RecordTrace = true
 		outcome := simulation.Run(loaded, *seed, options)
-		for _, line := range outcome.Story {
+		for _, line := range outcome.Trace {
 			fmt.Println(line)
 		}
 		fmt.Printf("replay: seed %d, digest %016x, %d events, %d faults, %d violations\n",
-			outcome.Seed, outcome.Digest, outcome.Events, outcome.Faults, len(outcome.Violations))
+			outcome.Seed, outcome.Digest, outcome.Events, outcome.AppliedFaults, len(outcome.Violations))
 		return nil
 	}
 }
--- a/internal/simulation/aimed.go
+++ b/internal/simulation/aimed.go
@@ -7,85 +7,85 @@
 // the old leader's end.
 
 const (
-	aimEveryUs     = 5_000
-	aimPatienceUs  = 2_000_000
-	zombiePatience = 9_000_000
-	splitChangeUs  = 1_000_000
-	splitRestartUs = 1_300_000
-	splitForUs     = 3_500_000
-	cellDownUs     = 6_000_000
+	triggerCheckIntervalUs = 5_000
+	triggerTimeoutUs       = 2_000_000
+	zombieTimeoutUs        = 9_000_000
+	splitChangeDelayUs     = 1_000_000
+	splitRestartDelayUs    = 1_300_000
+	splitDurationUs        = 3_500_000
+	cellOutageUs           = 6_000_000
 )
 
-// when runs something as soon as a condition holds, or else at the end of a time.
-func (w *world) when(patienceUs int64, condition func() bool, run func(met bool)) {
-	until := w.nowUs + patienceUs
-	var look func()
-	look = func() {
-		met := condition()
-		if met || w.nowUs >= until || w.calm {
-			run(met)
+// runWhen runs something as soon as a condition holds, or else at the end of a time.
+func (w *world) runWhen(patienceUs int64, condition func() bool, run func(met bool)) {
+	deadlineUs := w.nowUs + patienceUs
+	var check func()
+	check = func() {
+		isMet := condition()
+		if isMet || w.nowUs >= deadlineUs || w.haveFaultsEnded {
+			run(isMet)
 			return
 		}
-		w.after(aimEveryUs, "aim", look)
+		w.after(triggerCheckIntervalUs, "aim", check)
 	}
-	look()
+	check()
 }
 
-func (w *world) applyAimed(fault Fault) {
+func (w *world) applyTriggeredFault(fault Fault) {
 	forUs := fault.ForMs * microsPerMilli
 	switch fault.Kind {
 	case "engine-busy":
-		node := w.engine(fault.Target)
-		w.when(aimPatienceUs, func() bool { return node.alive && len(node.runs) > 0 }, func(met bool) {
+		node := w.engineByName(fault.Target)
+		w.runWhen(triggerTimeoutUs, func() bool { return node.isAlive && len(node.jobs) > 0 }, func(met bool) {
 			if met {
-				w.fell(node.process, forUs)
+				w.killFor(node.process, forUs)
 			}
 		})
 	case "scheduler-busy":
-		node := w.scheduler(fault.Target)
-		w.when(aimPatienceUs, func() bool { return node.busy() }, func(met bool) {
+		node := w.schedulerByName(fault.Target)
+		w.runWhen(triggerTimeoutUs, func() bool { return node.hasRunningAttempt() }, func(met bool) {
 			if met {
-				w.fell(node.process, forUs)
+				w.killFor(node.process, forUs)
 			}
 		})
 	case "cell-busy":
-		w.fellCell(w.scheduler(fault.Target))
+		w.killCell(w.schedulerByName(fault.Target))
 	case "zombie":
-		w.makeZombie(w.scheduler(fault.Target))
+		w.makeZombie(w.schedulerByName(fault.Target))
 	case "split":
-		w.splitLeader()
+		w.partitionLeader()
 	case "stale-feed":
-		w.staleFeed(w.scheduler(fault.Target))
+		w.createStaleSettings(w.schedulerByName(fault.Target))
 	}
 }
 
-func (w *world) fell(p *process, forUs int64) {
-	if w.calm {
+func (w *world) killFor(p *process, forUs int64) {
+	if w.haveFaultsEnded {
 		return
 	}
-	w.tell("%s is killed at work", p.name)
+	w.tracef("%s is killed at work", p.name)
 	p.kill(false)
 	w.after(forUs, "fault ends", p.restart)
 }
 
-// busy reports whether an engine has started a call for the scheduler.
-func (n *schedulerNode) busy() bool {
-	if !n.alive {
+// hasRunningAttempt reports whether an engine has started a call for the scheduler.
+func (n *schedulerNode) hasRunningAttempt() bool {
+	if !n.isAlive {
 		return false
 	}
 	for _, run := range n.attempts {
-		if run.job != "" {
+		if run.jobID != "" {
 			return true
 		}
 	}
 	return false
 }
 
-// fellCell kills a scheduler at work and every engine of the pool it works with:
+// killCell kills a scheduler at work and every engine of the pool it works with:
 // whoever takes the call over has nothing to run it on.
-func (w *world) fellCell(node *schedulerNode) {
-	w.when(aimPatienceUs, node.busy, func(met bool) {
-		if !met || w.calm {
+func (w *world) killCell(node *schedulerNode) {
+	w.runWhen(triggerTimeoutUs, node.hasRunningAttempt, func(met bool) {
+		if !met || w.haveFaultsEnded {
 			return
 		}
 		pools := map[string]bool{}
@@ -96,66 +96,66 @@
 		}
 		for _, other := range w.engines {
 			if pools[other.pool] {
-				w.fell(other.process, cellDownUs)
+				w.killFor(other.process, cellOutageUs)
 			}
 		}
-		w.fell(node.process, cellDownUs)
+		w.killFor(node.process, cellOutageUs)
 	})
 }
 
 // makeZombie freezes a scheduler at work until a later call of the same program
 // runs for another scheduler, and lets it go on then.
 func (w *world) makeZombie(node *schedulerNode) {
-	w.when(aimPatienceUs, node.busy, func(met bool) {
-		if !met || w.calm {
+	w.runWhen(triggerTimeoutUs, node.hasRunningAttempt, func(met bool) {
+		if !met || w.haveFaultsEnded {
 			return
 		}
-		requests := map[string]string{}
+		requestByProgram := map[string]string{}
 		for _, run := range node.attempts {
 			if run.engine != nil {
-				if current, ok := run.engine.runs[run.job]; ok {
-					requests[current.program] = current.request
+				if current, ok := run.engine.jobs[run.jobID]; ok {
+					requestByProgram[current.program] = current.request
 				}
 			}
 		}
-		w.tell("%s freezes at work", node.name)
+		w.tracef("%s freezes at work", node.name)
 		node.freeze()
-		later := func() bool {
+		hasLaterAttempt := func() bool {
 			for _, e := range w.engines {
-				for _, current := range e.runs {
-					request, ok := requests[current.program]
-					if ok && request != current.request && current.run.scheduler != node {
+				for _, current := range e.jobs {
+					request, ok := requestByProgram[current.program]
+					if ok && request != current.request && current.attempt.scheduler != node {
 						return true
 					}
 				}
 			}
 			return false
 		}
-		w.when(zombiePatience, later, func(met bool) {
-			w.tell("%s thaws (a later call runs elsewhere: %t)", node.name, met)
+		w.runWhen(zombieTimeoutUs, hasLaterAttempt, func(met bool) {
+			w.tracef("%s thaws (a later call runs elsewhere: %t)", node.name, met)
 			node.thaw()
 		})
 	})
 }
 
-// splitLeader cuts the leader of the settings off from the other control
+// partitionLeader cuts the leader of the settings off from the other control
 // processes only, changes a setting at the other side, and restarts the
 // schedulers, which may ask either side.
-func (w *world) splitLeader() {
-	leader := w.leaderOf(0)
+func (w *world) partitionLeader() {
+	leader := w.leaderOfGroup(0)
 	for _, node := range w.controls {
 		if node.process != leader {
 			w.network.cut(leader, node.process)
 			w.network.cut(node.process, leader)
 		}
 	}
-	w.after(splitChangeUs, "split", func() { w.operators[0].set(probePaths[1], nil) })
-	w.after(splitRestartUs, "split", func() {
+	w.after(splitChangeDelayUs, "split", func() { w.operators[0].changeProbe(probePaths[1], nil) })
+	w.after(splitRestartDelayUs, "split", func() {
 		for _, node := range w.schedulers {
-			w.fell(node.process, splitRestartUs/8)
+			w.killFor(node.process, splitRestartDelayUs/8)
 		}
 	})
-	w.after(splitForUs, "fault ends", func() {
+	w.after(splitDurationUs, "fault ends", func() {
 		for _, node := range w.controls {
 			if node.process != leader {
 				w.network.heal(leader, node.process)
@@ -165,12 +165,12 @@
 	})
 }
 
-// staleFeed leaves one scheduler in touch with control, changes a setting and then
+// createStaleSettings leaves one scheduler in touch with control, changes a setting and then
 // kills that one: sidecars turn to schedulers that have not heard of the change.
-func (w *world) staleFeed(informed *schedulerNode) {
+func (w *world) createStaleSettings(connected *schedulerNode) {
 	var heal []func()
 	for _, node := range w.schedulers {
-		if node == informed {
+		if node == connected {
 			continue
 		}
 		for _, member := range w.controls {
@@ -182,25 +182,25 @@
 			})
 		}
 	}
-	w.after(splitChangeUs/4, "stale", func() { w.operators[0].set(probePaths[1], nil) })
-	w.after(splitChangeUs, "stale", func() { w.fell(informed.process, splitChangeUs) })
-	w.after(splitForUs, "fault ends", func() {
+	w.after(splitChangeDelayUs/4, "stale", func() { w.operators[0].changeProbe(probePaths[1], nil) })
+	w.after(splitChangeDelayUs, "stale", func() { w.killFor(connected.process, splitChangeDelayUs) })
+	w.after(splitDurationUs, "fault ends", func() {
 		for _, run := range heal {
 			run()
 		}
 	})
 }
 
-// checkOrder sees to it that a scheduler never has two calls of one program on
+// checkTurnOrder sees to it that a scheduler never has two calls of one program on
 // engines at a time.
-func (c *checks) checkOrder(started *engineRun, request engine.CompletionRequest) {
+func (c *checks) checkTurnOrder(started *engineAttempt, request engine.CompletionRequest) {
 	for _, node := range c.world.engines {
-		for _, other := range node.runs {
-			if other.program != request.User || other.request == request.RequestID || other.run.stopped {
+		for _, other := range node.jobs {
+			if other.program != request.User || other.request == request.RequestID || other.attempt.isStopped {
 				continue
 			}
-			if other.run.scheduler == started.scheduler && other.run.life == started.life {
-				c.violate(invariantOrder, "requests %s and %s of program %s run at the same time", other.request, request.RequestID, request.User)
+			if other.attempt.scheduler == started.scheduler && other.attempt.schedulerIncarnation == started.schedulerIncarnation {
+				c.reportViolation(invariantOrder, "requests %s and %s of program %s run at the same time", other.request, request.RequestID, request.User)
 			}
 		}
 	}
--- a/internal/simulation/checks.go
+++ b/internal/simulation/checks.go
@@ -10,17 +10,17 @@
 
 // The invariants, by the numbers of the brief's list.
 const (
-	invariantOrder    = "1-order"
-	invariantHistory  = "2-history"
-	invariantBudget   = "3-budget"
-	invariantMemory   = "4-memory"
-	invariantAnswer   = "5-answer"
-	invariantNotRun   = "6-not-run"
-	invariantOnce     = "7-once"
-	invariantLeaving  = "8-leaving"
-	invariantPlanned  = "9-planned-stop"
-	invariantSettings = "10-settings"
-	invariantProgress = "progress"
+	invariantOrder       = "1-order"
+	invariantHistory     = "2-history"
+	invariantBudget      = "3-budget"
+	invariantMemory      = "4-memory"
+	invariantAnswer      = "5-answer"
+	invariantNotRun      = "6-not-run"
+	invariantOnce        = "7-once"
+	invariantLeaving     = "8-leaving"
+	invariantPlannedStop = "9-planned-stop"
+	invariantSettings    = "10-settings"
+	invariantProgress    = "progress"
 )
 
 // Violation is an invariant seen broken.
@@ -34,27 +34,27 @@
 type checks struct {
 	world      *world
 	violations []Violation
-	// starts counts how often an engine started each request; once names those
+	// startsByRequest counts how often an engine started each request; once names those
 	// that may not be repeated.
-	starts map[string]int
-	once   map[string]bool
-	// output counts the tokens that engines generated for each program, and runs
+	startsByRequest map[string]int
+	atMostOnce      map[string]bool
+	// generatedTokens counts the tokens that engines generated for each program, and runs
 	// the times that an engine started a call of it.
-	output   map[string]int64
-	runs     map[string]int64
-	answers  map[string]int64
-	budgets  map[string]int64
-	notRun   map[string]bool
-	leftAtUs map[string]int64
+	generatedTokens  map[string]int64
+	startsByProgram  map[string]int64
+	answersByProgram map[string]int64
+	budgets          map[string]int64
+	reportedNotRun   map[string]bool
+	leavingSinceUs   map[string]int64
 
-	values    int64
-	revisions map[int64]uint64
-	byPath    map[string][]acceptedChange
-	newest    uint64
-	atStart   map[string]uint64
-	synced    map[string]bool
-	inForce   map[string]uint64
-	lives     map[string]int
+	probeValues         int64
+	revisionByValue     map[int64]uint64
+	acceptedByPath      map[string][]acceptedChange
+	newestRevision      uint64
+	revisionAtStart     map[string]uint64
+	hasSynced           map[string]bool
+	observedRevision    map[string]uint64
+	observedIncarnation map[string]int
 }
 
 type acceptedChange struct {
@@ -65,101 +65,103 @@
 
 func newChecks(w *world) *checks {
 	return &checks{
-		world: w, starts: map[string]int{}, once: map[string]bool{}, output: map[string]int64{}, runs: map[string]int64{},
-		answers: map[string]int64{}, budgets: map[string]int64{}, notRun: map[string]bool{}, leftAtUs: map[string]int64{},
-		revisions: map[int64]uint64{}, byPath: map[string][]acceptedChange{}, atStart: map[string]uint64{},
-		synced: map[string]bool{}, inForce: map[string]uint64{}, lives: map[string]int{},
+		world: w, startsByRequest: map[string]int{}, atMostOnce: map[string]bool{}, generatedTokens: map[string]int64{}, startsByProgram: map[string]int64{},
+		answersByProgram: map[string]int64{}, budgets: map[string]int64{}, reportedNotRun: map[string]bool{}, leavingSinceUs: map[string]int64{},
+		revisionByValue: map[int64]uint64{}, acceptedByPath: map[string][]acceptedChange{}, revisionAtStart: map[string]uint64{},
+		hasSynced: map[string]bool{}, observedRevision: map[string]uint64{}, observedIncarnation: map[string]int{},
 	}
 }
 
-func (c *checks) failed() bool { return len(c.violations) > 0 }
+func (c *checks) hasViolations() bool { return len(c.violations) > 0 }
 
-func (c *checks) violate(invariant, format string, arguments ...any) {
+func (c *checks) reportViolation(invariant, format string, arguments ...any) {
 	detail := fmt.Sprintf(format, arguments...)
 	c.violations = append(c.violations, Violation{Invariant: invariant, Detail: detail, AtMs: c.world.nowUs / microsPerMilli})
-	c.world.tell("VIOLATION of %s: %s", invariant, detail)
+	c.world.tracef("VIOLATION of %s: %s", invariant, detail)
 }
 
 // leavingSeconds is how long a leaving engine may still be sent new work.
-const leavingUs = 5_000_000
+const leavingDeadlineUs = 5_000_000
 
-// engineStarted notes that an engine started a call.
-func (c *checks) engineStarted(e *engineNode, request engine.CompletionRequest) {
-	c.starts[request.RequestID]++
-	c.world.tell("%s starts request %s (%d messages)", e.name, request.RequestID, len(request.Messages))
-	c.runs[request.User]++
-	if c.once[request.RequestID] && c.starts[request.RequestID] > 1 {
-		c.violate(invariantOnce, "request %s is not repeatable and was started %d times", request.RequestID, c.starts[request.RequestID])
+// observeEngineStart notes that an engine started a call.
+func (c *checks) observeEngineStart(e *engineNode, request engine.CompletionRequest) {
+	c.startsByRequest[request.RequestID]++
+	c.world.tracef("%s starts request %s (%d messages)", e.name, request.RequestID, len(request.Messages))
+	c.startsByProgram[request.User]++
+	if c.atMostOnce[request.RequestID] && c.startsByRequest[request.RequestID] > 1 {
+		c.reportViolation(invariantOnce, "request %s is not repeatable and was started %d times", request.RequestID, c.startsByRequest[request.RequestID])
 	}
-	if c.notRun[request.RequestID] {
-		c.violate(invariantNotRun, "request %s was started after its caller was told that it had not run", request.RequestID)
+	if c.reportedNotRun[request.RequestID] {
+		c.reportViolation(invariantNotRun, "request %s was started after its caller was told that it had not run", request.RequestID)
 	}
-	if leftAt, ok := c.leftAtUs[e.name]; ok && c.world.nowUs-leftAt > leavingUs {
-		c.violate(invariantLeaving, "%s got new work %d ms after it was listed as leaving", e.name, (c.world.nowUs-leftAt)/microsPerMilli)
+	if leftAt, ok := c.leavingSinceUs[e.name]; ok && c.world.nowUs-leftAt > leavingDeadlineUs {
+		c.reportViolation(invariantLeaving, "%s got new work %d ms after it was listed as leaving", e.name, (c.world.nowUs-leftAt)/microsPerMilli)
 	}
 }
 
-func (c *checks) generated(program string, tokens int64) { c.output[program] += tokens }
+func (c *checks) addGeneratedTokens(program string, tokens int64) {
+	c.generatedTokens[program] += tokens
+}
 
-// answer checks a whole answer as its caller got it.
-func (c *checks) answer(s *callerSend, answer *protocol.CallReply) {
-	call := s.call
-	owner := call.caller
-	c.world.tell("%s: request %s is answered as turn %d by %s", owner.name, call.request.Request, answer.Turn, answer.Engine)
-	if s.text.String() != answer.Content {
-		c.violate(invariantAnswer, "request %s: the caller was sent %d bytes of an answer of %d", call.request.Request, s.text.Len(), len(answer.Content))
+// checkAnswer checks a whole answer as its caller got it.
+func (c *checks) checkAnswer(s *callerAttempt, answer *protocol.CallReply) {
+	call := s.request
+	programCaller := call.caller
+	c.world.tracef("%s: request %s is answered as turn %d by %s", programCaller.name, call.request.Request, answer.Turn, answer.Engine)
+	if s.receivedText.String() != answer.Content {
+		c.reportViolation(invariantAnswer, "request %s: the caller was sent %d bytes of an answer of %d", call.request.Request, s.receivedText.Len(), len(answer.Content))
 	}
-	if earlier, ok := owner.turns[answer.Turn]; ok && earlier != call.request.Request {
-		c.violate(invariantOrder, "program %s: requests %s and %s both have turn %d", owner.program, earlier, call.request.Request, answer.Turn)
+	if earlier, ok := programCaller.requestByTurn[answer.Turn]; ok && earlier != call.request.Request {
+		c.reportViolation(invariantOrder, "program %s: requests %s and %s both have turn %d", programCaller.program, earlier, call.request.Request, answer.Turn)
 	}
-	_, again := owner.turns[answer.Turn]
-	owner.turns[answer.Turn] = call.request.Request
-	if !again {
-		c.answers[owner.program]++
+	_, isRepeated := programCaller.requestByTurn[answer.Turn]
+	programCaller.requestByTurn[answer.Turn] = call.request.Request
+	if !isRepeated {
+		c.answersByProgram[programCaller.program]++
 	}
-	if !owner.threads[call.thread].place(call, answer.Content) {
-		c.violate(invariantHistory, "request %s (turn %d): the engine %.32q, which no order of this caller's calls explains", call.request.Request, answer.Turn, answer.Content)
+	if !programCaller.conversations[call.thread].resolve(call, answer.Content) {
+		c.reportViolation(invariantHistory, "request %s (turn %d): the engine %.32q, which no order of this caller's calls explains", call.request.Request, answer.Turn, answer.Content)
 	}
 }
 
-// longestUs bounds the time from a sidecar's taking a request to its final answer,
+// maxReplyUs bounds the time from a sidecar's taking a request to its final answer,
 // whatever is lost meanwhile; the caller's own deadline is later.
-const longestUs = 16_000_000
+const maxReplyUs = 16_000_000
 
-func (c *checks) waited(s *callerSend) {
-	if took := c.world.nowUs - s.takenUs; took > longestUs {
-		c.violate(invariantProgress, "request %s was left waiting for %d ms", s.call.request.Request, took/microsPerMilli)
+func (c *checks) checkReplyTime(s *callerAttempt) {
+	if elapsedUs := c.world.nowUs - s.receivedUs; elapsedUs > maxReplyUs {
+		c.reportViolation(invariantProgress, "request %s was left waiting for %d ms", s.request.request.Request, elapsedUs/microsPerMilli)
 	}
 }
 
-// refusal checks an error as its caller got it.
-func (c *checks) refusal(s *callerSend, failure *result.Error) {
-	request := s.call.request.Request
-	if failure.Outcome == result.NotRun && s.call.sends == 1 {
-		if c.starts[request] > s.startsAt {
-			c.violate(invariantNotRun, "request %s: the caller was told %s and not run, but an engine had started it", request, failure.Type)
+// checkError checks an error as its caller got it.
+func (c *checks) checkError(s *callerAttempt, failure *result.Error) {
+	request := s.request.request.Request
+	if failure.Outcome == result.NotRun && s.request.sends == 1 {
+		if c.startsByRequest[request] > s.startsBefore {
+			c.reportViolation(invariantNotRun, "request %s: the caller was told %s and not run, but an engine had started it", request, failure.Type)
 		}
 		if failure.RetryAfterMs == 0 {
-			c.notRun[request] = true
+			c.reportedNotRun[request] = true
 		}
 	}
-	planned := s.call.caller.planned && failure.Outcome != result.NotRun
-	if planned {
-		c.violate(invariantPlanned, "request %s failed in a planned restart: %s (%s)", request, failure.Type, failure.Message)
+	isViolation := s.request.caller.isMaintenanceCaller && failure.Outcome != result.NotRun
+	if isViolation {
+		c.reportViolation(invariantPlannedStop, "request %s failed in a planned restart: %s (%s)", request, failure.Type, failure.Message)
 	}
 }
 
-// accepted notes a change that an operator was told is accepted.
-func (c *checks) accepted(change *change, revision uint64) {
+// observeAcceptedChange notes a change that an operator was told is accepted.
+func (c *checks) observeAcceptedChange(change *change, revision uint64) {
 	version := change.content.Nodes[0].Version
-	for _, earlier := range c.byPath[change.path] {
+	for _, earlier := range c.acceptedByPath[change.path] {
 		if earlier.version == version {
-			c.violate(invariantSettings, "%s: two changes against version %d were accepted, at revisions %d and %d", change.path, version, earlier.revision, revision)
+			c.reportViolation(invariantSettings, "%s: two changes against version %d were accepted, at revisions %d and %d", change.path, version, earlier.revision, revision)
 		}
 	}
-	c.byPath[change.path] = append(c.byPath[change.path], acceptedChange{revision: revision, value: change.value, version: version})
-	c.revisions[change.value] = revision
-	c.newest = max(c.newest, revision)
+	c.acceptedByPath[change.path] = append(c.acceptedByPath[change.path], acceptedChange{revision: revision, value: change.value, version: version})
+	c.revisionByValue[change.value] = revision
+	c.newestRevision = max(c.newestRevision, revision)
 }
 
 // tree is what is in force at a daemon.
@@ -171,96 +173,96 @@
 // observe holds the tree in force at a daemon against what was accepted.
 func (c *checks) observe(name string, life int, tree treeView) {
 	revision := tree.revision()
-	if c.lives[name] == life && revision < c.inForce[name] {
-		c.violate(invariantSettings, "%s went back from revision %d to %d", name, c.inForce[name], revision)
+	if c.observedIncarnation[name] == life && revision < c.observedRevision[name] {
+		c.reportViolation(invariantSettings, "%s went back from revision %d to %d", name, c.observedRevision[name], revision)
 	}
-	changed := c.inForce[name] != revision || c.lives[name] != life
-	c.lives[name] = life
-	c.inForce[name] = revision
-	if !changed {
+	isNew := c.observedRevision[name] != revision || c.observedIncarnation[name] != life
+	c.observedIncarnation[name] = life
+	c.observedRevision[name] = revision
+	if !isNew {
 		return
 	}
 	for _, path := range probePaths {
-		shown, known := c.revisions[tree.value(path)]
-		if !known {
+		shownRevision, isKnown := c.revisionByValue[tree.value(path)]
+		if !isKnown {
 			continue
 		}
-		for _, accepted := range c.byPath[path] {
-			if accepted.revision > shown && accepted.revision <= revision {
-				c.violate(invariantSettings, "%s at revision %d shows %s as of revision %d, but %d was accepted", name, revision, path, shown, accepted.revision)
+		for _, accepted := range c.acceptedByPath[path] {
+			if accepted.revision > shownRevision && accepted.revision <= revision {
+				c.reportViolation(invariantSettings, "%s at revision %d shows %s as of revision %d, but %d was accepted", name, revision, path, shownRevision, accepted.revision)
 			}
 		}
 	}
 }
 
-func (c *checks) startedScheduler(n *schedulerNode) {
-	c.atStart[n.name] = c.newest
-	c.synced[n.name] = false
+func (c *checks) observeSchedulerStart(n *schedulerNode) {
+	c.revisionAtStart[n.name] = c.newestRevision
+	c.hasSynced[n.name] = false
 }
 
 // observeScheduler also holds a fresh scheduler against what was accepted
 // before it started.
 func (c *checks) observeScheduler(n *schedulerNode) {
-	c.observe(n.name, n.life, settingsView{n.core.Tree()})
-	if !c.synced[n.name] && n.core.Ready() {
-		c.synced[n.name] = true
-		if n.core.Tree().Revision() < c.atStart[n.name] {
-			c.violate(invariantSettings, "%s serves at revision %d, but %d was accepted before it started", n.name, n.core.Tree().Revision(), c.atStart[n.name])
+	c.observe(n.name, n.incarnation, settingsView{n.core.Tree()})
+	if !c.hasSynced[n.name] && n.core.Ready() {
+		c.hasSynced[n.name] = true
+		if n.core.Tree().Revision() < c.revisionAtStart[n.name] {
+			c.reportViolation(invariantSettings, "%s serves at revision %d, but %d was accepted before it started", n.name, n.core.Tree().Revision(), c.revisionAtStart[n.name])
 		}
 	}
 }
 
 func (c *checks) observeSidecar(n *sidecarNode) {
-	c.observe(n.name, n.life, settingsView{n.core.Tree()})
+	c.observe(n.name, n.incarnation, settingsView{n.core.Tree()})
 }
 
 func (c *checks) observeControl(n *controlNode) {
-	if n.alive && n.core.Formed() {
-		c.observe(n.name, n.life, settingsView{n.core.SettingsTree()})
+	if n.isAlive && n.core.Formed() {
+		c.observe(n.name, n.incarnation, settingsView{n.core.SettingsTree()})
 	}
 }
 
-// expectInForce asks that all live daemons have a revision within a time.
-func (c *checks) expectInForce(revision uint64) {
+// expectRevision asks that all live daemons have a revision within a time.
+func (c *checks) expectRevision(revision uint64) {
 	w := c.world
-	w.after(settingsDeadline, "in force", func() {
+	w.after(settingsDeadlineUs, "in force", func() {
 		for _, node := range w.schedulers {
-			if node.alive && node.core.Ready() && node.core.Tree().Revision() < revision {
-				c.violate(invariantSettings, "%s has revision %d after 6 s, %d was accepted", node.name, node.core.Tree().Revision(), revision)
+			if node.isAlive && node.core.Ready() && node.core.Tree().Revision() < revision {
+				c.reportViolation(invariantSettings, "%s has revision %d after 6 s, %d was accepted", node.name, node.core.Tree().Revision(), revision)
 			}
 		}
 		for _, node := range w.sidecars {
-			if node.alive && node.core.Ready() && node.core.Tree().Revision() < revision {
-				c.violate(invariantSettings, "%s has revision %d after 6 s, %d was accepted", node.name, node.core.Tree().Revision(), revision)
+			if node.isAlive && node.core.Ready() && node.core.Tree().Revision() < revision {
+				c.reportViolation(invariantSettings, "%s has revision %d after 6 s, %d was accepted", node.name, node.core.Tree().Revision(), revision)
 			}
 		}
 	})
 }
 
-// slackPerRun bounds the tokens that an engine generates for a lost attempt
+// lostAttemptSlackTokens bounds the tokens that an engine generates for a lost attempt
 // after the last one that its scheduler heard of.
-const slackPerRun = 24
+const lostAttemptSlackTokens = 24
 
-// finish checks what must hold once everything has settled.
-func (c *checks) finish() {
+// checkFinalState checks what must hold once everything has settled.
+func (c *checks) checkFinalState() {
 	w := c.world
-	for _, owner := range w.callers {
-		if !owner.done {
-			c.violate(invariantProgress, "program %s has neither ended nor been refused", owner.program)
+	for _, programCaller := range w.callers {
+		if !programCaller.isDone {
+			c.reportViolation(invariantProgress, "program %s has neither ended nor been refused", programCaller.program)
 		}
-		if owner.budget > 0 {
-			lost := c.runs[owner.program] - c.answers[owner.program]
-			if used := c.output[owner.program]; used > owner.budget+lost*slackPerRun {
-				c.violate(invariantBudget, "program %s: engines generated %d tokens on a budget of %d (%d attempts lost)", owner.program, used, owner.budget, lost)
+		if programCaller.budgetTokens > 0 {
+			lostAttempts := c.startsByProgram[programCaller.program] - c.answersByProgram[programCaller.program]
+			if usedTokens := c.generatedTokens[programCaller.program]; usedTokens > programCaller.budgetTokens+lostAttempts*lostAttemptSlackTokens {
+				c.reportViolation(invariantBudget, "program %s: engines generated %d tokens on a budget of %d (%d attempts lost)", programCaller.program, usedTokens, programCaller.budgetTokens, lostAttempts)
 			}
 		}
 	}
-	if !w.controlsWhole() {
-		c.violate(invariantProgress, "not every control process is a voter of every group again")
+	if !w.areControlsHealthy() {
+		c.reportViolation(invariantProgress, "not every control process is a voter of every group again")
 	}
 	for _, node := range w.engines {
-		if held := node.model.CachedPrograms(); node.alive && len(held) > 0 {
-			c.violate(invariantMemory, "%s still holds %d programs, %s among them, long after all have ended", node.name, len(held), held[0].Program)
+		if cached := node.model.CachedPrograms(); node.isAlive && len(cached) > 0 {
+			c.reportViolation(invariantMemory, "%s still holds %d programs, %s among them, long after all have ended", node.name, len(cached), cached[0].Program)
 		}
 	}
 }
--- a/internal/simulation/controls.go
+++ b/internal/simulation/controls.go
@@ -16,7 +16,7 @@
 	platformPollUs  = 500_000
 	drainCheckUs    = 20_000
 	drainTimeoutUs  = 60_000_000
-	ledgerGroupsMax = 4
+	maxLedgerGroups = 4
 	compactEntries  = 200
 )
 
@@ -39,11 +39,11 @@
 // controlNode is one control process.
 type controlNode struct {
 	*process
-	disk    *disk
-	options control.Options
-	core    *control.Core
-	replies map[control.RequestID]func(reply any)
-	next    control.RequestID
+	disk           *disk
+	options        control.Options
+	core           *control.Core
+	replyCallbacks map[control.RequestID]func(reply any)
+	lastRequest    control.RequestID
 }
 
 func (w *world) addControls() {
@@ -55,46 +55,46 @@
 	for _, member := range members {
 		node := &controlNode{process: w.newProcess(member.Name, member.Zone)}
 		node.disk = w.newDisk()
-		node.options = control.DefaultOptions(member.Name, members, min(w.deployment.LedgerGroups, ledgerGroupsMax))
+		node.options = control.DefaultOptions(member.Name, members, min(w.deployment.LedgerGroups, maxLedgerGroups))
 		node.options.CompactEntries = compactEntries
-		w.disableControl(&node.options)
-		node.start = node.boot
-		node.stopped = func() { node.disk.crash() }
+		w.disableControlMechanisms(&node.options)
+		node.onStart = node.boot
+		node.onStop = func() { node.disk.crash() }
 		w.controls = append(w.controls, node)
 	}
 }
 
 func (w *world) newDisk() *disk {
-	fresh := newDisk(consensus.ReplicaID(w.random.Uint64() | 1))
-	fresh.keepUnsynced = w.isDisabled("sync")
-	return fresh
+	created := newDisk(consensus.ReplicaID(w.random.Uint64() | 1))
+	created.delaysSync = w.isDisabled("sync")
+	return created
 }
 
 func (n *controlNode) boot() {
-	n.replies = map[control.RequestID]func(any){}
+	n.replyCallbacks = map[control.RequestID]func(any){}
 	core, err := control.NewCore(n.options, n.disk, n, n.nowMs())
 	if err != nil {
-		n.world.checks.violate("restart", "%s: %v", n.name, err)
+		n.world.checks.reportViolation("restart", "%s: %v", n.name, err)
 		return
 	}
 	n.core = core
-	n.every(controlTickUs, n.name, func() { n.act(func() { n.core.Tick(n.nowMs()) }) })
-	n.every(platformPollUs, n.name+" list", func() {
-		n.act(func() { n.core.SetInstances(n.world.platform.list()) })
+	n.runPeriodically(controlTickUs, n.name, func() { n.runAndFlush(func() { n.core.Tick(n.nowMs()) }) })
+	n.runPeriodically(platformPollUs, n.name+" list", func() {
+		n.runAndFlush(func() { n.core.SetInstances(n.world.platform.instances()) })
 	})
 }
 
-// act runs something on the core and carries out what it has ready; a process
+// runAndFlush runs something on the core and carries out what it has ready; a process
 // that dies in a write is dead.
-func (n *controlNode) act(run func()) {
-	if !n.alive {
+func (n *controlNode) runAndFlush(run func()) {
+	if !n.isAlive {
 		return
 	}
 	run()
 	if err := n.core.Flush(); err != nil {
-		n.world.tell("%s dies in a write (write kept: %t)", n.name, n.disk.crashAfter)
+		n.world.tracef("%s dies in a write (write kept: %t)", n.name, n.disk.crashPersistsWrite)
 		n.kill(false)
-		n.world.after(n.world.between(200_000, 3_000_000), "restart", n.restart)
+		n.world.after(n.world.randomBetween(200_000, 3_000_000), "restart", n.restart)
 	}
 	n.world.checks.observeControl(n)
 }
@@ -106,57 +106,57 @@
 			continue
 		}
 		raw := mustEncode(message)
-		n.world.network.sendLoose(n.process, other.process, func() { other.takePeer(kind, raw) })
+		n.world.network.sendUnreliable(n.process, other.process, func() { other.handlePeerMessage(kind, raw) })
 	}
 }
 
-func (n *controlNode) takePeer(kind protocol.Kind, raw []byte) {
+func (n *controlNode) handlePeerMessage(kind protocol.Kind, raw []byte) {
 	if kind == protocol.KindHello {
 		var hello protocol.Hello
 		mustDecode(raw, &hello)
-		n.act(func() { n.core.HandleHello(hello, n.nowMs()) })
+		n.runAndFlush(func() { n.core.HandleHello(hello, n.nowMs()) })
 		return
 	}
 	var batch protocol.PeerBatch
 	mustDecode(raw, &batch)
-	n.act(func() { n.core.HandlePeerBatch(batch, n.nowMs()) })
+	n.runAndFlush(func() { n.core.HandlePeerBatch(batch, n.nowMs()) })
 }
 
 // Reply is the core's outlet to whoever asked.
 func (n *controlNode) Reply(request control.RequestID, reply any) {
-	if answer, ok := n.replies[request]; ok {
-		delete(n.replies, request)
+	if answer, ok := n.replyCallbacks[request]; ok {
+		delete(n.replyCallbacks, request)
 		answer(reply)
 	}
 }
 
-// ask carries a request of another process to the node and its reply, or nil,
+// handleRequestFrom carries a request of another process to the node and its reply, or nil,
 // back.
-func (n *controlNode) ask(from *process, kind protocol.Kind, message any, reply func(decoded any)) {
+func (n *controlNode) handleRequestFrom(from *process, kind protocol.Kind, message any, reply func(decoded any)) {
 	w := n.world
 	raw := mustEncode(message)
-	fromLife := from.life
+	fromLife := from.incarnation
 	w.network.send(from, n.process, 0, "ask", func() {
 		request := protocol.NewRequest(kind)
 		mustDecode(raw, request)
-		open := n.open(from, func() { reply(nil) })
-		n.next++
-		n.replies[n.next] = func(answer any) {
-			delete(n.pending, open)
+		open := n.trackRequest(from, func() { reply(nil) })
+		n.lastRequest++
+		n.replyCallbacks[n.lastRequest] = func(answer any) {
+			delete(n.openRequests, open)
 			encoded := mustEncode(answer)
 			w.network.send(n.process, from, fromLife, "reply", func() {
 				decoded := protocol.NewReply(kind)
 				mustDecode(encoded, decoded)
 				if ledger, ok := decoded.(*protocol.LedgerReply); ok && ledger.Reply.Error != nil {
-					w.tell("%s tells %s: %s", n.name, from.name, ledger.Reply.Error)
+					w.tracef("%s tells %s: %s", n.name, from.name, ledger.Reply.Error)
 				}
 				reply(decoded)
 			}, func() {
-				if from.alive && from.life == fromLife {
+				if from.isAlive && from.incarnation == fromLife {
 					from.receive(func() { reply(nil) })
 				}
 			})
 		}
-		n.act(func() { n.core.HandleRequest(n.next, request, n.nowMs()) })
+		n.runAndFlush(func() { n.core.HandleRequest(n.lastRequest, request, n.nowMs()) })
 	}, func() { reply(nil) })
 }
--- a/internal/simulation/disk.go
+++ b/internal/simulation/disk.go
@@ -18,21 +18,21 @@
 	replica   consensus.ReplicaID
 	bootstrap *consensus.Configuration
 	groups    map[storage.GroupID]*diskGroup
-	// crashIn counts the writes until the process dies in one; crashAfter says
+	// writesUntilCrash counts the writes until the process dies in one; crashAfter says
 	// that the write still reached the disk.
-	crashIn    int
-	crashAfter bool
+	writesUntilCrash   int
+	crashPersistsWrite bool
 	// unsynced, where the sync is turned off, holds what a crash loses.
-	keepUnsynced bool
-	unsynced     [][]storage.GroupWrite
-	writes       int64
+	delaysSync bool
+	unsynced   [][]storage.GroupWrite
+	writes     int64
 }
 
 type diskGroup struct {
-	hard     consensus.HardState
-	snapshot consensus.Snapshot
-	entries  []consensus.Entry
-	records  map[string]map[uint64][]byte
+	hardState consensus.HardState
+	snapshot  consensus.Snapshot
+	entries   []consensus.Entry
+	records   map[string]map[uint64][]byte
 	// staged are the records of a snapshot that is being received.
 	staged map[string]map[uint64][]byte
 }
@@ -64,16 +64,16 @@
 		return nil
 	}
 	d.writes++
-	if d.crashIn > 0 {
-		d.crashIn--
-		if d.crashIn == 0 {
-			if d.crashAfter {
+	if d.writesUntilCrash > 0 {
+		d.writesUntilCrash--
+		if d.writesUntilCrash == 0 {
+			if d.crashPersistsWrite {
 				d.apply(writes)
 			}
 			return errCrash
 		}
 	}
-	if d.keepUnsynced {
+	if d.delaysSync {
 		d.unsynced = append(d.unsynced, writes)
 		if len(d.unsynced) > 4 {
 			d.apply(d.unsynced[0])
@@ -103,7 +103,7 @@
 func (g *diskGroup) write(write *storage.GroupWrite) {
 	if write.Snapshot != nil {
 		g.snapshot = *write.Snapshot
-		g.dropUpTo(write.Snapshot.Index)
+		g.deleteEntriesThrough(write.Snapshot.Index)
 	}
 	if len(write.Entries) > 0 {
 		first := write.Entries[0].Index
@@ -111,7 +111,7 @@
 		g.entries = append(g.entries, write.Entries...)
 	}
 	if write.HardState != nil {
-		g.hard = *write.HardState
+		g.hardState = *write.HardState
 	}
 	if write.ResetStaged {
 		g.staged = nil
@@ -139,7 +139,7 @@
 	}
 }
 
-func (g *diskGroup) dropUpTo(index uint64) {
+func (g *diskGroup) deleteEntriesThrough(index uint64) {
 	g.entries = slices.DeleteFunc(slices.Clone(g.entries), func(e consensus.Entry) bool { return e.Index <= index })
 }
 
@@ -149,7 +149,7 @@
 	if !ok {
 		return consensus.PersistedState{}, nil
 	}
-	return consensus.PersistedState{HardState: group.hard, Snapshot: group.snapshot, Entries: slices.Clone(group.entries)}, nil
+	return consensus.PersistedState{HardState: group.hardState, Snapshot: group.snapshot, Entries: slices.Clone(group.entries)}, nil
 }
 
 // Records returns a program's turn records after a turn.
@@ -202,5 +202,5 @@
 // crash loses what was not synced.
 func (d *disk) crash() {
 	d.unsynced = nil
-	d.crashIn = 0
+	d.writesUntilCrash = 0
 }
--- a/internal/simulation/engines.go
+++ b/internal/simulation/engines.go
@@ -16,29 +16,29 @@
 // engineNode is one emulated engine in virtual time.
 type engineNode struct {
 	*process
-	pool     string
-	hardware string
-	model    *emulator.Model
-	target   reconcile.Target
-	fence    reconcile.Fence
-	loading  bool
-	runs     map[string]*simulatedRun
-	nextJob  int
-	wakeUs   int64
-	// lagUs is how old reports are; gaps is the share of held programs that a
+	pool               string
+	hardware           string
+	model              *emulator.Model
+	target             reconcile.Target
+	fence              reconcile.Fence
+	isLoading          bool
+	jobs               map[string]*engineJob
+	lastJob            int
+	scheduledStepEndUs int64
+	// reportLagUs is how old reports are; gaps is the share of held programs that a
 	// report leaves out.
-	lagUs    int64
-	gaps     float64
-	reported engine.State
-	reportUs int64
+	reportLagUs     int64
+	omitProbability float64
+	lastReport      engine.State
+	lastReportUs    int64
 }
 
-type simulatedRun struct {
-	run     *engineRun
-	prompt  emulator.Prompt
-	program string
-	request string
-	sent    int64
+type engineJob struct {
+	attempt    *engineAttempt
+	prompt     emulator.Prompt
+	program    string
+	request    string
+	sentTokens int64
 }
 
 func (w *world) addEngines() {
@@ -46,9 +46,9 @@
 		for number := range count.Count {
 			name := fmt.Sprintf("engine-%s-%s-%s-%d", count.Pool, count.Zone, count.Hardware, number+1)
 			node := &engineNode{process: w.newProcess(name, count.Zone), pool: count.Pool, hardware: count.Hardware}
-			node.start = node.boot
-			node.stopped = func() { node.runs = map[string]*simulatedRun{} }
-			node.lagUs = 200_000
+			node.onStart = node.boot
+			node.onStop = func() { node.jobs = map[string]*engineJob{} }
+			node.reportLagUs = 200_000
 			w.engines = append(w.engines, node)
 		}
 	}
@@ -58,146 +58,146 @@
 	e.model = emulator.NewModel(emulator.HardwareByName(e.hardware))
 	e.target = reconcile.Target{}
 	e.fence = reconcile.Fence{}
-	e.loading = false
-	e.runs = map[string]*simulatedRun{}
-	e.wakeUs = 0
-	e.reportUs = -e.lagUs * 2
+	e.isLoading = false
+	e.jobs = map[string]*engineJob{}
+	e.scheduledStepEndUs = 0
+	e.lastReportUs = -e.reportLagUs * 2
 }
 
-// run starts a call or refuses it.
-func (e *engineNode) run(started *engineRun, request engine.CompletionRequest, failed func(bool) func()) {
+// startAttempt starts a call or refuses it.
+func (e *engineNode) startAttempt(attempt *engineAttempt, request engine.CompletionRequest, failed func(bool) func()) {
 	w := e.world
-	if e.loading || e.target.Model == "" || request.Model != e.target.Model {
-		w.network.send(e.process, started.scheduler.process, started.life, "refused", failed(false), nil)
+	if e.isLoading || e.target.Model == "" || request.Model != e.target.Model {
+		w.network.send(e.process, attempt.scheduler.process, attempt.schedulerIncarnation, "refused", failed(false), nil)
 		return
 	}
-	w.checks.engineStarted(e, request)
-	w.checks.checkOrder(started, request)
-	e.nextJob++
-	started.job = fmt.Sprintf("%s/%d/%d", e.name, e.life, e.nextJob)
-	open := e.open(started.scheduler.process, failed(true))
+	w.checks.observeEngineStart(e, request)
+	w.checks.checkTurnOrder(attempt, request)
+	e.lastJob++
+	attempt.jobID = fmt.Sprintf("%s/%d/%d", e.name, e.incarnation, e.lastJob)
+	open := e.trackRequest(attempt.scheduler.process, failed(true))
 	prompt := emulator.NewPrompt(request.Messages, request.MaxTokens)
-	e.runs[started.job] = &simulatedRun{run: started, prompt: prompt, program: request.User, request: request.RequestID}
+	e.jobs[attempt.jobID] = &engineJob{attempt: attempt, prompt: prompt, program: request.User, request: request.RequestID}
 	e.model.Submit(emulator.Job{
-		ID: started.job, Program: request.User, Priority: request.Priority, Segments: prompt.Segments,
+		ID: attempt.jobID, Program: request.User, Priority: request.Priority, Segments: prompt.Segments,
 		OutputTokens: prompt.OutputTokens, DigestWithResponse: prompt.DigestWithResponse,
 	}, w.nowUs)
-	started.openID = open
-	e.wake()
+	attempt.openRequestID = open
+	e.scheduleStepEnd()
 }
 
-func (e *engineNode) wake() {
+func (e *engineNode) scheduleStepEnd() {
 	next, busy := e.model.StepEndUs()
-	if !busy || (e.wakeUs != 0 && e.wakeUs <= next && e.wakeUs > e.world.nowUs) {
+	if !busy || (e.scheduledStepEndUs != 0 && e.scheduledStepEndUs <= next && e.scheduledStepEndUs > e.world.nowUs) {
 		return
 	}
-	e.wakeUs = next
-	life := e.life
+	e.scheduledStepEndUs = next
+	life := e.incarnation
 	e.world.after(next-e.world.nowUs, e.name, func() {
-		if e.alive && e.life == life {
+		if e.isAlive && e.incarnation == life {
 			e.receive(e.advance)
 		}
 	})
 }
 
 func (e *engineNode) advance() {
-	e.wakeUs = 0
+	e.scheduledStepEndUs = 0
 	for _, progress := range e.model.Advance(e.world.nowUs) {
-		current, ok := e.runs[progress.ID]
+		current, ok := e.jobs[progress.ID]
 		if !ok {
 			continue
 		}
-		e.stream(current, progress)
+		e.sendChunk(current, progress)
 	}
-	e.wake()
+	e.scheduleStepEnd()
 }
 
-func (e *engineNode) stream(current *simulatedRun, progress emulator.Progress) {
+func (e *engineNode) sendChunk(current *engineJob, progress emulator.Progress) {
 	const tokenBytes = 4
 	w := e.world
-	run := current.run
+	run := current.attempt
 	node := run.scheduler
-	text := current.prompt.Response[current.sent*tokenBytes : progress.GeneratedTokens*tokenBytes]
-	w.checks.generated(current.program, progress.GeneratedTokens-current.sent)
-	current.sent = progress.GeneratedTokens
+	text := current.prompt.Response[current.sentTokens*tokenBytes : progress.GeneratedTokens*tokenBytes]
+	w.checks.addGeneratedTokens(current.program, progress.GeneratedTokens-current.sentTokens)
+	current.sentTokens = progress.GeneratedTokens
 	if progress.IsDone {
-		delete(e.runs, progress.ID)
-		delete(e.pending, run.openID)
+		delete(e.jobs, progress.ID)
+		delete(e.openRequests, run.openRequestID)
 	}
-	if run.stopped {
+	if run.isStopped {
 		return
 	}
 	usage := program.Usage{
 		PromptTokens: progress.PromptTokens, CompletionTokens: progress.GeneratedTokens, CachedTokens: progress.CachedTokens,
 	}
-	w.network.send(e.process, node.process, run.life, "piece", func() {
-		if node.attempts[run.attempt] != run {
+	w.network.send(e.process, node.process, run.schedulerIncarnation, "piece", func() {
+		if node.attempts[run.id] != run {
 			return
 		}
-		node.core.Piece(run.attempt, text, node.nowMs())
+		node.core.Piece(run.id, text, node.nowMs())
 		if progress.IsDone {
-			node.ended(run, engine.CompletionOutcome{Usage: usage, MayHaveStarted: true})
+			node.endAttempt(run, engine.CompletionOutcome{Usage: usage, MayHaveStarted: true})
 		}
 	}, func() {
 		// A broken connection breaks for both ends.
 		e.cancel(run)
-		w.after(lostNoticeUs, "reset", func() { node.ended(run, engine.CompletionOutcome{MayHaveStarted: true, Err: errEngineLost}) })
+		w.after(lossNoticeDelayUs, "reset", func() { node.endAttempt(run, engine.CompletionOutcome{MayHaveStarted: true, Err: errEngineLost}) })
 	})
 }
 
 // cancel frees the slot of a run whose stream was closed.
-func (e *engineNode) cancel(run *engineRun) {
-	if _, ok := e.runs[run.job]; !ok {
+func (e *engineNode) cancel(run *engineAttempt) {
+	if _, ok := e.jobs[run.jobID]; !ok {
 		return
 	}
-	delete(e.runs, run.job)
-	delete(e.pending, run.openID)
-	e.model.Cancel(run.job)
+	delete(e.jobs, run.jobID)
+	delete(e.openRequests, run.openRequestID)
+	e.model.Cancel(run.jobID)
 }
 
-// report is the engine's state as it was up to the lag ago, with gaps.
-func (e *engineNode) report() engine.State {
-	if e.world.nowUs-e.reportUs >= e.lagUs {
+// stateReport is the engine's state as it was up to the lag ago, with gaps.
+func (e *engineNode) stateReport() engine.State {
+	if e.world.nowUs-e.lastReportUs >= e.reportLagUs {
 		running, waiting := e.model.JobCounts()
-		e.reported = engine.State{
-			Name: e.name, Ready: e.target.Model != "" && !e.loading, Loading: e.loading, Target: e.target, Fence: e.fence,
+		e.lastReport = engine.State{
+			Name: e.name, Ready: e.target.Model != "" && !e.isLoading, Loading: e.isLoading, Target: e.target, Fence: e.fence,
 			Running: running, Waiting: waiting, Hardware: e.model.Hardware(), FreeKVCacheTokens: e.model.FreeKVCacheTokens(),
 		}
-		for _, held := range e.model.CachedPrograms() {
-			if e.gaps == 0 || !e.world.chance(e.gaps) {
-				e.reported.CachedPrograms = append(e.reported.CachedPrograms, held)
+		for _, cached := range e.model.CachedPrograms() {
+			if e.omitProbability == 0 || !e.world.randomBool(e.omitProbability) {
+				e.lastReport.CachedPrograms = append(e.lastReport.CachedPrograms, cached)
 			}
 		}
-		e.reportUs = e.world.nowUs
+		e.lastReportUs = e.world.nowUs
 	}
-	return e.reported
+	return e.lastReport
 }
 
-const loadUs = 800_000
+const weightLoadUs = 800_000
 
-// order takes a fenced order; loads go one after another at the weight store.
-func (e *engineNode) order(order engine.Order) {
+// handleOrder takes a fenced order; loads go one after another at the weight store.
+func (e *engineNode) handleOrder(order engine.Order) {
 	w := e.world
 	if order.Fence.Less(e.fence) {
 		return
 	}
 	e.fence = order.Fence
-	if order.Target == e.target || e.loading {
+	if order.Target == e.target || e.isLoading {
 		return
 	}
-	e.loading = true
-	w.weightsUs = max(w.weightsUs, w.nowUs) + loadUs/int64(len(w.engines))
-	life := e.life
-	w.after(w.weightsUs-w.nowUs, "load", func() {
-		if e.alive && e.life == life {
+	e.isLoading = true
+	w.weightStoreFreeUs = max(w.weightStoreFreeUs, w.nowUs) + weightLoadUs/int64(len(w.engines))
+	life := e.incarnation
+	w.after(w.weightStoreFreeUs-w.nowUs, "load", func() {
+		if e.isAlive && e.incarnation == life {
 			e.target = order.Target
-			e.loading = false
+			e.isLoading = false
 			e.model.ClearCache()
 		}
 	})
 }
 
-func (e *engineNode) release(programs []string) {
+func (e *engineNode) releasePrograms(programs []string) {
 	for _, name := range programs {
 		e.model.ReleaseProgram(name)
 	}
@@ -207,26 +207,26 @@
 type platform struct {
 	world   *world
 	leaving map[string]bool
-	// hidden machines are left out of the list by mistake.
-	hidden map[string]bool
-	lagUs  int64
-	asOfUs int64
-	last   []membership.Instance
+	// unlisted machines are left out of the list by mistake.
+	unlisted   map[string]bool
+	lagUs      int64
+	listedAtUs int64
+	lastList   []membership.Instance
 }
 
-func (p *platform) list() []membership.Instance {
-	if p.last != nil && p.world.nowUs-p.asOfUs < p.lagUs {
-		return p.last
+func (p *platform) instances() []membership.Instance {
+	if p.lastList != nil && p.world.nowUs-p.listedAtUs < p.lagUs {
+		return p.lastList
 	}
-	p.asOfUs = p.world.nowUs
-	p.last = []membership.Instance{}
+	p.listedAtUs = p.world.nowUs
+	p.lastList = []membership.Instance{}
 	for _, node := range p.world.engines {
-		if p.hidden[node.name] {
+		if p.unlisted[node.name] {
 			continue
 		}
-		p.last = append(p.last, membership.Instance{
+		p.lastList = append(p.lastList, membership.Instance{
 			Name: node.name, Zone: node.zone, Address: node.name, Pool: node.pool, Leaving: p.leaving[node.name],
 		})
 	}
-	return p.last
+	return p.lastList
 }
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -26,34 +26,34 @@
 	return fmt.Sprintf("%s %s at %d ms for %d ms (%d)", f.Kind, f.Target, f.AtMs, f.ForMs, f.Value)
 }
 
-// timedKinds happen at a time; wholeKinds hold for a run.
+// timedFaultKinds happen at a time; wholeKinds hold for a run.
 var (
-	timedKinds = []string{
+	timedFaultKinds = []string{
 		"kill", "write", "disk", "second-disk", "freeze", "cut", "one-way", "leader", "delay", "duplicate",
 		"engine", "events", "lag", "platform", "zone", "changes",
 		"engine-busy", "scheduler-busy", "cell-busy", "zombie", "split", "stale-feed",
 	}
-	wholeKinds = []string{"drift", "hang", "loop", "callers", "operators", "rolling", "leaving"}
+	runWideFaultKinds = []string{"drift", "hang", "loop", "callers", "operators", "rolling", "leaving"}
 )
 
 // FaultKinds lists every fault that can be asked for.
-func FaultKinds() []string { return append(slices.Clone(timedKinds), wholeKinds...) }
+func FaultKinds() []string { return append(slices.Clone(timedFaultKinds), runWideFaultKinds...) }
 
 const (
-	faultsFromMs  = 1500
-	faultsUntilMs = 10_000
-	calmAtMs      = 12_500
-	mostFaults    = 6
-	diskRetryUs   = 300_000
+	firstFaultMs = 1500
+	lastFaultMs  = 10_000
+	faultsEndMs  = 12_500
+	maxFaults    = 6
+	diskRetryUs  = 300_000
 )
 
-// drawFaults chooses a run's failures.
-func (w *world) drawFaults(kinds []string) []Fault {
+// randomFaults chooses a run's failures.
+func (w *world) randomFaults(kinds []string) []Fault {
 	random := rand.New(rand.NewPCG(w.seed, 0x6661756c74))
 	var faults []Fault
 	var timed []string
 	for _, kind := range kinds {
-		if slices.Contains(wholeKinds, kind) {
+		if slices.Contains(runWideFaultKinds, kind) {
 			if random.IntN(2) == 0 {
 				faults = append(faults, Fault{Kind: kind})
 			}
@@ -64,18 +64,18 @@
 	if len(timed) == 0 {
 		return faults
 	}
-	for range 1 + random.IntN(mostFaults) {
+	for range 1 + random.IntN(maxFaults) {
 		fault := Fault{
-			Kind: timed[random.IntN(len(timed))], AtMs: faultsFromMs + random.Int64N(faultsUntilMs-faultsFromMs),
+			Kind: timed[random.IntN(len(timed))], AtMs: firstFaultMs + random.Int64N(lastFaultMs-firstFaultMs),
 			ForMs: 200 + random.Int64N(4000), Value: random.Int64N(8),
 		}
-		fault.Target = w.drawTarget(fault.Kind, random)
+		fault.Target = w.randomTarget(fault.Kind, random)
 		faults = append(faults, fault)
 	}
 	return faults
 }
 
-func (w *world) drawTarget(kind string, random *rand.Rand) string {
+func (w *world) randomTarget(kind string, random *rand.Rand) string {
 	var daemons []string
 	for _, node := range w.controls {
 		daemons = append(daemons, node.name)
@@ -104,113 +104,113 @@
 	return daemons[random.IntN(len(daemons))]
 }
 
-// option reports whether a fault that holds for the whole run is on.
-func (w *world) option(kind string) bool {
-	return slices.ContainsFunc(w.options.faults, func(f Fault) bool { return f.Kind == kind })
+// hasRunWideFault reports whether a fault that holds for the whole run is on.
+func (w *world) hasRunWideFault(kind string) bool {
+	return slices.ContainsFunc(w.options.faultSchedule, func(f Fault) bool { return f.Kind == kind })
 }
 
 func (w *world) scheduleFaults() {
-	for _, fault := range w.options.faults {
+	for _, fault := range w.options.faultSchedule {
 		if fault.AtMs > 0 {
-			w.after(fault.AtMs*microsPerMilli-w.nowUs, "fault", func() { w.apply(fault) })
+			w.after(fault.AtMs*microsPerMilli-w.nowUs, "fault", func() { w.applyFault(fault) })
 		}
 	}
 }
 
-func (w *world) apply(fault Fault) {
-	if w.calm {
+func (w *world) applyFault(fault Fault) {
+	if w.haveFaultsEnded {
 		return
 	}
-	w.faultsApplied++
-	w.tell("fault: %s", fault)
-	until := func(run func()) { w.after(fault.ForMs*microsPerMilli, "fault ends", run) }
-	target := w.byName[fault.Target]
+	w.appliedFaults++
+	w.tracef("fault: %s", fault)
+	afterFault := func(run func()) { w.after(fault.ForMs*microsPerMilli, "fault ends", run) }
+	target := w.processByName[fault.Target]
 	switch fault.Kind {
 	case "kill", "engine":
 		target.kill(false)
-		until(target.restart)
+		afterFault(target.restart)
 	case "write":
-		w.crashInWrite(fault)
+		w.scheduleWriteCrash(fault)
 	case "disk":
-		w.loseDisk(fault.Target, nil)
+		w.replaceDisk(fault.Target, nil)
 	case "second-disk":
-		w.loseDisk(fault.Target, func() {
-			second := w.controls[(w.controlIndex(fault.Target)+1)%len(w.controls)]
-			w.loseDisk(second.name, nil)
+		w.replaceDisk(fault.Target, func() {
+			other := w.controls[(w.controlIndex(fault.Target)+1)%len(w.controls)]
+			w.replaceDisk(other.name, nil)
 		})
 	case "freeze":
 		target.freeze()
-		until(target.thaw)
+		afterFault(target.thaw)
 	case "cut", "one-way", "leader":
 		if fault.Kind == "leader" {
-			target = w.leaderOf(fault.Value)
+			target = w.leaderOfGroup(fault.Value)
 		}
-		until(w.isolate(target, fault.Kind != "one-way"))
+		afterFault(w.isolate(target, fault.Kind != "one-way"))
 	case "delay":
-		w.network.slowUs += slowJitterUs
-		until(func() { w.network.slowUs -= slowJitterUs })
+		w.network.extraDelayUs += faultJitterUs
+		afterFault(func() { w.network.extraDelayUs -= faultJitterUs })
 	case "duplicate":
-		w.network.doubling = 0.3
-		until(func() { w.network.doubling = 0 })
+		w.network.duplicateProbability = 0.3
+		afterFault(func() { w.network.duplicateProbability = 0 })
 	case "events":
-		w.engine(fault.Target).gaps = 0.5
-		until(func() { w.engine(fault.Target).gaps = 0 })
+		w.engineByName(fault.Target).omitProbability = 0.5
+		afterFault(func() { w.engineByName(fault.Target).omitProbability = 0 })
 	case "lag":
-		w.engine(fault.Target).lagUs = 2_500_000
-		until(func() { w.engine(fault.Target).lagUs = 200_000 })
+		w.engineByName(fault.Target).reportLagUs = 2_500_000
+		afterFault(func() { w.engineByName(fault.Target).reportLagUs = 200_000 })
 	case "platform":
-		w.platform.hidden[fault.Target] = true
+		w.platform.unlisted[fault.Target] = true
 		w.platform.lagUs = 2_000_000
-		until(func() {
-			delete(w.platform.hidden, fault.Target)
+		afterFault(func() {
+			delete(w.platform.unlisted, fault.Target)
 			w.platform.lagUs = 0
 		})
 	case "zone":
-		w.loseZone(fault)
+		w.killZone(fault)
 	case "engine-busy", "scheduler-busy", "cell-busy", "zombie", "split", "stale-feed":
-		w.applyAimed(fault)
+		w.applyTriggeredFault(fault)
 	case "changes":
-		w.operators[1].burst(changesInARow)
+		w.operators[1].burst(burstChanges)
 		target.kill(false)
-		until(target.restart)
+		afterFault(target.restart)
 	}
 }
 
-func (w *world) crashInWrite(fault Fault) {
+func (w *world) scheduleWriteCrash(fault Fault) {
 	for _, node := range w.controls {
-		if node.name == fault.Target && node.alive {
-			node.disk.crashIn = 1 + int(fault.Value)
-			node.disk.crashAfter = fault.ForMs%2 == 0
+		if node.name == fault.Target && node.isAlive {
+			node.disk.writesUntilCrash = 1 + int(fault.Value)
+			node.disk.crashPersistsWrite = fault.ForMs%2 == 0
 		}
 	}
 }
 
 // isolate cuts a process off from all others, in silence; both ways, or only
 // what it sends.
-func (w *world) isolate(target *process, both bool) func() {
+func (w *world) isolate(target *process, isBidirectional bool) func() {
 	var others []*process
-	for _, name := range w.daemonNames() {
-		if other := w.byName[name]; other != target {
+	for _, name := range w.nodeNames() {
+		if other := w.processByName[name]; other != target {
 			others = append(others, other)
 		}
 	}
 	for _, other := range others {
 		w.network.cut(target, other)
-		if both {
+		if isBidirectional {
 			w.network.cut(other, target)
 		}
 	}
 	return func() {
 		for _, other := range others {
 			w.network.heal(target, other)
-			if both {
+			if isBidirectional {
 				w.network.heal(other, target)
 			}
 		}
 	}
 }
 
-func (w *world) daemonNames() []string {
+func (w *world) nodeNames() []string {
 	var names []string
 	for _, node := range w.controls {
 		names = append(names, node.name)
@@ -227,21 +227,21 @@
 	return names
 }
 
-// leaderOf returns the control process that leads a group, or else the first.
-func (w *world) leaderOf(number int64) *process {
+// leaderOfGroup returns the control process that leads a group, or else the first.
+func (w *world) leaderOfGroup(number int64) *process {
 	for _, node := range w.controls {
-		if node.alive && node.core.Formed() && node.core.IsLeader(storage.GroupID(number%int64(node.core.GroupCount()))) {
+		if node.isAlive && node.core.Formed() && node.core.IsLeader(storage.GroupID(number%int64(node.core.GroupCount()))) {
 			return node.process
 		}
 	}
 	return w.controls[0].process
 }
 
-// loseZone ends every process of a zone in silence, as a power cut does.
-func (w *world) loseZone(fault Fault) {
+// killZone ends every process of a zone in silence, as a power cut does.
+func (w *world) killZone(fault Fault) {
 	var lost []*process
-	for _, name := range w.daemonNames() {
-		if p := w.byName[name]; p.zone == fault.Target {
+	for _, name := range w.nodeNames() {
+		if p := w.processByName[name]; p.zone == fault.Target {
 			lost = append(lost, p)
 			p.kill(true)
 		}
@@ -261,42 +261,42 @@
 	return slices.IndexFunc(w.controls, func(n *controlNode) bool { return n.name == name })
 }
 
-// loseDisk destroys a control process's disk once all members are whole: losing
+// replaceDisk destroys a control process's disk once all members are whole: losing
 // a majority of disks at once loses data by design. repaired runs as soon as the
 // groups have let the new replica vote.
-func (w *world) loseDisk(name string, repaired func()) {
-	if w.calm {
+func (w *world) replaceDisk(name string, repaired func()) {
+	if w.haveFaultsEnded {
 		return
 	}
 	node := w.controls[w.controlIndex(name)]
-	if !w.controlsWhole() {
-		w.after(diskRetryUs, "disk", func() { w.loseDisk(name, repaired) })
+	if !w.areControlsHealthy() {
+		w.after(diskRetryUs, "disk", func() { w.replaceDisk(name, repaired) })
 		return
 	}
-	w.tell("the disk of %s is lost", name)
+	w.tracef("the disk of %s is lost", name)
 	node.kill(false)
 	node.disk = w.newDisk()
 	node.restart()
 	if repaired == nil {
 		return
 	}
-	var watch func()
-	watch = func() {
-		if w.controlsWhole() {
+	var checkRepaired func()
+	checkRepaired = func() {
+		if w.areControlsHealthy() {
 			repaired()
 			return
 		}
-		w.after(controlTickUs, "repair", watch)
+		w.after(controlTickUs, "repair", checkRepaired)
 	}
-	watch()
+	checkRepaired()
 }
 
-// controlsWhole reports whether every control process is up and a voter of
+// areControlsHealthy reports whether every control process is up and a voter of
 // every group, in the eyes of each group's leader.
-func (w *world) controlsWhole() bool {
+func (w *world) areControlsHealthy() bool {
 	leaders := map[storage.GroupID]bool{}
 	for _, node := range w.controls {
-		if !node.alive || node.frozen || !node.core.Formed() {
+		if !node.isAlive || node.isFrozen || !node.core.Formed() {
 			return false
 		}
 		for group := range node.core.GroupCount() {
@@ -315,32 +315,32 @@
 	return len(leaders) == w.controls[0].core.GroupCount()
 }
 
-// healAll ends every failure that is still going on.
-func (w *world) healAll() {
-	w.calm = true
-	w.calmAtUs = w.nowUs
-	w.network.slowUs = 0
-	w.network.doubling = 0
-	w.platform.hidden = map[string]bool{}
+// endAllFaults ends every failure that is still going on.
+func (w *world) endAllFaults() {
+	w.haveFaultsEnded = true
+	w.faultsEndedUs = w.nowUs
+	w.network.extraDelayUs = 0
+	w.network.duplicateProbability = 0
+	w.platform.unlisted = map[string]bool{}
 	w.platform.lagUs = 0
-	for _, name := range w.daemonNames() {
-		p := w.byName[name]
+	for _, name := range w.nodeNames() {
+		p := w.processByName[name]
 		p.thaw()
 		p.restart()
 	}
-	for _, from := range w.daemonNames() {
-		for _, to := range w.daemonNames() {
-			for w.network.isCut(w.byName[from], w.byName[to]) {
-				w.network.heal(w.byName[from], w.byName[to])
+	for _, from := range w.nodeNames() {
+		for _, to := range w.nodeNames() {
+			for w.network.isCut(w.processByName[from], w.processByName[to]) {
+				w.network.heal(w.processByName[from], w.processByName[to])
 			}
 		}
 	}
 	for _, node := range w.engines {
-		node.gaps = 0
-		node.lagUs = 200_000
+		node.omitProbability = 0
+		node.reportLagUs = 200_000
 	}
 	for _, node := range w.controls {
-		node.disk.crashIn = 0
+		node.disk.writesUntilCrash = 0
 	}
-	w.tell("all failures have ended")
+	w.tracef("all failures have ended")
 }
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -8,20 +8,20 @@
 	links map[[2]string]*link
 	// cuts counts the causes for which messages from one process to another
 	// don't arrive.
-	cuts      map[[2]string]int
-	slowUs    int64
-	doubling  float64
-	delivered int64
+	cuts                 map[[2]string]int
+	extraDelayUs         int64
+	duplicateProbability float64
+	deliveredMessages    int64
 }
 
 type link struct {
-	lastUs  int64
-	stalled []stalledMessage
+	lastArrivalUs int64
+	stalled       []stalledMessage
 }
 
 type stalledMessage struct {
-	deliver func()
-	lost    func()
+	deliver    func()
+	reportLoss func()
 }
 
 func newNetwork(w *world) *network {
@@ -29,14 +29,14 @@
 }
 
 const (
-	localDelayUs   = 40
-	jitterUs       = 60
-	slowJitterUs   = 30_000
-	reorderUs      = 3_000
-	resetShare     = 0.5
-	resetAfterUs   = 2_000_000
-	lostNoticeUs   = 300
-	connectRefused = 200
+	localDelayUs          = 40
+	maxJitterUs           = 60
+	faultJitterUs         = 30_000
+	maxReorderUs          = 3_000
+	resetProbability      = 0.5
+	resetAfterUs          = 2_000_000
+	lossNoticeDelayUs     = 300
+	connectRefusedDelayUs = 200
 )
 
 func (n *network) link(from, to *process) *link {
@@ -53,14 +53,14 @@
 	return n.cuts[[2]string{from.name, to.name}] > 0
 }
 
-func (n *network) delayUs(from, to *process) int64 {
+func (n *network) randomDelayUs(from, to *process) int64 {
 	delay := int64(localDelayUs)
 	if from.zone != to.zone {
 		delay += int64(n.world.deployment.ZoneDelayMs * microsPerMilli)
 	}
-	delay += n.world.between(0, jitterUs)
-	if n.slowUs > 0 {
-		delay += n.world.between(0, n.slowUs)
+	delay += n.world.randomBetween(0, maxJitterUs)
+	if n.extraDelayUs > 0 {
+		delay += n.world.randomBetween(0, n.extraDelayUs)
 	}
 	return delay
 }
@@ -70,52 +70,52 @@
 // when the message can't arrive.
 func (n *network) send(from, to *process, toLife int, label string, deliver, lost func()) {
 	link := n.link(from, to)
-	fromLife := from.life
-	arrival := max(link.lastUs, n.world.nowUs+n.delayUs(from, to))
-	link.lastUs = arrival
-	report := func() {
+	fromLife := from.incarnation
+	arrival := max(link.lastArrivalUs, n.world.nowUs+n.randomDelayUs(from, to))
+	link.lastArrivalUs = arrival
+	reportLoss := func() {
 		if lost == nil {
 			return
 		}
-		n.world.after(lostNoticeUs, "lost", func() {
-			if from.alive && from.life == fromLife {
+		n.world.after(lossNoticeDelayUs, "lost", func() {
+			if from.isAlive && from.incarnation == fromLife {
 				from.receive(lost)
 			}
 		})
 	}
-	arrive := func() {
-		if !to.alive || (toLife != 0 && to.life != toLife) {
-			report()
+	handleArrival := func() {
+		if !to.isAlive || (toLife != 0 && to.incarnation != toLife) {
+			reportLoss()
 			return
 		}
-		n.delivered++
-		to.receiveOr(deliver, report)
+		n.deliveredMessages++
+		to.receiveOrReportLoss(deliver, reportLoss)
 	}
 	n.world.after(arrival-n.world.nowUs, label, func() {
 		if n.isCut(from, to) || len(link.stalled) > 0 {
-			link.stalled = append(link.stalled, stalledMessage{deliver: arrive, lost: report})
+			link.stalled = append(link.stalled, stalledMessage{deliver: handleArrival, reportLoss: reportLoss})
 			return
 		}
-		arrive()
+		handleArrival()
 	})
 }
 
-// sendLoose carries a consensus message: it may be lost, doubled or overtaken.
-func (n *network) sendLoose(from, to *process, deliver func()) {
+// sendUnreliable carries a consensus message: it may be lost, doubled or overtaken.
+func (n *network) sendUnreliable(from, to *process, deliver func()) {
 	copies := 1
-	if n.doubling > 0 && n.world.chance(n.doubling) {
+	if n.duplicateProbability > 0 && n.world.randomBool(n.duplicateProbability) {
 		copies = 2
 	}
 	for range copies {
-		delay := n.delayUs(from, to)
-		if n.doubling > 0 && n.world.chance(n.doubling) {
-			delay += n.world.between(0, reorderUs)
+		delay := n.randomDelayUs(from, to)
+		if n.duplicateProbability > 0 && n.world.randomBool(n.duplicateProbability) {
+			delay += n.world.randomBetween(0, maxReorderUs)
 		}
 		n.world.after(delay, "peer", func() {
-			if n.isCut(from, to) || !to.alive {
+			if n.isCut(from, to) || !to.isAlive {
 				return
 			}
-			n.delivered++
+			n.deliveredMessages++
 			to.receive(deliver)
 		})
 	}
@@ -137,12 +137,12 @@
 		return
 	}
 	link := n.link(from, to)
-	waiting := link.stalled
+	stalled := link.stalled
 	link.stalled = nil
-	broken := n.world.chance(resetShare)
-	for _, message := range waiting {
-		if broken {
-			message.lost()
+	isReset := n.world.randomBool(resetProbability)
+	for _, message := range stalled {
+		if isReset {
+			message.reportLoss()
 		} else {
 			message.deliver()
 		}
--- a/internal/simulation/run.go
+++ b/internal/simulation/run.go
@@ -15,16 +15,16 @@
 
 // Options choose what a run does.
 type Options struct {
-	// Faults are the kinds that may happen; nil means all.
-	Faults []string
-	// Disable names mechanisms to turn off.
-	Disable []string
-	// Story keeps the run in words.
-	Story bool
-
-	// faults are the failures themselves, where they are given.
-	faults []Fault
-	fixed  bool
+	// FaultKinds are the kinds that may happen; nil means all.
+	FaultKinds []string
+	// DisabledMechanisms names mechanisms to turn off.
+	DisabledMechanisms []string
+	// RecordTrace keeps the run in words.
+	RecordTrace bool
+
+	// faultSchedule are the failures themselves, where they are given.
+	faultSchedule  []Fault
+	hasFixedFaults bool
 }
 
 // Mechanisms lists what can be turned off, with what it is for.
@@ -46,60 +46,60 @@
 
 // Result is the outcome of one run.
 type Result struct {
-	Seed       uint64      `json:"seed"`
-	Digest     uint64      `json:"digest"`
-	Events     int64       `json:"events"`
-	Faults     int         `json:"faults"`
-	Messages   int64       `json:"messages"`
-	Answered   int         `json:"answered"`
-	Refused    int         `json:"refused"`
-	VirtualMs  int64       `json:"virtual_ms"`
-	Violations []Violation `json:"violations,omitempty"`
-	// Applied are the failures of the run.
-	Applied []Fault  `json:"applied,omitempty"`
-	Story   []string `json:"-"`
+	Seed          uint64      `json:"seed"`
+	Digest        uint64      `json:"digest"`
+	Events        int64       `json:"events"`
+	AppliedFaults int         `json:"faults"`
+	Messages      int64       `json:"messages"`
+	Completed     int         `json:"answered"`
+	NotCompleted  int         `json:"refused"`
+	VirtualMs     int64       `json:"virtual_ms"`
+	Violations    []Violation `json:"violations,omitempty"`
+	// FaultSchedule are the failures of the run.
+	FaultSchedule []Fault  `json:"applied,omitempty"`
+	Trace         []string `json:"-"`
 }
 
 const (
-	loadUntilUs    = 9_000_000
-	firstArrivalUs = 1_500_000
-	fewestCallers  = 6
-	mostCallers    = 14
-	calmCallers    = 16
-	rollPauseUs    = 900_000
-	patienceUs     = 90_000_000
-	settleUs       = 26_000_000
-	rollingCalls   = 8_000_000
+	arrivalsEndUs         = 9_000_000
+	firstArrivalUs        = 1_500_000
+	minCallers            = 6
+	maxCallers            = 14
+	maintenanceCallers    = 16
+	maxRestartPauseUs     = 900_000
+	completionTimeoutUs   = 90_000_000
+	settleUs              = 26_000_000
+	maintenanceArrivalsUs = 8_000_000
 )
 
 // Run runs one seed.
 func Run(deployment workload.Deployment, seed uint64, options Options) Result {
 	w := newWorld(options, deployment, seed)
-	w.build()
-	if !options.fixed {
-		kinds := options.Faults
+	w.addProcesses()
+	if !options.hasFixedFaults {
+		kinds := options.FaultKinds
 		if kinds == nil {
 			kinds = FaultKinds()
 		}
-		w.options.faults = w.drawFaults(kinds)
+		w.options.faultSchedule = w.randomFaults(kinds)
 	}
-	w.play()
-	outcome := Result{
-		Seed: seed, Digest: w.digest.Sum64(), Events: w.handled, Faults: w.faultsApplied, Messages: w.network.delivered,
-		VirtualMs: w.nowUs / microsPerMilli, Violations: w.checks.violations, Applied: w.options.faults, Story: w.story,
+	w.runPhases()
+	result := Result{
+		Seed: seed, Digest: w.digest.Sum64(), Events: w.handledEvents, AppliedFaults: w.appliedFaults, Messages: w.network.deliveredMessages,
+		VirtualMs: w.nowUs / microsPerMilli, Violations: w.checks.violations, FaultSchedule: w.options.faultSchedule, Trace: w.trace,
 	}
-	for _, owner := range w.callers {
-		if owner.ended == "answered" {
-			outcome.Answered++
+	for _, programCaller := range w.callers {
+		if programCaller.outcome == "answered" {
+			result.Completed++
 		} else {
-			outcome.Refused++
+			result.NotCompleted++
 		}
 	}
-	return outcome
+	return result
 }
 
-func (w *world) build() {
-	w.platform = &platform{world: w, leaving: map[string]bool{}, hidden: map[string]bool{}}
+func (w *world) addProcesses() {
+	w.platform = &platform{world: w, leaving: map[string]bool{}, unlisted: map[string]bool{}}
 	w.addControls()
 	w.addSchedulers()
 	w.addSidecars()
@@ -107,50 +107,50 @@
 	w.addOperators()
 }
 
-// play is the course of a run: load with failures, calm, a planned restart and a
+// runPhases is the course of a run: load with failures, calm, a planned restart and a
 // leaving engine, and a long silence.
-func (w *world) play() {
-	w.driftClocks()
-	for _, name := range w.daemonNames() {
-		w.byName[name].restart()
+func (w *world) runPhases() {
+	w.setClockDrift()
+	for _, name := range w.nodeNames() {
+		w.processByName[name].restart()
 	}
-	if err := w.importSettings(w.operate); err != nil {
-		w.checks.violate(invariantProgress, "%v", err)
+	if err := w.importSettings(w.startOperators); err != nil {
+		w.checks.reportViolation(invariantProgress, "%v", err)
 		return
 	}
-	for range w.between(fewestCallers, mostCallers) {
-		w.addCaller(w.between(firstArrivalUs, loadUntilUs), false)
+	for range w.randomBetween(minCallers, maxCallers) {
+		w.addCaller(w.randomBetween(firstArrivalUs, arrivalsEndUs), false)
 	}
 	w.scheduleFaults()
-	w.runUntil(calmAtMs*microsPerMilli, nil)
-	w.healAll()
-	w.checks.expectInForce(w.checks.newest)
-	w.runUntil(w.nowUs+patienceUs, w.callersDone)
-	w.planned()
-	w.quiet = true
+	w.runUntil(faultsEndMs*microsPerMilli, nil)
+	w.endAllFaults()
+	w.checks.expectRevision(w.checks.newestRevision)
+	w.runUntil(w.nowUs+completionTimeoutUs, w.areCallersDone)
+	w.runMaintenancePhase()
+	w.isQuiescent = true
 	w.runUntil(w.nowUs+settleUs, nil)
-	if !w.checks.failed() {
-		w.checks.finish()
+	if !w.checks.hasViolations() {
+		w.checks.checkFinalState()
 	}
 }
 
-func (w *world) callersDone() bool {
-	return !slices.ContainsFunc(w.callers, func(c *caller) bool { return !c.done })
+func (w *world) areCallersDone() bool {
+	return !slices.ContainsFunc(w.callers, func(c *caller) bool { return !c.isDone })
 }
 
-func (w *world) driftClocks() {
-	if !w.option("drift") {
+func (w *world) setClockDrift() {
+	if !w.hasRunWideFault("drift") {
 		return
 	}
-	for _, name := range w.daemonNames() {
-		p := w.byName[name]
-		p.offsetMs = w.between(-400, 400)
-		p.drift = float64(w.between(-8, 8)) / 1000
+	for _, name := range w.nodeNames() {
+		p := w.processByName[name]
+		p.offsetMs = w.randomBetween(-400, 400)
+		p.drift = float64(w.randomBetween(-8, 8)) / 1000
 	}
 }
 
-func (w *world) operate() {
-	if !w.option("operators") {
+func (w *world) startOperators() {
+	if !w.hasRunWideFault("operators") {
 		return
 	}
 	for _, operator := range w.operators {
@@ -158,48 +158,48 @@
 	}
 }
 
-// planned is the calm phase: nothing fails, every daemon is restarted in turn,
+// runMaintenancePhase is the calm phase: nothing fails, every daemon is restarted in turn,
 // an engine leaves; no caller may notice.
-func (w *world) planned() {
-	if w.checks.failed() || (!w.option("rolling") && !w.option("leaving")) {
+func (w *world) runMaintenancePhase() {
+	if w.checks.hasViolations() || (!w.hasRunWideFault("rolling") && !w.hasRunWideFault("leaving")) {
 		return
 	}
-	w.runUntil(w.nowUs+settingsDeadline, nil)
-	from := w.nowUs
-	for range calmCallers {
-		w.addCaller(from+w.between(0, rollingCalls), true)
+	w.runUntil(w.nowUs+settingsDeadlineUs, nil)
+	startUs := w.nowUs
+	for range maintenanceCallers {
+		w.addCaller(startUs+w.randomBetween(0, maintenanceArrivalsUs), true)
 	}
-	if w.option("leaving") {
-		w.leave()
+	if w.hasRunWideFault("leaving") {
+		w.listEngineAsLeaving()
 	}
-	rolled := !w.option("rolling")
-	if !rolled {
-		w.after(rollPauseUs, "roll", func() { w.roll(w.rollOrder(), func() { rolled = true }) })
+	isRestarted := !w.hasRunWideFault("rolling")
+	if !isRestarted {
+		w.after(maxRestartPauseUs, "roll", func() { w.restartInTurn(w.restartOrder(), func() { isRestarted = true }) })
 	}
-	w.operators[0].set(probePaths[0], func() { w.checks.expectInForce(w.checks.newest) })
-	w.runUntil(from+rollingCalls, nil)
-	w.runUntil(w.nowUs+patienceUs, func() bool { return rolled && w.callersDone() })
-	if !rolled {
-		w.checks.violate(invariantPlanned, "the planned restart did not come to an end")
+	w.operators[0].changeProbe(probePaths[0], func() { w.checks.expectRevision(w.checks.newestRevision) })
+	w.runUntil(startUs+maintenanceArrivalsUs, nil)
+	w.runUntil(w.nowUs+completionTimeoutUs, func() bool { return isRestarted && w.areCallersDone() })
+	if !isRestarted {
+		w.checks.reportViolation(invariantPlannedStop, "the planned restart did not come to an end")
 	}
 }
 
-func (w *world) leave() {
+func (w *world) listEngineAsLeaving() {
 	counts := map[string]int{}
 	for _, node := range w.engines {
 		counts[node.pool]++
 	}
 	for _, node := range w.engines {
 		if counts[node.pool] > 1 {
-			w.tell("%s is listed as leaving", node.name)
+			w.tracef("%s is listed as leaving", node.name)
 			w.platform.leaving[node.name] = true
-			w.checks.leftAtUs[node.name] = w.nowUs
+			w.checks.leavingSinceUs[node.name] = w.nowUs
 			return
 		}
 	}
 }
 
-func (w *world) rollOrder() []*process {
+func (w *world) restartOrder() []*process {
 	var order []*process
 	for _, node := range w.sidecars {
 		order = append(order, node.process)
@@ -214,20 +214,20 @@
 	return order
 }
 
-// roll stops and starts processes one after another, each with its drain.
-func (w *world) roll(order []*process, done func()) {
+// restartInTurn stops and starts processes one after another, each with its drain.
+func (w *world) restartInTurn(order []*process, done func()) {
 	if len(order) == 0 {
 		done()
 		return
 	}
 	p := order[0]
-	w.tell("planned stop of %s", p.name)
+	w.tracef("planned stop of %s", p.name)
 	w.drain(p, func() {
 		p.kill(false)
-		w.after(w.between(50_000, 400_000), "restart", func() {
+		w.after(w.randomBetween(50_000, 400_000), "restart", func() {
 			p.restart()
 			w.whenReady(p, func() {
-				w.after(w.between(rollPauseUs/3, rollPauseUs), "roll", func() { w.roll(order[1:], done) })
+				w.after(w.randomBetween(maxRestartPauseUs/3, maxRestartPauseUs), "roll", func() { w.restartInTurn(order[1:], done) })
 			})
 		})
 	})
@@ -239,29 +239,29 @@
 		done()
 		return
 	}
-	begun := w.nowUs
-	idle := func() bool { return true }
+	startUs := w.nowUs
+	isIdle := func() bool { return true }
 	for _, node := range w.sidecars {
 		if node.process == p {
 			node.core.Drain()
-			idle = node.core.Idle
+			isIdle = node.core.Idle
 		}
 	}
 	for _, node := range w.schedulers {
 		if node.process == p {
 			node.core.Drain()
-			idle = node.core.Idle
+			isIdle = node.core.Idle
 		}
 	}
 	for _, node := range w.controls {
 		if node.process == p {
-			node.act(node.core.Drain)
-			idle = node.core.Drained
+			node.runAndFlush(node.core.Drain)
+			isIdle = node.core.Drained
 		}
 	}
 	var wait func()
 	wait = func() {
-		if idle() || w.nowUs-begun > drainTimeoutUs {
+		if isIdle() || w.nowUs-startUs > drainTimeoutUs {
 			done()
 			return
 		}
@@ -271,7 +271,7 @@
 }
 
 func (w *world) whenReady(p *process, done func()) {
-	ready := func() bool {
+	isReady := func() bool {
 		for _, node := range w.schedulers {
 			if node.process == p {
 				return node.core.Ready()
@@ -291,7 +291,7 @@
 	}
 	var wait func()
 	wait = func() {
-		if ready() {
+		if isReady() {
 			done()
 			return
 		}
@@ -301,10 +301,10 @@
 }
 
 func (w *world) isDisabled(mechanism string) bool {
-	return slices.Contains(w.options.Disable, mechanism)
+	return slices.Contains(w.options.DisabledMechanisms, mechanism)
 }
 
-func (w *world) disableControl(options *control.Options) {
+func (w *world) disableControlMechanisms(options *control.Options) {
 	options.DisableFencing = w.isDisabled("fence")
 	options.DisableBudget = w.isDisabled("budget")
 	options.DisableAtMostOnce = w.isDisabled("once")
@@ -314,7 +314,7 @@
 	options.DisableTurnOrder = w.isDisabled("order")
 }
 
-func (w *world) disableScheduler(options *scheduler.Options) {
+func (w *world) disableSchedulerMechanisms(options *scheduler.Options) {
 	options.DisableTurnOrder = w.isDisabled("order")
 	options.DisableAudit = w.isDisabled("audit")
 	options.DisableLeavingStop = w.isDisabled("leaving")
@@ -322,7 +322,7 @@
 	options.DisableAtMostOnce = w.isDisabled("once")
 }
 
-func (w *world) disableSidecar(options *sidecar.Options) {
+func (w *world) disableSidecarMechanisms(options *sidecar.Options) {
 	options.DisableAssembly = w.isDisabled("assembly")
 	options.DisableOutcome = w.isDisabled("outcome")
 	options.DisableRevision = w.isDisabled("revision")
@@ -346,21 +346,21 @@
 func Shrink(deployment workload.Deployment, failed Result, options Options) Result {
 	best := failed
 	for {
-		smaller, ok := shrinkOnce(deployment, best, options)
+		reduced, ok := removeOneFault(deployment, best, options)
 		if !ok {
 			return best
 		}
-		best = smaller
+		best = reduced
 	}
 }
 
-func shrinkOnce(deployment workload.Deployment, best Result, options Options) (Result, bool) {
-	for position := range best.Applied {
-		options.fixed = true
-		options.faults = slices.Delete(slices.Clone(best.Applied), position, position+1)
-		tried := Run(deployment, best.Seed, options)
-		if len(tried.Violations) > 0 && tried.Violations[0].Invariant == best.Violations[0].Invariant {
-			return tried, true
+func removeOneFault(deployment workload.Deployment, best Result, options Options) (Result, bool) {
+	for position := range best.FaultSchedule {
+		options.hasFixedFaults = true
+		options.faultSchedule = slices.Delete(slices.Clone(best.FaultSchedule), position, position+1)
+		trial := Run(deployment, best.Seed, options)
+		if len(trial.Violations) > 0 && trial.Violations[0].Invariant == best.Violations[0].Invariant {
+			return trial, true
 		}
 	}
 	return best, false
@@ -368,24 +368,24 @@
 
 // Summary adds up many runs.
 type Summary struct {
-	Seeds     int      `json:"seeds"`
-	Events    int64    `json:"events"`
-	Faults    int64    `json:"faults"`
-	Messages  int64    `json:"messages"`
-	Answered  int64    `json:"answered"`
-	Refused   int64    `json:"refused"`
-	VirtualMs int64    `json:"virtual_ms"`
-	Failed    []Result `json:"failed,omitempty"`
+	Seeds         int      `json:"seeds"`
+	Events        int64    `json:"events"`
+	AppliedFaults int64    `json:"faults"`
+	Messages      int64    `json:"messages"`
+	Completed     int64    `json:"answered"`
+	NotCompleted  int64    `json:"refused"`
+	VirtualMs     int64    `json:"virtual_ms"`
+	Failed        []Result `json:"failed,omitempty"`
 	// Digest combines the runs' digests, whatever their order.
-	Digest uint64           `json:"digest"`
-	Kinds  map[string]int64 `json:"kinds"`
+	Digest          uint64           `json:"digest"`
+	FaultKindCounts map[string]int64 `json:"kinds"`
 }
 
 // RunMany runs seeds from first to last on several goroutines; it goes on after
 // a failure until a few have been found.
 func RunMany(deployment workload.Deployment, first, last uint64, options Options, parallel int) Summary {
-	const enough = 3
-	summary := Summary{Kinds: map[string]int64{}}
+	const maxFailures = 3
+	summary := Summary{FaultKindCounts: map[string]int64{}}
 	var mutex sync.Mutex
 	var failures atomic.Int64
 	var group sync.WaitGroup
@@ -399,15 +399,15 @@
 				seed := next
 				next++
 				mutex.Unlock()
-				if seed > last || failures.Load() >= enough {
+				if seed > last || failures.Load() >= maxFailures {
 					return
 				}
-				outcome := Run(deployment, seed, options)
-				if len(outcome.Violations) > 0 {
+				result := Run(deployment, seed, options)
+				if len(result.Violations) > 0 {
 					failures.Add(1)
 				}
 				mutex.Lock()
-				summary.add(outcome)
+				summary.add(result)
 				mutex.Unlock()
 			}
 		}()
@@ -417,24 +417,24 @@
 	return summary
 }
 
-func (s *Summary) add(outcome Result) {
+func (s *Summary) add(result Result) {
 	s.Seeds++
-	s.Events += outcome.Events
-	s.Faults += int64(outcome.Faults)
-	s.Messages += outcome.Messages
-	s.Answered += int64(outcome.Answered)
-	s.Refused += int64(outcome.Refused)
-	s.VirtualMs += outcome.VirtualMs
-	s.Digest ^= outcome.Digest
-	for _, fault := range outcome.Applied {
-		s.Kinds[fault.Kind]++
-	}
-	if len(outcome.Violations) > 0 {
-		s.Failed = append(s.Failed, outcome)
+	s.Events += result.Events
+	s.AppliedFaults += int64(result.AppliedFaults)
+	s.Messages += result.Messages
+	s.Completed += int64(result.Completed)
+	s.NotCompleted += int64(result.NotCompleted)
+	s.VirtualMs += result.VirtualMs
+	s.Digest ^= result.Digest
+	for _, fault := range result.FaultSchedule {
+		s.FaultKindCounts[fault.Kind]++
+	}
+	if len(result.Violations) > 0 {
+		s.Failed = append(s.Failed, result)
 	}
 }
 
 // String is the last line of the command.
 func (s Summary) String() string {
-	return fmt.Sprintf("simulate: %d seeds, %d events, %d faults, %d violations", s.Seeds, s.Events, s.Faults, len(s.Failed))
+	return fmt.Sprintf("simulate: %d seeds, %d events, %d faults, %d violations", s.Seeds, s.Events, s.AppliedFaults, len(s.Failed))
 }
--- a/internal/simulation/schedulers.go
+++ b/internal/simulation/schedulers.go
@@ -13,31 +13,31 @@
 // schedulerNode is one scheduler.
 type schedulerNode struct {
 	*process
-	core     *scheduler.Core
-	sinks    map[scheduler.SinkID]sinkRoute
-	nextSink scheduler.SinkID
-	attempts map[scheduler.AttemptID]*engineRun
-	members  []string
-	polling  map[string]bool
-	polls    int
+	core           *scheduler.Core
+	sinkRoutes     map[scheduler.SinkID]sinkRoute
+	lastSink       scheduler.SinkID
+	attempts       map[scheduler.AttemptID]*engineAttempt
+	controlMembers []string
+	isPolling      map[string]bool
+	pollRounds     int
 }
 
 type sinkRoute struct {
-	node *sidecarNode
-	life int
-	send sidecar.SendID
-	open uint64
+	sidecar            *sidecarNode
+	sidecarIncarnation int
+	sendID             sidecar.SendID
+	openRequestID      uint64
 }
 
-// engineRun is one call under way on an engine.
-type engineRun struct {
-	attempt   scheduler.AttemptID
-	scheduler *schedulerNode
-	life      int
-	engine    *engineNode
-	job       string
-	stopped   bool
-	openID    uint64
+// engineAttempt is one call under way on an engine.
+type engineAttempt struct {
+	id                   scheduler.AttemptID
+	scheduler            *schedulerNode
+	schedulerIncarnation int
+	engine               *engineNode
+	jobID                string
+	isStopped            bool
+	openRequestID        uint64
 }
 
 func (w *world) addSchedulers() {
@@ -46,61 +46,61 @@
 			node := &schedulerNode{process: w.newProcess(fmt.Sprintf("scheduler-%s-%d", count.Zone, number+1), count.Zone)}
 			for _, member := range w.controls {
 				if member.zone == node.zone {
-					node.members = append([]string{member.name}, node.members...)
+					node.controlMembers = append([]string{member.name}, node.controlMembers...)
 				} else {
-					node.members = append(node.members, member.name)
+					node.controlMembers = append(node.controlMembers, member.name)
 				}
 			}
-			node.start = node.boot
+			node.onStart = node.boot
 			w.schedulers = append(w.schedulers, node)
 		}
 	}
 }
 
 func (n *schedulerNode) boot() {
-	n.sinks = map[scheduler.SinkID]sinkRoute{}
-	n.attempts = map[scheduler.AttemptID]*engineRun{}
-	n.polling = map[string]bool{}
-	options := scheduler.DefaultOptions(n.name, n.zone, n.name, uint64(n.world.nowUs)<<8|uint64(n.life), n.members)
-	n.world.disableScheduler(&options)
+	n.sinkRoutes = map[scheduler.SinkID]sinkRoute{}
+	n.attempts = map[scheduler.AttemptID]*engineAttempt{}
+	n.isPolling = map[string]bool{}
+	options := scheduler.DefaultOptions(n.name, n.zone, n.name, uint64(n.world.nowUs)<<8|uint64(n.incarnation), n.controlMembers)
+	n.world.disableSchedulerMechanisms(&options)
 	n.core = scheduler.NewCore(options, n, n.nowMs())
-	n.world.checks.startedScheduler(n)
-	n.every(daemonTickUs, n.name, func() {
+	n.world.checks.observeSchedulerStart(n)
+	n.runPeriodically(daemonTickUs, n.name, func() {
 		n.core.Tick(n.nowMs())
 		n.world.checks.observeScheduler(n)
 	})
-	n.every(enginePollUs, n.name+" poll", n.poll)
+	n.runPeriodically(enginePollUs, n.name+" poll", n.pollEngines)
 }
 
-// poll asks each engine of the cell for its state.
-func (n *schedulerNode) poll() {
-	held := n.polls%scheduler.HeldEvery == 0
-	n.polls++
+// pollEngines asks each engine of the cell for its state.
+func (n *schedulerNode) pollEngines() {
+	includesCachedPrograms := n.pollRounds%scheduler.HeldEvery == 0
+	n.pollRounds++
 	for _, info := range n.core.Engines() {
-		target := n.world.engine(info.Name)
-		if target == nil || n.polling[info.Name] {
+		target := n.world.engineByName(info.Name)
+		if target == nil || n.isPolling[info.Name] {
 			continue
 		}
-		life := n.life
-		n.polling[info.Name] = true
+		life := n.incarnation
+		n.isPolling[info.Name] = true
 		n.world.network.send(n.process, target.process, 0, "state", func() {
-			state := target.report()
-			if !held {
+			state := target.stateReport()
+			if !includesCachedPrograms {
 				state.CachedPrograms = nil
 				state.CachedProgramsOmitted = true
 			}
 			n.world.network.send(target.process, n.process, life, "state", func() {
-				n.polling[info.Name] = false
+				n.isPolling[info.Name] = false
 				n.core.EngineReport(info.Name, state, true, n.nowMs())
 			}, nil)
 		}, func() {
-			n.polling[info.Name] = false
+			n.isPolling[info.Name] = false
 			n.core.EngineReport(info.Name, engine.State{}, false, n.nowMs())
 		})
 		// A request without an answer is given up after its timeout.
 		n.world.after(2_000_000, "state timeout", func() {
-			if n.alive && n.life == life {
-				n.polling[info.Name] = false
+			if n.isAlive && n.incarnation == life {
+				n.isPolling[info.Name] = false
 			}
 		})
 	}
@@ -112,9 +112,9 @@
 		if target.name != member {
 			continue
 		}
-		life := n.life
-		target.ask(n.process, kind, request, func(reply any) {
-			if n.alive && n.life == life {
+		life := n.incarnation
+		target.handleRequestFrom(n.process, kind, request, func(reply any) {
+			if n.isAlive && n.incarnation == life {
 				n.core.ControlReply(id, reply, n.nowMs())
 			}
 		})
@@ -123,22 +123,22 @@
 
 // Reply is the core's outlet to sidecars.
 func (n *schedulerNode) Reply(sink scheduler.SinkID, kind protocol.Kind, message any, last bool) {
-	route, ok := n.sinks[sink]
+	route, ok := n.sinkRoutes[sink]
 	if !ok {
 		return
 	}
-	node := route.node
+	node := route.sidecar
 	if last {
-		delete(n.sinks, sink)
-		delete(n.pending, route.open)
+		delete(n.sinkRoutes, sink)
+		delete(n.openRequests, route.openRequestID)
 	}
 	if answer, ok := message.(*protocol.CallReply); ok && answer.Error != nil {
-		n.world.tell("%s answers %s: %s", n.name, node.name, answer.Error)
+		n.world.tracef("%s answers %s: %s", n.name, node.name, answer.Error)
 	}
 	raw := mustEncode(message)
-	n.world.network.send(n.process, node.process, route.life, "reply", func() { node.take(route.send, kind, raw) }, func() {
-		if _, still := n.sinks[sink]; still {
-			delete(n.sinks, sink)
+	n.world.network.send(n.process, node.process, route.sidecarIncarnation, "reply", func() { node.handleFrame(route.sendID, kind, raw) }, func() {
+		if _, still := n.sinkRoutes[sink]; still {
+			delete(n.sinkRoutes, sink)
 			n.core.Gone(sink)
 		}
 		node.connectionLost(route)
@@ -147,26 +147,28 @@
 
 // Start is the core's outlet to engines.
 func (n *schedulerNode) Start(run scheduler.Run) {
-	target := n.world.engine(run.Engine.Name)
-	started := &engineRun{attempt: run.Attempt, scheduler: n, life: n.life, engine: target}
-	n.attempts[run.Attempt] = started
-	failed := func(ran bool) func() {
-		return func() { n.ended(started, engine.CompletionOutcome{MayHaveStarted: ran, Err: errEngineLost}) }
+	target := n.world.engineByName(run.Engine.Name)
+	attempt := &engineAttempt{id: run.Attempt, scheduler: n, schedulerIncarnation: n.incarnation, engine: target}
+	n.attempts[run.Attempt] = attempt
+	endWithLoss := func(mayHaveStarted bool) func() {
+		return func() {
+			n.endAttempt(attempt, engine.CompletionOutcome{MayHaveStarted: mayHaveStarted, Err: errEngineLost})
+		}
 	}
 	if target == nil {
-		n.world.after(connectRefused, "refused", failed(false))
+		n.world.after(connectRefusedDelayUs, "refused", endWithLoss(false))
 		return
 	}
 	request := run.Request
-	n.world.network.send(n.process, target.process, 0, "run", func() { target.run(started, request, failed) }, failed(false))
+	n.world.network.send(n.process, target.process, 0, "run", func() { target.startAttempt(attempt, request, endWithLoss) }, endWithLoss(false))
 }
 
-func (n *schedulerNode) ended(run *engineRun, outcome engine.CompletionOutcome) {
-	if !n.alive || n.life != run.life || n.attempts[run.attempt] != run {
+func (n *schedulerNode) endAttempt(run *engineAttempt, outcome engine.CompletionOutcome) {
+	if !n.isAlive || n.incarnation != run.schedulerIncarnation || n.attempts[run.id] != run {
 		return
 	}
-	delete(n.attempts, run.attempt)
-	n.core.Ended(run.attempt, outcome, n.nowMs())
+	delete(n.attempts, run.id)
+	n.core.Ended(run.id, outcome, n.nowMs())
 }
 
 // Stop closes a run's stream.
@@ -176,7 +178,7 @@
 		return
 	}
 	delete(n.attempts, attempt)
-	run.stopped = true
+	run.isStopped = true
 	if run.engine != nil {
 		n.world.network.send(n.process, run.engine.process, 0, "stop", func() { run.engine.cancel(run) }, nil)
 	}
@@ -184,23 +186,23 @@
 
 // Order gives an engine a fenced order.
 func (n *schedulerNode) Order(target membership.Engine, order engine.Order) {
-	if node := n.world.engine(target.Name); node != nil {
-		n.world.network.send(n.process, node.process, 0, "order", func() { node.order(order) }, nil)
+	if node := n.world.engineByName(target.Name); node != nil {
+		n.world.network.send(n.process, node.process, 0, "order", func() { node.handleOrder(order) }, nil)
 	}
 }
 
 // Release tells an engine to drop programs.
 func (n *schedulerNode) Release(target membership.Engine, programs []string) {
-	if node := n.world.engine(target.Name); node != nil {
-		n.world.network.send(n.process, node.process, 0, "release", func() { node.release(programs) }, nil)
+	if node := n.world.engineByName(target.Name); node != nil {
+		n.world.network.send(n.process, node.process, 0, "release", func() { node.releasePrograms(programs) }, nil)
 	}
 }
 
-func (n *schedulerNode) takeCall(from *sidecarNode, life int, id sidecar.SendID, kind protocol.Kind, raw []byte, lost func()) {
-	n.nextSink++
-	sink := n.nextSink
-	open := n.open(from.process, lost)
-	n.sinks[sink] = sinkRoute{node: from, life: life, send: id, open: open}
+func (n *schedulerNode) handleSidecarRequest(sender *sidecarNode, senderIncarnation int, id sidecar.SendID, kind protocol.Kind, raw []byte, lost func()) {
+	n.lastSink++
+	sink := n.lastSink
+	open := n.trackRequest(sender.process, lost)
+	n.sinkRoutes[sink] = sinkRoute{sidecar: sender, sidecarIncarnation: senderIncarnation, sendID: id, openRequestID: open}
 	if kind == protocol.KindFollow {
 		var request protocol.FollowRequest
 		mustDecode(raw, &request)
@@ -212,7 +214,7 @@
 	n.core.Call(sink, &request, n.nowMs())
 }
 
-func (w *world) engine(name string) *engineNode {
+func (w *world) engineByName(name string) *engineNode {
 	for _, node := range w.engines {
 		if node.name == name {
 			return node
@@ -221,7 +223,7 @@
 	return nil
 }
 
-func (w *world) scheduler(name string) *schedulerNode {
+func (w *world) schedulerByName(name string) *schedulerNode {
 	for _, node := range w.schedulers {
 		if node.name == name {
 			return node
--- a/internal/simulation/sidecars.go
+++ b/internal/simulation/sidecars.go
@@ -11,23 +11,23 @@
 // sidecarNode is one sidecar.
 type sidecarNode struct {
 	*process
-	core    *sidecar.Core
-	callers map[sidecar.CallerID]*callerSend
-	next    sidecar.CallerID
+	core       *sidecar.Core
+	attempts   map[sidecar.CallerID]*callerAttempt
+	lastCaller sidecar.CallerID
 }
 
 func (w *world) addSidecars() {
 	for _, count := range w.deployment.Sidecars {
 		for number := range count.Count {
 			node := &sidecarNode{process: w.newProcess(fmt.Sprintf("sidecar-%s-%d", count.Zone, number+1), count.Zone)}
-			node.start = node.boot
+			node.onStart = node.boot
 			w.sidecars = append(w.sidecars, node)
 		}
 	}
 }
 
 func (n *sidecarNode) boot() {
-	n.callers = map[sidecar.CallerID]*callerSend{}
+	n.attempts = map[sidecar.CallerID]*callerAttempt{}
 	var seeds []membership.Scheduler
 	for _, known := range n.world.schedulers {
 		seed := membership.Scheduler{Name: known.name, Zone: known.zone, Address: known.name}
@@ -38,9 +38,9 @@
 		}
 	}
 	options := sidecar.DefaultOptions(n.name, n.zone, seeds)
-	n.world.disableSidecar(&options)
+	n.world.disableSidecarMechanisms(&options)
 	n.core = sidecar.NewCore(options, n, n.nowMs())
-	n.every(daemonTickUs, n.name, func() {
+	n.runPeriodically(daemonTickUs, n.name, func() {
 		n.core.Tick(n.nowMs())
 		n.world.checks.observeSidecar(n)
 	})
@@ -48,33 +48,33 @@
 
 // Send is the core's outlet to schedulers.
 func (n *sidecarNode) Send(address string, id sidecar.SendID, kind protocol.Kind, request any) {
-	target := n.world.scheduler(address)
-	life := n.life
+	target := n.world.schedulerByName(address)
+	life := n.incarnation
 	lost := func() {
-		if n.alive && n.life == life {
+		if n.isAlive && n.incarnation == life {
 			n.core.Lost(id, n.nowMs())
 		}
 	}
 	if target == nil {
-		n.world.after(connectRefused, "refused", lost)
+		n.world.after(connectRefusedDelayUs, "refused", lost)
 		return
 	}
 	raw := mustEncode(request)
-	n.world.network.send(n.process, target.process, 0, "call", func() { target.takeCall(n, life, id, kind, raw, lost) }, lost)
+	n.world.network.send(n.process, target.process, 0, "call", func() { target.handleSidecarRequest(n, life, id, kind, raw, lost) }, lost)
 }
 
 // connectionLost tells the sidecar that the scheduler's answers can't arrive.
 func (n *sidecarNode) connectionLost(route sinkRoute) {
-	n.world.after(lostNoticeUs, "reset", func() {
-		if n.alive && n.life == route.life {
-			n.receive(func() { n.core.Lost(route.send, n.nowMs()) })
+	n.world.after(lossNoticeDelayUs, "reset", func() {
+		if n.isAlive && n.incarnation == route.sidecarIncarnation {
+			n.receive(func() { n.core.Lost(route.sendID, n.nowMs()) })
 		}
 	})
 }
 
 // Notify sends a one-way message to a scheduler.
 func (n *sidecarNode) Notify(address string, _ protocol.Kind, message any) {
-	target := n.world.scheduler(address)
+	target := n.world.schedulerByName(address)
 	if target == nil {
 		return
 	}
@@ -86,13 +86,13 @@
 	}, nil)
 }
 
-// take is a frame from a scheduler.
-func (n *sidecarNode) take(id sidecar.SendID, kind protocol.Kind, raw []byte) {
+// handleFrame is a frame from a scheduler.
+func (n *sidecarNode) handleFrame(id sidecar.SendID, kind protocol.Kind, raw []byte) {
 	switch kind {
 	case protocol.KindCallChunk:
-		var piece protocol.CallChunk
-		mustDecode(raw, &piece)
-		n.core.Piece(id, &piece, n.nowMs())
+		var chunk protocol.CallChunk
+		mustDecode(raw, &chunk)
+		n.core.Piece(id, &chunk, n.nowMs())
 	case protocol.KindCallReply:
 		var answer protocol.CallReply
 		mustDecode(raw, &answer)
@@ -106,15 +106,15 @@
 
 // Deliver hands the next part of an answer to the caller.
 func (n *sidecarNode) Deliver(id sidecar.CallerID, text string) {
-	if send, ok := n.callers[id]; ok {
+	if send, ok := n.attempts[id]; ok {
 		send.deliver(text)
 	}
 }
 
 // Finish ends a caller's request.
 func (n *sidecarNode) Finish(id sidecar.CallerID, answer *protocol.CallReply) {
-	if send, ok := n.callers[id]; ok {
-		delete(n.callers, id)
+	if send, ok := n.attempts[id]; ok {
+		delete(n.attempts, id)
 		send.finish(answer)
 	}
 }
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -19,31 +19,31 @@
 	return loaded
 }
 
-func TestSameSeedSameRun(t *testing.T) {
+func TestRunIsReproducible(t *testing.T) {
 	Convey("a seed gives the same run each time, and another seed another", t, func() {
 		small := deployment(t, "small")
 		first := Run(small, 5, Options{})
-		again := Run(small, 5, Options{Story: true})
+		again := Run(small, 5, Options{RecordTrace: true})
 		other := Run(small, 6, Options{})
 		So(again.Digest, ShouldEqual, first.Digest)
 		So(again.Events, ShouldEqual, first.Events)
 		So(other.Digest, ShouldNotEqual, first.Digest)
-		So(len(again.Story), ShouldBeGreaterThan, 10)
-		So(first.Answered, ShouldBeGreaterThan, 0)
+		So(len(again.Trace), ShouldBeGreaterThan, 10)
+		So(first.Completed, ShouldBeGreaterThan, 0)
 	})
 }
 
-// mechanism is a mechanism with failures and seeds among which its absence shows.
-type mechanism struct {
+// mechanismCase is a mechanism with failures and seeds among which its absence shows.
+type mechanismCase struct {
 	name      string
 	invariant string
 	faults    string
-	last      uint64
+	lastSeed  uint64
 }
 
-// mechanisms lists them with the invariant that breaks without each; sync breaks
+// mechanismCases lists them with the invariant that breaks without each; sync breaks
 // whatever the lost write held.
-var mechanisms = []mechanism{
+var mechanismCases = []mechanismCase{
 	{"order", invariantOrder, "callers", 4},
 	{"fence", invariantHistory, "zombie,callers,operators", 20},
 	{"sync", "", "write,operators,callers", 14},
@@ -53,7 +53,7 @@
 	{"outcome", invariantNotRun, "cell-busy", 8},
 	{"once", invariantOnce, "engine-busy,scheduler-busy", 10},
 	{"leaving", invariantLeaving, "leaving", 10},
-	{"drain", invariantPlanned, "rolling", 20},
+	{"drain", invariantPlannedStop, "rolling", 20},
 	{"revision", invariantSettings, "stale-feed", 10},
 	{"version", invariantSettings, "operators", 6},
 	{"read-confirm", invariantSettings, "split", 24},
@@ -61,31 +61,31 @@
 
 func TestEachMechanismIsNeeded(t *testing.T) {
 	small := deployment(t, "small")
-	for _, m := range mechanisms {
+	for _, m := range mechanismCases {
 		t.Run(m.name, func(t *testing.T) {
 			t.Parallel()
 			faults := strings.Split(m.faults, ",")
-			without := RunMany(small, 1, m.last, Options{Faults: faults, Disable: []string{m.name}}, 1)
-			if len(without.Failed) == 0 {
-				t.Fatalf("without it, no violation within seeds 1..%d", m.last)
+			disabled := RunMany(small, 1, m.lastSeed, Options{FaultKinds: faults, DisabledMechanisms: []string{m.name}}, 1)
+			if len(disabled.Failed) == 0 {
+				t.Fatalf("without it, no violation within seeds 1..%d", m.lastSeed)
 			}
-			for _, failed := range without.Failed {
-				found := failed.Violations[0].Invariant
-				if m.invariant != "" && found != m.invariant {
-					t.Errorf("seed %d: %s is broken, not %s: %s", failed.Seed, found, m.invariant, failed.Violations[0].Detail)
+			for _, failed := range disabled.Failed {
+				violated := failed.Violations[0].Invariant
+				if m.invariant != "" && violated != m.invariant {
+					t.Errorf("seed %d: %s is broken, not %s: %s", failed.Seed, violated, m.invariant, failed.Violations[0].Detail)
 				}
 			}
-			with := RunMany(small, 1, m.last, Options{Faults: faults}, 1)
-			for _, failed := range with.Failed {
+			enabled := RunMany(small, 1, m.lastSeed, Options{FaultKinds: faults}, 1)
+			for _, failed := range enabled.Failed {
 				t.Errorf("with it, seed %d: %+v", failed.Seed, failed.Violations[0])
 			}
 		})
 	}
 }
 
-// found lists faults that the simulator has found, each with seeds that showed it
+// regressions lists faults that the simulator has found, each with seeds that showed it
 // until its cause was mended.
-var found = []struct {
+var regressions = []struct {
 	cause      string
 	deployment string
 	faults     string
@@ -104,13 +104,13 @@
 	{"not run was said after another cell had run the call", "vantul", "cell-busy", []uint64{27, 36, 41}},
 }
 
-func TestFaultsFoundStayMended(t *testing.T) {
-	for _, f := range found {
+func TestRegressionSeeds(t *testing.T) {
+	for _, f := range regressions {
 		loaded := deployment(t, f.deployment)
 		for _, seed := range f.seeds {
 			t.Run(fmt.Sprintf("%s/%s/%d", f.deployment, f.faults, seed), func(t *testing.T) {
 				t.Parallel()
-				outcome := Run(loaded, seed, Options{Faults: strings.Split(f.faults, ",")})
+				outcome := Run(loaded, seed, Options{FaultKinds: strings.Split(f.faults, ",")})
 				if len(outcome.Violations) > 0 {
 					t.Errorf("%s: %+v", f.cause, outcome.Violations[0])
 				}
@@ -119,16 +119,16 @@
 	}
 }
 
-func TestShrinkKeepsWhatIsNeeded(t *testing.T) {
+func TestShrinkKeepsNeededFaults(t *testing.T) {
 	Convey("a violation's failures are cut down to those that it needs", t, func() {
 		small := deployment(t, "small")
-		options := Options{Disable: []string{"audit"}}
+		options := Options{DisabledMechanisms: []string{"audit"}}
 		failed := Run(small, 1, options)
 		So(len(failed.Violations), ShouldBeGreaterThan, 0)
 		shortest := Shrink(small, failed, options)
 		So(len(shortest.Violations), ShouldBeGreaterThan, 0)
 		So(shortest.Violations[0].Invariant, ShouldEqual, failed.Violations[0].Invariant)
-		So(len(shortest.Applied), ShouldBeLessThanOrEqualTo, len(failed.Applied))
-		So(shortest.Applied, ShouldBeEmpty)
+		So(len(shortest.FaultSchedule), ShouldBeLessThanOrEqualTo, len(failed.FaultSchedule))
+		So(shortest.FaultSchedule, ShouldBeEmpty)
 	})
 }
