--- a/internal/simulation/aimed.go
+++ b/internal/simulation/aimed.go
@@ -2,9 +2,9 @@
 
 import "github.com/ochrebay/ochrebay/internal/engine"
 
-// Aimed failures wait for the moment at which they do most harm: in the middle
-// of a stream, while a lost attempt's successor runs, between an election and
-// the old leader's end.
+// State-triggered faults wait for the moment at which they do most harm: in the middle
+// of a stream, while the successor of a lost attempt runs, or between the election of a
+// new leader and the end of the old leader.
 
 const (
 	triggerCheckIntervalUs = 5_000
@@ -16,7 +16,8 @@
 	cellOutageUs           = 6_000_000
 )
 
-// runWhen runs something as soon as a condition holds, or else at the end of a time.
+// runWhen runs run as soon as the condition holds, but no later than after patienceUs or
+// once all faults have ended; run receives whether the condition holds.
 func (w *world) runWhen(patienceUs int64, condition func() bool, run func(met bool)) {
 	deadlineUs := w.nowUs + patienceUs
 	var check func()
@@ -63,12 +64,13 @@
 	if w.haveFaultsEnded {
 		return
 	}
-	w.tracef("%s is killed at work", p.name)
+	w.tracef("%s is killed while busy", p.name)
 	p.kill(false)
 	w.after(forUs, "fault ends", p.restart)
 }
 
-// hasRunningAttempt reports whether an engine has started a call for the scheduler.
+// hasRunningAttempt reports whether the scheduler is alive and has an attempt that an
+// engine has started.
 func (n *schedulerNode) hasRunningAttempt() bool {
 	if !n.isAlive {
 		return false
@@ -81,8 +83,8 @@
 	return false
 }
 
-// killCell kills a scheduler at work and every engine of the pool it works with:
-// whoever takes the call over has nothing to run it on.
+// killCell kills a scheduler with a running attempt and every engine of the pools that
+// its attempts use, so that a scheduler that takes over the call has no engine for it.
 func (w *world) killCell(node *schedulerNode) {
 	w.runWhen(triggerTimeoutUs, node.hasRunningAttempt, func(met bool) {
 		if !met || w.haveFaultsEnded {
@@ -103,8 +105,8 @@
 	})
 }
 
-// makeZombie freezes a scheduler at work until a later call of the same program
-// runs for another scheduler, and lets it go on then.
+// makeZombie freezes a scheduler with a running attempt and thaws it once a later call of
+// the same program runs for another scheduler, or after zombieTimeoutUs.
 func (w *world) makeZombie(node *schedulerNode) {
 	w.runWhen(triggerTimeoutUs, node.hasRunningAttempt, func(met bool) {
 		if !met || w.haveFaultsEnded {
@@ -118,7 +120,7 @@
 				}
 			}
 		}
-		w.tracef("%s freezes at work", node.name)
+		w.tracef("%s is frozen while busy", node.name)
 		node.freeze()
 		hasLaterAttempt := func() bool {
 			for _, e := range w.engines {
@@ -138,9 +140,9 @@
 	})
 }
 
-// partitionLeader cuts the leader of the settings off from the other control
-// processes only, changes a setting at the other side, and restarts the
-// schedulers, which may ask either side.
+// partitionLeader partitions the leader of the settings group from the other control
+// processes only, changes a setting meanwhile and restarts the schedulers, which can
+// reach both sides of the partition.
 func (w *world) partitionLeader() {
 	leader := w.leaderOfGroup(0)
 	for _, node := range w.controls {
@@ -165,8 +167,9 @@
 	})
 }
 
-// createStaleSettings leaves one scheduler in touch with control, changes a setting and then
-// kills that one: sidecars turn to schedulers that have not heard of the change.
+// createStaleSettings partitions all schedulers but one from the control processes,
+// changes a setting and then kills the connected scheduler, so that sidecars turn to
+// schedulers that have not received the change.
 func (w *world) createStaleSettings(connected *schedulerNode) {
 	var heal []func()
 	for _, node := range w.schedulers {
@@ -191,8 +194,8 @@
 	})
 }
 
-// checkTurnOrder sees to it that a scheduler never has two calls of one program on
-// engines at a time.
+// checkTurnOrder checks that a scheduler never has two calls of a program running on
+// engines at the same time.
 func (c *checks) checkTurnOrder(started *engineAttempt, request engine.CompletionRequest) {
 	for _, node := range c.world.engines {
 		for _, other := range node.jobs {
--- a/internal/simulation/callers.go
+++ b/internal/simulation/callers.go
@@ -22,8 +22,8 @@
 	loopSteps          = 60
 )
 
-// caller runs one program as its owner would: it sends a call, waits for the
-// whole answer, uses a tool, sends the next. It knows nothing of the fleet.
+// caller runs one program as a client does: it sends a call, waits for the complete
+// reply, runs a tool and sends the next call. It uses no state of the schedulers or engines.
 type caller struct {
 	*process
 	number       int
@@ -32,10 +32,11 @@
 	budgetTokens int64
 	steps        []callerStep
 	sidecarIndex int
-	// started says that the program's first call was answered.
+	// isCreated reports whether a call of the program has been answered successfully.
 	isCreated bool
 	isDone    bool
-	// isMaintenanceCaller marks callers of the calm phase, whose calls no failure excuses.
+	// isMaintenanceCaller marks callers of the maintenance phase, in which no fault
+	// excuses a failed call.
 	isMaintenanceCaller bool
 	outcome             string
 	conversations       map[string]*conversation
@@ -50,25 +51,26 @@
 	outputTokens int64
 	promptTokens int64
 	toolMs       int64
-	// isSentTwice sends the request a second time while the first is under way,
-	// crossed sends another request beside it, vanish goes away in mid call.
+	// isSentTwice makes the caller resend the request soon after the first attempt,
+	// hasConcurrentRequest makes it send another request at the same time, and
+	// isAbandoned makes it disconnect soon after the request was sent.
 	isSentTwice          bool
 	hasConcurrentRequest bool
 	isAbandoned          bool
 }
 
-// conversation is what the caller knows of a thread: the histories that the
-// answers so far allow, and requests whose fate it doesn't know.
+// conversation is the state of a thread as its caller sees it: the histories consistent
+// with the replies so far, and the requests whose outcome is unknown.
 type conversation struct {
 	histories       [][]program.Message
 	unresolved      []*callerRequest
 	answerByRequest map[string]string
 }
 
-// callerRequest is one request with its id, however often it is sent.
+// callerRequest is one request with its ID; it can be sent several times.
 type callerRequest struct {
 	caller      *caller
-	request     *protocol.CallRequest
+	body        *protocol.CallRequest
 	thread      string
 	sends       int
 	mayHaveRun  bool
@@ -77,7 +79,7 @@
 	onFinished  func(answered bool)
 }
 
-// callerAttempt is one sending of a request.
+// callerAttempt is one attempt to send a request through a sidecar.
 type callerAttempt struct {
 	request            *callerRequest
 	sidecar            *sidecarNode
@@ -106,7 +108,7 @@
 	return c
 }
 
-// callerSteps draws what a program will do.
+// callerSteps picks the steps of a program at random.
 func (w *world) callerSteps(c *caller) []callerStep {
 	count := 1
 	if c.service.Turns.High > 1 {
@@ -141,7 +143,7 @@
 	return steps
 }
 
-// scheduleStep begins a step after its pause, or ends.
+// scheduleStep starts a step once its tool has run; after the last step it ends the program.
 func (c *caller) scheduleStep(position int) {
 	if position >= len(c.steps) {
 		c.end("answered")
@@ -199,8 +201,8 @@
 	}
 }
 
-// conversationFor returns the step's conversation; a sub-agent forks its parent's. It is
-// nil where the caller can't tell what the sub-agent would see.
+// conversationFor returns the conversation of the step; a sub-agent forks that of its
+// parent. It returns nil if the history that the sub-agent would get is not certain.
 func (c *caller) conversationFor(step callerStep) *conversation {
 	known, ok := c.conversations[step.thread]
 	if ok {
@@ -222,7 +224,7 @@
 	if c.service.AtMostOnce {
 		c.world.checks.atMostOnce[request] = true
 	}
-	return &callerRequest{caller: c, thread: thread, endsProgram: endsProgram, onFinished: onFinished, request: &protocol.CallRequest{
+	return &callerRequest{caller: c, thread: thread, endsProgram: endsProgram, onFinished: onFinished, body: &protocol.CallRequest{
 		Program: c.program, Create: !c.isCreated && thread == "", Tenant: "tenant", Service: c.service.Service, Thread: thread,
 		Request: request, AtMostOnce: c.service.AtMostOnce, EndsProgram: endsProgram, Messages: []program.Message{{Role: "user", Content: text}},
 		BudgetTokens: c.budgetTokens, TimeoutMs: callTimeoutMs,
@@ -233,7 +235,7 @@
 	if c.isDone {
 		return
 	}
-	c.world.tracef("%s goes away in mid call", c.name)
+	c.world.tracef("%s disconnects during a call", c.name)
 	c.end("vanished")
 	for _, node := range c.world.sidecars {
 		for id := sidecar.CallerID(1); id <= node.lastCaller; id++ {
@@ -248,7 +250,8 @@
 	}
 }
 
-// send sends the request through a sidecar; after a failure through another.
+// send sends the request through the sidecar of the caller; attempts after the second
+// go through the next sidecars in turn.
 func (call *callerRequest) send() {
 	c := call.caller
 	w := c.world
@@ -257,9 +260,9 @@
 	}
 	node := w.sidecars[(c.sidecarIndex+max(0, call.sends-1))%len(w.sidecars)]
 	call.sends++
-	w.tracef("%s sends request %s (%d) to %s", c.name, call.request.Request, call.sends, node.name)
-	attempt := &callerAttempt{request: call, sidecar: node, startsBefore: w.checks.startsByRequest[call.request.Request]}
-	request := *call.request
+	w.tracef("%s sends request %s (%d) to %s", c.name, call.body.Request, call.sends, node.name)
+	attempt := &callerAttempt{request: call, sidecar: node, startsBefore: w.checks.startsByRequest[call.body.Request]}
+	request := *call.body
 	raw := mustEncode(&request)
 	w.network.send(c.process, node.process, 0, "http", func() {
 		attempt.sidecarIncarnation = node.incarnation
@@ -271,20 +274,20 @@
 		node.attempts[node.lastCaller] = attempt
 		node.core.Call(node.lastCaller, &copied, node.nowMs())
 	}, attempt.handleNotDelivered)
-	// A caller gives up on a sidecar that says nothing at all.
+	// The caller ends the attempt if the sidecar does not reply at all.
 	w.after((callTimeoutMs+callTimeoutGraceMs)*microsPerMilli, "caller waits", attempt.handleConnectionLost)
 }
 
-// handleNotDelivered says that no sidecar took the request.
+// handleNotDelivered handles a request that did not reach the sidecar.
 func (s *callerAttempt) handleNotDelivered() { s.resendAfter(200) }
 
-// handleConnectionLost says that the sidecar went away with the answer unfinished.
+// handleConnectionLost handles the loss of the sidecar before the reply was complete.
 func (s *callerAttempt) handleConnectionLost() {
 	if s.isOver {
 		return
 	}
 	if s.request.caller.isMaintenanceCaller {
-		s.request.caller.world.checks.reportViolation(invariantPlannedStop, "request %s was cut off by a planned stop", s.request.request.Request)
+		s.request.caller.world.checks.reportViolation(invariantPlannedStop, "request %s was interrupted by a planned stop", s.request.body.Request)
 	}
 	s.request.mayHaveRun = true
 	s.resendAfter(200)
@@ -306,13 +309,13 @@
 	call.caller.world.after(delayMs*microsPerMilli, "again", call.send)
 }
 
-// deliver is a part of the answer.
+// deliver sends the next text of the response to the caller.
 func (s *callerAttempt) deliver(text string) {
 	c := s.request.caller
 	c.world.network.send(s.sidecar.process, c.process, 0, "text", func() { s.receivedText.WriteString(text) }, nil)
 }
 
-// finish is the final answer.
+// finish sends the final reply to the caller.
 func (s *callerAttempt) finish(answer *protocol.CallReply) {
 	delete(s.sidecar.openRequests, s.openRequestID)
 	raw := mustEncode(answer)
@@ -338,7 +341,7 @@
 		return
 	}
 	failure := answer.Error
-	c.world.tracef("%s: request %s gets %s (%s, back in %d ms): %s", c.name, call.request.Request, failure.Type, failure.Outcome, failure.RetryAfterMs, failure.Message)
+	c.world.tracef("%s: request %s receives error %s (%s, retry after %d ms): %s", c.name, call.body.Request, failure.Type, failure.Outcome, failure.RetryAfterMs, failure.Message)
 	c.world.checks.checkError(s, failure)
 	if failure.Outcome != result.NotRun {
 		call.mayHaveRun = true
@@ -366,15 +369,17 @@
 	}
 	call.isDone = true
 	if failure != nil {
-		call.caller.world.tracef("%s: request %s ends with %s (%s): %s", call.caller.name, call.request.Request, failure.Type, failure.Outcome, failure.Message)
+		call.caller.world.tracef("%s: request %s fails with %s (%s): %s", call.caller.name, call.body.Request, failure.Type, failure.Outcome, failure.Message)
 	}
 	call.onFinished(false)
 }
 
-// resolve finds the histories that an answer allows: those known, followed by any
-// order of requests with unknown fate, followed by this one.
+// resolve finds the histories consistent with a response: a known history, followed by
+// any of the requests with an unknown outcome in any order, followed by this request. It
+// returns false if there is none. It keeps the first match as the only history and
+// marks the requests in it as resolved.
 func (t *conversation) resolve(call *callerRequest, content string) bool {
-	request := call.request.Request
+	request := call.body.Request
 	if before, ok := t.answerByRequest[request]; ok {
 		return before == content
 	}
@@ -398,11 +403,12 @@
 		}
 	}
 	t.unresolved = remaining
-	// What came between is known now: its answer is in the history.
+	// The requests placed before this one are resolved: their responses are in the
+	// history.
 	for position, message := range t.histories[0] {
 		for _, other := range resolvedRequests {
-			if message.Content == other.request.Messages[0].Content {
-				t.answerByRequest[other.request.Request] = t.histories[0][position+1].Content
+			if message.Content == other.body.Messages[0].Content {
+				t.answerByRequest[other.body.Request] = t.histories[0][position+1].Content
 			}
 		}
 	}
@@ -432,9 +438,10 @@
 	}
 }
 
-// appendExchange is a history with a request and the answer that any engine gives.
+// appendExchange returns the history extended by a request and its response, and the
+// response itself, which is the same on every engine.
 func appendExchange(history []program.Message, call *callerRequest) ([]program.Message, string) {
-	extended := append(append([]program.Message(nil), history...), call.request.Messages...)
+	extended := append(append([]program.Message(nil), history...), call.body.Messages...)
 	answer := emulator.NewPrompt(extended, 0).Response
 	return append(extended, program.Message{Role: "assistant", Content: answer}), answer
 }
--- a/internal/simulation/checks.go
+++ b/internal/simulation/checks.go
@@ -8,7 +8,7 @@
 	"github.com/ochrebay/ochrebay/internal/result"
 )
 
-// The invariants, by the numbers of the brief's list.
+// The names of the invariants; the numbers are those of the list in the brief.
 const (
 	invariantOrder       = "1-order"
 	invariantHistory     = "2-history"
@@ -23,23 +23,24 @@
 	invariantProgress    = "progress"
 )
 
-// Violation is an invariant seen broken.
+// Violation is an observed violation of an invariant.
 type Violation struct {
 	Invariant string `json:"invariant"`
 	Detail    string `json:"detail"`
 	AtMs      int64  `json:"at_ms"`
 }
 
-// checks watches callers, engines and operators from outside the cores.
+// checks verifies the invariants from outside the cores, by what callers, engines and
+// operators observe.
 type checks struct {
 	world      *world
 	violations []Violation
-	// startsByRequest counts how often an engine started each request; once names those
-	// that may not be repeated.
+	// startsByRequest counts how often engines started each request; atMostOnce holds
+	// the requests that must not be repeated.
 	startsByRequest map[string]int
 	atMostOnce      map[string]bool
-	// generatedTokens counts the tokens that engines generated for each program, and runs
-	// the times that an engine started a call of it.
+	// generatedTokens counts the tokens that engines generated for each program,
+	// startsByProgram how often engines started a call of it.
 	generatedTokens  map[string]int64
 	startsByProgram  map[string]int64
 	answersByProgram map[string]int64
@@ -80,19 +81,21 @@
 	c.world.tracef("VIOLATION of %s: %s", invariant, detail)
 }
 
-// leavingSeconds is how long a leaving engine may still be sent new work.
+// leavingDeadlineUs is how long after it was listed as leaving an engine may still be
+// sent new work.
 const leavingDeadlineUs = 5_000_000
 
-// observeEngineStart notes that an engine started a call.
+// observeEngineStart records that an engine started a call, and checks that the engine
+// was allowed to.
 func (c *checks) observeEngineStart(e *engineNode, request engine.CompletionRequest) {
 	c.startsByRequest[request.RequestID]++
 	c.world.tracef("%s starts request %s (%d messages)", e.name, request.RequestID, len(request.Messages))
 	c.startsByProgram[request.User]++
 	if c.atMostOnce[request.RequestID] && c.startsByRequest[request.RequestID] > 1 {
-		c.reportViolation(invariantOnce, "request %s is not repeatable and was started %d times", request.RequestID, c.startsByRequest[request.RequestID])
+		c.reportViolation(invariantOnce, "request %s must run at most once but was started %d times", request.RequestID, c.startsByRequest[request.RequestID])
 	}
 	if c.reportedNotRun[request.RequestID] {
-		c.reportViolation(invariantNotRun, "request %s was started after its caller was told that it had not run", request.RequestID)
+		c.reportViolation(invariantNotRun, "request %s was started after it was reported to its caller as not run", request.RequestID)
 	}
 	if leftAt, ok := c.leavingSinceUs[e.name]; ok && c.world.nowUs-leftAt > leavingDeadlineUs {
 		c.reportViolation(invariantLeaving, "%s got new work %d ms after it was listed as leaving", e.name, (c.world.nowUs-leftAt)/microsPerMilli)
@@ -103,43 +106,43 @@
 	c.generatedTokens[program] += tokens
 }
 
-// checkAnswer checks a whole answer as its caller got it.
+// checkAnswer checks a complete reply as its caller received it.
 func (c *checks) checkAnswer(s *callerAttempt, answer *protocol.CallReply) {
 	call := s.request
 	programCaller := call.caller
-	c.world.tracef("%s: request %s is answered as turn %d by %s", programCaller.name, call.request.Request, answer.Turn, answer.Engine)
+	c.world.tracef("%s: request %s is answered as turn %d by %s", programCaller.name, call.body.Request, answer.Turn, answer.Engine)
 	if s.receivedText.String() != answer.Content {
-		c.reportViolation(invariantAnswer, "request %s: the caller was sent %d bytes of an answer of %d", call.request.Request, s.receivedText.Len(), len(answer.Content))
+		c.reportViolation(invariantAnswer, "request %s: the caller received %d bytes of a response of %d bytes", call.body.Request, s.receivedText.Len(), len(answer.Content))
 	}
-	if earlier, ok := programCaller.requestByTurn[answer.Turn]; ok && earlier != call.request.Request {
-		c.reportViolation(invariantOrder, "program %s: requests %s and %s both have turn %d", programCaller.program, earlier, call.request.Request, answer.Turn)
+	if earlier, ok := programCaller.requestByTurn[answer.Turn]; ok && earlier != call.body.Request {
+		c.reportViolation(invariantOrder, "program %s: requests %s and %s both have turn %d", programCaller.program, earlier, call.body.Request, answer.Turn)
 	}
 	_, isRepeated := programCaller.requestByTurn[answer.Turn]
-	programCaller.requestByTurn[answer.Turn] = call.request.Request
+	programCaller.requestByTurn[answer.Turn] = call.body.Request
 	if !isRepeated {
 		c.answersByProgram[programCaller.program]++
 	}
 	if !programCaller.conversations[call.thread].resolve(call, answer.Content) {
-		c.reportViolation(invariantHistory, "request %s (turn %d): the engine %.32q, which no order of this caller's calls explains", call.request.Request, answer.Turn, answer.Content)
+		c.reportViolation(invariantHistory, "request %s (turn %d): no order of the caller's requests explains the response %.32q", call.body.Request, answer.Turn, answer.Content)
 	}
 }
 
-// maxReplyUs bounds the time from a sidecar's taking a request to its final answer,
-// whatever is lost meanwhile; the caller's own deadline is later.
+// maxReplyUs bounds the time between a sidecar receiving a request and sending the final
+// reply, whatever is lost in between. It is shorter than the timeout of the caller.
 const maxReplyUs = 16_000_000
 
 func (c *checks) checkReplyTime(s *callerAttempt) {
 	if elapsedUs := c.world.nowUs - s.receivedUs; elapsedUs > maxReplyUs {
-		c.reportViolation(invariantProgress, "request %s was left waiting for %d ms", s.request.request.Request, elapsedUs/microsPerMilli)
+		c.reportViolation(invariantProgress, "request %s waited %d ms for its final reply", s.request.body.Request, elapsedUs/microsPerMilli)
 	}
 }
 
-// checkError checks an error as its caller got it.
+// checkError checks an error as its caller received it.
 func (c *checks) checkError(s *callerAttempt, failure *result.Error) {
-	request := s.request.request.Request
+	request := s.request.body.Request
 	if failure.Outcome == result.NotRun && s.request.sends == 1 {
 		if c.startsByRequest[request] > s.startsBefore {
-			c.reportViolation(invariantNotRun, "request %s: the caller was told %s and not run, but an engine had started it", request, failure.Type)
+			c.reportViolation(invariantNotRun, "request %s: the caller received error %s with outcome not run, but an engine had started the request", request, failure.Type)
 		}
 		if failure.RetryAfterMs == 0 {
 			c.reportedNotRun[request] = true
@@ -147,16 +150,16 @@
 	}
 	isViolation := s.request.caller.isMaintenanceCaller && failure.Outcome != result.NotRun
 	if isViolation {
-		c.reportViolation(invariantPlannedStop, "request %s failed in a planned restart: %s (%s)", request, failure.Type, failure.Message)
+		c.reportViolation(invariantPlannedStop, "request %s failed during a planned restart: %s (%s)", request, failure.Type, failure.Message)
 	}
 }
 
-// observeAcceptedChange notes a change that an operator was told is accepted.
+// observeAcceptedChange records a change that was reported to its operator as accepted.
 func (c *checks) observeAcceptedChange(change *change, revision uint64) {
 	version := change.content.Nodes[0].Version
 	for _, earlier := range c.acceptedByPath[change.path] {
 		if earlier.version == version {
-			c.reportViolation(invariantSettings, "%s: two changes against version %d were accepted, at revisions %d and %d", change.path, version, earlier.revision, revision)
+			c.reportViolation(invariantSettings, "%s: two changes based on version %d were accepted, at revisions %d and %d", change.path, version, earlier.revision, revision)
 		}
 	}
 	c.acceptedByPath[change.path] = append(c.acceptedByPath[change.path], acceptedChange{revision: revision, value: change.value, version: version})
@@ -164,17 +167,19 @@
 	c.newestRevision = max(c.newestRevision, revision)
 }
 
-// tree is what is in force at a daemon.
+// treeView is the settings tree in force at a daemon.
 type treeView interface {
 	value(path string) int64
 	revision() uint64
 }
 
-// observe holds the tree in force at a daemon against what was accepted.
+// observe checks the settings tree in force at a daemon against the accepted changes:
+// its revision must not decrease within an incarnation, and no value may be older than
+// the newest change accepted up to that revision.
 func (c *checks) observe(name string, life int, tree treeView) {
 	revision := tree.revision()
 	if c.observedIncarnation[name] == life && revision < c.observedRevision[name] {
-		c.reportViolation(invariantSettings, "%s went back from revision %d to %d", name, c.observedRevision[name], revision)
+		c.reportViolation(invariantSettings, "%s went from revision %d back to %d", name, c.observedRevision[name], revision)
 	}
 	isNew := c.observedRevision[name] != revision || c.observedIncarnation[name] != life
 	c.observedIncarnation[name] = life
@@ -189,7 +194,7 @@
 		}
 		for _, accepted := range c.acceptedByPath[path] {
 			if accepted.revision > shownRevision && accepted.revision <= revision {
-				c.reportViolation(invariantSettings, "%s at revision %d shows %s as of revision %d, but %d was accepted", name, revision, path, shownRevision, accepted.revision)
+				c.reportViolation(invariantSettings, "%s at revision %d has the value of %s from revision %d, but a change at revision %d was accepted", name, revision, path, shownRevision, accepted.revision)
 			}
 		}
 	}
@@ -200,14 +205,14 @@
 	c.hasSynced[n.name] = false
 }
 
-// observeScheduler also holds a fresh scheduler against what was accepted
-// before it started.
+// observeScheduler checks the settings of a scheduler and also that, once ready, it
+// has all changes that were accepted before it started.
 func (c *checks) observeScheduler(n *schedulerNode) {
 	c.observe(n.name, n.incarnation, settingsView{n.core.Tree()})
 	if !c.hasSynced[n.name] && n.core.Ready() {
 		c.hasSynced[n.name] = true
 		if n.core.Tree().Revision() < c.revisionAtStart[n.name] {
-			c.reportViolation(invariantSettings, "%s serves at revision %d, but %d was accepted before it started", n.name, n.core.Tree().Revision(), c.revisionAtStart[n.name])
+			c.reportViolation(invariantSettings, "%s serves at revision %d, but revision %d was accepted before it started", n.name, n.core.Tree().Revision(), c.revisionAtStart[n.name])
 		}
 	}
 }
@@ -222,47 +227,48 @@
 	}
 }
 
-// expectRevision asks that all live daemons have a revision within a time.
+// expectRevision checks that all ready schedulers and sidecars have at least the given
+// revision when settingsDeadlineUs have passed.
 func (c *checks) expectRevision(revision uint64) {
 	w := c.world
 	w.after(settingsDeadlineUs, "in force", func() {
 		for _, node := range w.schedulers {
 			if node.isAlive && node.core.Ready() && node.core.Tree().Revision() < revision {
-				c.reportViolation(invariantSettings, "%s has revision %d after 6 s, %d was accepted", node.name, node.core.Tree().Revision(), revision)
+				c.reportViolation(invariantSettings, "%s has revision %d after 6 s, but revision %d was accepted", node.name, node.core.Tree().Revision(), revision)
 			}
 		}
 		for _, node := range w.sidecars {
 			if node.isAlive && node.core.Ready() && node.core.Tree().Revision() < revision {
-				c.reportViolation(invariantSettings, "%s has revision %d after 6 s, %d was accepted", node.name, node.core.Tree().Revision(), revision)
+				c.reportViolation(invariantSettings, "%s has revision %d after 6 s, but revision %d was accepted", node.name, node.core.Tree().Revision(), revision)
 			}
 		}
 	})
 }
 
 // lostAttemptSlackTokens bounds the tokens that an engine generates for a lost attempt
-// after the last one that its scheduler heard of.
+// after the last token that its scheduler received.
 const lostAttemptSlackTokens = 24
 
-// checkFinalState checks what must hold once everything has settled.
+// checkFinalState checks the invariants that must hold once the idle period has passed.
 func (c *checks) checkFinalState() {
 	w := c.world
 	for _, programCaller := range w.callers {
 		if !programCaller.isDone {
-			c.reportViolation(invariantProgress, "program %s has neither ended nor been refused", programCaller.program)
+			c.reportViolation(invariantProgress, "program %s has neither ended nor been rejected", programCaller.program)
 		}
 		if programCaller.budgetTokens > 0 {
 			lostAttempts := c.startsByProgram[programCaller.program] - c.answersByProgram[programCaller.program]
 			if usedTokens := c.generatedTokens[programCaller.program]; usedTokens > programCaller.budgetTokens+lostAttempts*lostAttemptSlackTokens {
-				c.reportViolation(invariantBudget, "program %s: engines generated %d tokens on a budget of %d (%d attempts lost)", programCaller.program, usedTokens, programCaller.budgetTokens, lostAttempts)
+				c.reportViolation(invariantBudget, "program %s: engines generated %d tokens with a budget of %d (%d attempts lost)", programCaller.program, usedTokens, programCaller.budgetTokens, lostAttempts)
 			}
 		}
 	}
 	if !w.areControlsHealthy() {
-		c.reportViolation(invariantProgress, "not every control process is a voter of every group again")
+		c.reportViolation(invariantProgress, "some control processes have not become voters of every group again")
 	}
 	for _, node := range w.engines {
 		if cached := node.model.CachedPrograms(); node.isAlive && len(cached) > 0 {
-			c.reportViolation(invariantMemory, "%s still holds %d programs, %s among them, long after all have ended", node.name, len(cached), cached[0].Program)
+			c.reportViolation(invariantMemory, "%s still caches %d programs, among them %s, long after all programs have ended", node.name, len(cached), cached[0].Program)
 		}
 	}
 }
--- a/internal/simulation/controls.go
+++ b/internal/simulation/controls.go
@@ -20,8 +20,7 @@
 	compactEntries  = 200
 )
 
-// mustEncode copies a message as the wire would, so that no two processes share
-// memory.
+// mustEncode encodes a message as for the wire, so that no two processes share memory.
 func mustEncode(message any) []byte {
 	raw, err := protocol.Encode(message)
 	if err != nil {
@@ -36,7 +35,7 @@
 	}
 }
 
-// controlNode is one control process.
+// controlNode is a simulated control process.
 type controlNode struct {
 	*process
 	disk           *disk
@@ -84,22 +83,22 @@
 	})
 }
 
-// runAndFlush runs something on the core and carries out what it has ready; a process
-// that dies in a write is dead.
+// runAndFlush runs run on the core and flushes the writes and messages of the core. If a
+// write fails, the process dies and restarts later.
 func (n *controlNode) runAndFlush(run func()) {
 	if !n.isAlive {
 		return
 	}
 	run()
 	if err := n.core.Flush(); err != nil {
-		n.world.tracef("%s dies in a write (write kept: %t)", n.name, n.disk.crashPersistsWrite)
+		n.world.tracef("%s crashes during a write (write persisted: %t)", n.name, n.disk.crashPersistsWrite)
 		n.kill(false)
 		n.world.after(n.world.randomBetween(200_000, 3_000_000), "restart", n.restart)
 	}
 	n.world.checks.observeControl(n)
 }
 
-// Send is the core's outlet to other control processes.
+// Send sends a message of the core to another control process.
 func (n *controlNode) Send(member string, kind protocol.Kind, message any) {
 	for _, other := range n.world.controls {
 		if other.name != member {
@@ -122,7 +121,7 @@
 	n.runAndFlush(func() { n.core.HandlePeerBatch(batch, n.nowMs()) })
 }
 
-// Reply is the core's outlet to whoever asked.
+// Reply sends the reply of the core to the requester.
 func (n *controlNode) Reply(request control.RequestID, reply any) {
 	if answer, ok := n.replyCallbacks[request]; ok {
 		delete(n.replyCallbacks, request)
@@ -130,8 +129,8 @@
 	}
 }
 
-// handleRequestFrom carries a request of another process to the node and its reply, or nil,
-// back.
+// handleRequestFrom carries a request of another process to the node and its reply back.
+// The requester gets a nil reply if the request or the reply is lost.
 func (n *controlNode) handleRequestFrom(from *process, kind protocol.Kind, message any, reply func(decoded any)) {
 	w := n.world
 	raw := mustEncode(message)
@@ -148,7 +147,7 @@
 				decoded := protocol.NewReply(kind)
 				mustDecode(encoded, decoded)
 				if ledger, ok := decoded.(*protocol.LedgerReply); ok && ledger.Reply.Error != nil {
-					w.tracef("%s tells %s: %s", n.name, from.name, ledger.Reply.Error)
+					w.tracef("%s replies to %s: %s", n.name, from.name, ledger.Reply.Error)
 				}
 				reply(decoded)
 			}, func() {
--- a/internal/simulation/disk.go
+++ b/internal/simulation/disk.go
@@ -9,20 +9,21 @@
 	"github.com/ochrebay/ochrebay/internal/storage"
 )
 
-// errCrash is what a write returns when the process dies in it.
-var errCrash = errors.New("simulation: the process died in a write")
+// errCrash is the error of a write during which the process dies.
+var errCrash = errors.New("simulation: process crashed during a write")
 
-// disk is one control process's durable state. A write is atomic, as bbolt's
-// two meta pages make it: a torn one is as if it had not been.
+// disk is the durable state of a control process. A write is atomic, as with the two
+// meta pages of bbolt: a torn write has no effect.
 type disk struct {
 	replica   consensus.ReplicaID
 	bootstrap *consensus.Configuration
 	groups    map[storage.GroupID]*diskGroup
-	// writesUntilCrash counts the writes until the process dies in one; crashAfter says
-	// that the write still reached the disk.
+	// writesUntilCrash counts down to the write during which the process dies, zero for
+	// none; crashPersistsWrite reports whether that write still reaches the disk.
 	writesUntilCrash   int
 	crashPersistsWrite bool
-	// unsynced, where the sync is turned off, holds what a crash loses.
+	// delaysSync is set if the sync mechanism is turned off; unsynced then holds the
+	// acknowledged writes that a crash loses.
 	delaysSync bool
 	unsynced   [][]storage.GroupWrite
 	writes     int64
@@ -33,7 +34,7 @@
 	snapshot  consensus.Snapshot
 	entries   []consensus.Entry
 	records   map[string]map[uint64][]byte
-	// staged are the records of a snapshot that is being received.
+	// staged holds the records of a snapshot that is being received.
 	staged map[string]map[uint64][]byte
 }
 
@@ -41,10 +42,10 @@
 	return &disk{replica: replica, groups: map[storage.GroupID]*diskGroup{}}
 }
 
-// Replica returns the disk's incarnation.
+// Replica returns the replica ID of the disk; a new disk has a new ID.
 func (d *disk) Replica() consensus.ReplicaID { return d.replica }
 
-// Bootstrap returns the first configuration that the disk knows.
+// Bootstrap returns the initial configuration, and false if the disk has none.
 func (d *disk) Bootstrap() (consensus.Configuration, bool, error) {
 	if d.bootstrap == nil {
 		return consensus.Configuration{}, false, nil
@@ -52,13 +53,13 @@
 	return *d.bootstrap, true, nil
 }
 
-// SetBootstrap notes the first configuration.
+// SetBootstrap stores the initial configuration.
 func (d *disk) SetBootstrap(configuration consensus.Configuration) error {
 	d.bootstrap = &configuration
 	return nil
 }
 
-// Write carries out writes, or dies in one of them.
+// Write applies the writes, or returns errCrash if the process is to die in this call.
 func (d *disk) Write(writes []storage.GroupWrite) error {
 	if len(writes) == 0 {
 		return nil
@@ -143,7 +144,7 @@
 	g.entries = slices.DeleteFunc(slices.Clone(g.entries), func(e consensus.Entry) bool { return e.Index <= index })
 }
 
-// Load returns a group's state as of its last write.
+// Load returns the persisted consensus state of a group.
 func (d *disk) Load(id storage.GroupID) (consensus.PersistedState, error) {
 	group, ok := d.groups[id]
 	if !ok {
@@ -152,7 +153,7 @@
 	return consensus.PersistedState{HardState: group.hardState, Snapshot: group.snapshot, Entries: slices.Clone(group.entries)}, nil
 }
 
-// Records returns a program's turn records after a turn.
+// Records returns the turn records of a program after the given turn, in turn order.
 func (d *disk) Records(id storage.GroupID, program string, after uint64) ([]storage.Record, error) {
 	var records []storage.Record
 	for _, write := range d.unsynced {
@@ -176,8 +177,8 @@
 	return records, nil
 }
 
-// RecordsAfter returns the records of a group that follow a key, until they hold
-// maxBytes; more says that others follow.
+// RecordsAfter returns the records of a group that follow a key, up to maxBytes of values
+// but at least one record; more reports whether further records follow.
 func (d *disk) RecordsAfter(id storage.GroupID, after storage.RecordKey, maxBytes int) (page []storage.Record, more bool, err error) {
 	var records []storage.Record
 	for program, turns := range d.group(id).records {
@@ -199,7 +200,7 @@
 	return records, false, nil
 }
 
-// crash loses what was not synced.
+// crash discards the writes that were not synced.
 func (d *disk) crash() {
 	d.unsynced = nil
 	d.writesUntilCrash = 0
--- a/internal/simulation/engines.go
+++ b/internal/simulation/engines.go
@@ -11,9 +11,9 @@
 	"github.com/ochrebay/ochrebay/internal/reconcile"
 )
 
-var errEngineLost = errors.New("the engine was lost")
+var errEngineLost = errors.New("connection to the engine was lost")
 
-// engineNode is one emulated engine in virtual time.
+// engineNode is an emulated engine in virtual time.
 type engineNode struct {
 	*process
 	pool               string
@@ -25,8 +25,8 @@
 	jobs               map[string]*engineJob
 	lastJob            int
 	scheduledStepEndUs int64
-	// reportLagUs is how old reports are; gaps is the share of held programs that a
-	// report leaves out.
+	// reportLagUs is how long a state report is reused before it is renewed;
+	// omitProbability is the probability that a report omits a cached program.
 	reportLagUs     int64
 	omitProbability float64
 	lastReport      engine.State
@@ -64,7 +64,7 @@
 	e.lastReportUs = -e.reportLagUs * 2
 }
 
-// startAttempt starts a call or refuses it.
+// startAttempt starts a call, or rejects it if the engine does not serve the model.
 func (e *engineNode) startAttempt(attempt *engineAttempt, request engine.CompletionRequest, failed func(bool) func()) {
 	w := e.world
 	if e.isLoading || e.target.Model == "" || request.Model != e.target.Model {
@@ -139,13 +139,13 @@
 			node.endAttempt(run, engine.CompletionOutcome{Usage: usage, MayHaveStarted: true})
 		}
 	}, func() {
-		// A broken connection breaks for both ends.
+		// A broken connection is closed at both ends.
 		e.cancel(run)
 		w.after(lossNoticeDelayUs, "reset", func() { node.endAttempt(run, engine.CompletionOutcome{MayHaveStarted: true, Err: errEngineLost}) })
 	})
 }
 
-// cancel frees the slot of a run whose stream was closed.
+// cancel frees the slot of an attempt whose stream was closed.
 func (e *engineNode) cancel(run *engineAttempt) {
 	if _, ok := e.jobs[run.jobID]; !ok {
 		return
@@ -155,7 +155,8 @@
 	e.model.Cancel(run.jobID)
 }
 
-// stateReport is the engine's state as it was up to the lag ago, with gaps.
+// stateReport returns the state of the engine, up to reportLagUs old and possibly without
+// some of the cached programs.
 func (e *engineNode) stateReport() engine.State {
 	if e.world.nowUs-e.lastReportUs >= e.reportLagUs {
 		running, waiting := e.model.JobCounts()
@@ -175,7 +176,8 @@
 
 const weightLoadUs = 800_000
 
-// handleOrder takes a fenced order; loads go one after another at the weight store.
+// handleOrder executes a fenced order, unless it is older than the last one. The weight
+// store serves the loads of all engines one after another.
 func (e *engineNode) handleOrder(order engine.Order) {
 	w := e.world
 	if order.Fence.Less(e.fence) {
@@ -203,11 +205,11 @@
 	}
 }
 
-// platform is the provider's list of machines; it lags and errs.
+// platform is the instance list of the platform, which can be stale or incomplete.
 type platform struct {
 	world   *world
 	leaving map[string]bool
-	// unlisted machines are left out of the list by mistake.
+	// unlisted holds the instances that the list wrongly omits.
 	unlisted   map[string]bool
 	lagUs      int64
 	listedAtUs int64
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -8,8 +8,8 @@
 	"github.com/ochrebay/ochrebay/internal/storage"
 )
 
-// Fault is one failure that is brought about. Target names a process or zone;
-// the options that hold for a whole run have neither time nor target.
+// Fault is an injected fault. Target is the name of a process or a zone; run-wide faults
+// have neither a time nor a target.
 type Fault struct {
 	Kind   string `json:"kind"`
 	AtMs   int64  `json:"at_ms,omitempty"`
@@ -18,7 +18,7 @@
 	Value  int64  `json:"value,omitempty"`
 }
 
-// String is the fault in words.
+// String returns a readable description of the fault.
 func (f Fault) String() string {
 	if f.AtMs == 0 {
 		return f.Kind
@@ -26,7 +26,8 @@
 	return fmt.Sprintf("%s %s at %d ms for %d ms (%d)", f.Kind, f.Target, f.AtMs, f.ForMs, f.Value)
 }
 
-// timedFaultKinds happen at a time; wholeKinds hold for a run.
+// timedFaultKinds are injected at a point in time; runWideFaultKinds hold for the whole
+// run.
 var (
 	timedFaultKinds = []string{
 		"kill", "write", "disk", "second-disk", "freeze", "cut", "one-way", "leader", "delay", "duplicate",
@@ -36,7 +37,7 @@
 	runWideFaultKinds = []string{"drift", "hang", "loop", "callers", "operators", "rolling", "leaving"}
 )
 
-// FaultKinds lists every fault that can be asked for.
+// FaultKinds returns all kinds of faults.
 func FaultKinds() []string { return append(slices.Clone(timedFaultKinds), runWideFaultKinds...) }
 
 const (
@@ -47,7 +48,7 @@
 	diskRetryUs  = 300_000
 )
 
-// randomFaults chooses a run's failures.
+// randomFaults picks the faults of a run at random.
 func (w *world) randomFaults(kinds []string) []Fault {
 	random := rand.New(rand.NewPCG(w.seed, 0x6661756c74))
 	var faults []Fault
@@ -104,7 +105,7 @@
 	return daemons[random.IntN(len(daemons))]
 }
 
-// hasRunWideFault reports whether a fault that holds for the whole run is on.
+// hasRunWideFault reports whether the run has a run-wide fault of the kind.
 func (w *world) hasRunWideFault(kind string) bool {
 	return slices.ContainsFunc(w.options.faultSchedule, func(f Fault) bool { return f.Kind == kind })
 }
@@ -185,8 +186,8 @@
 	}
 }
 
-// isolate cuts a process off from all others, in silence; both ways, or only
-// what it sends.
+// isolate partitions a process from all others without notice to any sender: in both
+// directions, or only for the messages that it sends. The returned function ends it.
 func (w *world) isolate(target *process, isBidirectional bool) func() {
 	var others []*process
 	for _, name := range w.nodeNames() {
@@ -227,7 +228,8 @@
 	return names
 }
 
-// leaderOfGroup returns the control process that leads a group, or else the first.
+// leaderOfGroup returns the control process that leads a group, or the first control
+// process if there is no leader.
 func (w *world) leaderOfGroup(number int64) *process {
 	for _, node := range w.controls {
 		if node.isAlive && node.core.Formed() && node.core.IsLeader(storage.GroupID(number%int64(node.core.GroupCount()))) {
@@ -237,7 +239,8 @@
 	return w.controls[0].process
 }
 
-// killZone ends every process of a zone in silence, as a power cut does.
+// killZone kills every process of a zone without notice to anyone, as a power failure
+// does.
 func (w *world) killZone(fault Fault) {
 	var lost []*process
 	for _, name := range w.nodeNames() {
@@ -247,7 +250,7 @@
 		}
 	}
 	if fault.Value%2 == 0 {
-		// The zone stays dark until all failures end.
+		// The zone stays down until all faults end.
 		return
 	}
 	w.after(fault.ForMs*microsPerMilli, "fault ends", func() {
@@ -261,9 +264,9 @@
 	return slices.IndexFunc(w.controls, func(n *controlNode) bool { return n.name == name })
 }
 
-// replaceDisk destroys a control process's disk once all members are whole: losing
-// a majority of disks at once loses data by design. repaired runs as soon as the
-// groups have let the new replica vote.
+// replaceDisk replaces the disk of a control process by an empty one, once all control
+// processes are healthy: losing a majority of the disks at once loses data by design.
+// repaired, where set, runs as soon as the new replica is a voter of every group.
 func (w *world) replaceDisk(name string, repaired func()) {
 	if w.haveFaultsEnded {
 		return
@@ -273,7 +276,7 @@
 		w.after(diskRetryUs, "disk", func() { w.replaceDisk(name, repaired) })
 		return
 	}
-	w.tracef("the disk of %s is lost", name)
+	w.tracef("%s loses its disk", name)
 	node.kill(false)
 	node.disk = w.newDisk()
 	node.restart()
@@ -291,8 +294,8 @@
 	checkRepaired()
 }
 
-// areControlsHealthy reports whether every control process is up and a voter of
-// every group, in the eyes of each group's leader.
+// areControlsHealthy reports whether every control process is up, every group has a
+// leader and, by the configuration at that leader, every control process is a voter.
 func (w *world) areControlsHealthy() bool {
 	leaders := map[storage.GroupID]bool{}
 	for _, node := range w.controls {
@@ -315,7 +318,7 @@
 	return len(leaders) == w.controls[0].core.GroupCount()
 }
 
-// endAllFaults ends every failure that is still going on.
+// endAllFaults ends every fault that is still active.
 func (w *world) endAllFaults() {
 	w.haveFaultsEnded = true
 	w.faultsEndedUs = w.nowUs
@@ -342,5 +345,5 @@
 	for _, node := range w.controls {
 		node.disk.writesUntilCrash = 0
 	}
-	w.tracef("all failures have ended")
+	w.tracef("all faults have ended")
 }
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -1,13 +1,12 @@
 package simulation
 
-// network carries messages between processes. Between two processes messages
-// keep their order, as on one connection, except consensus messages, which may
-// be lost, doubled and reordered.
+// network carries messages between processes. Messages from one process to another
+// arrive in the order sent, as on one connection, except for consensus messages, which
+// can be lost, duplicated and reordered.
 type network struct {
 	world *world
 	links map[[2]string]*link
-	// cuts counts the causes for which messages from one process to another
-	// don't arrive.
+	// cuts counts the active faults that block messages from one process to another.
 	cuts                 map[[2]string]int
 	extraDelayUs         int64
 	duplicateProbability float64
@@ -65,9 +64,9 @@
 	return delay
 }
 
-// send carries a message of a connection. A toLife of zero opens a connection to
-// whichever life of the process is there; lost, where set, runs at the sender
-// when the message can't arrive.
+// send carries a message on a connection to the incarnation toLife of a process; zero
+// opens a connection to its current incarnation. lost, where set, runs at the sender if
+// the message cannot arrive.
 func (n *network) send(from, to *process, toLife int, label string, deliver, lost func()) {
 	link := n.link(from, to)
 	fromLife := from.incarnation
@@ -100,7 +99,7 @@
 	})
 }
 
-// sendUnreliable carries a consensus message: it may be lost, doubled or overtaken.
+// sendUnreliable carries a consensus message, which can be lost, duplicated or reordered.
 func (n *network) sendUnreliable(from, to *process, deliver func()) {
 	copies := 1
 	if n.duplicateProbability > 0 && n.world.randomBool(n.duplicateProbability) {
@@ -121,8 +120,9 @@
 	}
 }
 
-// cut stops messages from one process to another; heal ends that. What waited on
-// the connection then either arrives late, or the connection turns out broken.
+// cut blocks messages from one process to another; heal ends one cut. When the last cut
+// ends, the stalled messages either arrive late or are reported lost, as after a reset of
+// the connection.
 func (n *network) cut(from, to *process) {
 	n.cuts[[2]string{from.name, to.name}]++
 }
--- a/internal/simulation/operators.go
+++ b/internal/simulation/operators.go
@@ -8,8 +8,8 @@
 	"github.com/ochrebay/ochrebay/internal/settings"
 )
 
-// probePaths are the nodes that operators race for; their values tell which
-// change is in force where.
+// probePaths are the settings nodes that operators change concurrently; every change sets
+// a unique value, which identifies the change in force at a daemon.
 var probePaths = []string{"/tenants/probe-1", "/tenants/probe-2"}
 
 const (
@@ -24,14 +24,15 @@
 	changeRetryDelayUs = 100_000
 )
 
-// operator makes numbered changes and resends them when an answer is lost.
+// operator submits numbered changes and resends them when a reply is lost.
 type operator struct {
 	*process
 	lastNumber uint64
 	versions   map[string]uint64
 }
 
-// change is one change until it is answered.
+// change is a settings change that has not been answered yet. attempt identifies the
+// current attempt, so that replies to earlier attempts are ignored.
 type change struct {
 	operator *operator
 	content  settings.Change
@@ -52,7 +53,7 @@
 	}
 }
 
-// importSettings brings the deployment's settings in, as scripts/fleet does.
+// importSettings imports the settings of the deployment, as scripts/fleet does.
 func (w *world) importSettings(done func()) error {
 	content, err := w.deployment.SettingsChange("deployment", 1)
 	if err != nil {
@@ -66,23 +67,24 @@
 	}
 	initial := &change{operator: w.operators[0], content: content, maxTries: maxImportTries, onDone: func(reply *settings.Reply) {
 		if reply == nil || reply.Error != nil {
-			w.checks.reportViolation(invariantProgress, "the deployment's settings were not accepted: %+v", reply)
+			w.checks.reportViolation(invariantProgress, "the settings of the deployment were not accepted: %+v", reply)
 			return
 		}
-		w.tracef("the deployment's settings are accepted at revision %d", reply.Revision)
+		w.tracef("the settings of the deployment are accepted at revision %d", reply.Revision)
 		done()
 	}}
 	initial.send()
 	return nil
 }
 
-// nextProbeValue is a value that no other change sets.
+// nextProbeValue returns a value that no other change sets.
 func (w *world) nextProbeValue() int64 {
 	w.checks.probeValues++
 	return firstProbeValue + w.checks.probeValues
 }
 
-// changeProbe changes a probe node, against the version that the operator believes in.
+// changeProbe submits a change of a probe node, based on the version of the node that the
+// operator last saw.
 func (o *operator) changeProbe(path string, done func()) {
 	w := o.world
 	value := w.nextProbeValue()
@@ -110,7 +112,7 @@
 			o.versions[c.path] = reply.Winner.Version
 		}
 		if reply.Error.Code == result.ChangeNumberReuse {
-			w.checks.reportViolation(invariantSettings, "%s: number %d was called reused", o.name, c.content.Number)
+			w.checks.reportViolation(invariantSettings, "%s: change number %d was rejected as reused", o.name, c.content.Number)
 		}
 		return
 	}
@@ -119,15 +121,16 @@
 	if w.randomBool(0.3) {
 		resent := &change{operator: o, content: c.content, path: c.path, value: c.value, maxTries: maxProbeTries, onDone: func(second *settings.Reply) {
 			if second != nil && (second.Error != nil || second.Revision != reply.Revision) {
-				w.checks.reportViolation(invariantSettings, "%s: number %d sent again was answered %+v, first revision %d", o.name, c.content.Number, second, reply.Revision)
+				w.checks.reportViolation(invariantSettings, "%s: change number %d was resent and answered %+v, but first accepted at revision %d", o.name, c.content.Number, second, reply.Revision)
 			}
 		}}
 		resent.send()
 	}
 }
 
-// send sends the change to some control process; whoever gets no answer sends the
-// same number again elsewhere.
+// send sends the change to a random control process. Without an accepted or rejected
+// reply in time, it resends the change with the same number to a control process
+// picked anew, up to maxTries times.
 func (c *change) send() {
 	w := c.operator.world
 	if c.tries >= c.maxTries {
@@ -160,7 +163,7 @@
 	w.after(changeTimeoutUs, "operator waits", retry)
 }
 
-// keepChanging makes an operator change the probes now and then.
+// keepChanging makes the operator change random probes with random pauses.
 func (o *operator) keepChanging(times int) {
 	if times == 0 || o.world.isQuiescent {
 		return
@@ -171,7 +174,8 @@
 	})
 }
 
-// burst makes many changes in a row.
+// burst submits changes of the first probe in quick succession, each after the answer
+// to the one before.
 func (o *operator) burst(times int) {
 	if times == 0 {
 		return
--- a/internal/simulation/run.go
+++ b/internal/simulation/run.go
@@ -13,38 +13,40 @@
 	"github.com/ochrebay/ochrebay/internal/workload"
 )
 
-// Options choose what a run does.
+// Options are the options of a run.
 type Options struct {
-	// FaultKinds are the kinds that may happen; nil means all.
+	// FaultKinds are the kinds of faults that may be injected; nil means all.
 	FaultKinds []string
-	// DisabledMechanisms names mechanisms to turn off.
+	// DisabledMechanisms are the names of the mechanisms to turn off.
 	DisabledMechanisms []string
-	// RecordTrace keeps the run in words.
+	// RecordTrace makes the run keep a readable trace of its events.
 	RecordTrace bool
 
-	// faultSchedule are the failures themselves, where they are given.
+	// faultSchedule holds the faults to inject. hasFixedFaults is set if the caller
+	// gave them, so that Run picks none at random.
 	faultSchedule  []Fault
 	hasFixedFaults bool
 }
 
-// Mechanisms lists what can be turned off, with what it is for.
+// Mechanisms lists the mechanisms that can be turned off, each with its purpose.
 var Mechanisms = map[string]string{
-	"order":        "one call of a program at a time in a scheduler, one open turn in its ledger",
-	"fence":        "commits of stale attempts are refused by the ledger",
+	"order":        "a scheduler runs one call of a program at a time, and the ledger keeps one open turn of a program",
+	"fence":        "the ledger rejects commits of stale attempts",
 	"sync":         "a write reaches the disk before it is acknowledged",
 	"budget":       "the ledger reserves tokens before a call runs",
-	"audit":        "schedulers ask the ledgers which held programs have ended",
-	"assembly":     "the sidecar joins the parts of an answer by their offsets",
-	"outcome":      "a sidecar says unknown where a lost send may have run",
-	"once":         "the ledger closes the turn of a lost call that is not repeatable",
-	"leaving":      "schedulers send leaving engines no new work",
-	"drain":        "a stopping process ends what it has begun",
-	"revision":     "daemons take and give only higher revisions",
-	"version":      "a change is refused where its node has changed since",
-	"read-confirm": "a leader that hears no quorum steps down, and a read is confirmed by a quorum",
+	"audit":        "schedulers ask the ledgers which cached programs have ended",
+	"assembly":     "the sidecar assembles the chunks of a response by their offsets",
+	"outcome":      "a sidecar reports the outcome unknown when a lost request may have run",
+	"once":         "the ledger closes the turn of a lost call that must run at most once",
+	"leaving":      "schedulers send no new work to leaving engines",
+	"drain":        "a stopping process completes the work that it has started",
+	"revision":     "daemons accept and forward only newer revisions",
+	"version":      "a change is rejected if its node has changed since the version it was made against",
+	"read-confirm": "a leader without contact to a quorum steps down, and a quorum confirms each read",
 }
 
-// Result is the outcome of one run.
+// Result is the outcome of one run. Completed counts the programs that ran to their end,
+// NotCompleted all others, including those that their callers abandoned.
 type Result struct {
 	Seed          uint64      `json:"seed"`
 	Digest        uint64      `json:"digest"`
@@ -55,7 +57,7 @@
 	NotCompleted  int         `json:"refused"`
 	VirtualMs     int64       `json:"virtual_ms"`
 	Violations    []Violation `json:"violations,omitempty"`
-	// FaultSchedule are the failures of the run.
+	// FaultSchedule holds the faults of the run.
 	FaultSchedule []Fault  `json:"applied,omitempty"`
 	Trace         []string `json:"-"`
 }
@@ -72,7 +74,7 @@
 	maintenanceArrivalsUs = 8_000_000
 )
 
-// Run runs one seed.
+// Run runs the simulation with one seed.
 func Run(deployment workload.Deployment, seed uint64, options Options) Result {
 	w := newWorld(options, deployment, seed)
 	w.addProcesses()
@@ -107,8 +109,8 @@
 	w.addOperators()
 }
 
-// runPhases is the course of a run: load with failures, calm, a planned restart and a
-// leaving engine, and a long silence.
+// runPhases runs the phases of a run: load with faults, recovery without faults,
+// maintenance (a rolling restart and a leaving engine) and a final idle period.
 func (w *world) runPhases() {
 	w.setClockDrift()
 	for _, name := range w.nodeNames() {
@@ -158,8 +160,8 @@
 	}
 }
 
-// runMaintenancePhase is the calm phase: nothing fails, every daemon is restarted in turn,
-// an engine leaves; no caller may notice.
+// runMaintenancePhase restarts the control processes, schedulers and sidecars one after
+// another and lists an engine as leaving while nothing fails. Callers must not notice.
 func (w *world) runMaintenancePhase() {
 	if w.checks.hasViolations() || (!w.hasRunWideFault("rolling") && !w.hasRunWideFault("leaving")) {
 		return
@@ -180,7 +182,7 @@
 	w.runUntil(startUs+maintenanceArrivalsUs, nil)
 	w.runUntil(w.nowUs+completionTimeoutUs, func() bool { return isRestarted && w.areCallersDone() })
 	if !isRestarted {
-		w.checks.reportViolation(invariantPlannedStop, "the planned restart did not come to an end")
+		w.checks.reportViolation(invariantPlannedStop, "the planned restart did not complete")
 	}
 }
 
@@ -214,7 +216,7 @@
 	return order
 }
 
-// restartInTurn stops and starts processes one after another, each with its drain.
+// restartInTurn drains, stops and starts the processes one after another, then calls done.
 func (w *world) restartInTurn(order []*process, done func()) {
 	if len(order) == 0 {
 		done()
@@ -233,7 +235,8 @@
 	})
 }
 
-// drain does what the shells do on SIGTERM.
+// drain drains a process as the daemons do on SIGTERM, and calls done when the process is
+// idle or drainTimeoutUs have passed.
 func (w *world) drain(p *process, done func()) {
 	if w.isDisabled("drain") {
 		done()
@@ -328,7 +331,7 @@
 	options.DisableRevision = w.isDisabled("revision")
 }
 
-// settingsView reads a tree for the checks.
+// settingsView adapts a settings tree to the checks.
 type settingsView struct{ tree *settings.Tree }
 
 func (v settingsView) revision() uint64 { return v.tree.Revision() }
@@ -341,8 +344,8 @@
 	return *node.Fields.TenantMaxInFlight
 }
 
-// Shrink returns the shortest list of failures found that still breaks the same
-// invariant with the same seed, and the run that shows it.
+// Shrink removes faults from the schedule of a failed run as long as the same seed still
+// violates the same invariant, and returns the run with the shortest schedule found.
 func Shrink(deployment workload.Deployment, failed Result, options Options) Result {
 	best := failed
 	for {
@@ -366,7 +369,7 @@
 	return best, false
 }
 
-// Summary adds up many runs.
+// Summary aggregates the results of many runs.
 type Summary struct {
 	Seeds         int      `json:"seeds"`
 	Events        int64    `json:"events"`
@@ -376,13 +379,13 @@
 	NotCompleted  int64    `json:"refused"`
 	VirtualMs     int64    `json:"virtual_ms"`
 	Failed        []Result `json:"failed,omitempty"`
-	// Digest combines the runs' digests, whatever their order.
+	// Digest combines the digests of the runs; it does not depend on their order.
 	Digest          uint64           `json:"digest"`
 	FaultKindCounts map[string]int64 `json:"kinds"`
 }
 
-// RunMany runs seeds from first to last on several goroutines; it goes on after
-// a failure until a few have been found.
+// RunMany runs the seeds from first to last on parallel goroutines. It starts no
+// further runs after maxFailures runs with violations.
 func RunMany(deployment workload.Deployment, first, last uint64, options Options, parallel int) Summary {
 	const maxFailures = 3
 	summary := Summary{FaultKindCounts: map[string]int64{}}
@@ -434,7 +437,7 @@
 	}
 }
 
-// String is the last line of the command.
+// String returns the summary line that the simulate command prints last.
 func (s Summary) String() string {
 	return fmt.Sprintf("simulate: %d seeds, %d events, %d faults, %d violations", s.Seeds, s.Events, s.AppliedFaults, len(s.Failed))
 }
--- a/internal/simulation/schedulers.go
+++ b/internal/simulation/schedulers.go
@@ -10,7 +10,7 @@
 	"github.com/ochrebay/ochrebay/internal/sidecar"
 )
 
-// schedulerNode is one scheduler.
+// schedulerNode is a simulated scheduler.
 type schedulerNode struct {
 	*process
 	core           *scheduler.Core
@@ -29,7 +29,8 @@
 	openRequestID      uint64
 }
 
-// engineAttempt is one call under way on an engine.
+// engineAttempt is an attempt to run a call on an engine. jobID is empty until the engine
+// has started it.
 type engineAttempt struct {
 	id                   scheduler.AttemptID
 	scheduler            *schedulerNode
@@ -72,7 +73,8 @@
 	n.runPeriodically(enginePollUs, n.name+" poll", n.pollEngines)
 }
 
-// pollEngines asks each engine of the cell for its state.
+// pollEngines requests the state of every engine that the scheduler lists and that has
+// no poll in flight.
 func (n *schedulerNode) pollEngines() {
 	includesCachedPrograms := n.pollRounds%scheduler.HeldEvery == 0
 	n.pollRounds++
@@ -97,7 +99,7 @@
 			n.isPolling[info.Name] = false
 			n.core.EngineReport(info.Name, engine.State{}, false, n.nowMs())
 		})
-		// A request without an answer is given up after its timeout.
+		// A poll without a reply is abandoned after its timeout.
 		n.world.after(2_000_000, "state timeout", func() {
 			if n.isAlive && n.incarnation == life {
 				n.isPolling[info.Name] = false
@@ -106,7 +108,7 @@
 	}
 }
 
-// Control is the core's outlet to control processes.
+// Control sends a request of the core to a control process.
 func (n *schedulerNode) Control(member string, id scheduler.ControlID, kind protocol.Kind, request any) {
 	for _, target := range n.world.controls {
 		if target.name != member {
@@ -121,7 +123,7 @@
 	}
 }
 
-// Reply is the core's outlet to sidecars.
+// Reply sends a reply of the core to the sidecar behind the sink.
 func (n *schedulerNode) Reply(sink scheduler.SinkID, kind protocol.Kind, message any, last bool) {
 	route, ok := n.sinkRoutes[sink]
 	if !ok {
@@ -133,7 +135,7 @@
 		delete(n.openRequests, route.openRequestID)
 	}
 	if answer, ok := message.(*protocol.CallReply); ok && answer.Error != nil {
-		n.world.tracef("%s answers %s: %s", n.name, node.name, answer.Error)
+		n.world.tracef("%s replies to %s: %s", n.name, node.name, answer.Error)
 	}
 	raw := mustEncode(message)
 	n.world.network.send(n.process, node.process, route.sidecarIncarnation, "reply", func() { node.handleFrame(route.sendID, kind, raw) }, func() {
@@ -145,7 +147,7 @@
 	})
 }
 
-// Start is the core's outlet to engines.
+// Start starts an attempt of the core on its engine.
 func (n *schedulerNode) Start(run scheduler.Run) {
 	target := n.world.engineByName(run.Engine.Name)
 	attempt := &engineAttempt{id: run.Attempt, scheduler: n, schedulerIncarnation: n.incarnation, engine: target}
@@ -171,7 +173,7 @@
 	n.core.Ended(run.id, outcome, n.nowMs())
 }
 
-// Stop closes a run's stream.
+// Stop closes the stream of an attempt.
 func (n *schedulerNode) Stop(attempt scheduler.AttemptID) {
 	run, ok := n.attempts[attempt]
 	if !ok {
@@ -184,14 +186,14 @@
 	}
 }
 
-// Order gives an engine a fenced order.
+// Order sends a fenced order to an engine.
 func (n *schedulerNode) Order(target membership.Engine, order engine.Order) {
 	if node := n.world.engineByName(target.Name); node != nil {
 		n.world.network.send(n.process, node.process, 0, "order", func() { node.handleOrder(order) }, nil)
 	}
 }
 
-// Release tells an engine to drop programs.
+// Release asks an engine to release cached programs.
 func (n *schedulerNode) Release(target membership.Engine, programs []string) {
 	if node := n.world.engineByName(target.Name); node != nil {
 		n.world.network.send(n.process, node.process, 0, "release", func() { node.releasePrograms(programs) }, nil)
--- a/internal/simulation/sidecars.go
+++ b/internal/simulation/sidecars.go
@@ -8,7 +8,7 @@
 	"github.com/ochrebay/ochrebay/internal/sidecar"
 )
 
-// sidecarNode is one sidecar.
+// sidecarNode is a simulated sidecar.
 type sidecarNode struct {
 	*process
 	core       *sidecar.Core
@@ -46,7 +46,7 @@
 	})
 }
 
-// Send is the core's outlet to schedulers.
+// Send sends a request of the core to a scheduler.
 func (n *sidecarNode) Send(address string, id sidecar.SendID, kind protocol.Kind, request any) {
 	target := n.world.schedulerByName(address)
 	life := n.incarnation
@@ -63,7 +63,7 @@
 	n.world.network.send(n.process, target.process, 0, "call", func() { target.handleSidecarRequest(n, life, id, kind, raw, lost) }, lost)
 }
 
-// connectionLost tells the sidecar that the scheduler's answers can't arrive.
+// connectionLost reports to the sidecar that the reply of the scheduler cannot arrive.
 func (n *sidecarNode) connectionLost(route sinkRoute) {
 	n.world.after(lossNoticeDelayUs, "reset", func() {
 		if n.isAlive && n.incarnation == route.sidecarIncarnation {
@@ -86,7 +86,7 @@
 	}, nil)
 }
 
-// handleFrame is a frame from a scheduler.
+// handleFrame passes a frame from a scheduler to the core.
 func (n *sidecarNode) handleFrame(id sidecar.SendID, kind protocol.Kind, raw []byte) {
 	switch kind {
 	case protocol.KindCallChunk:
@@ -104,14 +104,14 @@
 	}
 }
 
-// Deliver hands the next part of an answer to the caller.
+// Deliver sends the next text of a response to the caller.
 func (n *sidecarNode) Deliver(id sidecar.CallerID, text string) {
 	if send, ok := n.attempts[id]; ok {
 		send.deliver(text)
 	}
 }
 
-// Finish ends a caller's request.
+// Finish ends the request of a caller with its final reply.
 func (n *sidecarNode) Finish(id sidecar.CallerID, answer *protocol.CallReply) {
 	if send, ok := n.attempts[id]; ok {
 		delete(n.attempts, id)
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -20,7 +20,7 @@
 }
 
 func TestRunIsReproducible(t *testing.T) {
-	Convey("a seed gives the same run each time, and another seed another", t, func() {
+	Convey("the same seed reproduces the same run, and another seed gives another run", t, func() {
 		small := deployment(t, "small")
 		first := Run(small, 5, Options{})
 		again := Run(small, 5, Options{RecordTrace: true})
@@ -33,7 +33,8 @@
 	})
 }
 
-// mechanismCase is a mechanism with failures and seeds among which its absence shows.
+// mechanismCase is a mechanism with the fault kinds and the range of seeds (1 to lastSeed)
+// within which a run without the mechanism violates the invariant.
 type mechanismCase struct {
 	name      string
 	invariant string
@@ -41,8 +42,8 @@
 	lastSeed  uint64
 }
 
-// mechanismCases lists them with the invariant that breaks without each; sync breaks
-// whatever the lost write held.
+// mechanismCases lists every mechanism with the invariant that is violated without it.
+// The case of sync has none: which invariant is violated depends on the lost write.
 var mechanismCases = []mechanismCase{
 	{"order", invariantOrder, "callers", 4},
 	{"fence", invariantHistory, "zombie,callers,operators", 20},
@@ -67,41 +68,41 @@
 			faults := strings.Split(m.faults, ",")
 			disabled := RunMany(small, 1, m.lastSeed, Options{FaultKinds: faults, DisabledMechanisms: []string{m.name}}, 1)
 			if len(disabled.Failed) == 0 {
-				t.Fatalf("without it, no violation within seeds 1..%d", m.lastSeed)
+				t.Fatalf("no violation with the mechanism turned off in seeds 1..%d", m.lastSeed)
 			}
 			for _, failed := range disabled.Failed {
 				violated := failed.Violations[0].Invariant
 				if m.invariant != "" && violated != m.invariant {
-					t.Errorf("seed %d: %s is broken, not %s: %s", failed.Seed, violated, m.invariant, failed.Violations[0].Detail)
+					t.Errorf("seed %d: invariant %s is violated, expected %s: %s", failed.Seed, violated, m.invariant, failed.Violations[0].Detail)
 				}
 			}
 			enabled := RunMany(small, 1, m.lastSeed, Options{FaultKinds: faults}, 1)
 			for _, failed := range enabled.Failed {
-				t.Errorf("with it, seed %d: %+v", failed.Seed, failed.Violations[0])
+				t.Errorf("violation with the mechanism turned on, seed %d: %+v", failed.Seed, failed.Violations[0])
 			}
 		})
 	}
 }
 
-// regressions lists faults that the simulator has found, each with seeds that showed it
-// until its cause was mended.
+// regressions lists defects that the simulator has found, each with seeds that reproduced
+// it before it was fixed.
 var regressions = []struct {
 	cause      string
 	deployment string
 	faults     string
 	seeds      []uint64
 }{
-	{"a quiet leader did not speak up to a replica that had just started", "small", "rolling", []uint64{1, 3, 4, 8}},
-	{"once all first disks were replaced, a further new one was never let in", "small", "disk,second-disk,rolling", []uint64{2, 3, 6, 8}},
-	{"a replica on a new disk could not answer the leader that admits it", "small", "disk", []uint64{1, 2, 3, 4}},
-	{"a turn whose scheduler and caller were lost stayed open for good, and its engine memory held", "small", "scheduler-busy,callers,kill", []uint64{44, 71, 108}},
-	{"turns of a scheduler that had restarted were waited for, not taken over", "small", "scheduler-busy,kill", []uint64{6, 7, 14, 15}},
-	{"schedulers that started at the same instant used the same numbers for their Begins", "small", "engine,freeze,platform", []uint64{46, 60}},
-	{"a call whose engine had failed waited for ever once that engine was the only one", "small", "engine-busy", []uint64{2, 4, 8, 9}},
-	{"a sidecar waited for a scheduler whose machine had gone in silence", "vantul", "zone", []uint64{88}},
-	{"a sidecar waited for an earlier start of a scheduler whose machine had gone in silence", "small", "zone,stale-feed,cell-busy", []uint64{85, 86, 107}},
-	{"a stopping scheduler ended before sidecars had heard that it drains", "small", "rolling,leaving", []uint64{16, 19, 22}},
-	{"not run was said after another cell had run the call", "vantul", "cell-busy", []uint64{27, 36, 41}},
+	{"a quiescent leader sent nothing to a replica that had just started", "small", "rolling", []uint64{1, 3, 4, 8}},
+	{"once all initial disks were replaced, a further new disk was never admitted", "small", "disk,second-disk,rolling", []uint64{2, 3, 6, 8}},
+	{"a replica on a new disk could not reply to the leader that admits it", "small", "disk", []uint64{1, 2, 3, 4}},
+	{"a turn whose scheduler and caller were lost stayed open forever, and its engine cache was never released", "small", "scheduler-busy,callers,kill", []uint64{44, 71, 108}},
+	{"turns of a restarted scheduler were waited for instead of taken over", "small", "scheduler-busy,kill", []uint64{6, 7, 14, 15}},
+	{"schedulers that started at the same time used the same numbers for their Begin requests", "small", "engine,freeze,platform", []uint64{46, 60}},
+	{"a call whose engine had failed waited forever if that engine was the only one", "small", "engine-busy", []uint64{2, 4, 8, 9}},
+	{"a sidecar waited for a scheduler whose machine had disappeared without notice", "vantul", "zone", []uint64{88}},
+	{"a sidecar waited for an earlier incarnation of a scheduler whose machine had disappeared without notice", "small", "zone,stale-feed,cell-busy", []uint64{85, 86, 107}},
+	{"a stopping scheduler ended before sidecars had learned that it was draining", "small", "rolling,leaving", []uint64{16, 19, 22}},
+	{"outcome not run was reported after another cell had run the call", "vantul", "cell-busy", []uint64{27, 36, 41}},
 }
 
 func TestRegressionSeeds(t *testing.T) {
@@ -120,7 +121,7 @@
 }
 
 func TestShrinkKeepsNeededFaults(t *testing.T) {
-	Convey("a violation's failures are cut down to those that it needs", t, func() {
+	Convey("the fault schedule of a violation is reduced to the faults that it needs", t, func() {
 		small := deployment(t, "small")
 		options := Options{DisabledMechanisms: []string{"audit"}}
 		failed := Run(small, 1, options)
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -1,7 +1,8 @@
-// Package simulation runs the daemons' own cores in virtual time, with simulated
-// network, disks, clocks, engines, callers and operators, brings failures about
-// and checks from outside what must always hold (brief, "What must always hold"
-// and "What fails"). The same seed gives the same run.
+// Package simulation runs the production cores of the daemons in virtual time
+// against a simulated network and simulated disks, clocks, engines, callers and
+// operators. It injects faults and checks from outside the cores the invariants of
+// the requirements (the brief's sections "What must always hold" and "What fails").
+// A run is deterministic: the same seed reproduces the same run.
 package simulation
 
 import (
@@ -17,11 +18,12 @@
 
 const (
 	microsPerMilli = 1000
-	// epochMs is the wall clock at the start of a run, in milliseconds.
+	// epochMs is the wall-clock time at the start of a run, in Unix milliseconds.
 	epochMs = 1_700_000_000_000
 )
 
-// event is one thing that happens at a virtual time.
+// event is a function scheduled at a virtual time. Events at the same time run in the
+// order in which they were scheduled.
 type event struct {
 	atUs     int64
 	sequence uint64
@@ -47,7 +49,7 @@
 	return last
 }
 
-// world is one run.
+// world is the state of one simulation run.
 type world struct {
 	options       Options
 	deployment    workload.Deployment
@@ -89,13 +91,14 @@
 	return w
 }
 
-// after runs something once a virtual time has passed.
+// after schedules run once delayUs of virtual time have passed; a negative delay counts as zero.
 func (w *world) after(delayUs int64, label string, run func()) {
 	w.lastSequence++
 	heap.Push(&w.events, &event{atUs: w.nowUs + max(0, delayUs), sequence: w.lastSequence, label: label, run: run})
 }
 
-// runUntil handles events up to a time or until done reports true.
+// runUntil handles events up to the time untilUs. It stops earlier after a violation
+// and when done, where set, reports true; done is evaluated after every 64th event.
 func (w *world) runUntil(untilUs int64, done func() bool) {
 	for len(w.events) > 0 && w.events[0].atUs <= untilUs && !w.checks.hasViolations() {
 		next := heap.Pop(&w.events).(*event)
@@ -112,7 +115,7 @@
 	}
 }
 
-// addToDigest adds an event to the run's digest.
+// addToDigest adds the time and the label of an event to the digest of the run.
 func (w *world) addToDigest(label string) {
 	var buffer [8]byte
 	binary.LittleEndian.PutUint64(buffer[:], uint64(w.nowUs))
@@ -120,14 +123,14 @@
 	_, _ = w.digest.WriteString(label)
 }
 
-// tracef adds a line to the story of the run, where one is wanted.
+// tracef appends a line to the trace if the options ask for one.
 func (w *world) tracef(format string, arguments ...any) {
 	if w.options.RecordTrace {
 		w.trace = append(w.trace, fmt.Sprintf("%9.3f s  %s", float64(w.nowUs)/1e6, fmt.Sprintf(format, arguments...)))
 	}
 }
 
-// randomBetween draws a whole number from low to high, both included.
+// randomBetween returns a random integer between low and high, both included.
 func (w *world) randomBetween(low, high int64) int64 {
 	if high <= low {
 		return low
@@ -137,35 +140,37 @@
 
 func (w *world) randomBool(probability float64) bool { return w.random.Float64() < probability }
 
-// process is what all simulated processes have in common.
+// process is the part that all simulated processes share.
 type process struct {
 	world   *world
 	name    string
 	zone    string
 	isAlive bool
-	// incarnation numbers the starts of the process.
+	// incarnation counts the starts of the process.
 	incarnation int
 	isFrozen    bool
-	// inbox holds what arrived while the process was frozen.
+	// inbox holds the messages that arrived while the process was frozen.
 	inbox []queuedMessage
-	// offsetMs and drift are the machine's clock against the world's.
+	// offsetMs and drift are the offset and the relative rate error of the clock of
+	// the machine against virtual time.
 	offsetMs int64
 	drift    float64
-	// openRequests are requests that others have open here; a death tells them.
+	// openRequests are the requests of other processes that this process has not
+	// answered yet; their senders are notified if the process dies.
 	openRequests  map[uint64]*openRequest
 	lastRequestID uint64
 	onStart       func()
 	onStop        func()
 }
 
-// queuedMessage is a message that has reached a process's machine; lost tells its
-// sender that the process died without reading it.
+// queuedMessage is a message that has reached the machine of a process. onLost, where
+// set, reports to the sender that the process died without reading it.
 type queuedMessage struct {
 	handle func()
 	onLost func()
 }
 
-// openRequest is one request under way at a process.
+// openRequest is a request in progress at a process.
 type openRequest struct {
 	sender            *process
 	senderIncarnation int
@@ -178,12 +183,13 @@
 	return p
 }
 
-// nowMs is the machine's own clock.
+// nowMs returns the time of the clock of the machine, in Unix milliseconds.
 func (p *process) nowMs() int64 {
 	return epochMs + p.offsetMs + int64(float64(p.world.nowUs)*(1+p.drift))/microsPerMilli
 }
 
-// runPeriodically runs something again and again while the process lives.
+// runPeriodically runs run every periodUs until this incarnation of the process ends.
+// The first run comes after a random part of the period.
 func (p *process) runPeriodically(periodUs int64, label string, run func()) {
 	life := p.incarnation
 	var again func()
@@ -197,8 +203,8 @@
 	p.world.after(p.world.randomBetween(0, periodUs), label, again)
 }
 
-// runUnlessFrozen runs something in the process; a frozen one does it when it thaws. Ticks
-// that were missed are made up for by one.
+// runUnlessFrozen runs run in the process. A frozen process skips it: the next
+// periodic run after the thaw stands in for all that were missed.
 func (p *process) runUnlessFrozen(run func()) {
 	if p.isFrozen {
 		return
@@ -206,10 +212,11 @@
 	run()
 }
 
-// receive hands a message to the process.
+// receive delivers a message to the process.
 func (p *process) receive(run func()) { p.receiveOrReportLoss(run, nil) }
 
-// receiveOrReportLoss is receive for a message whose sender must hear of its loss.
+// receiveOrReportLoss is receive for a message whose sender must be notified by lost if
+// the process dies before it reads the message.
 func (p *process) receiveOrReportLoss(run, lost func()) {
 	if p.isFrozen {
 		p.inbox = append(p.inbox, queuedMessage{handle: run, onLost: lost})
@@ -236,15 +243,15 @@
 	}
 }
 
-// trackRequest notes a request from another process and returns its number.
+// trackRequest records a request from another process as open and returns its number.
 func (p *process) trackRequest(from *process, lost func()) uint64 {
 	p.lastRequestID++
 	p.openRequests[p.lastRequestID] = &openRequest{sender: from, senderIncarnation: from.incarnation, onLost: lost}
 	return p.lastRequestID
 }
 
-// kill ends the process at once; those who wait for it hear of it, unless the
-// whole machine went in silence.
+// kill ends the process at once. The senders of its open requests and unread messages
+// are notified, unless silent is set, as when the whole machine disappears.
 func (p *process) kill(silent bool) {
 	if !p.isAlive {
 		return
