--- a/internal/simulation/checks.go
+++ b/internal/simulation/checks.go
@@ -176,13 +176,13 @@
 // observe checks the settings tree in force at a daemon against the accepted changes:
 // its revision must not decrease within an incarnation, and no value may be older than
 // the newest change accepted up to that revision.
-func (c *checks) observe(name string, life int, tree treeView) {
+func (c *checks) observe(name string, incarnation int, tree treeView) {
 	revision := tree.revision()
-	if c.observedIncarnation[name] == life && revision < c.observedRevision[name] {
+	if c.observedIncarnation[name] == incarnation && revision < c.observedRevision[name] {
 		c.reportViolation(invariantSettings, "%s went from revision %d back to %d", name, c.observedRevision[name], revision)
 	}
-	isNew := c.observedRevision[name] != revision || c.observedIncarnation[name] != life
-	c.observedIncarnation[name] = life
+	isNew := c.observedRevision[name] != revision || c.observedIncarnation[name] != incarnation
+	c.observedIncarnation[name] = incarnation
 	c.observedRevision[name] = revision
 	if !isNew {
 		return
--- a/internal/simulation/controls.go
+++ b/internal/simulation/controls.go
@@ -134,7 +134,7 @@
 func (n *controlNode) handleRequestFrom(from *process, kind protocol.Kind, message any, reply func(decoded any)) {
 	w := n.world
 	raw := mustEncode(message)
-	fromLife := from.incarnation
+	senderIncarnation := from.incarnation
 	w.network.send(from, n.process, 0, "ask", func() {
 		request := protocol.NewRequest(kind)
 		mustDecode(raw, request)
@@ -143,7 +143,7 @@
 		n.replyCallbacks[n.lastRequest] = func(answer any) {
 			delete(n.openRequests, open)
 			encoded := mustEncode(answer)
-			w.network.send(n.process, from, fromLife, "reply", func() {
+			w.network.send(n.process, from, senderIncarnation, "reply", func() {
 				decoded := protocol.NewReply(kind)
 				mustDecode(encoded, decoded)
 				if ledger, ok := decoded.(*protocol.LedgerReply); ok && ledger.Reply.Error != nil {
@@ -151,7 +151,7 @@
 				}
 				reply(decoded)
 			}, func() {
-				if from.isAlive && from.incarnation == fromLife {
+				if from.isAlive && from.incarnation == senderIncarnation {
 					from.receive(func() { reply(nil) })
 				}
 			})
--- a/internal/simulation/engines.go
+++ b/internal/simulation/engines.go
@@ -65,17 +65,17 @@
 }
 
 // startAttempt starts a call, or rejects it if the engine does not serve the model.
-func (e *engineNode) startAttempt(attempt *engineAttempt, request engine.CompletionRequest, failed func(bool) func()) {
+func (e *engineNode) startAttempt(attempt *engineAttempt, request engine.CompletionRequest, endWithLoss func(bool) func()) {
 	w := e.world
 	if e.isLoading || e.target.Model == "" || request.Model != e.target.Model {
-		w.network.send(e.process, attempt.scheduler.process, attempt.schedulerIncarnation, "refused", failed(false), nil)
+		w.network.send(e.process, attempt.scheduler.process, attempt.schedulerIncarnation, "refused", endWithLoss(false), nil)
 		return
 	}
 	w.checks.observeEngineStart(e, request)
 	w.checks.checkTurnOrder(attempt, request)
 	e.lastJob++
 	attempt.jobID = fmt.Sprintf("%s/%d/%d", e.name, e.incarnation, e.lastJob)
-	open := e.trackRequest(attempt.scheduler.process, failed(true))
+	open := e.trackRequest(attempt.scheduler.process, endWithLoss(true))
 	prompt := emulator.NewPrompt(request.Messages, request.MaxTokens)
 	e.jobs[attempt.jobID] = &engineJob{attempt: attempt, prompt: prompt, program: request.User, request: request.RequestID}
 	e.model.Submit(emulator.Job{
@@ -92,9 +92,9 @@
 		return
 	}
 	e.scheduledStepEndUs = next
-	life := e.incarnation
+	incarnation := e.incarnation
 	e.world.after(next-e.world.nowUs, e.name, func() {
-		if e.isAlive && e.incarnation == life {
+		if e.isAlive && e.incarnation == incarnation {
 			e.receive(e.advance)
 		}
 	})
@@ -189,9 +189,9 @@
 	}
 	e.isLoading = true
 	w.weightStoreFreeUs = max(w.weightStoreFreeUs, w.nowUs) + weightLoadUs/int64(len(w.engines))
-	life := e.incarnation
+	incarnation := e.incarnation
 	w.after(w.weightStoreFreeUs-w.nowUs, "load", func() {
-		if e.isAlive && e.incarnation == life {
+		if e.isAlive && e.incarnation == incarnation {
 			e.target = order.Target
 			e.isLoading = false
 			e.model.ClearCache()
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -64,12 +64,12 @@
 	return delay
 }
 
-// send carries a message on a connection to the incarnation toLife of a process; zero
+// send carries a message on a connection to the incarnation toIncarnation of a process; zero
 // opens a connection to its current incarnation. lost, where set, runs at the sender if
 // the message cannot arrive.
-func (n *network) send(from, to *process, toLife int, label string, deliver, lost func()) {
+func (n *network) send(from, to *process, toIncarnation int, label string, deliver, lost func()) {
 	link := n.link(from, to)
-	fromLife := from.incarnation
+	senderIncarnation := from.incarnation
 	arrival := max(link.lastArrivalUs, n.world.nowUs+n.randomDelayUs(from, to))
 	link.lastArrivalUs = arrival
 	reportLoss := func() {
@@ -77,13 +77,13 @@
 			return
 		}
 		n.world.after(lossNoticeDelayUs, "lost", func() {
-			if from.isAlive && from.incarnation == fromLife {
+			if from.isAlive && from.incarnation == senderIncarnation {
 				from.receive(lost)
 			}
 		})
 	}
 	handleArrival := func() {
-		if !to.isAlive || (toLife != 0 && to.incarnation != toLife) {
+		if !to.isAlive || (toIncarnation != 0 && to.incarnation != toIncarnation) {
 			reportLoss()
 			return
 		}
--- a/internal/simulation/run.go
+++ b/internal/simulation/run.go
@@ -357,16 +357,16 @@
 	}
 }
 
-func removeOneFault(deployment workload.Deployment, best Result, options Options) (Result, bool) {
-	for position := range best.FaultSchedule {
+func removeOneFault(deployment workload.Deployment, failed Result, options Options) (Result, bool) {
+	for position := range failed.FaultSchedule {
 		options.hasFixedFaults = true
-		options.faultSchedule = slices.Delete(slices.Clone(best.FaultSchedule), position, position+1)
-		trial := Run(deployment, best.Seed, options)
-		if len(trial.Violations) > 0 && trial.Violations[0].Invariant == best.Violations[0].Invariant {
+		options.faultSchedule = slices.Delete(slices.Clone(failed.FaultSchedule), position, position+1)
+		trial := Run(deployment, failed.Seed, options)
+		if len(trial.Violations) > 0 && trial.Violations[0].Invariant == failed.Violations[0].Invariant {
 			return trial, true
 		}
 	}
-	return best, false
+	return failed, false
 }
 
 // Summary aggregates the results of many runs.
--- a/internal/simulation/schedulers.go
+++ b/internal/simulation/schedulers.go
@@ -83,7 +83,7 @@
 		if target == nil || n.isPolling[info.Name] {
 			continue
 		}
-		life := n.incarnation
+		incarnation := n.incarnation
 		n.isPolling[info.Name] = true
 		n.world.network.send(n.process, target.process, 0, "state", func() {
 			state := target.stateReport()
@@ -91,7 +91,7 @@
 				state.CachedPrograms = nil
 				state.CachedProgramsOmitted = true
 			}
-			n.world.network.send(target.process, n.process, life, "state", func() {
+			n.world.network.send(target.process, n.process, incarnation, "state", func() {
 				n.isPolling[info.Name] = false
 				n.core.EngineReport(info.Name, state, true, n.nowMs())
 			}, nil)
@@ -101,7 +101,7 @@
 		})
 		// A poll without a reply is abandoned after its timeout.
 		n.world.after(2_000_000, "state timeout", func() {
-			if n.isAlive && n.incarnation == life {
+			if n.isAlive && n.incarnation == incarnation {
 				n.isPolling[info.Name] = false
 			}
 		})
@@ -114,9 +114,9 @@
 		if target.name != member {
 			continue
 		}
-		life := n.incarnation
+		incarnation := n.incarnation
 		target.handleRequestFrom(n.process, kind, request, func(reply any) {
-			if n.isAlive && n.incarnation == life {
+			if n.isAlive && n.incarnation == incarnation {
 				n.core.ControlReply(id, reply, n.nowMs())
 			}
 		})
--- a/internal/simulation/sidecars.go
+++ b/internal/simulation/sidecars.go
@@ -49,9 +49,9 @@
 // Send sends a request of the core to a scheduler.
 func (n *sidecarNode) Send(address string, id sidecar.SendID, kind protocol.Kind, request any) {
 	target := n.world.schedulerByName(address)
-	life := n.incarnation
+	incarnation := n.incarnation
 	lost := func() {
-		if n.isAlive && n.incarnation == life {
+		if n.isAlive && n.incarnation == incarnation {
 			n.core.Lost(id, n.nowMs())
 		}
 	}
@@ -60,7 +60,7 @@
 		return
 	}
 	raw := mustEncode(request)
-	n.world.network.send(n.process, target.process, 0, "call", func() { target.handleSidecarRequest(n, life, id, kind, raw, lost) }, lost)
+	n.world.network.send(n.process, target.process, 0, "call", func() { target.handleSidecarRequest(n, incarnation, id, kind, raw, lost) }, lost)
 }
 
 // connectionLost reports to the sidecar that the reply of the scheduler cannot arrive.
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -191,10 +191,10 @@
 // runPeriodically runs run every periodUs until this incarnation of the process ends.
 // The first run comes after a random part of the period.
 func (p *process) runPeriodically(periodUs int64, label string, run func()) {
-	life := p.incarnation
+	incarnation := p.incarnation
 	var again func()
 	again = func() {
-		if !p.isAlive || p.incarnation != life {
+		if !p.isAlive || p.incarnation != incarnation {
 			return
 		}
 		p.runUnlessFrozen(run)
@@ -232,11 +232,11 @@
 		return
 	}
 	p.isFrozen = false
-	life := p.incarnation
+	incarnation := p.incarnation
 	waiting := p.inbox
 	p.inbox = nil
 	for _, message := range waiting {
-		if !p.isAlive || p.incarnation != life {
+		if !p.isAlive || p.incarnation != incarnation {
 			return
 		}
 		message.handle()
