--- a/internal/daemon/follower.go
+++ b/internal/daemon/follower.go
@@ -25,27 +25,29 @@
 	longPollTimeout = 700 * time.Millisecond
 	syncTimeout     = 1500 * time.Millisecond
 	// discoveryTimeout bounds a request to a process that is not known to be the leader. Such a
-	// request does not long-poll, so that a reply takes one quorum round trip, some milliseconds;
-	// the rest allows for a process that has used up its CPU quota.
+	// request does not long-poll, so a reply takes one quorum round trip, some milliseconds; the
+	// rest allows for a process that has used up its CPU quota.
 	discoveryTimeout = 500 * time.Millisecond
-	// confirmationDueAge is the age of the routing-table confirmation from which on heartbeats
-	// request a new one without long polling. It is just above the age that long polling itself
-	// leads to, the length of two successive heartbeats.
+	// confirmationDueAge is the age of the latest routing-table confirmation above which a
+	// heartbeat that requests a new one does not long-poll. It is just above the age that a
+	// confirmation reaches through long polling alone, the duration of two successive heartbeats.
 	confirmationDueAge = 2*longPollTimeout + 100*time.Millisecond
 	// engineLoadsInterval is the minimum interval between requests for engine loads. It is well
 	// below the 1.5 s half-life of load observations. A reply has an entry for every engine, so
-	// that loads are not requested with each heartbeat.
+	// loads are not requested with each heartbeat.
 	engineLoadsInterval = 600 * time.Millisecond
-	// stallThreshold is the delay of a timeout beyond its due time from which on this process
-	// itself is taken to have stalled. Such a timeout is no evidence against the target.
+	// stallThreshold is how late a timeout must fire for this process itself to be considered
+	// stalled. Such a timeout is no evidence against the target.
 	stallThreshold = 200 * time.Millisecond
-	minRetryDelay  = 20 * time.Millisecond
-	maxRetryDelay  = 120 * time.Millisecond
-	leaderUnknown  = ""
+	// minRetryDelay and maxRetryDelay bound the exponential backoff after failed heartbeats, to
+	// which a random delay of up to minRetryDelay is added.
+	minRetryDelay = 20 * time.Millisecond
+	maxRetryDelay = 120 * time.Millisecond
+	leaderUnknown = ""
 )
 
-// Follower synchronizes a process with control: it sends heartbeats to the leader of the
-// settings group and applies the updates of the fleet view and the routing table.
+// Follower synchronizes a process with the control processes: it sends heartbeats to the leader of
+// the settings group and applies the updates of the fleet view and the routing table.
 type Follower struct {
 	// Seeds are the inner addresses of the control processes used for initial discovery.
 	Seeds []string
@@ -59,12 +61,13 @@
 	// OnEngineLoads receives the engine loads aggregated over all gateways, and the engines at
 	// which requests of several gateways fail. If it is nil, loads are not requested.
 	OnEngineLoads func(loads []scheduling.EngineLoad, failing []string)
-	// OnEngineUsages receives the engine usage aggregated over all gateways; it may be nil.
+	// OnEngineUsages receives the engine usage aggregated over all gateways, after a call of
+	// OnEngineLoads; it may be nil.
 	OnEngineUsages func(usages []scheduling.EngineUsage)
 	// OnStreamLateness receives the stream lateness aggregated over all gateways; it may be nil.
 	OnStreamLateness func(lateness []scheduling.StreamLateness)
-	// OnBackendUsages receives the tenants' usage of back ends aggregated over all gateways; it
-	// may be nil.
+	// OnBackendUsages receives the tenants' usage of backends aggregated over all gateways; it may
+	// be nil.
 	OnBackendUsages func(usages []admission.BackendUsage)
 	Logger          log.Logger
 
@@ -76,7 +79,8 @@
 	discovery leaderDiscovery
 	// controlsDigest is the digest of the control addresses that the leader last sent.
 	controlsDigest uint64
-	// currentLeader is the process that last replied as the leader, "" after it has been lost.
+	// currentLeader is the process that last replied as the leader, "" before the first reply and
+	// after the leader has been lost.
 	currentLeader string
 	view          *membership.FleetView
 	table         *routing.Table
@@ -173,9 +177,9 @@
 	return f.currentLeader == target
 }
 
-// syncOnce sends one heartbeat and applies the reply. It returns false if the caller should
-// back off before the next heartbeat: the target is unknown, or it failed or is not the leader
-// and its redirect can't be followed.
+// syncOnce sends one heartbeat and applies the reply. It returns false if the caller should back
+// off before the next heartbeat: the target is unknown, the request failed, or the target is not
+// the leader and its redirect is not followed at once.
 func (f *Follower) syncOnce(ctx context.Context, target string) bool {
 	if target == leaderUnknown {
 		return false
--- a/internal/daemon/group.go
+++ b/internal/daemon/group.go
@@ -7,8 +7,8 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// TaskGroup runs the tasks of a process until one of them fails or the process is stopped.
-// Before it stops, the process drains.
+// TaskGroup runs the tasks of a process until one of them fails or the process is stopped. A
+// process that is stopped drains first; one that fails does not.
 type TaskGroup struct {
 	// Context is cancelled when a task has failed or the drain has finished.
 	Context context.Context
@@ -29,8 +29,8 @@
 	g.tasks.Go(func() error { return task(g.Context) })
 }
 
-// Wait waits until ctx is cancelled or a task fails. When ctx is cancelled it drains and then
-// stops the tasks. It returns the first error of a task, or nil if that is the cancellation.
+// Wait waits until ctx is cancelled or a task fails. When ctx is cancelled it drains and then stops
+// the tasks. It returns the first error of a task, or nil if that error is context.Canceled.
 func (g *TaskGroup) Wait(ctx context.Context, drain func(ctx context.Context)) error {
 	g.tasks.Go(func() error {
 		select {
--- a/internal/daemon/links.go
+++ b/internal/daemon/links.go
@@ -8,8 +8,9 @@
 )
 
 const (
-	// dialTimeout is short: a machine without power sends no reply, and the kernel retransmits
-	// a SYN only after a second, by which time the machine may be reachable again.
+	// dialTimeout is short so that a new attempt follows soon: a machine without power sends no
+	// reply, and when the kernel retransmits the SYN, after a second, the machine may long have
+	// been reachable again.
 	dialTimeout = 300 * time.Millisecond
 	redialDelay = 50 * time.Millisecond
 	// maxPendingMessages and maxPendingBytes bound the messages that are queued for a peer
@@ -28,16 +29,17 @@
 // and redials those that have ended.
 type Links struct {
 	mutex sync.Mutex
-	links map[lane]*link
+	links map[linkKey]*link
 	// address returns the IP:port of a member, delay the latency to add to its connection.
 	address func(member string) string
 	delay   func(member string) time.Duration
 	closed  bool
 }
 
-// lane identifies one of the connections to a member. Invariant: bulk messages, which may
-// arrive late and out of order, never delay heartbeats, votes and entries on a congested link.
-type lane struct {
+// linkKey identifies one of the connections to a member. Bulk messages, which may arrive late and
+// out of order, have a connection of their own. Invariant: heartbeats, votes and entries are never
+// queued behind them on a congested link.
+type linkKey struct {
 	member string
 	bulk   bool
 }
@@ -45,23 +47,23 @@
 // NewLinks returns links to members. address resolves a member to IP:port; delay returns the
 // latency to add to its connection, which emulates the distance between zones.
 func NewLinks(address func(member string) string, delay func(member string) time.Duration) *Links {
-	return &Links{links: map[lane]*link{}, address: address, delay: delay}
+	return &Links{links: map[linkKey]*link{}, address: address, delay: delay}
 }
 
 // Send sends a message. While a connection is being established, a few messages are queued
 // for it, because the first vote of a process that has just started must not be lost. A
 // message that can't be sent is dropped; consensus retransmits those that matter.
 func (l *Links) Send(member string, kind protocol.Kind, message any) {
-	l.send(lane{member: member}, kind, message)
+	l.send(linkKey{member: member}, kind, message)
 }
 
 // SendBulk is like Send but uses a separate connection. It is for messages that may arrive
 // late and must not delay others.
 func (l *Links) SendBulk(member string, kind protocol.Kind, message any) {
-	l.send(lane{member: member, bulk: true}, kind, message)
+	l.send(linkKey{member: member, bulk: true}, kind, message)
 }
 
-func (l *Links) send(key lane, kind protocol.Kind, message any) {
+func (l *Links) send(key linkKey, kind protocol.Kind, message any) {
 	body, err := protocol.Encode(message)
 	if err != nil {
 		return
@@ -83,7 +85,7 @@
 	l.mutex.Lock()
 	l.closed = true
 	links := l.links
-	l.links = map[lane]*link{}
+	l.links = map[linkKey]*link{}
 	l.mutex.Unlock()
 	for _, peer := range links {
 		peer.close()
--- a/internal/daemon/links_test.go
+++ b/internal/daemon/links_test.go
@@ -14,7 +14,7 @@
 const testTimeout = 60 * time.Second
 
 func TestLinks(t *testing.T) {
-	Convey("messages sent while a connection is being established arrive, and a peer that starts late is reached", t, func() {
+	Convey("a peer that starts to listen only after the first message was sent is reached", t, func() {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		So(err, ShouldBeNil)
 		address := listener.Addr().String()
@@ -76,7 +76,7 @@
 		links.Send("peer", protocol.KindPeer, protocol.PeerBatch{From: "heartbeat"})
 		So(receive(), ShouldEqual, "heartbeat")
 	})
-	Convey("a call to an unresponsive process times out, and the next call uses a new connection", t, func() {
+	Convey("a call to an unresponsive process times out, and the next call, to which the process responds, succeeds", t, func() {
 		calls := make(chan struct{}, 16)
 		server, err := protocol.Listen("127.0.0.1:0", func(connection *protocol.Connection, frame protocol.Frame) {
 			calls <- struct{}{}
@@ -86,12 +86,12 @@
 		})
 		So(err, ShouldBeNil)
 		defer server.Close()
-		caller := NewClient()
-		defer caller.Close()
+		client := NewClient()
+		defer client.Close()
 		var reply protocol.TurnReply
 		request := &protocol.TurnRequest{HistoryOf: "a"}
-		So(caller.CallWithTimeout(t.Context(), 50*time.Millisecond, server.Address(), protocol.KindTurn, request, &reply), ShouldNotBeNil)
-		So(caller.CallWithTimeout(t.Context(), testTimeout, server.Address(), protocol.KindTurn, request, &reply), ShouldBeNil)
+		So(client.CallWithTimeout(t.Context(), 50*time.Millisecond, server.Address(), protocol.KindTurn, request, &reply), ShouldNotBeNil)
+		So(client.CallWithTimeout(t.Context(), testTimeout, server.Address(), protocol.KindTurn, request, &reply), ShouldBeNil)
 		So(reply.Leader, ShouldEqual, "x")
 	})
 }
--- a/internal/daemon/loop.go
+++ b/internal/daemon/loop.go
@@ -1,6 +1,6 @@
-// Package daemon has the parts that ochrebay's processes share: the event loop that owns a
-// core, connections to other processes, discovery of the control leader, and shutdown that
-// drains first.
+// Package daemon has the parts that ochrebay's processes share: the event loop that owns a core
+// (the state of a process, which has no goroutines, clocks or sockets of its own), connections to
+// other processes, discovery of the control leader, and graceful shutdown.
 package daemon
 
 import (
@@ -36,9 +36,9 @@
 	queueCapacity *semaphore.Weighted
 }
 
-// NewEventLoop returns a loop that Run has not started yet.
-func NewEventLoop(every time.Duration) *EventLoop {
-	return &EventLoop{TickInterval: every, events: make(chan func(), maxQueuedEvents), queueCapacity: semaphore.NewWeighted(maxQueuedBytes)}
+// NewEventLoop returns a loop with the given interval between ticks; Run starts it.
+func NewEventLoop(tickInterval time.Duration) *EventLoop {
+	return &EventLoop{TickInterval: tickInterval, events: make(chan func(), maxQueuedEvents), queueCapacity: semaphore.NewWeighted(maxQueuedBytes)}
 }
 
 // Post queues an event for the loop. It blocks while the queue is full.
--- a/internal/daemon/search_test.go
+++ b/internal/daemon/search_test.go
@@ -44,9 +44,10 @@
 	return searchLimit
 }
 
-// TestLeaderDiscoverySkipsFrozenProcess freezes the leader among five control processes. No
-// follower may try the frozen process again while others reply, even if they redirect to it, so
-// that all of some hundred followers find the next leader within a few requests after its election.
+// TestLeaderDiscoverySkipsFrozenProcess freezes the leader among five control processes; the others
+// redirect to it until they have elected a successor. It checks that a follower finds the successor
+// within a few requests after its election, so that all of some hundred followers do. A follower
+// that kept trying the frozen process would take longer.
 func TestLeaderDiscoverySkipsFrozenProcess(t *testing.T) {
 	const electedAfter = 800 * time.Millisecond
 	const foundWithin = electedAfter + 1500*time.Millisecond
--- a/internal/logreport/logreport.go
+++ b/internal/logreport/logreport.go
@@ -36,27 +36,27 @@
 	Dropped int
 }
 
-// AddLine adds a log line, given by its keys; lines that don't end a request are ignored, except
-// for reports of dropped lines.
-func (r *Report) AddLine(keys map[string]string) {
-	switch keys["msg"] {
+// AddLine adds a log line, given as its values by key. Lines that don't end a request are ignored,
+// except for reports of dropped lines.
+func (r *Report) AddLine(fields map[string]string) {
+	switch fields["msg"] {
 	case "log lines dropped":
-		count, _ := strconv.Atoi(keys["count"])
+		count, _ := strconv.Atoi(fields["count"])
 		r.Dropped += count
 		return
 	case messageServed, messageFailed:
 	default:
 		return
 	}
-	at, err := time.Parse(time.RFC3339Nano, keys["ts"])
+	at, err := time.Parse(time.RFC3339Nano, fields["ts"])
 	if err != nil {
 		return
 	}
-	request := Request{At: at, Route: keys["route"], Outcome: Served}
-	request.Duration, _ = time.ParseDuration(keys["took"])
-	if keys["msg"] == messageFailed {
-		request.Outcome = keys["outcome"]
-		request.Code, _ = strconv.Atoi(keys["code"])
+	request := Request{At: at, Route: fields["route"], Outcome: Served}
+	request.Duration, _ = time.ParseDuration(fields["took"])
+	if fields["msg"] == messageFailed {
+		request.Outcome = fields["outcome"]
+		request.Code, _ = strconv.Atoi(fields["code"])
 	}
 	r.requests = append(r.requests, request)
 }
--- a/internal/logreport/logreport_test.go
+++ b/internal/logreport/logreport_test.go
@@ -9,11 +9,11 @@
 )
 
 func addLine(report *Report, pairs ...string) {
-	keys := map[string]string{}
+	fields := map[string]string{}
 	for position := 0; position+1 < len(pairs); position += 2 {
-		keys[pairs[position]] = pairs[position+1]
+		fields[pairs[position]] = pairs[position+1]
 	}
-	report.AddLine(keys)
+	report.AddLine(fields)
 }
 
 func TestReport(t *testing.T) {
--- a/internal/logreport/page.go
+++ b/internal/logreport/page.go
@@ -14,8 +14,8 @@
 const (
 	plotWidth  = 24 * vg.Centimeter
 	plotHeight = 8 * vg.Centimeter
-	// legendHeadroom is the ratio of a plot's height to its highest value; the space above is for
-	// the legend.
+	// legendHeadroom is the ratio of the y axis's maximum to the highest value; the space above the
+	// lines is for the legend.
 	legendHeadroom = 1.25
 	// millisecondsPerSecond converts seconds to the plots' unit.
 	millisecondsPerSecond = 1000
@@ -32,7 +32,7 @@
 <meta charset="utf-8"><title>ochrebay report</title>
 <style>body{font-family:sans-serif;max-width:60em;margin:2em auto}td,th{padding:.2em .8em;text-align:right}td:first-child,th:first-child{text-align:left}svg{max-width:100%;height:auto}</style>
 <h1>Requests</h1>
-<p>{{.Requests}} requests with a logged end. Log lines of successful requests are sampled under load{{if .Dropped}}, and {{.Dropped}} lines were dropped{{end}}; failures are logged more completely than successes.</p>
+<p>{{.Requests}} requests whose end was logged. Log lines of successful requests are sampled under load{{if .Dropped}}, and {{.Dropped}} lines were dropped{{end}}; failures are logged more completely than successes.</p>
 <h2>Outcomes per second</h2>{{.Outcomes}}
 <h2>Duration of served requests, ms</h2>{{.Times}}
 <h2>Routes</h2>
--- a/internal/protocol/dial.go
+++ b/internal/protocol/dial.go
@@ -9,10 +9,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// hedgeInterval is the delay after which another connection attempt is started beside those
-// that are still pending. The kernel retransmits a SYN only after a second; a machine that is
-// just booting, or a link that loses packets, replies to a new attempt sooner. The interval is
-// far above a round trip between zones (1 to 3 ms).
+// hedgeInterval is the delay after which another connection attempt is started in addition to those
+// that are still pending. The kernel retransmits a SYN only after a second; a machine that is just
+// booting, or a link that loses packets, replies to a new attempt sooner. The interval is far above
+// a round trip between zones (1 to 3 ms).
 const hedgeInterval = 60 * time.Millisecond
 
 // Dial connects to a peer at IP:port; a timeout of zero means none. delay is added in each
@@ -24,7 +24,7 @@
 		ctx, cancel = context.WithTimeout(ctx, timeout)
 		defer cancel()
 	}
-	dialer := net.Dialer{Control: setUserTimeout}
+	dialer := net.Dialer{Control: setTCPUserTimeout}
 	socket, err := dialHedged(ctx, hedgeInterval, func(ctx context.Context) (net.Conn, error) {
 		return dialer.DialContext(ctx, "tcp", address)
 	})
@@ -43,9 +43,9 @@
 	err    error
 }
 
-// dialHedged starts a connection attempt at every interval, beside those still pending, until
-// one attempt succeeds or fails or ctx is cancelled. It returns the result of that attempt; the
-// sockets of attempts that succeed later are closed.
+// dialHedged starts a connection attempt at every interval, in addition to those still pending,
+// until one attempt succeeds or fails or ctx is cancelled. It returns the result of that attempt;
+// the sockets of attempts that succeed later are closed.
 func dialHedged(ctx context.Context, interval time.Duration, dial func(context.Context) (net.Conn, error)) (net.Conn, error) {
 	attemptsCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -74,13 +74,13 @@
 	}
 }
 
-// setUserTimeout makes the kernel end a connection whose peer acknowledges no data for
-// userTimeout: a machine without power or behind a network partition sends nothing, not even a
+// setTCPUserTimeout makes the kernel end a connection whose peer acknowledges no data for
+// tcpUserTimeout: a machine without power or behind a network partition sends nothing, not even a
 // reset.
-func setUserTimeout(_, _ string, socket syscall.RawConn) error {
+func setTCPUserTimeout(_, _ string, socket syscall.RawConn) error {
 	var failure error
 	err := socket.Control(func(descriptor uintptr) {
-		failure = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
+		failure = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(tcpUserTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
--- a/internal/protocol/feed.go
+++ b/internal/protocol/feed.go
@@ -7,7 +7,8 @@
 )
 
 // NewFeed returns the update that brings a follower from a revision to the tree's revision: the
-// changes, or a snapshot if they are no longer retained.
+// changes, or a snapshot if they are no longer retained. The caller adds the roster and the number
+// of ledger groups.
 func NewFeed(tree *settings.Tree, revision uint64) Feed {
 	var feed Feed
 	changes, ok := tree.ChangesSince(revision)
@@ -21,9 +22,9 @@
 	return feed
 }
 
-// ApplyTo applies the feed to a follower's tree and returns the tree. Invariant: the revision
-// never decreases, whichever process sent the feed. allowRollback disables this check, for runs
-// that demonstrate its purpose.
+// ApplyTo applies the feed to a follower's tree and returns the tree. Invariant: the revision never
+// decreases, whichever process sent the feed. allowRollback permits snapshots to lower the
+// revision, for runs that demonstrate why it must not.
 func (f Feed) ApplyTo(tree *settings.Tree, allowRollback bool) *settings.Tree {
 	if len(f.Snapshot) > 0 {
 		restored := settings.NewTree()
--- a/internal/protocol/fleet.go
+++ b/internal/protocol/fleet.go
@@ -64,7 +64,7 @@
 	FailingEngines []string `msgpack:"k,omitempty"`
 	// StreamLateness is the gateway's observations of streams since its last heartbeat.
 	StreamLateness []scheduling.StreamLateness `msgpack:"t,omitempty"`
-	// BackendUsages is the usage by the gateway's tenants of oversubscribed back ends.
+	// BackendUsages is how much the gateway's tenants use of oversubscribed backends.
 	BackendUsages []admission.BackendUsage `msgpack:"uses,omitempty"`
 	// FleetVersion and RoutingGeneration identify the sender's fleet view and routing table;
 	// WithRouting requests updates of the routing table.
@@ -81,9 +81,9 @@
 	// processes set it until they have received a confirmed reply.
 	ConfirmNow bool `msgpack:"f,omitempty"`
 	// ConfirmLeadership requests that a quorum confirm, after the request has arrived, that its
-	// receiver is the leader. The reply then proves that no routing table newer than the one
-	// after applying the reply was acknowledged before the request was sent. Unlike ConfirmNow
-	// it permits long polling.
+	// receiver is the leader. The reply then proves that, when the request was sent, no routing
+	// table had been acknowledged that is newer than the sender's table after it has applied the
+	// reply. Unlike ConfirmNow it permits long polling.
 	ConfirmLeadership bool `msgpack:"p,omitempty"`
 }
 
@@ -102,7 +102,7 @@
 	Error  *result.Error                  `msgpack:"e,omitempty"`
 	Leader string                         `msgpack:"l,omitempty"`
 	Fleet  *Shared[membership.FleetDelta] `msgpack:"f,omitempty"`
-	// Routing is the delta from the sender's generation to the current one.
+	// Routing is the delta from the generation in the request to the current one.
 	Routing *Shared[routing.Delta] `msgpack:"r,omitempty"`
 	// EngineLoads is the load of engines aggregated over all gateways, if it was requested.
 	EngineLoads *Shared[[]scheduling.EngineLoad] `msgpack:"o,omitempty"`
@@ -115,11 +115,11 @@
 	// StreamLateness is the stream lateness aggregated over all gateways, in every reply to a
 	// gateway.
 	StreamLateness []scheduling.StreamLateness `msgpack:"t,omitempty"`
-	// BackendUsages is the tenants' usage of oversubscribed back ends aggregated over all
-	// gateways; it accompanies EngineLoads if the routing table has tenants.
+	// BackendUsages is the tenants' usage of oversubscribed backends, aggregated over all gateways;
+	// it accompanies EngineLoads if the routing table has tenants.
 	BackendUsages *Shared[[]admission.BackendUsage] `msgpack:"uses,omitempty"`
-	// ControlAddresses are the inner addresses of the control processes, set if the sender's
-	// list differs.
+	// ControlAddresses are the inner addresses of the control processes, set if the digest in the
+	// request differs from theirs.
 	ControlAddresses []string `msgpack:"c,omitempty"`
 	// IsConfirmed means that a quorum confirmed the reply after the request had arrived.
 	IsConfirmed bool `msgpack:"q,omitempty"`
@@ -155,19 +155,19 @@
 type TurnReply struct {
 	Error  *result.Error `msgpack:"e,omitempty"`
 	Leader string        `msgpack:"l,omitempty"`
-	// History is the content of the turns up to the requested one, oldest first: all turns, or
-	// only those after the sender's cached turn if IsContinuation is set.
+	// History is the content of the turns up to the requested one, oldest first: all turns, or only
+	// those after the CachedTurn of the request if IsContinuation is set.
 	History        []byte `msgpack:"c,omitempty"`
 	IsContinuation bool   `msgpack:"n,omitempty"`
 	// OlderTurns are the turns whose content precedes History, oldest first; they are to be
-	// requested from a replica in the sender's zone.
+	// requested from a replica in the requester's zone.
 	OlderTurns []string `msgpack:"o,omitempty"`
 	// AffineEngine is the engine most likely to hold the session's prefix in its cache.
 	AffineEngine string `msgpack:"g,omitempty"`
 	// IsFirstTurn means, for a reserved turn with a budget, that no turn of its program has run.
 	IsFirstTurn bool `msgpack:"f,omitempty"`
 	// Grant is the reply to Quota. If the request is queued instead, QueuePosition is set and the
-	// sender has to repeat the request.
+	// requester has to repeat the request.
 	Grant         *quota.Grant         `msgpack:"q,omitempty"`
 	QueuePosition *quota.QueuePosition `msgpack:"u,omitempty"`
 }
--- a/internal/protocol/messages.go
+++ b/internal/protocol/messages.go
@@ -115,7 +115,8 @@
 type LedgerRequest struct {
 	Group   uint32          `msgpack:"g"`
 	Command program.Command `msgpack:"c"`
-	// CachedTurn is the last turn that the sender has cached; a grant returns only later records.
+	// CachedTurn is the last turn whose record the sender has cached; if the command is granted a
+	// turn, the reply has only the records after CachedTurn.
 	CachedTurn uint64 `msgpack:"k,omitempty"`
 }
 
@@ -124,8 +125,8 @@
 type LedgerReply struct {
 	Reply  program.Reply `msgpack:"r"`
 	Leader string        `msgpack:"l,omitempty"`
-	// Records are encoded program.TurnRecords: the history after CachedTurn for a grant, or the
-	// turn itself for a request that was completed before.
+	// Records are encoded program.TurnRecords: the history after CachedTurn if a turn was granted,
+	// or the turn itself for a request that was completed before.
 	Records [][]byte `msgpack:"h,omitempty"`
 }
 
@@ -184,7 +185,7 @@
 	Scheduler string `msgpack:"s"`
 	Engine    string `msgpack:"e"`
 	Pool      string `msgpack:"p"`
-	// Release returns a permit.
+	// Release means that the engine's permit is given back.
 	Release bool `msgpack:"r,omitempty"`
 }
 
@@ -277,7 +278,7 @@
 	Turn         uint64        `msgpack:"t,omitempty"`
 	Engine       string        `msgpack:"g,omitempty"`
 	ProgramEnded bool          `msgpack:"d,omitempty"`
-	// RemainingTokens is the program's token budget after the call.
+	// RemainingTokens is what remains of the program's token budget after the call.
 	RemainingTokens int64 `msgpack:"r,omitempty"`
 }
 
--- a/internal/protocol/queue.go
+++ b/internal/protocol/queue.go
@@ -7,12 +7,12 @@
 )
 
 const (
-	sendQueueFrames = 4096
-	// oneWayQueueBytes is the queue size from which on one-way messages are dropped, and
-	// sendQueueBytes the size from which on the connection is closed: a peer that reads slowly
-	// must not exhaust the sender's memory.
-	oneWayQueueBytes = 1 << 20
-	sendQueueBytes   = 4 << 20
+	maxSendQueueFrames = 4096
+	// maxOneWayQueueBytes is the queue size beyond which one-way messages are dropped. Beyond
+	// maxSendQueueBytes, or at maxSendQueueFrames frames, the connection is closed: a peer that
+	// reads slowly must not exhaust the sender's memory.
+	maxOneWayQueueBytes = 1 << 20
+	maxSendQueueBytes   = 4 << 20
 )
 
 // errQueueOverflow means that the connection must be closed because its peer doesn't read.
@@ -44,10 +44,10 @@
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	size := len(next.frame.Body)
-	if next.frame.Call == 0 && q.bodyBytes > 0 && q.bodyBytes+size > oneWayQueueBytes {
+	if next.frame.Call == 0 && q.bodyBytes > 0 && q.bodyBytes+size > maxOneWayQueueBytes {
 		return ErrQueueFull
 	}
-	if q.bodyBytes > sendQueueBytes || len(q.frames) >= sendQueueFrames {
+	if q.bodyBytes > maxSendQueueBytes || len(q.frames) >= maxSendQueueFrames {
 		return errQueueOverflow
 	}
 	q.frames = append(q.frames, next)
--- a/internal/protocol/transport.go
+++ b/internal/protocol/transport.go
@@ -12,14 +12,15 @@
 
 const (
 	// readBufferBytes is the size of each connection's read buffer; longer reads bypass it.
-	// writeBatchBytes is the size from which on a write batch is flushed, and
-	// maxRetainedBatchBytes the largest buffer that is kept for the next batch. A process may
-	// have hundreds of connections, most of them idle, so that an idle one must use little memory.
+	// writeBatchBytes is the size at which a write batch is flushed, and maxRetainedBatchBytes the
+	// largest buffer that is kept for the next batch. A process may have hundreds of connections,
+	// most of them idle, so an idle one must use little memory.
 	readBufferBytes       = 4 << 10
 	writeBatchBytes       = 64 << 10
 	maxRetainedBatchBytes = 8 << 10
-	writeTimeout          = 10 * time.Second
-	userTimeout           = 2 * time.Second
+	// writeTimeout bounds the write of one batch; for tcpUserTimeout see setTCPUserTimeout.
+	writeTimeout   = 10 * time.Second
+	tcpUserTimeout = 2 * time.Second
 )
 
 // Errors of a connection.
@@ -40,7 +41,7 @@
 	Dropped atomic.Int64
 }
 
-// Traffic counts over all inner connections of this process.
+// Traffic counts the bytes and messages of all inner connections of this process.
 var Traffic Counters
 
 // Connection is one TCP connection with its own writer and reader goroutines. Handlers run on
@@ -138,7 +139,7 @@
 	call := c.nextCall
 	c.calls[call] = handler
 	c.mutex.Unlock()
-	// If the frame can't be queued, Close has already called the handler.
+	// If the frame can't be queued, the connection is closed, and Close calls the handler.
 	_ = c.enqueue(Frame{Call: call, Kind: kind, Body: body})
 	return call
 }
@@ -251,7 +252,7 @@
 	defer c.Close()
 	deliver := dispatch
 	if c.delay > 0 {
-		delayed := make(chan queuedFrame, sendQueueFrames)
+		delayed := make(chan queuedFrame, maxSendQueueFrames)
 		defer close(delayed)
 		go deliverDelayed(delayed, dispatch)
 		deliver = func(frame Frame) { delayed <- queuedFrame{frame, time.Now().Add(c.delay)} }
@@ -302,7 +303,7 @@
 // Listen binds to IP:port and starts accepting connections; port 0 lets the kernel choose a
 // port.
 func Listen(address string, handler Handler) (*Server, error) {
-	config := net.ListenConfig{Control: setUserTimeout}
+	config := net.ListenConfig{Control: setTCPUserTimeout}
 	listener, err := config.Listen(context.Background(), "tcp", address)
 	if err != nil {
 		return nil, err
--- a/internal/protocol/transport_test.go
+++ b/internal/protocol/transport_test.go
@@ -31,7 +31,7 @@
 // TestSlowPeer checks that a peer that does not read can't exhaust the sender's memory. A ledger
 // host was killed for its memory use while a link lost packets.
 func TestSlowPeer(t *testing.T) {
-	Convey("one-way messages to a peer that does not read are dropped beyond a bound, and are sent again once it reads", t, func() {
+	Convey("one-way messages to a peer that does not read are dropped beyond a bound, and further ones are sent once it reads", t, func() {
 		connection, socket := dialPair()
 		defer connection.Close()
 		defer socket.Close()
@@ -47,7 +47,7 @@
 			default:
 				So(err, ShouldBeNil)
 			}
-			So(connection.queue.pendingBytes(), ShouldBeLessThanOrEqualTo, oneWayQueueBytes)
+			So(connection.queue.pendingBytes(), ShouldBeLessThanOrEqualTo, maxOneWayQueueBytes)
 		}
 		So(dropped, ShouldBeGreaterThan, 0)
 		reader := bufio.NewReader(socket)
@@ -70,9 +70,9 @@
 		connection, socket := dialPair()
 		defer connection.Close()
 		defer socket.Close()
-		So(connection.SendRaw(KindPeer, make([]byte, 2*oneWayQueueBytes)), ShouldBeNil)
+		So(connection.SendRaw(KindPeer, make([]byte, 2*maxOneWayQueueBytes)), ShouldBeNil)
 		frame, err := ReadFrame(bufio.NewReader(socket))
 		So(err, ShouldBeNil)
-		So(len(frame.Body), ShouldEqual, 2*oneWayQueueBytes)
+		So(len(frame.Body), ShouldEqual, 2*maxOneWayQueueBytes)
 	})
 }
--- a/internal/reconcile/permits.go
+++ b/internal/reconcile/permits.go
@@ -20,7 +20,7 @@
 }
 
 // InitialGrantDelayMs is how long a new leader waits before its first grant, so that engines that
-// are loading with a permit of an earlier leader have reported their state before.
+// are loading with a permit of an earlier leader report their state first.
 const InitialGrantDelayMs = 2_000
 
 // NewPermits returns the permits of a leader that was elected at nowMs.
@@ -28,21 +28,22 @@
 	return &Permits{leaderSinceMs: nowMs, granted: map[string]permit{}}
 }
 
-// Limits bound the grants for one pool.
+// Limits are the limits that apply to a grant for one pool.
 type Limits struct {
 	// PoolSize is the number of engines in the pool, and ReadyEngines how many of them report
 	// that they are ready.
 	PoolSize     int
 	ReadyEngines int
-	// ReadyFloor is the setting ready_floor, and MaxConcurrentLoads the setting concurrent_loads.
+	// ReadyFloor is the setting ready_floor, and MaxConcurrentLoads the setting concurrent_loads,
+	// which bounds the permits of all pools together.
 	ReadyFloor         int
 	MaxConcurrentLoads int
 }
 
 // Grant reports whether an engine may stop serving in order to load a model; a permit that the
-// engine already has is renewed. Invariant: the pool's ready engines minus those with a permit
-// stay at or above the floor. A floor that would forbid every load counts as the pool's size
-// minus one.
+// engine already has is renewed. A permit is granted only if the pool's ready engines minus those
+// with a permit, including the new one, stay at or above the floor. A floor that would forbid every
+// load counts as the pool's size minus one.
 func (p *Permits) Grant(engine, pool string, limits Limits, nowMs int64) bool {
 	p.removeExpired(nowMs)
 	if current, ok := p.granted[engine]; ok {
@@ -60,7 +61,7 @@
 	return true
 }
 
-// Release returns the permit of an engine.
+// Release removes the permit of an engine that has given it back.
 func (p *Permits) Release(engine string) {
 	delete(p.granted, engine)
 }
--- a/internal/reconcile/reconcile_test.go
+++ b/internal/reconcile/reconcile_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestReadyFloorIsKept checks that engines that load with permits, in any interleaving of requests,
-// loads and crashes, never reduce the number of ready engines below the pool's floor.
+// TestReadyFloorIsKept checks that engines that load with permits, in any interleaving of requests
+// and loads, never reduce the number of ready engines below the pool's floor.
 func TestReadyFloorIsKept(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		engines := rapid.IntRange(1, 8).Draw(t, "engines")
--- a/internal/result/result_test.go
+++ b/internal/result/result_test.go
@@ -42,7 +42,7 @@
 			previous = entry.Code
 		}
 	})
-	Convey("the code is found in decorated and wrapped errors", t, func() {
+	Convey("the code is found in decorated and wrapped errors, and is Internal for other errors", t, func() {
 		decorated := errorx.Decorate(New(BudgetExhausted, "left 3"), "starting a turn")
 		So(CodeOf(decorated), ShouldEqual, BudgetExhausted)
 		So(CodeOf(fmt.Errorf("wrapped: %w", New(TurnOpen, "x"))), ShouldEqual, TurnOpen)
--- a/internal/settings/fields.go
+++ b/internal/settings/fields.go
@@ -74,7 +74,7 @@
 	}
 }
 
-// overlay returns base with every field that is set in overrides replaced.
+// overlay returns base after replacing each field that overrides sets by its value there.
 func overlay(base, overrides Fields) Fields {
 	target := reflect.ValueOf(&base).Elem()
 	source := reflect.ValueOf(overrides)
--- a/internal/settings/tree.go
+++ b/internal/settings/tree.go
@@ -17,7 +17,7 @@
 const AnyVersion = ^uint64(0)
 
 const (
-	maxChanges            = 2000
+	maxRetainedChanges    = 2000
 	maxRepliesPerOperator = 64
 	maxPathDepth          = 8
 	maxNodesPerChange     = 100_000
@@ -26,8 +26,8 @@
 // NodeChange sets or deletes one node.
 type NodeChange struct {
 	Path string `json:"path" msgpack:"p"`
-	// Version is the node's version that the change was made against: zero for
-	// a node that must not exist, AnyVersion for no check.
+	// Version is the node's version that the change was made against: zero if the node must not
+	// exist, AnyVersion for no check.
 	Version uint64 `json:"version" msgpack:"v"`
 	Fields  Fields `json:"fields" msgpack:"f"`
 	Delete  bool   `json:"delete,omitempty" msgpack:"d,omitempty"`
@@ -213,10 +213,11 @@
 	return true
 }
 
-// TrimChanges bounds the number of retained changes, which serve the history and followers.
+// TrimChanges drops the oldest changes if more than maxRetainedChanges are retained, for the
+// history and for followers; the newest maxRetainedChanges/2 remain.
 func (t *Tree) TrimChanges() {
-	if len(t.Changes) > maxChanges {
-		t.Changes = slices.Clone(t.Changes[len(t.Changes)-maxChanges/2:])
+	if len(t.Changes) > maxRetainedChanges {
+		t.Changes = slices.Clone(t.Changes[len(t.Changes)-maxRetainedChanges/2:])
 	}
 }
 
--- a/internal/settings/tree_test.go
+++ b/internal/settings/tree_test.go
@@ -39,7 +39,7 @@
 		So(tree.Apply(setPriority("a", 7, 2, "/services/triage", 4)).Error.Code, ShouldEqual, result.ChangeNumberReuse)
 		So(tree.Revision(), ShouldEqual, first.Revision)
 	})
-	Convey("of two operators with the same version and number one wins, and the other receives the winner", t, func() {
+	Convey("if two operators change the same version of a node under the same change number, the first wins and the other receives the winning node", t, func() {
 		tree := baseTree()
 		So(tree.Apply(setPriority("a", 7, 1, "/services/triage", 3)).Error, ShouldBeNil)
 		conflict := tree.Apply(setPriority("b", 7, 1, "/services/triage", 4))
@@ -66,7 +66,7 @@
 		_, err := ParseFields([]byte(`{"rnak": 3}`))
 		So(err.Error(), ShouldContainSubstring, "rnak")
 	})
-	Convey("a follower applies each change once, in order, and rejects older ones", t, func() {
+	Convey("a follower applies a change once and rejects it when it arrives again", t, func() {
 		tree := baseTree()
 		follower := NewTree()
 		changes, ok := tree.ChangesSince(0)
@@ -77,9 +77,9 @@
 	})
 }
 
-// TestConcurrentOperators checks that each number of each operator takes effect at most once,
-// whatever operators send and resend in any order, and that followers and restored trees reach
-// the same state.
+// TestConcurrentOperators checks, for arbitrary changes and resends of two operators, that each
+// change number of each operator takes effect at most once, and that followers and restored trees
+// reach the same state.
 func TestConcurrentOperators(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tree := baseTree()
--- a/internal/storage/journal.go
+++ b/internal/storage/journal.go
@@ -37,10 +37,10 @@
 // part.
 var errTornFrame = errors.New("storage: incomplete frame in journal")
 
-// journal is the append-only log of all groups: a write costs one sync, whereas a transaction
-// costs two and a page for each entry. Each segment starts with a checkpoint of all live logs,
-// so that older segments can be deleted. The checkpoint is written in several frames: encoded as
-// one, it would need several times the memory of the live logs.
+// journal is the append-only log of all groups: a write costs one sync, whereas a bbolt transaction
+// costs two syncs and a page for each entry. Each segment starts with a checkpoint of all live
+// logs, so that older segments can be deleted. The checkpoint is written in several frames: encoded
+// as one frame, it would need several times the memory of the live logs.
 //
 // Invariant: all records for which append has returned without error are in the newest segment
 // that starts with a complete checkpoint.
@@ -49,7 +49,8 @@
 	segment   segment
 	sequence  uint64
 	// nextOffset is the offset of the next frame, after the last synced one. appendedBytes counts
-	// the bytes after the segment's checkpoint.
+	// the bytes after the segment's checkpoint; a failed rotation lowers it to delay the next
+	// attempt.
 	nextOffset    int64
 	appendedBytes int
 	logs          map[GroupID]*groupLog
@@ -134,6 +135,8 @@
 		if err != nil {
 			return false, err
 		}
+		// A checkpoint ends with an empty frame; earlier releases wrote it as one frame whose
+		// records are not Partial.
 		complete = complete || len(records) == 0 || !records[0].Partial
 		for position := range records {
 			j.apply(&records[position])
@@ -225,7 +228,8 @@
 		j.apply(&records[position])
 	}
 	if j.appendedBytes += written; j.appendedBytes > segmentBytes {
-		// If no new segment can be created now, the current one stays in use.
+		// If no new segment can be created now, the current one stays in use, and the next attempt
+		// follows after another segmentBytes/2 bytes.
 		if err := j.rotate(); err != nil {
 			j.appendedBytes = segmentBytes / 2
 		}
@@ -259,8 +263,8 @@
 }
 
 // writeCheckpoint writes all live logs at the start of a segment, and returns the length of the
-// checkpoint after the sync. Its last frame is empty; only with that frame the checkpoint is
-// complete.
+// checkpoint after the sync. Its last frame is empty; without that frame the checkpoint is
+// incomplete.
 func (j *journal) writeCheckpoint(target segment) (int64, error) {
 	end := int64(0)
 	for _, group := range slices.Sorted(maps.Keys(j.logs)) {
--- a/internal/storage/records.go
+++ b/internal/storage/records.go
@@ -14,7 +14,8 @@
 	activeRecordsKey = []byte("records-place")
 )
 
-// turnSuffixBytes is the length of a record's key after the program's name.
+// turnSuffixBytes is the length of a record's key after the program's name: a zero byte and the
+// turn as 8 bytes.
 const turnSuffixBytes = 9
 
 // Record is a turn record of a program.
--- a/internal/storage/storage.go
+++ b/internal/storage/storage.go
@@ -92,16 +92,16 @@
 		return nil, errorx.Decorate(err, "opening the store")
 	}
 	store := &Store{database: database}
-	if err := store.initialise(directory); err != nil {
+	if err := store.initialize(directory); err != nil {
 		_ = database.Close()
 		return nil, err
 	}
 	return store, nil
 }
 
-// initialise creates the replica id if the disk has none, and opens the journal. Invariant: the
+// initialize creates the replica id if the disk has none, and opens the journal. Invariant: the
 // directory entries of all files are durable before the store is used.
-func (s *Store) initialise(directory string) error {
+func (s *Store) initialize(directory string) error {
 	if err := retryWrite(s.ensureReplicaID); err != nil {
 		return err
 	}
@@ -133,6 +133,7 @@
 		if _, err := rand.Read(replicaID); err != nil {
 			return err
 		}
+		// The id must not be zero, which is consensus.None.
 		replicaID[7] |= 1
 		s.replica = consensus.ReplicaID(binary.BigEndian.Uint64(replicaID))
 		return meta.Put(replicaKey, replicaID)
@@ -227,8 +228,8 @@
 }
 
 const (
-	// writeRetryTimeout is how long writes with transient errors are retried before the process
-	// gives up, and writeRetryDelay the delay between attempts.
+	// writeRetryTimeout is the total delay between the attempts of a write with transient errors
+	// before the process gives up, and writeRetryDelay the delay between two attempts.
 	writeRetryTimeout = 10 * time.Second
 	writeRetryDelay   = 50 * time.Millisecond
 )
--- a/internal/telemetry/sink.go
+++ b/internal/telemetry/sink.go
@@ -12,12 +12,13 @@
 )
 
 const (
-	// maxQueuedLines bounds the lines queued for writing, and maxBatchBytes the size from which
-	// on a batch takes no further lines.
+	// maxQueuedLines bounds the lines queued for writing, and maxBatchBytes the size at which a
+	// batch takes no further lines.
 	maxQueuedLines = 4096
 	maxBatchBytes  = 32 << 10
 	// sampleOneIn is the sampling rate for successful requests while the queue is at least half
-	// full: the lines of one request in sampleOneIn are written, the same ids in every process.
+	// full: the lines of one request in sampleOneIn are written. Requests are selected by id, and
+	// so are the same in every process.
 	sampleOneIn = 8
 )
 
@@ -120,7 +121,8 @@
 	return sink
 }
 
-// FlushLog waits, at its first call, until this process's queued log lines have been written.
+// FlushLog waits until this process's queued log lines have been written. Only the first call has
+// an effect.
 func FlushLog() {
 	if sink := processLogSink.Load(); sink != nil {
 		sink.flushOnce.Do(sink.Flush)
@@ -137,8 +139,8 @@
 	return sink.Dropped(), sink.SampledOut()
 }
 
-// InfoSampled logs an event of a successful request. Under load such lines are sampled by the
-// request's id before any other line is dropped, so that the lines of a sampled request are
+// InfoSampled logs an event of a successful request. Under load such lines are sampled before any
+// other line is dropped, and by the request's id, so that the lines of a sampled request are
 // complete.
 func InfoSampled(logger log.Logger, request, message string, keyValues ...any) {
 	if sink := processLogSink.Load(); sink != nil && !sink.shouldLog(request) {
--- a/internal/telemetry/sink_test.go
+++ b/internal/telemetry/sink_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestLogSink(t *testing.T) {
-	Convey("lines are written completely and in order", t, func() {
+	Convey("all lines are written", t, func() {
 		var buffer bytes.Buffer
 		sink := NewLogSink(&buffer)
 		for number := range 1000 {
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -19,7 +19,7 @@
 )
 
 // NewLogger returns a logger that writes one logfmt line for each event at or above the minimum
-// level, with the constant keys ts, level, component, process, msg and err.
+// level. The names of the keys ts, level, component, process, msg and err are fixed.
 func NewLogger(writer io.Writer, component, process, minimum string) log.Logger {
 	logger := log.NewLogfmtLogger(writer)
 	logger = level.NewFilter(logger, level.Allow(level.ParseDefault(minimum, level.InfoValue())))
@@ -41,7 +41,7 @@
 	_ = level.Debug(logger).Log(append([]any{"msg", message}, keyValues...)...)
 }
 
-// Monitor serves /metrics, /healthz and /readyz.
+// Monitor serves /metrics, /healthz, /readyz and the registered views.
 type Monitor struct {
 	Registry *prometheus.Registry
 	isReady  func() bool
