--- a/internal/daemon/search.go
+++ b/internal/daemon/search.go
@@ -33,8 +33,8 @@
 }
 
 // nextTarget returns the process for the next request: the presumed leader, or else one of the
-// processes that were not unresponsive recently, or one of all processes if there is none. random,
-// a non-negative number, selects among them. It returns "" if no process is known.
+// processes that were not unresponsive recently, or one of all processes if there is none, selected
+// by the non-negative number random. It returns "" if no process is known.
 func (d *leaderDiscovery) nextTarget(now time.Time, random int) string {
 	if d.leader != leaderUnknown {
 		return d.leader
