--- a/internal/consensus/cluster_test.go
+++ b/internal/consensus/cluster_test.go
@@ -145,7 +145,7 @@
 		c.appliedIndex[id] = entry.Index
 		known, ok := c.committed[entry.Index]
 		if ok && (known.Term != entry.Term || string(known.Data) != string(entry.Data)) {
-			c.violation = fmt.Sprintf("index %d committed twice: term %d and %d", entry.Index, known.Term, entry.Term)
+			c.violation = fmt.Sprintf("index %d committed with different entries, of terms %d and %d", entry.Index, known.Term, entry.Term)
 		}
 		c.committed[entry.Index] = entry
 	}
--- a/internal/consensus/election.go
+++ b/internal/consensus/election.go
@@ -4,7 +4,7 @@
 func (n *Node) resetElectionTimer() {
 	n.electionElapsed = 0
 	minTicks := n.options.ElectionTicks
-	if n.options.InitialElectionTicks > 0 && !n.hasKnownLeader {
+	if n.options.InitialElectionTicks > 0 && !n.hasHadLeader {
 		// A replica that has had no leader since it started need not wait for one. It retries
 		// soon, since the other voters may have been starting when it campaigned.
 		minTicks = min(n.options.InitialElectionTicks, n.options.ElectionTicks)
@@ -20,7 +20,7 @@
 	}
 	n.role = Follower
 	n.leader = leader
-	n.hasKnownLeader = n.hasKnownLeader || leader != None
+	n.hasHadLeader = n.hasHadLeader || leader != None
 	n.votes = nil
 	n.progress = nil
 	n.abortReads()
@@ -104,8 +104,10 @@
 	n.broadcastAppend()
 }
 
-// hasLeaderContact reports whether the replica has received a message from a leader within the minimum
-// election timeout. It then grants no votes to replace that leader.
+// hasLeaderContact reports whether the replica considers the leader alive: it is the leader itself
+// and checks its quorum, the group is quiescent, or it has received a message from the leader within
+// the minimum election timeout. It then grants no votes to replace the leader, except in a leadership
+// transfer.
 func (n *Node) hasLeaderContact() bool {
 	if n.role == Leader {
 		return !n.options.DisableCheckQuorum
--- a/internal/consensus/log.go
+++ b/internal/consensus/log.go
@@ -50,8 +50,8 @@
 	return ok && own == term
 }
 
-// slice returns the entries from..to, both included. It returns at most maxBytes of entry data, but at
-// least one entry.
+// slice returns the entries from..to, both included, as far as the log contains them. It returns at
+// most maxBytes of entry data, but at least one entry if there is one.
 func (l *log) slice(from, to uint64, maxBytes int) []Entry {
 	if from < l.firstIndex() {
 		from = l.firstIndex()
@@ -131,7 +131,8 @@
 	return current
 }
 
-// compactionIndex returns the index before the most recent entries up to index that fit the bounds.
+// compactionIndex implements Node.CompactionIndex. It returns the index before the first entry that
+// is retained.
 func (l *log) compactionIndex(index, entries uint64, maxBytes int) uint64 {
 	size := 0
 	for count := uint64(0); count < entries && index > l.snapshotIndex; count++ {
--- a/internal/consensus/node.go
+++ b/internal/consensus/node.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// The errors of proposals.
+// The errors of proposals and read requests.
 var (
 	// ErrNotLeader means that this replica is not the leader, or that it is transferring the
 	// leadership.
@@ -13,22 +13,25 @@
 	// ErrChangePending means that an earlier configuration is not committed yet, or that the
 	// leader has not committed an entry of its own term yet.
 	ErrChangePending = errors.New("consensus: a configuration change is pending")
-	// ErrMultipleVoterChanges means that a configuration differs in more than one voter.
+	// ErrMultipleVoterChanges means that a proposed configuration differs from the current one in
+	// more than one voter.
 	ErrMultipleVoterChanges = errors.New("consensus: a change adds or removes more than one voter")
 )
 
 // Options configure a Node. Durations are in ticks; the owner chooses the interval between ticks.
 type Options struct {
 	ID ReplicaID
-	// Seed makes election timeouts differ between replicas.
+	// Seed and ID seed the random election timeouts. The replicas of a group have the same Seed,
+	// so that they agree on the order of their first campaigns (InitialElectionTicks).
 	Seed           uint64
 	ElectionTicks  int
 	HeartbeatTicks int
 	// InitialElectionTicks is the interval between the first campaigns of voters that start
 	// together. The seed selects the voter that campaigns after one tick; the next voter follows
-	// InitialElectionTicks later. It is also the minimum election timeout until a leader is known.
-	// Pre-vote prevents these campaigns from replacing a leader that is still alive. Zero uses the
-	// regular timeout from the start.
+	// InitialElectionTicks later. Unless ElectionTicks is lower, it is also the minimum election
+	// timeout of a replica that has had no leader since it started. Pre-vote prevents these
+	// campaigns from replacing a leader that is still alive. Zero means the regular timeout from
+	// the start.
 	InitialElectionTicks int
 	// QuiesceTicks is how long a group must be idle before it becomes quiescent. Zero turns
 	// quiescence off.
@@ -64,8 +67,9 @@
 	role        Role
 	leader      ReplicaID
 	randomState uint64
-	// hasKnownLeader is set once a leader has been known since the replica started.
-	hasKnownLeader bool
+	// hasHadLeader is set when the replica becomes a follower of a known leader. A replica that is
+	// already a follower when it learns of a leader does not set it.
+	hasHadLeader bool
 
 	electionElapsed  int
 	heartbeatElapsed int
@@ -161,8 +165,8 @@
 // ConfigurationAt returns the configuration that was in effect at index.
 func (n *Node) ConfigurationAt(index uint64) Configuration { return n.log.configurationAt(index) }
 
-// AppliedIndex returns the last index that is applied: that of the committed entries passed to
-// Advance, or of a restored snapshot.
+// AppliedIndex returns the last applied index, which is that of the last committed entry passed to
+// Advance or that of the snapshot that the log was restored from.
 func (n *Node) AppliedIndex() uint64 { return n.log.applied }
 
 // CommitIndex returns the last index known to be committed.
@@ -174,12 +178,13 @@
 // SnapshotIndex returns the index up to which the log is compacted.
 func (n *Node) SnapshotIndex() uint64 { return n.log.snapshotIndex }
 
-// IsQuiescent reports whether the group is quiescent.
+// IsQuiescent reports whether the replica considers the group quiescent. It then ignores ticks, so
+// that it sends no heartbeats and starts no elections.
 func (n *Node) IsQuiescent() bool { return n.isQuiescent }
 
 // IsCaughtUp reports whether a replica has acknowledged the leader's log except for at most lag
-// entries. Invariant: a replica that has acknowledged nothing is never caught up. In a short log such
-// a replica lacks only a few entries, too.
+// entries. Invariant: a replica that has acknowledged nothing is never caught up, even if the log is
+// so short that the replica lacks at most lag entries.
 func (n *Node) IsCaughtUp(id ReplicaID, lag uint64) bool {
 	follower, ok := n.progress[id]
 	return n.role == Leader && ok && follower.match > 0 && follower.match+lag >= n.log.lastIndex()
@@ -193,7 +198,8 @@
 }
 
 // IsRecentlyActive reports whether the leader has received a response from a replica within the last
-// one or two election timeouts.
+// one or two election timeouts. A follower also counts as active for that time after it was added or
+// after the leader was elected. This replica itself is always active.
 func (n *Node) IsRecentlyActive(id ReplicaID) bool {
 	if id == n.options.ID {
 		return true
@@ -202,7 +208,7 @@
 	return n.role == Leader && ok && (follower.isActive || follower.wasActive)
 }
 
-// Tick advances the replica's clock by one.
+// Tick advances the replica's clock by one tick. It does nothing while the group is quiescent.
 func (n *Node) Tick() {
 	if n.isQuiescent {
 		return
@@ -223,7 +229,7 @@
 	n.idleTicks = 0
 }
 
-// Propose appends a command to the leader's log. The command has taken effect once an entry with the
+// Propose appends a command to the leader's log. The proposal has succeeded once an entry with the
 // returned index and term is committed.
 func (n *Node) Propose(data []byte) (index, term uint64, err error) {
 	if n.role != Leader || n.transferTarget != None {
--- a/internal/consensus/replication.go
+++ b/internal/consensus/replication.go
@@ -7,18 +7,19 @@
 	// match is the last index that the follower has acknowledged, and next the next index to send.
 	match uint64
 	next  uint64
-	// isProbing is set until the follower has acknowledged a position. While it is set, only one
-	// append message is in flight.
+	// isProbing is set until the follower acknowledges a position, and again after a rejection or
+	// a retransmission. While it is set, only one append message is in flight.
 	isProbing       bool
 	inflightAppends int
-	// awaitsSnapshot is set from the request for a snapshot until the follower responds.
+	// awaitsSnapshot is set from the request for a snapshot until the follower acknowledges a
+	// position or the snapshot is considered lost.
 	awaitsSnapshot bool
-	// isActive is set when the follower has responded since the last quorum check, and wasActive
-	// is its value before that check. hasResponded is set by a response to an append and cleared by
-	// each heartbeat response.
-	isActive     bool
-	wasActive    bool
-	hasResponded bool
+	// isActive is set initially and when the follower has responded since the last quorum check,
+	// and wasActive is its value before that check. hasAppendResponse is set by a response to an
+	// append or a snapshot and cleared by each heartbeat response.
+	isActive          bool
+	wasActive         bool
+	hasAppendResponse bool
 	// snapshotTicksLeft is the number of ticks until a snapshot in flight may be retransmitted.
 	snapshotTicksLeft int
 	// lastSentTick is the leader tick at which the last append message was sent.
@@ -128,7 +129,7 @@
 }
 
 // sendAppend sends a follower the next entries as far as its limits allow, or requests a snapshot for
-// it if the entries before them are compacted.
+// it if the entry before them is compacted.
 func (n *Node) sendAppend(id ReplicaID) {
 	follower := n.progress[id]
 	if follower.awaitsSnapshot || (follower.isProbing && follower.inflightAppends > 0) || follower.inflightAppends >= n.options.MaxInflight {
@@ -239,7 +240,7 @@
 
 // maybeCommit advances the commit index if a quorum has more entries. Followers receive the commit
 // index with the next append or heartbeat. It needs no message of its own, since only the leader
-// answers clients.
+// replies to proposals and linearizable reads.
 func (n *Node) maybeCommit() {
 	var matches []uint64
 	for _, id := range n.log.configuration().Voters() {
@@ -391,7 +392,7 @@
 		n.stepHeartbeatResponse(message, follower)
 		return
 	}
-	follower.hasResponded = true
+	follower.hasAppendResponse = true
 	follower.inflightAppends = max(0, follower.inflightAppends-1)
 	if message.Reject {
 		n.stepRejection(message, follower)
@@ -428,12 +429,12 @@
 // be lost.
 func (n *Node) stepHeartbeatResponse(message Message, follower *progress) {
 	n.acknowledgeReads(message)
-	noResponse := !follower.hasResponded
-	follower.hasResponded = false
+	noAppendResponse := !follower.hasAppendResponse
+	follower.hasAppendResponse = false
 	// Heartbeat responses that arrive together, as after a network partition, must cause only one
 	// retransmission. A snapshot in flight is not treated as lost.
 	due := n.leaderTicks-follower.lastSentTick >= follower.retransmissionTimeoutTicks(n.options.HeartbeatTicks)
-	if noResponse && due && follower.snapshotTicksLeft == 0 && follower.match < n.log.lastIndex() {
+	if noAppendResponse && due && follower.snapshotTicksLeft == 0 && follower.match < n.log.lastIndex() {
 		follower.retransmissions++
 		follower.timedIndex = 0
 		// A lost probe is retransmitted unchanged: the leader has no acknowledged position of the
--- a/internal/consensus/resend_test.go
+++ b/internal/consensus/resend_test.go
@@ -7,8 +7,9 @@
 )
 
 // TestAnswersThatComeTogether checks that heartbeat responses that arrive together, as after a network
-// partition, make the leader retransmit missing entries once and not once per response. Without this
-// limit a ledger host was killed, because it encoded a snapshot for each response.
+// partition, do not make the leader retransmit entries or a snapshot for each response. Without this
+// limit a ledger host exceeded its memory and was killed, because it encoded a snapshot for each
+// response.
 func TestAnswersThatComeTogether(t *testing.T) {
 	newLeaderWithLaggingFollower := func(compacted bool) *Node {
 		options := testOptions()
@@ -62,7 +63,7 @@
 			So(snapshots, ShouldEqual, 1)
 		})
 	})
-	Convey("a burst of responses causes one retransmission of entries", t, func() {
+	Convey("a burst of responses causes at most two append messages", t, func() {
 		_, appends := sendResponseBurst(newLeaderWithLaggingFollower(false))
 		So(appends, ShouldBeLessThanOrEqualTo, 2)
 	})
--- a/internal/consensus/slowlink_test.go
+++ b/internal/consensus/slowlink_test.go
@@ -19,12 +19,12 @@
 		oneWayTicks = 8
 		// electionTicks is long enough that the leader is not replaced. The test is only about the
 		// messages that it sends.
-		electionTicks = 60
-		ticks         = 400
-		proposeEvery  = 10
-		entryBytes    = 1000
+		electionTicks        = 60
+		durationTicks        = 400
+		proposeIntervalTicks = 10
+		entryBytes           = 1000
 	)
-	Convey("over a link with a delay of four heartbeats each way, the leader sends less than 1.5 times the proposed bytes", t, func() {
+	Convey("over a link with a delay of four heartbeat intervals each way, the leader sends each follower less than 1.5 times the proposed bytes", t, func() {
 		options := testOptions()
 		options.ElectionTicks = electionTicks
 		c := newCluster(3, options)
@@ -34,8 +34,8 @@
 		var link []delayedMessage
 		sentBytes := map[ReplicaID]int{}
 		proposedBytes := 0
-		for tick := range ticks {
-			if tick%proposeEvery == 0 && tick < ticks-4*oneWayTicks {
+		for tick := range durationTicks {
+			if tick%proposeIntervalTicks == 0 && tick < durationTicks-4*oneWayTicks {
 				_, _, err := leader.Propose(make([]byte, entryBytes))
 				So(err, ShouldBeNil)
 				proposedBytes += entryBytes
@@ -60,7 +60,7 @@
 		}
 		So(c.leader(), ShouldEqual, leader)
 		for _, id := range c.ids() {
-			So(c.appliedIndex[id], ShouldBeGreaterThanOrEqualTo, uint64(proposedBytes/entryBytes-2*oneWayTicks/proposeEvery-1))
+			So(c.appliedIndex[id], ShouldBeGreaterThanOrEqualTo, uint64(proposedBytes/entryBytes-2*oneWayTicks/proposeIntervalTicks-1))
 		}
 		for id, bytes := range sentBytes {
 			Printf("replica %d: %d bytes sent for %d proposed bytes\n", id, bytes, proposedBytes)
--- a/internal/consensus/types.go
+++ b/internal/consensus/types.go
@@ -141,18 +141,18 @@
 	From ReplicaID   `msgpack:"f"`
 	To   ReplicaID   `msgpack:"o"`
 	Term uint64      `msgpack:"t"`
-	// Index and LogTerm are the position before Entries (append), the sender's last position
-	// (votes), or the acknowledged position (responses).
+	// Index and LogTerm are the position before Entries (append) or the sender's last position
+	// (votes). In responses Index is the acknowledged position, or that of the rejected append.
 	Index   uint64  `msgpack:"i,omitempty"`
 	LogTerm uint64  `msgpack:"l,omitempty"`
 	Entries []Entry `msgpack:"e,omitempty"`
 	Commit  uint64  `msgpack:"c,omitempty"`
 	Reject  bool    `msgpack:"r,omitempty"`
-	// RejectHint is the follower's last index, less than Index, when it rejects an append. The
-	// leader continues after it.
+	// RejectHint is sent in the rejection of an append: the follower's last index, or Index-1 if
+	// that is lower. The leader continues with the entry after it.
 	RejectHint uint64 `msgpack:"h,omitempty"`
-	// Context is the read round that a heartbeat confirms. In vote requests it marks a leadership
-	// transfer.
+	// Context is the read round of a heartbeat, which the response confirms. In vote requests it
+	// marks a leadership transfer.
 	Context uint64 `msgpack:"x,omitempty"`
 	// Quiesce asks a follower to stop its election timer.
 	Quiesce  bool      `msgpack:"q,omitempty"`
--- a/internal/ledger/cluster_test.go
+++ b/internal/ledger/cluster_test.go
@@ -148,14 +148,14 @@
 	acknowledged map[string]string
 	granted      map[string]int
 	viewVersion  uint64
-	// longestMessageBytes is the size of the longest batch sent between hosts. snapshots counts the
-	// snapshot messages.
-	longestMessageBytes int
-	snapshots           int
-	// appendMessages counts the messages between hosts that carry an append, and commits those
-	// whose appends bring no entry.
-	appendMessages      int
-	emptyAppendMessages int
+	// longestBatchBytes is the size of the longest batch sent between hosts. snapshotMessages
+	// counts the snapshot messages in the batches.
+	longestBatchBytes int
+	snapshotMessages  int
+	// appendBatches counts the batches between hosts that contain an append, and
+	// emptyAppendBatches those whose appends contain no entries.
+	appendBatches      int
+	emptyAppendBatches int
 }
 
 // delivery is a batch in flight.
@@ -164,7 +164,7 @@
 	deliver     func()
 }
 
-// newCluster starts hosts, of which the first ones hold the replicas of group 1.
+// newCluster starts the given number of hosts. The first ones, as many as replicas, host group 1.
 func newCluster(t *testing.T, seed uint64, hosts, replicas int) *cluster {
 	c := &cluster{t: t, random: rand.New(rand.NewPCG(seed, 1)), nowMs: 1000, acknowledged: map[string]string{}, granted: map[string]int{}}
 	for number := range hosts {
@@ -185,7 +185,8 @@
 	return c
 }
 
-// distributeView sends all disks and placements to every running host, as control does.
+// distributeView sends every running host a view with all placements and the replica IDs of all
+// hosts, as control does.
 func (c *cluster) distributeView() {
 	c.viewVersion++
 	delta := membership.FleetDelta{Version: c.viewVersion, IsFull: true, Groups: c.groups}
@@ -228,7 +229,7 @@
 	if err != nil {
 		n.cluster.t.Fatal(err)
 	}
-	n.cluster.longestMessageBytes = max(n.cluster.longestMessageBytes, len(raw))
+	n.cluster.longestBatchBytes = max(n.cluster.longestBatchBytes, len(raw))
 	n.cluster.countMessages(batch)
 	for _, other := range n.cluster.nodes {
 		if other.host.Member != member || n.partitioned || n.cluster.random.IntN(100) == 0 {
@@ -251,17 +252,17 @@
 	for _, message := range batch.Messages {
 		switch message.Message.Kind {
 		case consensus.MessageSnapshot:
-			c.snapshots++
+			c.snapshotMessages++
 		case consensus.MessageAppend:
 			appends++
 			entries += len(message.Message.Entries)
 		}
 	}
 	if appends > 0 {
-		c.appendMessages++
+		c.appendBatches++
 	}
 	if appends > 0 && entries == 0 {
-		c.emptyAppendMessages++
+		c.emptyAppendBatches++
 	}
 }
 
@@ -318,7 +319,8 @@
 	return nil
 }
 
-// runUntil runs until a condition holds, for at most 30 s of virtual time.
+// runUntil runs until a condition holds. It checks every 100 ms of virtual time and fails the test
+// after 300 checks. A condition may itself advance the time.
 func (c *cluster) runUntil(description string, condition func() bool) {
 	c.t.Helper()
 	for range 300 {
--- a/internal/ledger/core.go
+++ b/internal/ledger/core.go
@@ -1,5 +1,5 @@
-// Package ledger implements the ledger host, a process that stores the turns of programs on
-// machines of its own. It holds replicas of ledger groups. The leader of the settings group places
+// Package ledger implements the ledger host, a process that runs on a dedicated machine and stores
+// the turns of programs. It holds replicas of ledger groups. The leader of the settings group places
 // each group on several hosts. Core is the state of a host without goroutines, clocks or sockets;
 // Daemon runs a Core over TCP and a real disk.
 package ledger
@@ -54,7 +54,7 @@
 	// QuotaWindowMs is the length of the window in which a tenant's requests are counted
 	// (config.Limits).
 	QuotaWindowMs int64
-	// QuotaTolerance is by how much programs in progress may exceed a limit (config.Limits).
+	// QuotaTolerance bounds the requests of programs in progress beyond a limit (config.Limits).
 	QuotaTolerance quota.Tolerance
 	// DisableBudget turns the check of token budgets off, for test runs that show which
 	// failures the check prevents.
@@ -80,16 +80,17 @@
 	maxInflight    = 64
 	// proposalTimeoutMs is longer than a gateway waits for one reply (0.45 s).
 	proposalTimeoutMs = 3000
-	// compactAfterEntries and compactAfterBytes bound the log in entries and bytes. They are
-	// large enough that a host needs no snapshot after a short outage.
+	// compactAfterEntries and compactAfterBytes are the numbers of applied entries and bytes
+	// after which the log is compacted, which bounds its size. The part that a compaction
+	// retains is large enough that a host needs no snapshot after a short outage.
 	compactAfterEntries = 2000
 	compactAfterBytes   = 2 << 20
 	// reconcileIntervalMs is the interval at which the groups are compared with their placement,
 	// and sweepIntervalMs the interval at which expired turns are removed.
 	reconcileIntervalMs = 100
 	sweepIntervalMs     = 1000
-	// removeOrphanAfterMs is how long a replica is kept that has no leader and is not part of
-	// the placement: the configuration change that removes it may still be in progress.
+	// removeOrphanAfterMs is how long a replica without a leader that is not part of the
+	// placement is kept: the configuration change that removes it may still be in progress.
 	removeOrphanAfterMs = 5000
 	// maxLearnerLagEntries is how many entries a learner may lag behind when it becomes a voter.
 	maxLearnerLagEntries = 8
@@ -254,8 +255,8 @@
 	if !slices.Contains(placement.Members, c.options.Member) || c.host.FindGroup(id) != nil {
 		return nil
 	}
-	// Invariant: a disk that is not part of the initial configuration has cast no votes and
-	// acknowledged no entries. It must not vote before the group adds it.
+	// Invariant: a replica that is not part of the initial configuration does not vote before
+	// the group adds it. Until then, its disk has cast no votes and acknowledged no entries.
 	bootstrap := consensus.Configuration{}
 	if _, isInitialMember := placement.Initial.Find(c.storage.Replica()); isInitialMember {
 		bootstrap = placement.Initial
--- a/internal/ledger/daemon.go
+++ b/internal/ledger/daemon.go
@@ -195,7 +195,7 @@
 	d.status.Store(current)
 }
 
-// Send implements Transport. Bulk batches are sent on a lane of their own.
+// Send implements Transport. Bulk batches are sent over a separate connection.
 func (d *Daemon) Send(member string, batch protocol.PeerBatch) {
 	if batch.IsBulk() {
 		d.links.SendBulk(member, protocol.KindPeer, batch)
@@ -232,7 +232,7 @@
 
 // handleTurnRequest answers a leader probe immediately, independent of the load of the event loop,
 // and queues other requests for the loop. Invariant: a request whose timeout passed in the queue
-// is dropped. Its sender retries it, and work without a recipient must not add to an overload.
+// is dropped. Its sender has given up and retries, so executing it would only add to an overload.
 func (d *Daemon) handleTurnRequest(connection *protocol.Connection, frame protocol.Frame, request *protocol.TurnRequest) {
 	if request.ProbeLeader {
 		_ = connection.Reply(frame.Call, protocol.KindResponse, d.probeReply(request.Group), true)
--- a/internal/ledger/faults_test.go
+++ b/internal/ledger/faults_test.go
@@ -37,7 +37,8 @@
 }
 
 // TestRandomFaults crashes hosts, partitions them or loses their disks, one at a time, while turns are
-// retained and reserved.
+// retained and reserved. No acknowledged turn may be lost, and the reserved turns must not exceed the
+// budget.
 func TestRandomFaults(t *testing.T) {
 	for seed := range uint64(60) {
 		c := newCluster(t, seed, 4, 3)
@@ -79,8 +80,8 @@
 	}
 }
 
-// TestWholeClusterLosesPower restarts all hosts at once without control. They must elect a leader
-// within 600 ms from the placement on their disks.
+// TestWholeClusterLosesPower restarts all hosts at once without control. They must restore the
+// placement from their disks and elect a leader within 600 ms.
 func TestWholeClusterLosesPower(t *testing.T) {
 	c := newCluster(t, 1, 3, 3)
 	c.runUntil("a leader", func() bool { return c.leader() != nil })
@@ -101,6 +102,8 @@
 }
 
 // TestHostIsEmptied moves a group from each of its hosts in turn, the leader included, to a spare host.
+// The host that the group leaves must not remain in the configuration, and no acknowledged turn may be
+// lost.
 func TestHostIsEmptied(t *testing.T) {
 	for retiring := range 3 {
 		c := newCluster(t, uint64(retiring), 4, 3)
--- a/internal/ledger/handover_test.go
+++ b/internal/ledger/handover_test.go
@@ -14,7 +14,7 @@
 	return leader.core.host.FindGroup(1).Node.Term()
 }
 
-// moveGroup places the group on the same number of hosts as before, starting with host first.
+// moveGroup places the group on consecutive hosts, as many as before, from index first on.
 func (c *cluster) moveGroup(first int) {
 	replicas := len(c.groups[0].Members)
 	members := make([]string, 0, replicas)
@@ -26,9 +26,9 @@
 }
 
 // TestLeaderWaitsForItsSuccessors replaces two running hosts of a group of five, one of them the
-// leader, by two hosts that have not started. The replaced hosts must not transfer the leadership
-// back and forth: each leadership change interrupts the snapshot transfers to the new hosts, and
-// discards what the quota owner knows about the times of its grants.
+// leader, with two hosts that are down. The replaced hosts must not transfer the leadership back and
+// forth: each leadership change interrupts the snapshot transfers to the new hosts, and discards what
+// the quota owner knows about the times of its grants.
 func TestLeaderWaitsForItsSuccessors(t *testing.T) {
 	for seed := range uint64(5) {
 		c := newCluster(t, seed, 7, 5)
@@ -81,8 +81,8 @@
 	c.checkInvariants()
 }
 
-// TestSilentLearnerDoesNotVote places a group with a short log on hosts that have not started. They
-// must not become voters, although they lack only a few entries.
+// TestSilentLearnerDoesNotVote places a group with a short log on two hosts that are down. They must
+// not become voters, although they lack only a few entries.
 func TestSilentLearnerDoesNotVote(t *testing.T) {
 	c := newCluster(t, 1, 7, 5)
 	c.runUntil("a leader", func() bool { return c.leader() != nil })
--- a/internal/ledger/load_test.go
+++ b/internal/ledger/load_test.go
@@ -12,11 +12,11 @@
 )
 
 // TestSnapshotInParts transfers a group of several megabytes to an empty disk while turns are
-// retained. No message may contain more than a part of the group, since a host that encodes or reads
-// a whole group at once exceeds its memory. The test then loses the other disks in turn, which checks
+// retained. No batch may contain more than a part of the group, since a host that encodes or reads a
+// whole group at once exceeds its memory. The test then loses the other disks in turn, which checks
 // that the transfer was complete.
 func TestSnapshotInParts(t *testing.T) {
-	const maxMessageBytes = 600 << 10
+	const maxBatchBytes = 600 << 10
 	for seed := range uint64(6) {
 		c := newCluster(t, seed, 3, 3)
 		c.runUntil("a leader", func() bool { return c.leader() != nil })
@@ -38,8 +38,8 @@
 			}
 			c.runUntil("the recovery", c.matchesPlacement)
 		}
-		if c.longestMessageBytes > maxMessageBytes {
-			t.Fatalf("seed %d: longest message is %d bytes", seed, c.longestMessageBytes)
+		if c.longestBatchBytes > maxBatchBytes {
+			t.Fatalf("seed %d: longest batch is %d bytes", seed, c.longestBatchBytes)
 		}
 		c.checkInvariants()
 	}
@@ -62,8 +62,8 @@
 		lagging.partitioned = false
 		c.run(400)
 	}
-	if c.snapshots > 0 {
-		t.Fatalf("%d snapshots sent to a replica that was 4 entries behind", c.snapshots)
+	if c.snapshotMessages > 0 {
+		t.Fatalf("%d snapshots sent to a replica that was 4 entries behind", c.snapshotMessages)
 	}
 	c.checkInvariants()
 }
@@ -76,7 +76,7 @@
 	c := newCluster(t, 5, 3, 3)
 	c.runUntil("a leader", func() bool { return c.leader() != nil })
 	c.run(500)
-	c.appendMessages, c.emptyAppendMessages = 0, 0
+	c.appendBatches, c.emptyAppendBatches = 0, 0
 	settled := 0
 	for number := range turns {
 		leader := c.leader()
@@ -95,12 +95,12 @@
 	if len(c.granted) != turns || settled != turns-1 {
 		t.Fatalf("%d of %d turns granted and %d settled", len(c.granted), turns, settled)
 	}
-	// The network loses one message in a hundred, which is retransmitted.
-	if limit := turns*followers + turns/4; c.appendMessages > limit {
-		t.Fatalf("%d messages with appends for %d turns, at most %d expected", c.appendMessages, turns, limit)
+	// The network loses one batch in a hundred, which is retransmitted.
+	if limit := turns*followers + turns/4; c.appendBatches > limit {
+		t.Fatalf("%d batches with appends for %d turns, at most %d expected", c.appendBatches, turns, limit)
 	}
-	if c.emptyAppendMessages > turns/4 {
-		t.Fatalf("%d append messages without entries", c.emptyAppendMessages)
+	if c.emptyAppendBatches > turns/4 {
+		t.Fatalf("%d batches with appends but without entries", c.emptyAppendBatches)
 	}
 }
 
--- a/internal/ledger/quotas.go
+++ b/internal/ledger/quotas.go
@@ -16,8 +16,8 @@
 // wait or are denied: a tenth of a window of 5 s.
 const timeRecordIntervalMs = 500
 
-// replyMarginMs is how long before the requester's timeout the reply is sent that a request is still
-// queued: two ticks plus the network delay.
+// replyMarginMs is the time before the requester's timeout at which a queued request gets the reply
+// that it is still queued: two ticks plus the network delay.
 const replyMarginMs = 150
 
 // quotaOwner grants the requests of one group's tenants during one term in which this host leads
@@ -37,16 +37,16 @@
 }
 
 // pendingQuotaRequest is an unanswered quota request. It waits until deadlineMs, when the requester
-// repeats it.
+// repeats it, or replyMarginMs earlier while it is queued.
 type pendingQuotaRequest struct {
 	id         RequestID
 	request    quota.Request
 	deadlineMs int64
 }
 
-// requestQuota handles a quota request: a returned grant, a cancellation, or a request for a grant,
-// which is decided immediately or after a reservation.
-func (c *Core) requestQuota(id RequestID, group *replication.Group, request *protocol.TurnRequest) {
+// handleQuotaRequest handles a returned grant, a cancellation, or a request for a grant, which is
+// decided immediately or after a reservation.
+func (c *Core) handleQuotaRequest(id RequestID, group *replication.Group, request *protocol.TurnRequest) {
 	owner, failure := c.quotaOwnerFor(group)
 	if failure != nil {
 		c.transport.Reply(id, &protocol.TurnReply{Error: failure})
@@ -81,7 +81,7 @@
 
 // quotaOwnerFor returns the quota owner of a group in the current term and creates it if needed.
 // Invariant: an owner is created only after this host has applied all entries of earlier terms, so
-// that it accounts for all that its predecessors may have granted.
+// that it accounts for all grants that its predecessors may have made.
 func (c *Core) quotaOwnerFor(group *replication.Group) (*quotaOwner, *result.Error) {
 	term := group.Node.Term()
 	if existing := c.quotaOwners[group.ID]; existing != nil {
@@ -142,8 +142,8 @@
 	owner.queued[pending.request.Ticket] = pending
 }
 
-// tickQuotas grants queued requests as far as the limits have headroom, replies to those that are
-// about to time out that they are still queued, and removes the owners of terms that have ended.
+// tickQuotas grants queued requests as far as the limits have headroom, answers those that are about
+// to time out, and removes the owners of terms that have ended.
 func (c *Core) tickQuotas() {
 	for id, owner := range c.quotaOwners {
 		group := c.host.FindGroup(id)
@@ -172,8 +172,8 @@
 	}
 }
 
-// answerExpiringRequests replies to the requests whose requesters are about to time out that they are
-// still queued.
+// answerExpiringRequests answers the queued requests whose requesters are about to time out. The reply
+// says that the request is still queued.
 func (c *Core) answerExpiringRequests(owner *quotaOwner) {
 	for ticket, pending := range owner.queued {
 		if c.nowMs < pending.deadlineMs {
@@ -254,8 +254,8 @@
 
 // dropQuotaOwner removes the owner of a term that has ended. The requesters in its queue repeat
 // their requests to the next owner, where their waiting time keeps them in order. Requests that
-// wait for a reservation are answered when the replication host reports the outcome of its
-// proposal.
+// wait for a reservation are answered when the replication host reports the outcome of the
+// reservation's proposal.
 func (c *Core) dropQuotaOwner(id storage.GroupID) {
 	for _, pending := range c.quotaOwners[id].queued {
 		c.transport.Reply(pending.id, &protocol.TurnReply{Error: result.New(result.NotLeader, "group %d has another leader", uint32(id))})
--- a/internal/ledger/quotas_test.go
+++ b/internal/ledger/quotas_test.go
@@ -55,8 +55,8 @@
 }
 
 // TestLimitsThroughFaults crashes hosts, preferably leaders, partitions them or loses their disks,
-// while a tenant requests more than its limit. The tenant must never exceed its limit, and must keep
-// getting grants between the faults.
+// while a tenant requests more than its limit. The tenant must never exceed its limit, and must get
+// at least 100 grants in total.
 func TestLimitsThroughFaults(t *testing.T) {
 	for seed := range uint64(60) {
 		c := newCluster(t, seed, 4, 3)
@@ -91,8 +91,8 @@
 	}
 }
 
-// duringFault calls during while a host is crashed, partitioned or without its disk, and then ends the
-// fault.
+// duringFault calls during while a host is down or partitioned, and then ends the fault. A host that
+// was down restarts with its disk or with an empty one.
 func duringFault(c *cluster, victim *node, during func()) {
 	switch c.random.IntN(3) {
 	case 0:
--- a/internal/ledger/reconcile.go
+++ b/internal/ledger/reconcile.go
@@ -88,8 +88,8 @@
 }
 
 // removeOrphan stops hosting a group that is placed elsewhere once it has had no known leader for
-// removeOrphanAfterMs. Its data stays on disk, since it is the same replica if the group is placed
-// here again.
+// removeOrphanAfterMs. The group's data stays on disk: if the group is placed here again, this host
+// continues as the same replica.
 func (c *Core) removeOrphan(group *replication.Group, placement membership.Placement) {
 	if isPlacedAt(placement, c.options.Member) || group.Node.Leader() != consensus.None {
 		delete(c.leaderlessSinceMs, group.ID)
--- a/internal/ledger/requests.go
+++ b/internal/ledger/requests.go
@@ -20,7 +20,8 @@
 }
 
 // HandleRequest processes a request of a gateway. The reply goes through the transport, before or
-// after HandleRequest returns. Stored contents are served by any replica, all else by the leader.
+// after HandleRequest returns. Any replica serves stored contents; only the leader serves other
+// requests.
 func (c *Core) HandleRequest(id RequestID, request *protocol.TurnRequest, nowMs int64) {
 	c.setNow(nowMs)
 	group := c.host.FindGroup(storage.GroupID(request.Group))
@@ -38,7 +39,7 @@
 	}
 	switch {
 	case request.Quota != nil:
-		c.requestQuota(id, group, request)
+		c.handleQuotaRequest(id, group, request)
 	case request.Reserve != nil:
 		c.openTurn(id, group, request)
 	case request.Settle != nil && !request.Settle.Retain:
@@ -56,7 +57,7 @@
 // sufficient.
 func (c *Core) openTurn(id RequestID, group *replication.Group, request *protocol.TurnRequest) {
 	previous := request.Reserve.PreviousRequest
-	withHistory := func() *protocol.TurnReply {
+	makeHistoryReply := func() *protocol.TurnReply {
 		if previous == "" {
 			return &protocol.TurnReply{}
 		}
@@ -71,11 +72,11 @@
 				c.transport.Reply(id, &protocol.TurnReply{Error: failure})
 				return
 			}
-			c.transport.Reply(id, withHistory())
+			c.transport.Reply(id, makeHistoryReply())
 		})
 		return
 	}
-	c.proposeAfterSettles(id, group, program.TurnCommand{Reserve: request.Reserve}, withHistory)
+	c.proposeAfterSettles(id, group, program.TurnCommand{Reserve: request.Reserve}, makeHistoryReply)
 }
 
 // hasTurn reports whether the local replica of a group has a turn.
@@ -142,8 +143,8 @@
 
 // turnHistory joins the contents of a chain of turns, oldest first. If the requester has the chain
 // up to cachedTurn, the reply contains only the turns after it. If the requester is in another zone
-// that has a voter, the reply names all turns except the last instead of including them, so that the
-// requester reads them from that voter. The voter may not have applied the last turn yet.
+// that has a voter, the reply contains only the last turn, which that voter may not have applied
+// yet, and the names of the older turns. The requester reads these from the voter in its zone.
 func (c *Core) turnHistory(group *replication.Group, lastTurn, cachedTurn, zone string) *protocol.TurnReply {
 	reply := &protocol.TurnReply{}
 	turns := group.StateMachine.(*stateMachine).turns.Chain(lastTurn)
@@ -160,8 +161,7 @@
 	return reply
 }
 
-// hasRemoteVoter reports whether a zone is another zone than this host's and has a voter of the
-// group.
+// hasRemoteVoter reports whether a zone other than this host's has a voter of the group.
 func (c *Core) hasRemoteVoter(group *replication.Group, zone string) bool {
 	if zone == "" || zone == c.options.Zone || c.fleetView == nil {
 		return false
