--- a/cmd/ochrebay/load.go
+++ b/cmd/ochrebay/load.go
@@ -119,7 +119,7 @@
 		{PromptTokens: 40, OutputTokens: 40, Tool: tool, ToolDurationMs: 100},
 	}}
 	fmt.Printf("one %s program: %d calls, a tool and a sub-agent\n", program.Service, program.CallCount())
-	outcome := driver.Run(ctx, program)
+	outcome := driver.RunProgram(ctx, program)
 	fmt.Printf("program %s: %.0f ms, of which tools %.0f ms\n", outcome.ID, outcome.LatencyMs, outcome.ToolMs)
 	if outcome.Err != nil {
 		return outcome.Err
--- a/internal/consensus/resend_test.go
+++ b/internal/consensus/resend_test.go
@@ -6,11 +6,11 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// TestAnswersThatComeTogether checks that heartbeat responses that arrive together, as after a network
+// TestBurstOfHeartbeatResponses checks that heartbeat responses that arrive together, as after a network
 // partition, do not make the leader retransmit entries or a snapshot for each response. Without this
 // limit a ledger host exceeded its memory and was killed, because it encoded a snapshot for each
 // response.
-func TestAnswersThatComeTogether(t *testing.T) {
+func TestBurstOfHeartbeatResponses(t *testing.T) {
 	newLeaderWithLaggingFollower := func(compacted bool) *Node {
 		options := testOptions()
 		options.ID = 1
--- a/internal/control/core.go
+++ b/internal/control/core.go
@@ -74,9 +74,9 @@
 	// LeaseMs is how long a scheduler may be silent before its engines are reassigned,
 	// in milliseconds.
 	LeaseMs int64
-	// CompactEntries is the number of applied entries since the last compaction after which a
+	// CompactAfterEntries is the number of applied entries since the last compaction after which a
 	// group's log is compacted.
-	CompactEntries uint64
+	CompactAfterEntries uint64
 
 	// The remaining options each turn off one mechanism, for runs that demonstrate
 	// which failures the mechanism prevents.
@@ -96,7 +96,7 @@
 	return Options{
 		Name: name, Members: members, LedgerGroups: ledgerGroups,
 		TickMs: 50, ElectionTicks: 12, HeartbeatTicks: 2, QuiesceTicks: 40,
-		LeaseMs: 3000, CompactEntries: 4096, MayBootstrap: true,
+		LeaseMs: 3000, CompactAfterEntries: 4096, MayBootstrap: true,
 	}
 }
 
@@ -242,9 +242,9 @@
 	return replication.Options{
 		Name: options.Name, InitialElectionTicks: startElectionTicks, ElectionTicks: options.ElectionTicks, HeartbeatTicks: options.HeartbeatTicks,
 		QuiesceTicks: options.QuiesceTicks, MaxAppendBytes: maxAppendBytes, MaxInflight: maxInflightAppends,
-		ProposalTimeoutMs: proposalTimeoutMs, CompactAfterEntries: options.CompactEntries, CompactAfterBytes: compactBytes,
+		ProposalTimeoutMs: proposalTimeoutMs, CompactAfterEntries: options.CompactAfterEntries, CompactAfterBytes: compactBytes,
 		DisablePreVote: options.DisablePreVote, DisableCheckQuorum: options.DisableCheckQuorum,
-		DisableReadConfirm: options.DisableReadConfirmation,
+		DisableReadConfirmation: options.DisableReadConfirmation,
 	}
 }
 
--- a/internal/gateway/admission.go
+++ b/internal/gateway/admission.go
@@ -195,7 +195,7 @@
 	var lateness []scheduling.StreamLateness
 	for backend, controller := range e.admissionControllers {
 		if streams := controller.CollectStreamLateness(nowMs); streams.Weight > 0 {
-			lateness = append(lateness, scheduling.StreamLateness{Backend: backend, Streams: streams})
+			lateness = append(lateness, scheduling.StreamLateness{Backend: backend, Lateness: streams})
 		}
 	}
 	return lateness
@@ -206,6 +206,6 @@
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	for _, entry := range lateness {
-		getOrCreate(e.admissionControllers, entry.Backend).ApplySharedLateness(entry.Streams, nowMs)
+		getOrCreate(e.admissionControllers, entry.Backend).ApplySharedLateness(entry.Lateness, nowMs)
 	}
 }
--- a/internal/gateway/engines.go
+++ b/internal/gateway/engines.go
@@ -75,7 +75,7 @@
 	}
 	closedAddresses := e.resetRestartedEngines(view)
 	for id, health := range e.health {
-		if _, isRegistered := view.Engines[id]; !isRegistered && health.InFlight == 0 {
+		if _, isRegistered := view.Engines[id]; !isRegistered && health.OwnInFlight == 0 {
 			delete(e.health, id)
 		}
 	}
@@ -276,7 +276,7 @@
 	health.ReserveKVCache(input.NowMs, input.RequiredKVCacheTokens)
 	index := slices.IndexFunc(backendEngines, func(engine membership.ServingEngine) bool { return engine.ID == selected.Candidate.ID })
 	return selection{
-		engine: backendEngines[index], inFlight: health.InFlight, candidateCount: len(backendEngines),
+		engine: backendEngines[index], inFlight: health.OwnInFlight, candidateCount: len(backendEngines),
 		estimatedInFlight: health.EstimatedInFlight(input.NowMs), sharedLoadAgeMs: health.SharedLoadAgeMs(input.NowMs),
 		prefillTokens: selected.PrefillTokens, costMs: selected.CostMs, nextBestCostMs: selected.NextBestCostMs, affineEngineCostMs: selected.AffineEngineCostMs, health: health,
 		requiredKVCacheTokens: input.RequiredKVCacheTokens, reservedKVCacheTokens: int64(reservedBefore), preemptedTokens: selected.PreemptedTokens,
--- a/internal/gateway/incarnations_test.go
+++ b/internal/gateway/incarnations_test.go
@@ -40,13 +40,13 @@
 		So(e.healthOf("e").IsSuspect(nowMs), ShouldBeTrue)
 		So(e.applyFleet(fleetViewOf(second)), ShouldResemble, []string{"10.0.0.1:1"})
 		So(e.healthOf("e").IsSuspect(nowMs), ShouldBeFalse)
-		So(e.healthOf("e").InFlight, ShouldEqual, 0)
+		So(e.healthOf("e").OwnInFlight, ShouldEqual, 0)
 		current := startCall(e)
 		e.recordAttemptEnd(lost, nowMs, attemptOutcome{kind: attemptBroken})
-		So(e.healthOf("e").InFlight, ShouldEqual, 1)
+		So(e.healthOf("e").OwnInFlight, ShouldEqual, 1)
 		So(e.healthOf("e").IsSuspect(nowMs), ShouldBeFalse)
 		e.recordAttemptEnd(current, nowMs, attemptOutcome{kind: attemptAnswered})
-		So(e.healthOf("e").InFlight, ShouldEqual, 0)
+		So(e.healthOf("e").OwnInFlight, ShouldEqual, 0)
 	})
 	Convey("an engine that returns as a new incarnation does not inherit the in-flight requests of the previous one", t, func() {
 		e := newEngineRegistry("z", config.Policy{})
@@ -54,7 +54,7 @@
 		startCall(e)
 		e.applyFleet(fleetViewOf())
 		e.applyFleet(fleetViewOf(second))
-		So(e.healthOf("e").InFlight, ShouldEqual, 0)
+		So(e.healthOf("e").OwnInFlight, ShouldEqual, 0)
 	})
 	Convey("the first report of an engine's start time and an unchanged report reset nothing", t, func() {
 		e := newEngineRegistry("z", config.Policy{})
@@ -64,7 +64,7 @@
 		startCall(e)
 		So(e.applyFleet(fleetViewOf(first)), ShouldBeEmpty)
 		So(e.applyFleet(fleetViewOf(first)), ShouldBeEmpty)
-		So(e.healthOf("e").InFlight, ShouldEqual, 1)
+		So(e.healthOf("e").OwnInFlight, ShouldEqual, 1)
 	})
 	Convey("session affinity applies only to the incarnation that ran the last turn", t, func() {
 		So(resolveAffineEngine([]membership.ServingEngine{first}, first.IncarnationKey()), ShouldEqual, "e")
@@ -94,7 +94,7 @@
 		So(fixture.runs.Load(), ShouldEqual, 0)
 		inFlight := 0
 		for _, health := range fixture.gateway.engines.health {
-			inFlight += health.InFlight
+			inFlight += health.OwnInFlight
 		}
 		So(inFlight, ShouldEqual, 0)
 	})
--- a/internal/ledger/faults_test.go
+++ b/internal/ledger/faults_test.go
@@ -101,10 +101,10 @@
 	c.checkInvariants()
 }
 
-// TestHostIsEmptied moves a group from each of its hosts in turn, the leader included, to a spare host.
+// TestGroupMovesOffHost moves a group from each of its hosts in turn, the leader included, to a spare host.
 // The host that the group leaves must not remain in the configuration, and no acknowledged turn may be
 // lost.
-func TestHostIsEmptied(t *testing.T) {
+func TestGroupMovesOffHost(t *testing.T) {
 	for retiring := range 3 {
 		c := newCluster(t, uint64(retiring), 4, 3)
 		c.runUntil("a leader", func() bool { return c.leader() != nil })
--- a/internal/ledger/handover_test.go
+++ b/internal/ledger/handover_test.go
@@ -63,9 +63,9 @@
 	}
 }
 
-// TestHandOverUnderLoad moves a large group from host to host. Each move may cause at most two
+// TestMovesOfLargeGroup moves a large group from host to host. Each move may cause at most two
 // leadership changes, and no acknowledged turn may be lost.
-func TestHandOverUnderLoad(t *testing.T) {
+func TestMovesOfLargeGroup(t *testing.T) {
 	c := newCluster(t, 3, 7, 5)
 	c.runUntil("a leader", func() bool { return c.leader() != nil })
 	c.retainTurns("large", 100)
--- a/internal/ledger/load_test.go
+++ b/internal/ledger/load_test.go
@@ -68,10 +68,10 @@
 	c.checkInvariants()
 }
 
-// TestChargesShareTheWay checks that the settlement of a turn is sent together with the next
+// TestSettlementsAreBatched checks that the settlement of a turn is sent together with the next
 // reservation of its group, and that no message is sent only to advance the commit index. Such
 // messages took four fifths of the CPU time of a large site.
-func TestChargesShareTheWay(t *testing.T) {
+func TestSettlementsAreBatched(t *testing.T) {
 	const turns, followers = 40, 2
 	c := newCluster(t, 5, 3, 3)
 	c.runUntil("a leader", func() bool { return c.leader() != nil })
@@ -104,10 +104,10 @@
 	}
 }
 
-// TestHistoryIsReadNearby checks that a requester in another zone with a voter receives the names of
+// TestHistoryIsReadInZone checks that a requester in another zone with a voter receives the names of
 // the older turns and can read them from that voter. A replica that has not applied a turn must
 // redirect the requester to the leader and must not report the turn as unknown.
-func TestHistoryIsReadNearby(t *testing.T) {
+func TestHistoryIsReadInZone(t *testing.T) {
 	c := newCluster(t, 7, 4, 3)
 	c.runUntil("a leader", func() bool { return c.leader() != nil })
 	last := ""
--- a/internal/ledger/quotaqueue_test.go
+++ b/internal/ledger/quotaqueue_test.go
@@ -149,9 +149,9 @@
 	}
 }
 
-// TestWaitThroughANewLeader checks that a request that waits for headroom when its leader crashes is
+// TestQueuedRequestSurvivesLeaderChange checks that a request that waits for headroom when its leader crashes is
 // granted by the next leader, and not before the window has headroom.
-func TestWaitThroughANewLeader(t *testing.T) {
+func TestQueuedRequestSurvivesLeaderChange(t *testing.T) {
 	c := newCluster(t, 3, 3, 3)
 	gateways := &queueingGateways{
 		quotaGateways: quotaGateways{cluster: c, limit: quota.Limit{Generation: 1, RatePerSecond: 10}}, pending: map[string]*queuedRequest{},
--- a/internal/ledger/quotas_test.go
+++ b/internal/ledger/quotas_test.go
@@ -112,9 +112,9 @@
 	c.distributeView()
 }
 
-// TestLimitsOutliveTheCluster checks that a tenant that has used up its limit gets no grants from a
+// TestLimitsSurviveClusterRestart checks that a tenant that has used up its limit gets no grants from a
 // simultaneous restart of all hosts.
-func TestLimitsOutliveTheCluster(t *testing.T) {
+func TestLimitsSurviveClusterRestart(t *testing.T) {
 	c := newCluster(t, 1, 3, 3)
 	gateways := &quotaGateways{cluster: c, limit: quota.Limit{Generation: 1, RatePerSecond: 10}}
 	c.runUntil("a leader", func() bool { return c.leader() != nil })
--- a/internal/membership/advertised_test.go
+++ b/internal/membership/advertised_test.go
@@ -219,9 +219,9 @@
 	})
 }
 
-// TestSizes checks that more engines are advertised before the advertised ones are overloaded,
+// TestSubsetSizes checks that more engines are advertised before the advertised ones are overloaded,
 // and fewer only after a long time.
-func TestSizes(t *testing.T) {
+func TestSubsetSizes(t *testing.T) {
 	key := poolKey{"b", "zone-1"}
 	// resizeAtLoad puts perEngine requests in flight at each advertised engine, and
 	// fromOtherZones more at those advertised to other zones, and returns the resulting sizes.
--- a/internal/membership/fleet_test.go
+++ b/internal/membership/fleet_test.go
@@ -39,7 +39,7 @@
 		tracker := NewFleetTracker(testFleetOptions(), 0)
 		report := func(id string) {
 			engine := ServingEngine{ID: id, Address: "10.0.0.1:1"}
-			if tracker.AcceptsReport(fleet, engine, 0) {
+			if tracker.CheckReport(fleet, engine, 0) {
 				fleet.Apply(FleetUpdate{PutEngines: []ServingEngine{engine}})
 			}
 		}
--- a/internal/membership/incarnation_test.go
+++ b/internal/membership/incarnation_test.go
@@ -110,7 +110,7 @@
 	return outcome
 }
 
-func TestReportsOfOthers(t *testing.T) {
+func TestReportsOfOtherProcesses(t *testing.T) {
 	reportContext := ReportContext{IsBackendKnown: true, AllSupportIncarnations: true, NowMs: 1000}
 	registered := ServingEngine{ID: "good", Backend: "b", Address: "10.0.0.1:1", Zone: "z", Slots: 2, Sequence: 9, StartedMs: 500}
 	newRegistered := func() (*FleetTracker, *Fleet) {
@@ -197,7 +197,7 @@
 	})
 }
 
-func TestIncarnationsBesideEarlierReleases(t *testing.T) {
+func TestIncarnationsWithEarlierReleases(t *testing.T) {
 	reportContext := ReportContext{IsBackendKnown: true, NowMs: 1000}
 	engine := ServingEngine{ID: "e", Backend: "b", Address: "10.0.0.1:1", Zone: "z", Slots: 2, Sequence: 40}
 	Convey("the first report with a start time of a listed engine is not a restart", t, func() {
--- a/internal/membership/lookups_test.go
+++ b/internal/membership/lookups_test.go
@@ -20,11 +20,11 @@
 	return last
 }
 
-// TestLookUpsAsOftenAsAfforded checks that a few callers receive the minimum TTL, and that many
+// TestLookupRateStaysNearTarget checks that a few callers receive the minimum TTL, and that many
 // callers exceed neither 1.5 times the target rate nor 1.3 times the rate that the maximum TTL
 // causes. The load is up to 1,500 callers of one process that look up again as soon as the TTL
 // expires, some of them only after three times the TTL.
-func TestLookUpsAsOftenAsAfforded(t *testing.T) {
+func TestLookupRateStaysNearTarget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		callers := rapid.IntRange(1, 1500).Draw(t, "callers")
 		slowInTen := rapid.IntRange(0, 10).Draw(t, "slow in ten")
--- a/internal/membership/reports.go
+++ b/internal/membership/reports.go
@@ -65,7 +65,7 @@
 	case fleet.IsUnchanged(engine):
 		t.RecordEngineAlive(engine.ID, reportContext.NowMs)
 		return nil, ReportUnchanged
-	case !t.AcceptsReport(fleet, engine, reportContext.NowMs):
+	case !t.CheckReport(fleet, engine, reportContext.NowMs):
 		return nil, ReportContradictory
 	case !listed && fleet.left[engine.ID] && !reportContext.AllSupportIncarnations:
 		return nil, ReportAwaitsUpgrade
--- a/internal/membership/superseded.go
+++ b/internal/membership/superseded.go
@@ -21,10 +21,10 @@
 	lastMs  int64
 }
 
-// AcceptsReport reports whether an engine's report is accepted as true, and counts
+// CheckReport reports whether an engine's report is accepted as true, and counts
 // contradictory ones. A report that contradicts a listed engine is late or was written by
 // another process, unless it is repeated while that engine is silent.
-func (t *FleetTracker) AcceptsReport(fleet *Fleet, engine ServingEngine, nowMs int64) bool {
+func (t *FleetTracker) CheckReport(fleet *Fleet, engine ServingEngine, nowMs int64) bool {
 	contradicted, contradictory := fleet.contradictedEngine(engine)
 	if !contradictory {
 		delete(t.contradictions, engine.ID)
--- a/internal/program/close.go
+++ b/internal/program/close.go
@@ -34,7 +34,7 @@
 	header.ClosedFence = commit.Fence
 	header.ClosedByAbort = false
 	header.LastTurn = open.Turn
-	header.SpentTokens += min(commit.NewTokens+commit.Usage.CompletionTokens, open.Reserved)
+	header.SpentTokens += min(commit.NewTokens+commit.Usage.CompletionTokens, open.ReservedTokens)
 	header.LastActiveMs = nowMs
 	header.Engine = commit.Engine
 	header.recordClosedRequest(open)
@@ -70,7 +70,7 @@
 		return Reply{Turn: header.LastTurn, RemainingTokens: header.RemainingTokens()}, effects
 	}
 	if !abort.NotRun {
-		header.SpentTokens += min(abort.UsedTokens, open.Reserved)
+		header.SpentTokens += min(abort.UsedTokens, open.ReservedTokens)
 	}
 	header.Open = nil
 	header.LastActiveMs = nowMs
@@ -99,7 +99,7 @@
 	if h.Open != nil && h.Open.AtMostOnce {
 		effects = h.closeWithUnknownOutcome(nowMs)
 	} else if h.Open != nil {
-		h.SpentTokens += h.Open.Reserved
+		h.SpentTokens += h.Open.ReservedTokens
 		h.Open = nil
 	}
 	h.Ended = true
--- a/internal/program/ledger.go
+++ b/internal/program/ledger.go
@@ -20,15 +20,15 @@
 // OpenTurn is the turn of the call in progress. Reserved is the number of tokens that it has
 // reserved from the budget.
 type OpenTurn struct {
-	Turn       uint64 `msgpack:"t"`
-	Fence      uint64 `msgpack:"f"`
-	Request    string `msgpack:"r"`
-	Digest     uint64 `msgpack:"d"`
-	Thread     string `msgpack:"h"`
-	AtMostOnce bool   `msgpack:"o"`
-	Reserved   int64  `msgpack:"v"`
-	Scheduler  string `msgpack:"s"`
-	OpenedMs   int64  `msgpack:"n"`
+	Turn           uint64 `msgpack:"t"`
+	Fence          uint64 `msgpack:"f"`
+	Request        string `msgpack:"r"`
+	Digest         uint64 `msgpack:"d"`
+	Thread         string `msgpack:"h"`
+	AtMostOnce     bool   `msgpack:"o"`
+	ReservedTokens int64  `msgpack:"v"`
+	Scheduler      string `msgpack:"s"`
+	OpenedMs       int64  `msgpack:"n"`
 	// Incarnation identifies the process of the scheduler that holds the turn. DeadlineMs is
 	// the time at which the caller stops waiting.
 	Incarnation  uint64 `msgpack:"st,omitempty" json:"-"`
@@ -72,7 +72,7 @@
 func (h *Header) RemainingTokens() int64 {
 	remaining := h.Limits.BudgetTokens - h.SpentTokens
 	if h.Open != nil {
-		remaining -= h.Open.Reserved
+		remaining -= h.Open.ReservedTokens
 	}
 	return remaining
 }
@@ -197,7 +197,7 @@
 // retried. The tokens of the lost attempt have already been charged. Invariant: a request that an
 // engine may have started is never reported as not run, not even when it is sent again later.
 func (h *Header) refuseRetry(nowMs int64, lostTurn *OpenTurn, reply Reply) (Reply, Effects) {
-	lostTurn.Reserved = 0
+	lostTurn.ReservedTokens = 0
 	h.Open = lostTurn
 	effects := h.closeWithUnknownOutcome(nowMs)
 	reply.Error = reply.Error.WithOutcome(result.Unknown)
@@ -254,9 +254,9 @@
 		reply, _ := refuse(result.TurnOpen, "turn %d was closed with an unknown outcome", header.LastTurn)
 		return reply, effects, true
 	}
-	lostTokens := open.Reserved
+	lostTokens := open.ReservedTokens
 	if ownRetry {
-		lostTokens = min(begin.LostTokens, open.Reserved)
+		lostTokens = min(begin.LostTokens, open.ReservedTokens)
 	}
 	// Invariant: the tokens of lost attempts are charged. An unknown number is charged at its
 	// upper bound, the reservation.
@@ -268,7 +268,7 @@
 // closeWithUnknownOutcome closes the open turn with a record of its unknown outcome.
 func (h *Header) closeWithUnknownOutcome(nowMs int64) Effects {
 	open := h.Open
-	h.SpentTokens += open.Reserved
+	h.SpentTokens += open.ReservedTokens
 	h.Open = nil
 	h.LastTurn = open.Turn
 	h.recordClosedRequest(open)
@@ -308,7 +308,7 @@
 	header.LastActiveMs = nowMs
 	header.Open = &OpenTurn{
 		Turn: header.LastTurn + 1, Fence: index, Request: begin.Request, Digest: begin.Digest, Thread: begin.Thread,
-		AtMostOnce: begin.AtMostOnce, Reserved: reserved, Scheduler: begin.Scheduler, OpenedMs: nowMs,
+		AtMostOnce: begin.AtMostOnce, ReservedTokens: reserved, Scheduler: begin.Scheduler, OpenedMs: nowMs,
 		Nonce: begin.Nonce, SkipMessages: skipMessages, Incarnation: begin.Incarnation, DeadlineMs: nowMs + begin.TimeoutMs,
 	}
 	return header.grantReply(begin.Thread), Effects{}
--- a/internal/replication/host.go
+++ b/internal/replication/host.go
@@ -36,9 +36,9 @@
 	CompactAfterEntries uint64
 	CompactAfterBytes   int
 
-	DisablePreVote     bool
-	DisableCheckQuorum bool
-	DisableReadConfirm bool
+	DisablePreVote          bool
+	DisableCheckQuorum      bool
+	DisableReadConfirmation bool
 }
 
 // Host holds the replicas of one process.
@@ -83,7 +83,7 @@
 		ElectionTicks: h.options.ElectionTicks, HeartbeatTicks: h.options.HeartbeatTicks,
 		InitialElectionTicks: h.options.InitialElectionTicks, QuiesceTicks: h.options.QuiesceTicks, MaxAppendBytes: h.options.MaxAppendBytes, MaxInflight: h.options.MaxInflight,
 		DisablePreVote: h.options.DisablePreVote, DisableCheckQuorum: h.options.DisableCheckQuorum,
-		DisableReadConfirmation: h.options.DisableReadConfirm,
+		DisableReadConfirmation: h.options.DisableReadConfirmation,
 	}, restored)
 	group := &Group{
 		ID: id, Node: node, StateMachine: state, proposals: map[uint64]pendingProposal{}, reads: map[uint64]pendingRead{},
--- a/internal/scheduler/calls.go
+++ b/internal/scheduler/calls.go
@@ -63,8 +63,8 @@
 	ended bool
 }
 
-// Call takes one call of a program from a sidecar.
-func (c *Core) Call(sink SinkID, request *protocol.CallRequest, nowMs int64) {
+// HandleCall takes one call of a program from a sidecar.
+func (c *Core) HandleCall(sink SinkID, request *protocol.CallRequest, nowMs int64) {
 	c.nowMs = nowMs
 	if existing := c.findCall(request); existing != nil {
 		c.join(existing, sink, request)
@@ -205,7 +205,7 @@
 		},
 		Digest: current.digest, AtMostOnce: request.AtMostOnce, NewTokens: current.newTokens, MaxTokens: current.maxTokens,
 		Scheduler: c.options.Name, TakeOver: current.takeOver, RetryOf: current.retryOf, LostTokens: current.lost,
-		Nonce: current.nonce, Incarnation: c.options.Start, TimeoutMs: max(0, current.deadlineMs-c.nowMs),
+		Nonce: current.nonce, Incarnation: c.options.Incarnation, TimeoutMs: max(0, current.deadlineMs-c.nowMs),
 	}
 	if request.BudgetTokens > 0 {
 		begin.Limits.BudgetTokens = min(begin.Limits.BudgetTokens, request.BudgetTokens)
@@ -260,7 +260,7 @@
 	// the turn, since a program has one active call.
 	current.takeOver = holder == c.options.Name || (holder != "" && !c.alive(holder, reply.Reply.HolderIncarnation))
 	if current.takeOver {
-		c.counters.TakenOver++
+		c.counters.TakeOverAttempts++
 	}
 	current.nextMs = c.nowMs + openTurnPauseMs
 }
--- a/internal/scheduler/control.go
+++ b/internal/scheduler/control.go
@@ -30,7 +30,7 @@
 		untilMs: c.nowMs + patienceMs, timeoutMs: controlTimeoutMs,
 	}
 	if kind == protocol.KindSync {
-		request.timeoutMs += c.options.SyncHoldMs
+		request.timeoutMs += c.options.SyncLongPollMs
 	}
 	c.nextControl++
 	c.control[c.nextControl] = request
@@ -40,17 +40,17 @@
 func (c *Core) sendControl(id ControlID, request *controlRequest) {
 	member, ok := c.leaders[request.group]
 	if !ok || member == "" {
-		member = c.options.Members[c.memberTurn%len(c.options.Members)]
+		member = c.options.ControlMembers[c.memberTurn%len(c.options.ControlMembers)]
 	}
 	request.member = member
 	request.nextMs = 0
 	request.sentMs = c.nowMs
-	c.outlet.Control(member, id, request.kind, request.message)
+	c.outlet.SendControlRequest(member, id, request.kind, request.message)
 }
 
-// ControlReply takes the answer of a control process; a nil reply means that
+// HandleControlReply takes the answer of a control process; a nil reply means that
 // none came.
-func (c *Core) ControlReply(id ControlID, reply any, nowMs int64) {
+func (c *Core) HandleControlReply(id ControlID, reply any, nowMs int64) {
 	c.nowMs = nowMs
 	request, ok := c.control[id]
 	if !ok || request.nextMs != 0 {
@@ -137,7 +137,7 @@
 	c.syncing = true
 	message := &protocol.SyncRequest{
 		Heartbeat: c.heartbeatReport(), Revision: c.tree.Revision(), DirectoryVersion: c.roster.Version(),
-		LongPollMs: c.options.SyncHoldMs, ConfirmNow: !c.synced,
+		LongPollMs: c.options.SyncLongPollMs, ConfirmNow: !c.synced,
 	}
 	c.askControl(0, protocol.KindSync, message, 2*controlTimeoutMs, func(reply any) {
 		c.syncing = false
@@ -160,7 +160,7 @@
 	report := membership.Heartbeat{
 		Scheduler: membership.Scheduler{
 			Name: c.options.Name, Zone: c.options.Zone, Address: c.options.Address,
-			Incarnation: c.options.Start, Draining: c.draining,
+			Incarnation: c.options.Incarnation, Draining: c.draining,
 		},
 		Revision: c.tree.Revision(), ReadyEngines: map[string]int{},
 		QueueLength: len(c.waiting), InFlight: len(c.attempts),
@@ -191,8 +191,8 @@
 	return names
 }
 
-// Follow takes a sidecar's heartbeat.
-func (c *Core) Follow(sink SinkID, request *protocol.FollowRequest, nowMs int64) {
+// HandleFollow takes a sidecar's heartbeat.
+func (c *Core) HandleFollow(sink SinkID, request *protocol.FollowRequest, nowMs int64) {
 	c.nowMs = nowMs
 	c.follows[request.Sidecar] = &follower{
 		revision: request.Revision, heardMs: nowMs, sink: sink, request: request,
--- a/internal/scheduler/core.go
+++ b/internal/scheduler/core.go
@@ -29,27 +29,27 @@
 // AttemptID names one run of a call on an engine.
 type AttemptID uint64
 
-// Run is what an engine is asked to do.
-type Run struct {
-	Attempt AttemptID
+// EngineAttempt is what an engine is asked to do.
+type EngineAttempt struct {
+	ID      AttemptID
 	Engine  membership.Engine
 	Request engine.CompletionRequest
 }
 
 // Transport takes what the core sends. Its methods must not call back.
 type Transport interface {
-	// Control sends a request to a control process; the answer, or its absence,
+	// SendControlRequest sends a request to a control process; the answer, or its absence,
 	// comes back as ControlReply.
-	Control(member string, id ControlID, kind protocol.Kind, request any)
+	SendControlRequest(member string, id ControlID, kind protocol.Kind, request any)
 	// Reply sends a message to a sidecar.
 	Reply(sink SinkID, kind protocol.Kind, message any, last bool)
-	// Start runs a call; pieces and the outcome come back as Piece and Ended.
-	Start(run Run)
-	// Stop closes a run's stream; no outcome is needed.
-	Stop(attempt AttemptID)
-	// Order gives an engine a fenced order, Release tells it to drop programs.
-	Order(target membership.Engine, order engine.Order)
-	Release(target membership.Engine, programs []string)
+	// StartAttempt runs a call; pieces and the outcome come back as Piece and Ended.
+	StartAttempt(run EngineAttempt)
+	// StopAttempt closes a run's stream; no outcome is needed.
+	StopAttempt(attempt AttemptID)
+	// SendOrder gives an engine a fenced order, Release tells it to drop programs.
+	SendOrder(target membership.Engine, order engine.Order)
+	ReleasePrograms(target membership.Engine, programs []string)
 }
 
 // Options configure a Core.
@@ -57,37 +57,37 @@
 	Name    string
 	Zone    string
 	Address string
-	// Start identifies the process; it differs at each start.
-	Start uint64
-	// Members are the control processes, one's own zone first.
-	Members []string
-	// SyncHoldMs is how long control may hold a heartbeat that brings no news.
-	SyncHoldMs int64
-	// CacheBytes bounds the histories kept in memory.
-	CacheBytes int64
-	Policy     scheduling.Policy
+	// Incarnation identifies the process; it differs at each start.
+	Incarnation uint64
+	// ControlMembers are the control processes, one's own zone first.
+	ControlMembers []string
+	// SyncLongPollMs is how long control may hold a heartbeat that brings no news.
+	SyncLongPollMs int64
+	// HistoryCacheBytes bounds the histories kept in memory.
+	HistoryCacheBytes int64
+	Policy            scheduling.Policy
 
 	// The rest turn mechanisms off, for runs that show what they are for.
-	DisableTurnOrder   bool
-	DisableAudit       bool
-	DisableLeavingStop bool
-	DisableRevision    bool
-	DisableAtMostOnce  bool
+	DisableTurnOrder    bool
+	DisableAudit        bool
+	DisableLeavingClose bool
+	DisableRevision     bool
+	DisableAtMostOnce   bool
 }
 
 // DefaultOptions returns the timings in use.
 func DefaultOptions(name, zone, address string, start uint64, members []string) Options {
 	return Options{
-		Name: name, Zone: zone, Address: address, Start: start, Members: members,
-		SyncHoldMs: 1000, CacheBytes: 64 << 20, Policy: scheduling.DefaultPolicy(),
+		Name: name, Zone: zone, Address: address, Incarnation: start, ControlMembers: members,
+		SyncLongPollMs: 1000, HistoryCacheBytes: 64 << 20, Policy: scheduling.DefaultPolicy(),
 	}
 }
 
 // An owner asks each engine for its state every StatePollMs, and every HeldEvery
 // times for the list of programs that it holds, which is most of the bytes.
 const (
-	StatePollMs = 500
-	HeldEvery   = 12
+	StatePollIntervalMs      = 500
+	CachedProgramsEveryPolls = 12
 )
 
 const (
@@ -171,20 +171,20 @@
 
 // Stats counts what the scheduler did; the gauges are of now.
 type Stats struct {
-	Started     uint64
-	Answered    uint64
-	Refused     uint64
-	Retried     uint64
-	Released    uint64
-	TakenOver   uint64
-	Waiting     int
-	InFlight    int
-	Engines     int
-	Ready       int
-	Revision    uint64
-	Synced      bool
-	PromptsRead int64
-	CachedRead  int64
+	StartedAttempts  uint64
+	Answered         uint64
+	Refused          uint64
+	FailedAttempts   uint64
+	ReleasedPrograms uint64
+	TakeOverAttempts uint64
+	Waiting          int
+	InFlight         int
+	Engines          int
+	ReadyEngines     int
+	Revision         uint64
+	IsSynced         bool
+	PromptTokens     int64
+	CachedTokens     int64
 }
 
 // ownedEngine is one engine of the cell.
@@ -220,12 +220,12 @@
 		cell:     scheduling.CellScheduler{Policy: options.Policy},
 		programs: map[string]*localProgram{}, busy: map[string]*localProgram{}, waiting: map[uint64]*call{}, attempts: map[AttemptID]*call{},
 		sinks: map[SinkID]*call{}, control: map[ControlID]*controlRequest{}, leaders: map[uint32]string{},
-		follows: map[string]*follower{}, nonceBase: xxhash.Sum64String(fmt.Sprint(options.Name, options.Start)),
+		follows: map[string]*follower{}, nonceBase: xxhash.Sum64String(fmt.Sprint(options.Name, options.Incarnation)),
 	}
 }
 
-// Ready reports whether the scheduler knows the settings and may take calls.
-func (c *Core) Ready() bool { return c.synced && c.listed && !c.draining }
+// IsReady reports whether the scheduler knows the settings and may take calls.
+func (c *Core) IsReady() bool { return c.synced && c.listed && !c.draining }
 
 // Stats returns counters and gauges.
 func (c *Core) Stats() Stats {
@@ -234,22 +234,22 @@
 	stats.InFlight = len(c.attempts)
 	stats.Engines = len(c.engines)
 	stats.Revision = c.tree.Revision()
-	stats.Synced = c.synced
+	stats.IsSynced = c.synced
 	for _, owned := range c.engines {
 		if owned.schedule.Ready {
-			stats.Ready++
+			stats.ReadyEngines++
 		}
 	}
 	return stats
 }
 
-// Tree returns the settings in force here, for reading.
-func (c *Core) Tree() *settings.Tree { return c.tree }
+// SettingsTree returns the settings in force here, for reading.
+func (c *Core) SettingsTree() *settings.Tree { return c.tree }
 
-// Idle reports whether no call is under way, so that a process that drains may
+// IsIdle reports whether no call is under way, so that a process that drains may
 // end. Invariant: it doesn't end while sidecars may still believe that it takes
 // calls, unless control can't be reached to tell them.
-func (c *Core) Idle() bool {
+func (c *Core) IsIdle() bool {
 	if c.draining && !c.drainKnown() {
 		return false
 	}
@@ -314,7 +314,7 @@
 		c.groups = feed.Groups
 	}
 	if c.roster.ApplyDelta(feed.Roster) {
-		c.listed = c.listed || c.alive(c.options.Name, c.options.Start)
+		c.listed = c.listed || c.alive(c.options.Name, c.options.Incarnation)
 		c.noteDrainListed()
 	}
 	root := c.fields("/")
--- a/internal/scheduler/daemon.go
+++ b/internal/scheduler/daemon.go
@@ -85,17 +85,17 @@
 	}
 	gauge("settings_revision", "Settings revision in force.", func(s *Stats) float64 { return float64(s.Revision) })
 	gauge("engines_owned", "Engines of this cell.", func(s *Stats) float64 { return float64(s.Engines) })
-	gauge("engines_ready", "Engines of this cell that are ready.", func(s *Stats) float64 { return float64(s.Ready) })
+	gauge("engines_ready", "Engines of this cell that are ready.", func(s *Stats) float64 { return float64(s.ReadyEngines) })
 	gauge("calls_waiting", "Calls that wait for an engine.", func(s *Stats) float64 { return float64(s.Waiting) })
 	gauge("calls_in_flight", "Calls that run on engines.", func(s *Stats) float64 { return float64(s.InFlight) })
-	gauge("calls_started", "Runs on engines since the start.", func(s *Stats) float64 { return float64(s.Started) })
+	gauge("calls_started", "Runs on engines since the start.", func(s *Stats) float64 { return float64(s.StartedAttempts) })
 	gauge("calls_answered", "Calls answered and committed since the start.", func(s *Stats) float64 { return float64(s.Answered) })
 	gauge("calls_refused", "Calls refused since the start.", func(s *Stats) float64 { return float64(s.Refused) })
-	gauge("attempts_failed", "Runs that failed on an engine.", func(s *Stats) float64 { return float64(s.Retried) })
-	gauge("turns_taken_over", "Open turns taken over from lost schedulers.", func(s *Stats) float64 { return float64(s.TakenOver) })
-	gauge("programs_released", "Programs released on engines.", func(s *Stats) float64 { return float64(s.Released) })
-	gauge("prompt_tokens", "Prompt tokens of answered calls.", func(s *Stats) float64 { return float64(s.PromptsRead) })
-	gauge("cached_tokens", "Prompt tokens that engines had cached.", func(s *Stats) float64 { return float64(s.CachedRead) })
+	gauge("attempts_failed", "Runs that failed on an engine.", func(s *Stats) float64 { return float64(s.FailedAttempts) })
+	gauge("turns_taken_over", "Open turns taken over from lost schedulers.", func(s *Stats) float64 { return float64(s.TakeOverAttempts) })
+	gauge("programs_released", "Programs released on engines.", func(s *Stats) float64 { return float64(s.ReleasedPrograms) })
+	gauge("prompt_tokens", "Prompt tokens of answered calls.", func(s *Stats) float64 { return float64(s.PromptTokens) })
+	gauge("cached_tokens", "Prompt tokens that engines had cached.", func(s *Stats) float64 { return float64(s.CachedTokens) })
 }
 
 // Run serves until ctx ends, then drains: no new calls, those under way end.
@@ -165,9 +165,9 @@
 			d.takeWaiting()
 		}
 		d.publish()
-		if ready := d.core.Ready(); ready != wasReady {
+		if ready := d.core.IsReady(); ready != wasReady {
 			wasReady = ready
-			telemetry.Info(d.logger, "readiness changed", "ready", ready, "revision", d.core.Tree().Revision())
+			telemetry.Info(d.logger, "readiness changed", "ready", ready, "revision", d.core.SettingsTree().Revision())
 		}
 	}
 }
@@ -186,8 +186,8 @@
 func (d *Daemon) publish() {
 	stats := d.core.Stats()
 	d.stats.Store(&stats)
-	d.idle.Store(d.core.Idle())
-	d.ready.Store(d.core.Ready())
+	d.idle.Store(d.core.IsIdle())
+	d.ready.Store(d.core.IsReady())
 	engines := d.core.Engines()
 	d.owned.Store(&engines)
 }
@@ -217,7 +217,7 @@
 		}
 		sink := d.addSink(connection, frame.Call)
 		telemetry.Debug(d.logger, "call", "program", request.Program, "request", request.Request)
-		d.post(func(core *Core, nowMs int64) { core.Call(sink, &request, nowMs) })
+		d.post(func(core *Core, nowMs int64) { core.HandleCall(sink, &request, nowMs) })
 	case protocol.KindFollow:
 		var request protocol.FollowRequest
 		if protocol.Decode(frame.Body, &request) != nil {
@@ -225,14 +225,14 @@
 			return
 		}
 		sink := d.addSink(connection, frame.Call)
-		d.post(func(core *Core, nowMs int64) { core.Follow(sink, &request, nowMs) })
+		d.post(func(core *Core, nowMs int64) { core.HandleFollow(sink, &request, nowMs) })
 	case protocol.KindCancel:
 		var cancel protocol.Cancel
 		if protocol.Decode(frame.Body, &cancel) != nil {
 			connection.Close()
 			return
 		}
-		d.post(func(core *Core, nowMs int64) { core.Cancel(&cancel, nowMs) })
+		d.post(func(core *Core, nowMs int64) { core.HandleCancel(&cancel, nowMs) })
 	case protocol.KindProgram:
 		var request protocol.ProgramRequest
 		if protocol.Decode(frame.Body, &request) != nil {
@@ -240,7 +240,7 @@
 			return
 		}
 		sink := d.addSink(connection, frame.Call)
-		d.post(func(core *Core, nowMs int64) { core.Program(sink, &request, nowMs) })
+		d.post(func(core *Core, nowMs int64) { core.HandleProgramRequest(sink, &request, nowMs) })
 	default:
 		connection.Close()
 	}
@@ -272,15 +272,15 @@
 		d.mutex.Lock()
 		delete(d.sinks, sink)
 		d.mutex.Unlock()
-		go d.post(func(core *Core, _ int64) { core.Gone(sink) })
+		go d.post(func(core *Core, _ int64) { core.HandleSinkClosed(sink) })
 	}
 }
 
-// Control is the core's outlet to control processes.
-func (d *Daemon) Control(member string, id ControlID, kind protocol.Kind, request any) {
+// SendControlRequest is the core's outlet to control processes.
+func (d *Daemon) SendControlRequest(member string, id ControlID, kind protocol.Kind, request any) {
 	link, ok := d.control[member]
 	if !ok {
-		go d.post(func(core *Core, nowMs int64) { core.ControlReply(id, nil, nowMs) })
+		go d.post(func(core *Core, nowMs int64) { core.HandleControlReply(id, nil, nowMs) })
 		return
 	}
 	// The message may share memory with the core, so it is encoded here.
@@ -292,41 +292,41 @@
 	link.call(kind, body, func(frame protocol.Frame) {
 		if frame.Kind != protocol.KindResponse {
 			// This may run on the control loop, which must not wait for itself.
-			go d.post(func(core *Core, nowMs int64) { core.ControlReply(id, nil, nowMs) })
+			go d.post(func(core *Core, nowMs int64) { core.HandleControlReply(id, nil, nowMs) })
 			return
 		}
 		reply := protocol.NewReply(kind)
 		if protocol.Decode(frame.Body, reply) != nil {
 			reply = nil
 		}
-		d.post(func(core *Core, nowMs int64) { core.ControlReply(id, reply, nowMs) })
+		d.post(func(core *Core, nowMs int64) { core.HandleControlReply(id, reply, nowMs) })
 	})
 }
 
-// Start is the core's outlet to engines.
-func (d *Daemon) Start(run Run) {
+// StartAttempt is the core's outlet to engines.
+func (d *Daemon) StartAttempt(run EngineAttempt) {
 	ctx, cancel := context.WithCancel(d.running)
 	d.mutex.Lock()
-	d.stops[run.Attempt] = cancel
+	d.stops[run.ID] = cancel
 	d.mutex.Unlock()
 	go func() {
 		defer cancel()
 		outcome := d.engines.Complete(ctx, run.Engine.Address, run.Request, func(text string) {
-			d.post(func(core *Core, nowMs int64) { core.Piece(run.Attempt, text, nowMs) })
+			d.post(func(core *Core, nowMs int64) { core.HandleChunk(run.ID, text, nowMs) })
 		})
 		d.mutex.Lock()
-		delete(d.stops, run.Attempt)
+		delete(d.stops, run.ID)
 		d.mutex.Unlock()
 		if outcome.Err != nil && ctx.Err() == nil {
 			telemetry.Warn(d.logger, "run failed", "engine", run.Engine.Name, "program", run.Request.User,
 				"request", run.Request.RequestID, "started", outcome.MayHaveStarted, "err", outcome.Err)
 		}
-		d.post(func(core *Core, nowMs int64) { core.Ended(run.Attempt, outcome, nowMs) })
+		d.post(func(core *Core, nowMs int64) { core.HandleCompletion(run.ID, outcome, nowMs) })
 	}()
 }
 
-// Stop closes a run's stream.
-func (d *Daemon) Stop(attempt AttemptID) {
+// StopAttempt closes a run's stream.
+func (d *Daemon) StopAttempt(attempt AttemptID) {
 	d.mutex.Lock()
 	cancel, ok := d.stops[attempt]
 	d.mutex.Unlock()
@@ -335,8 +335,8 @@
 	}
 }
 
-// Order gives an engine a fenced order.
-func (d *Daemon) Order(target membership.Engine, order engine.Order) {
+// SendOrder gives an engine a fenced order.
+func (d *Daemon) SendOrder(target membership.Engine, order engine.Order) {
 	telemetry.Info(d.logger, "engine ordered", "engine", target.Name, "model", order.Target.Model,
 		"version", order.Target.Version, "epoch", order.Fence.Epoch, "revision", order.Fence.Revision)
 	go func() {
@@ -346,15 +346,15 @@
 	}()
 }
 
-// Release tells an engine to drop programs.
-func (d *Daemon) Release(target membership.Engine, programs []string) {
+// ReleasePrograms tells an engine to drop programs.
+func (d *Daemon) ReleasePrograms(target membership.Engine, programs []string) {
 	telemetry.Debug(d.logger, "programs released", "engine", target.Name, "count", len(programs))
 	go func() { _ = d.engines.ReleasePrograms(d.running, target.Address, programs) }()
 }
 
 // pollEngines asks each engine of the cell for its state.
 func (d *Daemon) pollEngines(ctx context.Context) error {
-	ticker := time.NewTicker(StatePollMs * time.Millisecond)
+	ticker := time.NewTicker(StatePollIntervalMs * time.Millisecond)
 	defer ticker.Stop()
 	var busy sync.Map
 	for round := 0; ; round++ {
@@ -369,8 +369,8 @@
 			}
 			go func() {
 				defer busy.Delete(owned.Name)
-				state, err := d.engines.State(ctx, owned.Address, round%HeldEvery == 0)
-				d.post(func(core *Core, nowMs int64) { core.EngineReport(owned.Name, state, err == nil, nowMs) })
+				state, err := d.engines.State(ctx, owned.Address, round%CachedProgramsEveryPolls == 0)
+				d.post(func(core *Core, nowMs int64) { core.HandleEngineState(owned.Name, state, err == nil, nowMs) })
 			}()
 		}
 	}
--- a/internal/scheduler/engines.go
+++ b/internal/scheduler/engines.go
@@ -51,7 +51,7 @@
 	silent := c.nowMs-owned.heardMs > engineSilenceMs
 	target := c.target(owned.info.Pool)
 	owned.schedule.Ready = owned.known && !silent && owned.state.Ready && owned.state.Target.Model == target.Model
-	leaving := owned.info.Leaving && !c.options.DisableLeavingStop
+	leaving := owned.info.Leaving && !c.options.DisableLeavingClose
 	owned.schedule.Closed = leaving || owned.draining
 	owned.schedule.Slots = int(*c.fields("/pools/" + owned.info.Pool).EngineConcurrency)
 	owned.schedule.PrefillTokensPerSecond = hardware.PrefillTokensPerSecond
@@ -59,8 +59,8 @@
 	owned.schedule.StepMicrosPerSequence = hardware.StepMicrosPerSequence
 }
 
-// EngineReport takes an engine's state; ok is false where it didn't answer.
-func (c *Core) EngineReport(name string, state engine.State, ok bool, nowMs int64) {
+// HandleEngineState takes an engine's state; ok is false where it didn't answer.
+func (c *Core) HandleEngineState(name string, state engine.State, ok bool, nowMs int64) {
 	c.nowMs = nowMs
 	owned, known := c.engines[name]
 	if !known {
@@ -201,7 +201,7 @@
 	}
 	owned.orderedAtMs = c.nowMs
 	fence := reconcile.Fence{Epoch: owned.info.Epoch, Revision: c.tree.Revision()}
-	c.outlet.Order(owned.info, engine.Order{Fence: fence, Target: target})
+	c.outlet.SendOrder(owned.info, engine.Order{Fence: fence, Target: target})
 }
 
 func (c *Core) askPermit(owned *ownedEngine) {
@@ -280,8 +280,8 @@
 			}
 		}
 		if len(here) > 0 {
-			c.counters.Released += uint64(len(here))
-			c.outlet.Release(owned.info, here)
+			c.counters.ReleasedPrograms += uint64(len(here))
+			c.outlet.ReleasePrograms(owned.info, here)
 			owned.state.CachedPrograms = slices.DeleteFunc(slices.Clone(owned.state.CachedPrograms), func(item engine.CachedProgram) bool { return gone[item.Program] })
 		}
 	}
--- a/internal/scheduler/programs.go
+++ b/internal/scheduler/programs.go
@@ -16,8 +16,8 @@
 	return engines
 }
 
-// Program answers a caller's question about a program, or ends it.
-func (c *Core) Program(sink SinkID, request *protocol.ProgramRequest, nowMs int64) {
+// HandleProgramRequest answers a caller's question about a program, or ends it.
+func (c *Core) HandleProgramRequest(sink SinkID, request *protocol.ProgramRequest, nowMs int64) {
 	c.nowMs = nowMs
 	if !c.synced {
 		c.replyProgram(sink, &protocol.ProgramReply{Error: result.New(result.NoScheduler, "%s has not heard the settings yet", c.options.Name)})
--- a/internal/scheduler/runs.go
+++ b/internal/scheduler/runs.go
@@ -39,9 +39,9 @@
 	current.startedMs = c.nowMs
 	current.answer.Reset()
 	c.attempts[current.attempt] = current
-	c.counters.Started++
-	c.outlet.Start(Run{
-		Attempt: current.attempt, Engine: owned.info,
+	c.counters.StartedAttempts++
+	c.outlet.StartAttempt(EngineAttempt{
+		ID: current.attempt, Engine: owned.info,
 		Request: engine.CompletionRequest{
 			Model: c.target(owned.info.Pool).Model, Messages: current.prompt, MaxTokens: current.maxTokens, Stream: true,
 			Priority: current.schedule.Priority, User: current.request.Program, RequestID: current.request.Request,
@@ -49,8 +49,8 @@
 	})
 }
 
-// Piece takes a part of an answer from an engine.
-func (c *Core) Piece(attempt AttemptID, text string, nowMs int64) {
+// HandleChunk takes a part of an answer from an engine.
+func (c *Core) HandleChunk(attempt AttemptID, text string, nowMs int64) {
 	c.nowMs = nowMs
 	current, ok := c.attempts[attempt]
 	if !ok {
@@ -86,7 +86,7 @@
 		return
 	}
 	delete(c.attempts, current.attempt)
-	c.outlet.Stop(current.attempt)
+	c.outlet.StopAttempt(current.attempt)
 	c.freeSlot(current)
 }
 
@@ -97,8 +97,8 @@
 	current.local.attainedMs += c.nowMs - current.startedMs
 }
 
-// Ended takes the outcome of a run.
-func (c *Core) Ended(attempt AttemptID, outcome engine.CompletionOutcome, nowMs int64) {
+// HandleCompletion takes the outcome of a run.
+func (c *Core) HandleCompletion(attempt AttemptID, outcome engine.CompletionOutcome, nowMs int64) {
 	c.nowMs = nowMs
 	current, ok := c.attempts[attempt]
 	if !ok {
@@ -118,7 +118,7 @@
 func (c *Core) attemptFailed(current *call, outcome engine.CompletionOutcome) {
 	delete(current.local.warm, current.engine)
 	current.schedule.ExcludedEngines[current.engine] = true
-	c.counters.Retried++
+	c.counters.FailedAttempts++
 	if !outcome.MayHaveStarted {
 		// The engine did not start the call: the same attempt goes elsewhere.
 		if owned, ok := c.engines[current.engine]; ok {
@@ -158,8 +158,8 @@
 	if usage.CompletionTokens == 0 {
 		usage.CompletionTokens = engine.CountTokens(content)
 	}
-	c.counters.PromptsRead += usage.PromptTokens
-	c.counters.CachedRead += usage.CachedTokens
+	c.counters.PromptTokens += usage.PromptTokens
+	c.counters.CachedTokens += usage.CachedTokens
 	commit := &program.Commit{
 		Program: request.Program, Fence: current.fence, Messages: current.newOnes,
 		Answer: program.Message{Role: "assistant", Content: content},
@@ -207,8 +207,8 @@
 	}
 	for _, name := range sortedNames(local.warm) {
 		if owned, ok := c.engines[name]; ok {
-			c.counters.Released++
-			c.outlet.Release(owned.info, []string{local.id})
+			c.counters.ReleasedPrograms++
+			c.outlet.ReleasePrograms(owned.info, []string{local.id})
 		}
 	}
 	if local.active == nil && len(local.queue) == 0 {
@@ -295,7 +295,7 @@
 
 // trimCache forgets the histories of the programs that were idle longest.
 func (c *Core) trimCache() {
-	for c.cacheBytes > c.options.CacheBytes {
+	for c.cacheBytes > c.options.HistoryCacheBytes {
 		var oldest *localProgram
 		for _, local := range c.programs {
 			if local.active != nil || len(local.records) == 0 {
@@ -317,9 +317,9 @@
 	delete(c.programs, local.id)
 }
 
-// Cancel drops a call whose caller has gone. A call that is not repeatable goes
+// HandleCancel drops a call whose caller has gone. A call that is not repeatable goes
 // on: its caller may ask for the answer again.
-func (c *Core) Cancel(cancel *protocol.Cancel, nowMs int64) {
+func (c *Core) HandleCancel(cancel *protocol.Cancel, nowMs int64) {
 	c.nowMs = nowMs
 	local, ok := c.programs[cancel.Program]
 	if !ok {
@@ -414,9 +414,9 @@
 	}
 }
 
-// Gone forgets a sink whose connection has ended. The call goes on: its sidecar
+// HandleSinkClosed forgets a sink whose connection has ended. The call goes on: its sidecar
 // comes back for it, here or elsewhere.
-func (c *Core) Gone(sink SinkID) {
+func (c *Core) HandleSinkClosed(sink SinkID) {
 	current, ok := c.sinks[sink]
 	if !ok {
 		return
--- a/internal/scheduling/choice_test.go
+++ b/internal/scheduling/choice_test.go
@@ -72,7 +72,7 @@
 			selectCandidate(model, all, input).Health.RecordStart(stream.NowMs)
 		}
 		for _, candidate := range all {
-			So(candidate.Health.InFlight, ShouldBeBetween, 6, 14)
+			So(candidate.Health.OwnInFlight, ShouldBeBetween, 6, 14)
 		}
 	})
 	Convey("gateways with the same view do not all select the engine that looks best in it", t, func() {
@@ -127,7 +127,7 @@
 			So(selectCandidate(model, all, plain).ID, ShouldNotEqual, "e3")
 		}
 		for _, candidate := range all[:3] {
-			candidate.Health.InFlight = 30
+			candidate.Health.OwnInFlight = 30
 		}
 		So(selectCandidate(model, all, plain).ID, ShouldEqual, "e3")
 	})
@@ -140,7 +140,7 @@
 			next := selectCandidate(&LatencyModel{}, all, input)
 			So(next.ID, ShouldEqual, first.ID)
 		}
-		first.Health.InFlight = 12
+		first.Health.OwnInFlight = 12
 		next := selectCandidate(&LatencyModel{}, all, input)
 		So(next.ID, ShouldNotEqual, first.ID)
 	})
--- a/internal/scheduling/health.go
+++ b/internal/scheduling/health.go
@@ -3,8 +3,8 @@
 // EngineHealth is the state of one engine as seen by a gateway, from its own requests and from the
 // reports of all gateways. Times are in milliseconds.
 type EngineHealth struct {
-	// InFlight is the number of this gateway's requests in flight.
-	InFlight int
+	// OwnInFlight is the number of this gateway's requests in flight.
+	OwnInFlight int
 	// consecutiveFailures counts failures without a success in between, and suspectUntilMs is until
 	// when the engine is avoided because of them.
 	consecutiveFailures int
@@ -85,18 +85,18 @@
 // RecordStart records a request that is sent to the engine.
 func (h *EngineHealth) RecordStart(nowMs int64) {
 	h.integrate(nowMs)
-	h.InFlight++
+	h.OwnInFlight++
 }
 
 // RecordEnd records that a request at the engine has ended.
 func (h *EngineHealth) RecordEnd(nowMs int64) {
 	h.integrate(nowMs)
-	h.InFlight = max(h.InFlight-1, 0)
+	h.OwnInFlight = max(h.OwnInFlight-1, 0)
 }
 
 // integrate adds the requests in flight up to nowMs to requestMs.
 func (h *EngineHealth) integrate(nowMs int64) {
-	h.requestMs += float64(h.InFlight) * float64(max(nowMs-h.integratedMs, 0))
+	h.requestMs += float64(h.OwnInFlight) * float64(max(nowMs-h.integratedMs, 0))
 	h.integratedMs = max(h.integratedMs, nowMs)
 }
 
@@ -150,9 +150,9 @@
 // the engine.
 func (h *EngineHealth) EstimatedInFlight(nowMs int64) float64 {
 	if !h.HasRecentSharedLoad(nowMs) {
-		return float64(h.InFlight)
+		return float64(h.OwnInFlight)
 	}
-	return max(h.sharedInFlight-h.reportedInFlight, 0) + float64(h.InFlight)
+	return max(h.sharedInFlight-h.reportedInFlight, 0) + float64(h.OwnInFlight)
 }
 
 // HasRecentSharedLoad reports whether the load over all gateways was received recently.
--- a/internal/scheduling/load.go
+++ b/internal/scheduling/load.go
@@ -20,7 +20,7 @@
 	//lint:ignore U1000 As above.
 	_msgpack struct{} `msgpack:",as_array"`
 	Backend  string
-	Streams  WeightedSum
+	Lateness WeightedSum
 }
 
 // WeightedSum is a DecayedMean without its time.
@@ -148,7 +148,7 @@
 			mean = &DecayedMean{}
 			a.lateness[report.Backend] = mean
 		}
-		mean.Merge(nowMs, report.Streams.decayedMean(nowMs))
+		mean.Merge(nowMs, report.Lateness.decayedMean(nowMs))
 	}
 	for backend, known := range a.lateness {
 		if known.DecayedTo(nowMs).Weight < minWeight {
@@ -161,7 +161,7 @@
 func (a *LoadAggregator) StreamLateness(nowMs int64) []StreamLateness {
 	var all []StreamLateness
 	for backend, mean := range a.lateness {
-		all = append(all, StreamLateness{Backend: backend, Streams: mean.weightedSum(nowMs)})
+		all = append(all, StreamLateness{Backend: backend, Lateness: mean.weightedSum(nowMs)})
 	}
 	return all
 }
--- a/internal/scheduling/mechanism_test.go
+++ b/internal/scheduling/mechanism_test.go
@@ -37,7 +37,7 @@
 			MechanismSuspicion: {func(_ *LatencyModel, all []Candidate, _ *SelectionInput) { all[0].Health.RecordFailure(1000) }, [2]int{0, 0}, [2]int{20, 120}},
 			MechanismCandidateSampling: {func(_ *LatencyModel, all []Candidate, _ *SelectionInput) {
 				for _, candidate := range all[1:] {
-					candidate.Health.InFlight = 3
+					candidate.Health.OwnInFlight = 3
 				}
 			}, [2]int{20, 140}, [2]int{200, 200}},
 			MechanismZonePreference: {func(_ *LatencyModel, all []Candidate, _ *SelectionInput) {
@@ -47,7 +47,7 @@
 			}, [2]int{200, 200}, [2]int{20, 190}},
 			MechanismBatchInterference: {func(model *LatencyModel, all []Candidate, _ *SelectionInput) {
 				runStreams(model, all, 30, 60, nil)
-				all[0].Health.InFlight = 6
+				all[0].Health.OwnInFlight = 6
 			}, [2]int{0, 0}, [2]int{20, 120}},
 		} {
 			for _, attempt := range []struct {
--- a/internal/sidecar/core.go
+++ b/internal/sidecar/core.go
@@ -17,22 +17,22 @@
 	"github.com/ochrebay/ochrebay/internal/settings"
 )
 
-// CallerID names one call of a caller.
-type CallerID uint64
+// CallID names one call of a caller.
+type CallID uint64
 
-// SendID names one request sent to a scheduler.
-type SendID uint64
+// OutboundRequestID names one request sent to a scheduler.
+type OutboundRequestID uint64
 
 // Transport takes what the core sends. Its methods must not call back.
 type Transport interface {
 	// Send sends a request to a scheduler; its frames come back as Piece, Answer
 	// and Lost.
-	Send(address string, id SendID, kind protocol.Kind, request any)
+	Send(address string, id OutboundRequestID, kind protocol.Kind, request any)
 	// Notify sends a one-way message to a scheduler.
 	Notify(address string, kind protocol.Kind, message any)
 	// Deliver hands the next part of an answer to the caller, Finish the end.
-	Deliver(caller CallerID, text string)
-	Finish(caller CallerID, answer *protocol.CallReply)
+	Deliver(caller CallID, text string)
+	Finish(caller CallID, answer *protocol.CallReply)
 }
 
 // Options configure a Core.
@@ -40,18 +40,18 @@
 	Name string
 	Zone string
 	// Seeds are schedulers to begin with, one's own zone first.
-	Seeds        []membership.Scheduler
-	FollowHoldMs int64
+	Seeds            []membership.Scheduler
+	FollowLongPollMs int64
 
 	// The rest turn mechanisms off, for runs that show what they are for.
-	DisableAssembly bool
-	DisableOutcome  bool
-	DisableRevision bool
+	DisableAssembly       bool
+	DisableUnknownOutcome bool
+	DisableRevision       bool
 }
 
 // DefaultOptions returns the timings in use.
 func DefaultOptions(name, zone string, seeds []membership.Scheduler) Options {
-	return Options{Name: name, Zone: zone, Seeds: seeds, FollowHoldMs: 1000}
+	return Options{Name: name, Zone: zone, Seeds: seeds, FollowLongPollMs: 1000}
 }
 
 const (
@@ -73,12 +73,12 @@
 	tree     *settings.Tree
 	roster   *membership.Roster
 	peers    []membership.Scheduler
-	calls    map[CallerID]*call
-	sends    map[SendID]*send
-	nextSend SendID
+	calls    map[CallID]*call
+	sends    map[OutboundRequestID]*send
+	nextSend OutboundRequestID
 	random   uint64
 
-	following  SendID
+	following  OutboundRequestID
 	followedAt int64
 	followTurn int
 	synced     bool
@@ -90,17 +90,17 @@
 
 // Stats counts what the sidecar did.
 type Stats struct {
-	Calls    uint64
-	Answered uint64
-	Failed   uint64
-	Retries  uint64
-	Open     int
-	Revision uint64
+	Calls     uint64
+	Answered  uint64
+	Failed    uint64
+	Retries   uint64
+	OpenCalls int
+	Revision  uint64
 }
 
 // call is one caller's request until its final answer.
 type call struct {
-	id         CallerID
+	id         CallID
 	request    *protocol.CallRequest
 	deadlineMs int64
 	sent       *send
@@ -118,7 +118,7 @@
 
 // send is one request under way at a scheduler.
 type send struct {
-	id      SendID
+	id      OutboundRequestID
 	address string
 	name    string
 	// start is the scheduler's start, zero where it is not known yet.
@@ -131,33 +131,33 @@
 func NewCore(options Options, outlet Transport, nowMs int64) *Core {
 	return &Core{
 		options: options, outlet: outlet, nowMs: nowMs, tree: settings.NewTree(), roster: membership.NewRoster(), peers: options.Seeds,
-		calls: map[CallerID]*call{}, sends: map[SendID]*send{}, retries: retryReserve,
+		calls: map[CallID]*call{}, sends: map[OutboundRequestID]*send{}, retries: retryReserve,
 		random: xxhash.Sum64String(options.Name),
 	}
 }
 
-// Ready reports whether calls can be taken.
-func (c *Core) Ready() bool { return c.synced && !c.draining }
+// IsReady reports whether calls can be taken.
+func (c *Core) IsReady() bool { return c.synced && !c.draining }
 
-// Idle reports whether no call is under way.
-func (c *Core) Idle() bool { return len(c.calls) == 0 }
+// IsIdle reports whether no call is under way.
+func (c *Core) IsIdle() bool { return len(c.calls) == 0 }
 
 // Drain refuses new calls from now on.
 func (c *Core) Drain() { c.draining = true }
 
-// Tree returns the settings in force here, for reading.
-func (c *Core) Tree() *settings.Tree { return c.tree }
+// SettingsTree returns the settings in force here, for reading.
+func (c *Core) SettingsTree() *settings.Tree { return c.tree }
 
 // Stats returns counters and gauges.
 func (c *Core) Stats() Stats {
 	stats := c.stats
-	stats.Open = len(c.calls)
+	stats.OpenCalls = len(c.calls)
 	stats.Revision = c.tree.Revision()
 	return stats
 }
 
-// Call takes a caller's request. Whatever becomes of it, Finish is called once.
-func (c *Core) Call(id CallerID, request *protocol.CallRequest, nowMs int64) {
+// HandleCall takes a caller's request. Whatever becomes of it, Finish is called once.
+func (c *Core) HandleCall(id CallID, request *protocol.CallRequest, nowMs int64) {
 	c.nowMs = nowMs
 	c.stats.Calls++
 	if c.draining {
@@ -224,8 +224,8 @@
 	return best, found
 }
 
-// Piece takes a part of an answer from a scheduler.
-func (c *Core) Piece(id SendID, piece *protocol.CallChunk, nowMs int64) {
+// HandleChunk takes a part of an answer from a scheduler.
+func (c *Core) HandleChunk(id OutboundRequestID, piece *protocol.CallChunk, nowMs int64) {
 	c.nowMs = nowMs
 	sent, ok := c.sends[id]
 	if !ok || sent.call == nil {
@@ -265,8 +265,8 @@
 	return piece.Text[len(known):], true
 }
 
-// Answer takes the final message of a call.
-func (c *Core) Answer(id SendID, answer *protocol.CallReply, nowMs int64) {
+// HandleCallReply takes the final message of a call.
+func (c *Core) HandleCallReply(id OutboundRequestID, answer *protocol.CallReply, nowMs int64) {
 	c.nowMs = nowMs
 	sent, ok := c.sends[id]
 	if !ok || sent.call == nil {
@@ -318,9 +318,9 @@
 	c.finish(current, &protocol.CallReply{Error: failure})
 }
 
-// Lost takes the end of a connection: the scheduler may have sent the call to an
+// HandleLostRequest takes the end of a connection: the scheduler may have sent the call to an
 // engine, or answered it, so the same request is sent again elsewhere.
-func (c *Core) Lost(id SendID, nowMs int64) {
+func (c *Core) HandleLostRequest(id OutboundRequestID, nowMs int64) {
 	c.nowMs = nowMs
 	sent, ok := c.sends[id]
 	if !ok {
@@ -374,15 +374,15 @@
 		c.stats.Answered++
 	} else {
 		c.stats.Failed++
-		if answer.Error.Outcome == result.NotRun && current.unknown && !c.options.DisableOutcome {
+		if answer.Error.Outcome == result.NotRun && current.unknown && !c.options.DisableUnknownOutcome {
 			answer.Error = answer.Error.WithOutcome(result.Unknown)
 		}
 	}
 	c.outlet.Finish(current.id, answer)
 }
 
-// Gone takes a caller that went away.
-func (c *Core) Gone(id CallerID) {
+// HandleDisconnect takes a caller that went away.
+func (c *Core) HandleDisconnect(id CallID) {
 	current, ok := c.calls[id]
 	if !ok {
 		return
--- a/internal/sidecar/daemon.go
+++ b/internal/sidecar/daemon.go
@@ -47,7 +47,7 @@
 
 	nextCaller atomic.Uint64
 	mutex      sync.Mutex
-	callers    map[CallerID]chan delivery
+	callers    map[CallID]chan delivery
 	links      map[string]*protocol.Connection
 }
 
@@ -64,7 +64,7 @@
 func NewDaemon(process config.Process, logger log.Logger) *Daemon {
 	daemon := &Daemon{
 		process: process, logger: logger, events: make(chan func(*Core, int64), eventQueue),
-		callers: map[CallerID]chan delivery{}, links: map[string]*protocol.Connection{},
+		callers: map[CallID]chan delivery{}, links: map[string]*protocol.Connection{},
 	}
 	var seeds []membership.Scheduler
 	for _, peer := range process.Schedulers {
@@ -82,7 +82,7 @@
 	gauge("caller_answered", "Calls answered since the start.", func(s *Stats) float64 { return float64(s.Answered) })
 	gauge("caller_failed", "Calls that ended in an error.", func(s *Stats) float64 { return float64(s.Failed) })
 	gauge("caller_retries", "Calls sent again to a scheduler.", func(s *Stats) float64 { return float64(s.Retries) })
-	gauge("caller_open", "Calls under way.", func(s *Stats) float64 { return float64(s.Open) })
+	gauge("caller_open", "Calls under way.", func(s *Stats) float64 { return float64(s.OpenCalls) })
 	return daemon
 }
 
@@ -146,10 +146,10 @@
 func (d *Daemon) publish(revision uint64) {
 	previous := d.view.Load()
 	current := &view{
-		ready: d.core.Ready(), idle: d.core.Idle(), draining: d.core.draining,
+		ready: d.core.IsReady(), idle: d.core.IsIdle(), draining: d.core.draining,
 		bodyLimit: previous.bodyLimit, services: previous.services,
 	}
-	if tree := d.core.Tree(); tree.Revision() > 0 && tree.Revision() != revision {
+	if tree := d.core.SettingsTree(); tree.Revision() > 0 && tree.Revision() != revision {
 		current.services = map[string]bool{}
 		for _, name := range tree.Children("/services") {
 			current.services[name] = true
@@ -168,10 +168,10 @@
 }
 
 // Send is the core's outlet to schedulers.
-func (d *Daemon) Send(address string, id SendID, kind protocol.Kind, request any) {
+func (d *Daemon) Send(address string, id OutboundRequestID, kind protocol.Kind, request any) {
 	body, err := protocol.Encode(request)
 	if err != nil {
-		go d.post(func(core *Core, nowMs int64) { core.Lost(id, nowMs) })
+		go d.post(func(core *Core, nowMs int64) { core.HandleLostRequest(id, nowMs) })
 		return
 	}
 	handler := func(frame protocol.Frame) { d.handle(id, frame) }
@@ -226,38 +226,38 @@
 }
 
 // handle takes a frame from a scheduler.
-func (d *Daemon) handle(id SendID, frame protocol.Frame) {
+func (d *Daemon) handle(id OutboundRequestID, frame protocol.Frame) {
 	switch frame.Kind {
 	case protocol.KindCallChunk:
 		var piece protocol.CallChunk
 		if protocol.Decode(frame.Body, &piece) == nil {
-			d.post(func(core *Core, nowMs int64) { core.Piece(id, &piece, nowMs) })
+			d.post(func(core *Core, nowMs int64) { core.HandleChunk(id, &piece, nowMs) })
 		}
 	case protocol.KindCallReply:
 		var answer protocol.CallReply
 		if protocol.Decode(frame.Body, &answer) == nil {
-			d.post(func(core *Core, nowMs int64) { core.Answer(id, &answer, nowMs) })
+			d.post(func(core *Core, nowMs int64) { core.HandleCallReply(id, &answer, nowMs) })
 			return
 		}
-		d.post(func(core *Core, nowMs int64) { core.Lost(id, nowMs) })
+		d.post(func(core *Core, nowMs int64) { core.HandleLostRequest(id, nowMs) })
 	case protocol.KindResponse:
 		var reply protocol.FollowReply
 		if protocol.Decode(frame.Body, &reply) == nil {
-			d.post(func(core *Core, nowMs int64) { core.Followed(id, &reply, nowMs) })
+			d.post(func(core *Core, nowMs int64) { core.HandleFollowReply(id, &reply, nowMs) })
 		}
 	default:
 		// This may run on the control loop, which must not wait for itself.
-		go d.post(func(core *Core, nowMs int64) { core.Lost(id, nowMs) })
+		go d.post(func(core *Core, nowMs int64) { core.HandleLostRequest(id, nowMs) })
 	}
 }
 
 // Deliver hands a part of an answer to the caller's goroutine.
-func (d *Daemon) Deliver(caller CallerID, text string) {
+func (d *Daemon) Deliver(caller CallID, text string) {
 	d.toCaller(caller, delivery{text: text})
 }
 
 // Finish hands over the end of a call.
-func (d *Daemon) Finish(caller CallerID, answer *protocol.CallReply) {
+func (d *Daemon) Finish(caller CallID, answer *protocol.CallReply) {
 	d.toCaller(caller, delivery{answer: answer})
 	d.mutex.Lock()
 	delete(d.callers, caller)
@@ -266,7 +266,7 @@
 
 // toCaller never blocks the loop: a caller that doesn't read is cut off, and its
 // request id gives it the answer later.
-func (d *Daemon) toCaller(caller CallerID, next delivery) {
+func (d *Daemon) toCaller(caller CallID, next delivery) {
 	d.mutex.Lock()
 	deliveries, ok := d.callers[caller]
 	d.mutex.Unlock()
@@ -284,20 +284,20 @@
 }
 
 // open starts a call; its deliveries come on the channel.
-func (d *Daemon) open(request *protocol.CallRequest) (CallerID, <-chan delivery) {
-	caller := CallerID(d.nextCaller.Add(1))
+func (d *Daemon) open(request *protocol.CallRequest) (CallID, <-chan delivery) {
+	caller := CallID(d.nextCaller.Add(1))
 	deliveries := make(chan delivery, deliverQueue)
 	d.mutex.Lock()
 	d.callers[caller] = deliveries
 	d.mutex.Unlock()
-	d.post(func(core *Core, nowMs int64) { core.Call(caller, request, nowMs) })
+	d.post(func(core *Core, nowMs int64) { core.HandleCall(caller, request, nowMs) })
 	return caller, deliveries
 }
 
 // gone tells the core that a caller went away.
-func (d *Daemon) gone(caller CallerID) {
+func (d *Daemon) gone(caller CallID) {
 	d.mutex.Lock()
 	delete(d.callers, caller)
 	d.mutex.Unlock()
-	d.post(func(core *Core, _ int64) { core.Gone(caller) })
+	d.post(func(core *Core, _ int64) { core.HandleDisconnect(caller) })
 }
--- a/internal/sidecar/follow.go
+++ b/internal/sidecar/follow.go
@@ -8,7 +8,7 @@
 // follow keeps one heartbeat under way at a scheduler; its answer brings the
 // settings and the list of schedulers.
 func (c *Core) follow() {
-	if c.following != 0 && c.nowMs-c.followedAt < followTimeoutMs+c.options.FollowHoldMs {
+	if c.following != 0 && c.nowMs-c.followedAt < followTimeoutMs+c.options.FollowLongPollMs {
 		return
 	}
 	if c.following != 0 {
@@ -24,7 +24,7 @@
 	c.followedAt = c.nowMs
 	c.sends[c.nextSend] = &send{id: c.nextSend, address: target.Address, name: target.Name, follow: true}
 	c.outlet.Send(target.Address, c.nextSend, protocol.KindFollow, &protocol.FollowRequest{
-		Sidecar: c.options.Name, Revision: c.tree.Revision(), DirectoryVersion: c.roster.Version(), LongPollMs: c.options.FollowHoldMs,
+		Sidecar: c.options.Name, Revision: c.tree.Revision(), DirectoryVersion: c.roster.Version(), LongPollMs: c.options.FollowLongPollMs,
 	})
 }
 
@@ -49,9 +49,9 @@
 	return all[c.followTurn%len(all)], true
 }
 
-// Followed takes news from a scheduler. Invariant: revision and directory only
+// HandleFollowReply takes news from a scheduler. Invariant: revision and directory only
 // grow here, whichever scheduler sends them.
-func (c *Core) Followed(id SendID, reply *protocol.FollowReply, nowMs int64) {
+func (c *Core) HandleFollowReply(id OutboundRequestID, reply *protocol.FollowReply, nowMs int64) {
 	c.nowMs = nowMs
 	if id != c.following {
 		return
@@ -85,13 +85,13 @@
 		start, ok := listed[sent.name]
 		restarted := sent.start != 0 && start > sent.start
 		if sent.call != nil && (!ok || restarted) {
-			c.Lost(id, c.nowMs)
+			c.HandleLostRequest(id, c.nowMs)
 		}
 	}
 }
 
-// Addresses returns the schedulers' addresses in the order in which to ask them.
-func (c *Core) Addresses() []string {
+// SchedulerAddresses returns the schedulers' addresses in the order in which to ask them.
+func (c *Core) SchedulerAddresses() []string {
 	peers := c.peers
 	if len(peers) == 0 {
 		peers = c.options.Seeds
--- a/internal/sidecar/web.go
+++ b/internal/sidecar/web.go
@@ -146,7 +146,7 @@
 
 // serveStream waits for the first delivery, so that an early refusal has its
 // HTTP status, and then streams.
-func (d *Daemon) serveStream(ctx *fasthttp.RequestCtx, caller CallerID, request *protocol.CallRequest, deliveries <-chan delivery) {
+func (d *Daemon) serveStream(ctx *fasthttp.RequestCtx, caller CallID, request *protocol.CallRequest, deliveries <-chan delivery) {
 	first, ok := <-deliveries
 	if !ok {
 		first.answer = &protocol.CallReply{Error: result.New(result.Cancelled, "the caller did not read the answer")}
@@ -412,17 +412,17 @@
 	return &view, nil
 }
 
-// History is a thread's conversation.
-type History struct {
+// ThreadHistory is a thread's conversation.
+type ThreadHistory struct {
 	Program  string            `json:"program"`
 	Thread   string            `json:"thread"`
 	Messages []program.Message `json:"messages"`
 }
 
-func historyOf(view *control.ProgramView, thread string) (*History, *result.Error) {
+func historyOf(view *control.ProgramView, thread string) (*ThreadHistory, *result.Error) {
 	for _, known := range view.Threads {
 		if known.Name == thread {
-			return &History{Program: view.ID, Thread: thread, Messages: program.Conversation(known.Lineage, view.Turns)}, nil
+			return &ThreadHistory{Program: view.ID, Thread: thread, Messages: program.Conversation(known.Lineage, view.Turns)}, nil
 		}
 	}
 	return nil, result.New(result.UnknownThread, "no thread %q in program %s", thread, view.ID)
@@ -431,7 +431,7 @@
 // askProgram asks schedulers in turn until one answers.
 func (d *Daemon) askProgram(request *protocol.ProgramRequest) *protocol.ProgramReply {
 	addresses := make(chan []string, 1)
-	d.post(func(core *Core, _ int64) { addresses <- core.Addresses() })
+	d.post(func(core *Core, _ int64) { addresses <- core.SchedulerAddresses() })
 	bounded, cancel := context.WithTimeout(d.running, programTimeout)
 	defer cancel()
 	failed := &protocol.ProgramReply{Error: result.New(result.NoScheduler, "no scheduler answered")}
--- a/internal/simulation/callers.go
+++ b/internal/simulation/callers.go
@@ -236,14 +236,14 @@
 	c.world.tell("%s goes away in mid call", c.name)
 	c.end("vanished")
 	for _, node := range c.world.sidecars {
-		for id := sidecar.CallerID(1); id <= node.next; id++ {
+		for id := sidecar.CallID(1); id <= node.next; id++ {
 			send, ok := node.callers[id]
 			if !ok || send.call.caller != c || !node.alive {
 				continue
 			}
 			delete(node.callers, id)
 			delete(node.pending, send.open)
-			node.receive(func() { node.core.Gone(id) })
+			node.receive(func() { node.core.HandleDisconnect(id) })
 		}
 	}
 }
@@ -269,7 +269,7 @@
 		mustDecode(raw, &copied)
 		node.next++
 		node.callers[node.next] = current
-		node.core.Call(node.next, &copied, node.nowMs())
+		node.core.HandleCall(node.next, &copied, node.nowMs())
 	}, current.refused)
 	// A caller gives up on a sidecar that says nothing at all.
 	w.after((callDeadlineMs+callerGraceMs)*microsPerMilli, "caller waits", current.cut)
--- a/internal/simulation/checks.go
+++ b/internal/simulation/checks.go
@@ -201,17 +201,17 @@
 // observeScheduler also holds a fresh scheduler against what was accepted
 // before it started.
 func (c *checks) observeScheduler(n *schedulerNode) {
-	c.observe(n.name, n.life, settingsView{n.core.Tree()})
-	if !c.synced[n.name] && n.core.Ready() {
+	c.observe(n.name, n.life, settingsView{n.core.SettingsTree()})
+	if !c.synced[n.name] && n.core.IsReady() {
 		c.synced[n.name] = true
-		if n.core.Tree().Revision() < c.atStart[n.name] {
-			c.violate(invariantSettings, "%s serves at revision %d, but %d was accepted before it started", n.name, n.core.Tree().Revision(), c.atStart[n.name])
+		if n.core.SettingsTree().Revision() < c.atStart[n.name] {
+			c.violate(invariantSettings, "%s serves at revision %d, but %d was accepted before it started", n.name, n.core.SettingsTree().Revision(), c.atStart[n.name])
 		}
 	}
 }
 
 func (c *checks) observeSidecar(n *sidecarNode) {
-	c.observe(n.name, n.life, settingsView{n.core.Tree()})
+	c.observe(n.name, n.life, settingsView{n.core.SettingsTree()})
 }
 
 func (c *checks) observeControl(n *controlNode) {
@@ -225,13 +225,13 @@
 	w := c.world
 	w.after(settingsDeadline, "in force", func() {
 		for _, node := range w.schedulers {
-			if node.alive && node.core.Ready() && node.core.Tree().Revision() < revision {
-				c.violate(invariantSettings, "%s has revision %d after 6 s, %d was accepted", node.name, node.core.Tree().Revision(), revision)
+			if node.alive && node.core.IsReady() && node.core.SettingsTree().Revision() < revision {
+				c.violate(invariantSettings, "%s has revision %d after 6 s, %d was accepted", node.name, node.core.SettingsTree().Revision(), revision)
 			}
 		}
 		for _, node := range w.sidecars {
-			if node.alive && node.core.Ready() && node.core.Tree().Revision() < revision {
-				c.violate(invariantSettings, "%s has revision %d after 6 s, %d was accepted", node.name, node.core.Tree().Revision(), revision)
+			if node.alive && node.core.IsReady() && node.core.SettingsTree().Revision() < revision {
+				c.violate(invariantSettings, "%s has revision %d after 6 s, %d was accepted", node.name, node.core.SettingsTree().Revision(), revision)
 			}
 		}
 	})
--- a/internal/simulation/controls.go
+++ b/internal/simulation/controls.go
@@ -12,7 +12,7 @@
 const (
 	controlTickUs   = 50_000
 	daemonTickUs    = 50_000
-	enginePollUs    = scheduler.StatePollMs * microsPerMilli
+	enginePollUs    = scheduler.StatePollIntervalMs * microsPerMilli
 	platformPollUs  = 500_000
 	drainCheckUs    = 20_000
 	drainTimeoutUs  = 60_000_000
@@ -56,7 +56,7 @@
 		node := &controlNode{process: w.newProcess(member.Name, member.Zone)}
 		node.disk = w.newDisk()
 		node.options = control.DefaultOptions(member.Name, members, min(w.deployment.LedgerGroups, ledgerGroupsMax))
-		node.options.CompactEntries = compactEntries
+		node.options.CompactAfterEntries = compactEntries
 		w.disableControl(&node.options)
 		node.start = node.boot
 		node.stopped = func() { node.disk.crash() }
--- a/internal/simulation/engines.go
+++ b/internal/simulation/engines.go
@@ -134,7 +134,7 @@
 		if node.attempts[run.attempt] != run {
 			return
 		}
-		node.core.Piece(run.attempt, text, node.nowMs())
+		node.core.HandleChunk(run.attempt, text, node.nowMs())
 		if progress.IsDone {
 			node.ended(run, engine.CompletionOutcome{Usage: usage, MayHaveStarted: true})
 		}
--- a/internal/simulation/run.go
+++ b/internal/simulation/run.go
@@ -244,13 +244,13 @@
 	for _, node := range w.sidecars {
 		if node.process == p {
 			node.core.Drain()
-			idle = node.core.Idle
+			idle = node.core.IsIdle
 		}
 	}
 	for _, node := range w.schedulers {
 		if node.process == p {
 			node.core.Drain()
-			idle = node.core.Idle
+			idle = node.core.IsIdle
 		}
 	}
 	for _, node := range w.controls {
@@ -274,12 +274,12 @@
 	ready := func() bool {
 		for _, node := range w.schedulers {
 			if node.process == p {
-				return node.core.Ready()
+				return node.core.IsReady()
 			}
 		}
 		for _, node := range w.sidecars {
 			if node.process == p {
-				return node.core.Ready()
+				return node.core.IsReady()
 			}
 		}
 		for _, node := range w.controls {
@@ -317,14 +317,14 @@
 func (w *world) disableScheduler(options *scheduler.Options) {
 	options.DisableTurnOrder = w.isDisabled("order")
 	options.DisableAudit = w.isDisabled("audit")
-	options.DisableLeavingStop = w.isDisabled("leaving")
+	options.DisableLeavingClose = w.isDisabled("leaving")
 	options.DisableRevision = w.isDisabled("revision")
 	options.DisableAtMostOnce = w.isDisabled("once")
 }
 
 func (w *world) disableSidecar(options *sidecar.Options) {
 	options.DisableAssembly = w.isDisabled("assembly")
-	options.DisableOutcome = w.isDisabled("outcome")
+	options.DisableUnknownOutcome = w.isDisabled("outcome")
 	options.DisableRevision = w.isDisabled("revision")
 }
 
--- a/internal/simulation/schedulers.go
+++ b/internal/simulation/schedulers.go
@@ -25,7 +25,7 @@
 type sinkRoute struct {
 	node *sidecarNode
 	life int
-	send sidecar.SendID
+	send sidecar.OutboundRequestID
 	open uint64
 }
 
@@ -74,7 +74,7 @@
 
 // poll asks each engine of the cell for its state.
 func (n *schedulerNode) poll() {
-	held := n.polls%scheduler.HeldEvery == 0
+	held := n.polls%scheduler.CachedProgramsEveryPolls == 0
 	n.polls++
 	for _, info := range n.core.Engines() {
 		target := n.world.engine(info.Name)
@@ -91,11 +91,11 @@
 			}
 			n.world.network.send(target.process, n.process, life, "state", func() {
 				n.polling[info.Name] = false
-				n.core.EngineReport(info.Name, state, true, n.nowMs())
+				n.core.HandleEngineState(info.Name, state, true, n.nowMs())
 			}, nil)
 		}, func() {
 			n.polling[info.Name] = false
-			n.core.EngineReport(info.Name, engine.State{}, false, n.nowMs())
+			n.core.HandleEngineState(info.Name, engine.State{}, false, n.nowMs())
 		})
 		// A request without an answer is given up after its timeout.
 		n.world.after(2_000_000, "state timeout", func() {
@@ -106,8 +106,8 @@
 	}
 }
 
-// Control is the core's outlet to control processes.
-func (n *schedulerNode) Control(member string, id scheduler.ControlID, kind protocol.Kind, request any) {
+// SendControlRequest is the core's outlet to control processes.
+func (n *schedulerNode) SendControlRequest(member string, id scheduler.ControlID, kind protocol.Kind, request any) {
 	for _, target := range n.world.controls {
 		if target.name != member {
 			continue
@@ -115,7 +115,7 @@
 		life := n.life
 		target.ask(n.process, kind, request, func(reply any) {
 			if n.alive && n.life == life {
-				n.core.ControlReply(id, reply, n.nowMs())
+				n.core.HandleControlReply(id, reply, n.nowMs())
 			}
 		})
 	}
@@ -139,17 +139,17 @@
 	n.world.network.send(n.process, node.process, route.life, "reply", func() { node.take(route.send, kind, raw) }, func() {
 		if _, still := n.sinks[sink]; still {
 			delete(n.sinks, sink)
-			n.core.Gone(sink)
+			n.core.HandleSinkClosed(sink)
 		}
 		node.connectionLost(route)
 	})
 }
 
-// Start is the core's outlet to engines.
-func (n *schedulerNode) Start(run scheduler.Run) {
+// StartAttempt is the core's outlet to engines.
+func (n *schedulerNode) StartAttempt(run scheduler.EngineAttempt) {
 	target := n.world.engine(run.Engine.Name)
-	started := &engineRun{attempt: run.Attempt, scheduler: n, life: n.life, engine: target}
-	n.attempts[run.Attempt] = started
+	started := &engineRun{attempt: run.ID, scheduler: n, life: n.life, engine: target}
+	n.attempts[run.ID] = started
 	failed := func(ran bool) func() {
 		return func() { n.ended(started, engine.CompletionOutcome{MayHaveStarted: ran, Err: errEngineLost}) }
 	}
@@ -166,11 +166,11 @@
 		return
 	}
 	delete(n.attempts, run.attempt)
-	n.core.Ended(run.attempt, outcome, n.nowMs())
+	n.core.HandleCompletion(run.attempt, outcome, n.nowMs())
 }
 
-// Stop closes a run's stream.
-func (n *schedulerNode) Stop(attempt scheduler.AttemptID) {
+// StopAttempt closes a run's stream.
+func (n *schedulerNode) StopAttempt(attempt scheduler.AttemptID) {
 	run, ok := n.attempts[attempt]
 	if !ok {
 		return
@@ -182,21 +182,21 @@
 	}
 }
 
-// Order gives an engine a fenced order.
-func (n *schedulerNode) Order(target membership.Engine, order engine.Order) {
+// SendOrder gives an engine a fenced order.
+func (n *schedulerNode) SendOrder(target membership.Engine, order engine.Order) {
 	if node := n.world.engine(target.Name); node != nil {
 		n.world.network.send(n.process, node.process, 0, "order", func() { node.order(order) }, nil)
 	}
 }
 
-// Release tells an engine to drop programs.
-func (n *schedulerNode) Release(target membership.Engine, programs []string) {
+// ReleasePrograms tells an engine to drop programs.
+func (n *schedulerNode) ReleasePrograms(target membership.Engine, programs []string) {
 	if node := n.world.engine(target.Name); node != nil {
 		n.world.network.send(n.process, node.process, 0, "release", func() { node.release(programs) }, nil)
 	}
 }
 
-func (n *schedulerNode) takeCall(from *sidecarNode, life int, id sidecar.SendID, kind protocol.Kind, raw []byte, lost func()) {
+func (n *schedulerNode) takeCall(from *sidecarNode, life int, id sidecar.OutboundRequestID, kind protocol.Kind, raw []byte, lost func()) {
 	n.nextSink++
 	sink := n.nextSink
 	open := n.open(from.process, lost)
@@ -204,12 +204,12 @@
 	if kind == protocol.KindFollow {
 		var request protocol.FollowRequest
 		mustDecode(raw, &request)
-		n.core.Follow(sink, &request, n.nowMs())
+		n.core.HandleFollow(sink, &request, n.nowMs())
 		return
 	}
 	var request protocol.CallRequest
 	mustDecode(raw, &request)
-	n.core.Call(sink, &request, n.nowMs())
+	n.core.HandleCall(sink, &request, n.nowMs())
 }
 
 func (w *world) engine(name string) *engineNode {
--- a/internal/simulation/sidecars.go
+++ b/internal/simulation/sidecars.go
@@ -12,8 +12,8 @@
 type sidecarNode struct {
 	*process
 	core    *sidecar.Core
-	callers map[sidecar.CallerID]*callerSend
-	next    sidecar.CallerID
+	callers map[sidecar.CallID]*callerSend
+	next    sidecar.CallID
 }
 
 func (w *world) addSidecars() {
@@ -27,7 +27,7 @@
 }
 
 func (n *sidecarNode) boot() {
-	n.callers = map[sidecar.CallerID]*callerSend{}
+	n.callers = map[sidecar.CallID]*callerSend{}
 	var seeds []membership.Scheduler
 	for _, known := range n.world.schedulers {
 		seed := membership.Scheduler{Name: known.name, Zone: known.zone, Address: known.name}
@@ -47,12 +47,12 @@
 }
 
 // Send is the core's outlet to schedulers.
-func (n *sidecarNode) Send(address string, id sidecar.SendID, kind protocol.Kind, request any) {
+func (n *sidecarNode) Send(address string, id sidecar.OutboundRequestID, kind protocol.Kind, request any) {
 	target := n.world.scheduler(address)
 	life := n.life
 	lost := func() {
 		if n.alive && n.life == life {
-			n.core.Lost(id, n.nowMs())
+			n.core.HandleLostRequest(id, n.nowMs())
 		}
 	}
 	if target == nil {
@@ -67,7 +67,7 @@
 func (n *sidecarNode) connectionLost(route sinkRoute) {
 	n.world.after(lostNoticeUs, "reset", func() {
 		if n.alive && n.life == route.life {
-			n.receive(func() { n.core.Lost(route.send, n.nowMs()) })
+			n.receive(func() { n.core.HandleLostRequest(route.send, n.nowMs()) })
 		}
 	})
 }
@@ -82,37 +82,37 @@
 	n.world.network.send(n.process, target.process, 0, "cancel", func() {
 		var cancel protocol.Cancel
 		mustDecode(raw, &cancel)
-		target.core.Cancel(&cancel, target.nowMs())
+		target.core.HandleCancel(&cancel, target.nowMs())
 	}, nil)
 }
 
 // take is a frame from a scheduler.
-func (n *sidecarNode) take(id sidecar.SendID, kind protocol.Kind, raw []byte) {
+func (n *sidecarNode) take(id sidecar.OutboundRequestID, kind protocol.Kind, raw []byte) {
 	switch kind {
 	case protocol.KindCallChunk:
 		var piece protocol.CallChunk
 		mustDecode(raw, &piece)
-		n.core.Piece(id, &piece, n.nowMs())
+		n.core.HandleChunk(id, &piece, n.nowMs())
 	case protocol.KindCallReply:
 		var answer protocol.CallReply
 		mustDecode(raw, &answer)
-		n.core.Answer(id, &answer, n.nowMs())
+		n.core.HandleCallReply(id, &answer, n.nowMs())
 	default:
 		var reply protocol.FollowReply
 		mustDecode(raw, &reply)
-		n.core.Followed(id, &reply, n.nowMs())
+		n.core.HandleFollowReply(id, &reply, n.nowMs())
 	}
 }
 
 // Deliver hands the next part of an answer to the caller.
-func (n *sidecarNode) Deliver(id sidecar.CallerID, text string) {
+func (n *sidecarNode) Deliver(id sidecar.CallID, text string) {
 	if send, ok := n.callers[id]; ok {
 		send.deliver(text)
 	}
 }
 
 // Finish ends a caller's request.
-func (n *sidecarNode) Finish(id sidecar.CallerID, answer *protocol.CallReply) {
+func (n *sidecarNode) Finish(id sidecar.CallID, answer *protocol.CallReply) {
 	if send, ok := n.callers[id]; ok {
 		delete(n.callers, id)
 		send.finish(answer)
--- a/internal/workload/driver.go
+++ b/internal/workload/driver.go
@@ -91,8 +91,8 @@
 	maxRetryDelay     = 5 * time.Second
 )
 
-// Run runs one program until it completes or fails.
-func (d *Driver) Run(ctx context.Context, p Program) ProgramOutcome {
+// RunProgram runs one program until it completes or fails.
+func (d *Driver) RunProgram(ctx context.Context, p Program) ProgramOutcome {
 	outcome := &ProgramOutcome{Program: p}
 	run := &programRun{driver: d, client: d.Sidecars[p.ID%len(d.Sidecars)], program: p, outcome: outcome}
 	started := time.Now()
@@ -254,7 +254,7 @@
 		group.Add(1)
 		go func() {
 			defer group.Done()
-			outcomes[position] = d.Run(ctx, p)
+			outcomes[position] = d.RunProgram(ctx, p)
 		}()
 	}
 	group.Wait()
