--- a/internal/capacity/report.go
+++ b/internal/capacity/report.go
@@ -14,15 +14,17 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Sizes of the runs without quick.
+// Sizes of the full runs: the numbers of tenants and of programs in progress that
+// ochrebay is required to support (docs/CAPACITY.md).
 const (
 	fullTenantCount  = 48_000
 	fullProgramCount = 1_000_000
 )
 
-// Measure measures all linear fits and runs, or only the part named by only; quick
-// uses smaller sizes. It writes a line for each part to progress.
-func Measure(quick bool, only string, progress io.Writer) (Report, error) {
+// Measure measures all linear fits and runs. If onlyPart is not empty, it measures only
+// the part with that name, or all runs for "runs". quick selects smaller sizes. Measure
+// writes a line for each part to progress.
+func Measure(quick bool, onlyPart string, progress io.Writer) (Report, error) {
 	report := Report{Quick: quick, Machine: fmt.Sprintf("%s/%s, %d processors, %s", runtime.GOOS, runtime.GOARCH, runtime.NumCPU(), runtime.Version())}
 	scale := func(full, small []int) []int {
 		if quick {
@@ -46,7 +48,7 @@
 		{"engine reports", func() ([]LinearFit, error) { return fitEngineReports([]int{0, 50, 100, 200}), nil }},
 		{"synced writes", func() ([]LinearFit, error) { return fitSyncedWrites([]int{1, 8, 32, 128}, 2048) }},
 	} {
-		if only != "" && only != part.name {
+		if onlyPart != "" && onlyPart != part.name {
 			continue
 		}
 		_, _ = fmt.Fprintln(progress, "capacity: measuring", part.name)
@@ -57,14 +59,14 @@
 		report.Fits = append(report.Fits, fits...)
 	}
 	var err error
-	if len(report.Fits) == 0 || only == "" {
-		err = report.measureRuns(quick, only, progress)
+	if len(report.Fits) == 0 || onlyPart == "" {
+		err = report.measureRuns(quick, onlyPart, progress)
 	}
 	report.PeakMemoryMB = peakMemoryMB()
 	return report, err
 }
 
-func (r *Report) measureRuns(quick bool, only string, progress io.Writer) error {
+func (r *Report) measureRuns(quick bool, onlyPart string, progress io.Writer) error {
 	programs, tenants := fullProgramCount, fullTenantCount
 	if quick {
 		programs, tenants = 10_000, 1000
@@ -76,7 +78,7 @@
 		{"1 million program headers", func() ([]Measurement, error) { return measureProgramHeaders(programs) }},
 		{"48,000 tenants", func() ([]Measurement, error) { return measureTenantTree(tenants) }},
 	} {
-		if only != "" && only != "runs" && only != part.name {
+		if onlyPart != "" && onlyPart != "runs" && onlyPart != part.name {
 			continue
 		}
 		_, _ = fmt.Fprintln(progress, "capacity: running", part.name)
@@ -128,20 +130,20 @@
 }
 
 // PlotFileName returns the file name of the plot, derived from the name and the driver.
-func (s LinearFit) PlotFileName() string {
-	name := strings.ToLower(s.Name + " by " + s.Driver)
+func (f LinearFit) PlotFileName() string {
+	name := strings.ToLower(f.Name + " by " + f.Driver)
 	return "capacity-" + strings.NewReplacer(" ", "-", ",", "", "/", "-per-").Replace(name) + ".svg"
 }
 
-func (s LinearFit) writePlot(folder string) error {
+func (f LinearFit) writePlot(folder string) error {
 	figure := plot.New()
-	figure.Title.Text = s.Name
-	figure.X.Label.Text = s.Driver
-	figure.Y.Label.Text = s.Unit
+	figure.Title.Text = f.Name
+	figure.X.Label.Text = f.Driver
+	figure.Y.Label.Text = f.Unit
 	figure.X.Min = 0
 	figure.Y.Min = 0
-	points := make(plotter.XYs, len(s.Points))
-	for position, point := range s.Points {
+	points := make(plotter.XYs, len(f.Points))
+	for position, point := range f.Points {
 		points[position].X = point.X
 		points[position].Y = point.Y
 	}
@@ -149,11 +151,11 @@
 	if err != nil {
 		return err
 	}
-	last := s.Points[len(s.Points)-1].X
-	line, err := plotter.NewLine(plotter.XYs{{X: 0, Y: s.Intercept}, {X: last, Y: s.predict(last)}})
+	last := f.Points[len(f.Points)-1].X
+	line, err := plotter.NewLine(plotter.XYs{{X: 0, Y: f.Intercept}, {X: last, Y: f.predict(last)}})
 	if err != nil {
 		return err
 	}
 	figure.Add(plotter.NewGrid(), line, scatter)
-	return figure.Save(plotWidth, plotHeight, filepath.Join(folder, s.PlotFileName()))
+	return figure.Save(plotWidth, plotHeight, filepath.Join(folder, f.PlotFileName()))
 }
--- a/internal/capacity/runs.go
+++ b/internal/capacity/runs.go
@@ -27,18 +27,20 @@
 	}
 	restoreTime := time.Since(startedAt)
 	startedAt = time.Now()
+	// At time 0 no program is idle or expired, so the check visits every program.
 	isDue := restored.IsSweepDue(0, 1<<40)
 	return []Measurement{
 		{Name: "programs", Value: float64(restored.Len())},
-		{Name: "memory", Value: memory / megabyte, Unit: "MB"},
-		{Name: "snapshot", Value: float64(len(data)) / megabyte, Unit: "MB"},
+		{Name: "memory", Value: memory / mebibyte, Unit: "MB"},
+		{Name: "snapshot", Value: float64(len(data)) / mebibyte, Unit: "MB"},
 		{Name: "writing the snapshot", Value: float64(snapshotTime.Milliseconds()), Unit: "ms"},
 		{Name: "restart from the snapshot", Value: float64(restoreTime.Milliseconds()), Unit: "ms"},
 		{Name: fmt.Sprintf("looking for idle programs (due: %t)", isDue), Value: float64(time.Since(startedAt).Microseconds()) / 1000, Unit: "ms"},
 	}, nil
 }
 
-// measureTenantTree measures what a daemon needs to follow a settings tree of count tenants.
+// measureTenantTree measures the size of a settings tree of count tenants on the wire, and
+// the memory and the time that a daemon needs to restore it.
 func measureTenantTree(count int) ([]Measurement, error) {
 	state, err := buildSettingsTree(count).FollowerState()
 	if err != nil {
@@ -54,8 +56,8 @@
 	memory := heapBytes() - before
 	return []Measurement{
 		{Name: "tenants", Value: float64(len(follower.Paths("/tenants")))},
-		{Name: "memory of a daemon's tree", Value: memory / megabyte, Unit: "MB"},
-		{Name: "whole tree on the wire", Value: float64(len(state)) / megabyte, Unit: "MB"},
+		{Name: "memory of a daemon's tree", Value: memory / mebibyte, Unit: "MB"},
+		{Name: "whole tree on the wire", Value: float64(len(state)) / mebibyte, Unit: "MB"},
 		{Name: "restoring it", Value: float64(restoreTime.Milliseconds()), Unit: "ms"},
 	}, nil
 }
--- a/internal/capacity/slope.go
+++ b/internal/capacity/slope.go
@@ -1,7 +1,7 @@
-// Package capacity measures how state size, bytes on the wire, memory and time grow with
-// the quantity that drives them, on the production state machines and store, for
-// docs/CAPACITY.md. The resource use of a fleet of processes, on the same page, is
-// measured separately with complete processes.
+// Package capacity measures how state size, bytes on the wire, memory and time grow with,
+// for example, the number of programs or tenants. It uses the production state machines and
+// store. The results are published in docs/CAPACITY.md, together with the resource use of
+// fleets, which is measured on complete processes and not by this package.
 package capacity
 
 import (
@@ -64,15 +64,15 @@
 	return fit
 }
 
-func (s LinearFit) predict(x float64) float64 { return s.Intercept + s.Slope*x }
+func (f LinearFit) predict(x float64) float64 { return f.Intercept + f.Slope*x }
 
 // Quality classifies the fit: "good" for a high R2, "flat" if Y hardly varies, so that
 // R2 is not meaningful, and "bad" otherwise.
-func (s LinearFit) Quality() string {
+func (f LinearFit) Quality() string {
 	switch {
-	case s.R2 >= minGoodR2:
+	case f.R2 >= minGoodR2:
 		return "good"
-	case s.isFlat():
+	case f.isFlat():
 		return "flat"
 	default:
 		return "bad"
@@ -80,9 +80,9 @@
 }
 
 // isFlat reports whether Y varies by at most maxRelativeRange of its largest value.
-func (s LinearFit) isFlat() bool {
+func (f LinearFit) isFlat() bool {
 	low, high := math.Inf(1), math.Inf(-1)
-	for _, point := range s.Points {
+	for _, point := range f.Points {
 		low = min(low, point.Y)
 		high = max(high, point.Y)
 	}
@@ -117,9 +117,9 @@
 	PeakMemoryMB float64 `json:"peak_mb"`
 }
 
-const megabyte = 1 << 20
+const mebibyte = 1 << 20
 
-// heapBytes returns the size of the live heap after a garbage collection.
+// heapBytes returns the size of the live heap after two garbage collections.
 func heapBytes() float64 {
 	runtime.GC()
 	runtime.GC()
@@ -141,6 +141,7 @@
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &usage) != nil {
 		return 0
 	}
+	// Linux reports Maxrss in KiB.
 	return float64(usage.Maxrss) / 1024
 }
 
@@ -149,6 +150,6 @@
 	startCPUTime := processCPUTime()
 	values, err := measure()
 	return RunResult{
-		Name: name, Measurements: values, HeapMB: heapBytes() / megabyte, CPUSeconds: (processCPUTime() - startCPUTime).Seconds(),
+		Name: name, Measurements: values, HeapMB: heapBytes() / mebibyte, CPUSeconds: (processCPUTime() - startCPUTime).Seconds(),
 	}, err
 }
--- a/internal/capacity/state.go
+++ b/internal/capacity/state.go
@@ -63,7 +63,7 @@
 	}, nil
 }
 
-// fitTurns measures the memory of one program header by its number of turns.
+// fitTurns measures how the memory of one program header grows with the number of turns.
 func fitTurns(programs int, turns []int) LinearFit {
 	var points []Point
 	for _, count := range turns {
@@ -122,7 +122,7 @@
 }
 
 // fitEngineReports measures the size of one JSON engine report and the time that the
-// owner of the engine needs to decode it.
+// scheduler that owns the engine needs to decode it.
 func fitEngineReports(sizes []int) []LinearFit {
 	var sizePoints, costPoints []Point
 	for _, programs := range sizes {
@@ -146,8 +146,8 @@
 	}
 }
 
-// fitSyncedWrites measures the production store: one synced write of several entries,
-// each with its turn record, as group commit produces them.
+// fitSyncedWrites measures the duration of one synced write to the production store. The
+// write holds several log entries, each with its turn record, as group commit produces them.
 func fitSyncedWrites(sizes []int, recordBytes int) ([]LinearFit, error) {
 	folder, err := os.MkdirTemp("", "ochrebay-capacity")
 	if err != nil {
--- a/internal/emulator/answer.go
+++ b/internal/emulator/answer.go
@@ -11,10 +11,14 @@
 )
 
 const (
+	// bytesPerToken is the same as in engine.CountTokens, so that the engine counts a
+	// response of n tokens as n tokens.
 	bytesPerToken       = 4
 	defaultOutputTokens = 32
-	minOutputTokens     = 8
-	assistantRole       = "assistant"
+	// minOutputTokens leaves room for the response prefix, which has 29 bytes for a
+	// conversation of up to 9,999 messages.
+	minOutputTokens = 8
+	assistantRole   = "assistant"
 )
 
 // outputDirective matches a directive such as "#out=120" in the last message of a
@@ -58,10 +62,12 @@
 }
 
 // ResponseText returns the response to a conversation with the given digest and
-// number of messages. Its length is exactly outputTokens.
-func ResponseText(digest uint64, messages int, outputTokens int64) string {
+// number of messages. Its length is exactly outputTokens tokens of bytesPerToken
+// bytes. The words after the prefix come from a linear congruential generator with
+// the constants of Knuth's MMIX.
+func ResponseText(digest uint64, messageCount int, outputTokens int64) string {
 	var text strings.Builder
-	fmt.Fprintf(&text, "saw %016x of %04d ", digest, messages)
+	fmt.Fprintf(&text, "saw %016x of %04d ", digest, messageCount)
 	state := digest
 	for int64(text.Len()) < outputTokens*bytesPerToken {
 		state = state*6364136223846793005 + 1442695040888963407
@@ -75,7 +81,7 @@
 	return text.String()[:outputTokens*bytesPerToken]
 }
 
-// chunkText returns the part of a response from token from up to, excluding, token to.
-func chunkText(answer string, from, to int64) string {
-	return answer[from*bytesPerToken : to*bytesPerToken]
+// chunkText returns the half-open token range [from, to) of a response.
+func chunkText(response string, from, to int64) string {
+	return response[from*bytesPerToken : to*bytesPerToken]
 }
--- a/internal/emulator/engine.go
+++ b/internal/emulator/engine.go
@@ -23,10 +23,15 @@
 )
 
 const (
+	// streamQueueLength is the maximum number of unsent chunks of a stream; one more
+	// cancels the stream.
 	streamQueueLength = 4096
-	weightsTimeout    = 5 * time.Second
-	maxRequestBytes   = 64 << 20
-	minTimerWait      = 200 * time.Microsecond
+	// operationTimeout limits a request to the weight store and the shutdown of a server.
+	operationTimeout = 5 * time.Second
+	maxRequestBytes  = 64 << 20
+	// minTimerWait is the shortest timer wait of runModel. Steps that end during one
+	// wait are executed together.
+	minTimerWait = 200 * time.Microsecond
 )
 
 // Engine emulates one model engine behind an HTTP interface, in real time.
@@ -44,8 +49,9 @@
 	fence     reconcile.Fence
 	isLoading bool
 	lastID    uint64
-	// reported is the state returned to callers; it is refreshed only when it is
-	// older than the configured ReportDelayMs or after an order or a release.
+	// reported is the state returned to callers. A state request refreshes it only if
+	// it is older than the configured ReportDelayMs (virtual time), or if programs were
+	// released or a model load started or ended since the last refresh.
 	reported    engine.State
 	reportedAt  time.Time
 	startCounts map[string]int
@@ -98,6 +104,7 @@
 }
 
 // serveHTTP runs the HTTP server of one emulated process until ctx is cancelled.
+// Connections that are still open after operationTimeout are not an error.
 func serveHTTP(ctx context.Context, process config.Process, logger log.Logger, handler fasthttp.RequestHandler) error {
 	listener, err := net.Listen("tcp", process.Listen.HTTP)
 	if err != nil {
@@ -112,7 +119,7 @@
 	go func() { serveError <- server.Serve(listener) }()
 	select {
 	case <-ctx.Done():
-		shutdownContext, cancel := context.WithTimeout(context.Background(), weightsTimeout)
+		shutdownContext, cancel := context.WithTimeout(context.Background(), operationTimeout)
 		defer cancel()
 		err := server.ShutdownWithContext(shutdownContext)
 		if errors.Is(err, context.DeadlineExceeded) {
@@ -358,8 +365,8 @@
 	if e.process.Emulator.WeightStoreAddress == "" {
 		return nil
 	}
-	address := fmt.Sprintf("http://%s/v1/weights/%s?version=%s&bytes=%d", e.process.Emulator.WeightStoreAddress, target.Model, target.Version, e.model.Hardware().WeightBytes)
-	status, body, err := fasthttp.GetTimeout(nil, address, weightsTimeout)
+	url := fmt.Sprintf("http://%s/v1/weights/%s?version=%s&bytes=%d", e.process.Emulator.WeightStoreAddress, target.Model, target.Version, e.model.Hardware().WeightBytes)
+	status, body, err := fasthttp.GetTimeout(nil, url, operationTimeout)
 	if err != nil {
 		return err
 	}
--- a/internal/emulator/hardware_test.go
+++ b/internal/emulator/hardware_test.go
@@ -6,14 +6,14 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-func TestSlowed(t *testing.T) {
+func TestWithSlowdown(t *testing.T) {
 	Convey("the duration of a job is proportional to the slowdown of the engine", t, func() {
 		finishTimeUs := func(slowdown float64) int64 {
 			model := NewModel(WithSlowdown(HardwareByName("new"), slowdown))
 			model.Submit(Job{ID: "a", Segments: []Segment{{PrefixDigest: 1, Tokens: 5_000}}, OutputTokens: 50, DigestWithResponse: 2}, 0)
 			for nowUs := int64(0); ; nowUs += 100 {
-				for _, step := range model.Advance(nowUs) {
-					if step.IsDone {
+				for _, progress := range model.Advance(nowUs) {
+					if progress.IsDone {
 						return nowUs
 					}
 				}
--- a/internal/emulator/hollow.go
+++ b/internal/emulator/hollow.go
@@ -19,11 +19,11 @@
 )
 
 const (
-	// fleetPollInterval is how often a run checks the condition that it waits for.
+	// fleetPollInterval is the time between two checks of the condition that a step waits for.
 	fleetPollInterval = 20 * time.Millisecond
-	// reportRetryDelay is how long an engine waits after an unacknowledged report. An
-	// engine that waits for its next report also checks at this interval whether it
-	// has to report a drain.
+	// reportRetryDelay is the delay before an engine sends another report after one that
+	// was not acknowledged. It is also the interval at which an engine checks, between
+	// reports, whether it has to report a drain.
 	reportRetryDelay = 250 * time.Millisecond
 	slotsPerEngine   = 6
 )
@@ -62,41 +62,41 @@
 // Run registers the engines, starts the gateways, observes the fleet in steady state, drains
 // one advertised engine, and prints how long each step took. It returns an error if a step did
 // not complete before ctx was cancelled.
-func (h *EmulatedFleet) Run(ctx context.Context) error {
+func (f *EmulatedFleet) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	group := daemon.NewTaskGroup()
-	h.gatewayViews = make([]atomic.Pointer[membership.FleetView], h.GatewayCount)
-	for number := range h.EngineCount {
-		group.Go(func(ctx context.Context) error { return h.runEngine(ctx, number) })
+	f.gatewayViews = make([]atomic.Pointer[membership.FleetView], f.GatewayCount)
+	for number := range f.EngineCount {
+		group.Go(func(ctx context.Context) error { return f.runEngine(ctx, number) })
 	}
-	for number := range h.GatewayCount {
-		group.Go(h.newGatewayFollower(number).Run)
+	for number := range f.GatewayCount {
+		group.Go(f.newGatewayFollower(number).Run)
 	}
 	groupEnded := make(chan error, 1)
 	go func() { groupEnded <- group.Wait(ctx, func(context.Context) {}) }()
-	err := h.runSteps(ctx)
+	err := f.runSteps(ctx)
 	cancel()
 	<-groupEnded
 	return err
 }
 
-func (h *EmulatedFleet) runSteps(ctx context.Context) error {
-	if err := h.waitFor(ctx, "engines registered", func() bool { return h.registeredCount() == h.EngineCount }); err != nil {
+func (f *EmulatedFleet) runSteps(ctx context.Context) error {
+	if err := f.waitFor(ctx, "engines registered", func() bool { return f.registeredCount() == f.EngineCount }); err != nil {
 		return err
 	}
-	if err := h.waitFor(ctx, "every gateway follows", h.allGatewaysFollow); err != nil {
+	if err := f.waitFor(ctx, "every gateway follows", f.allViewsComplete); err != nil {
 		return err
 	}
-	h.observeSteadyState(ctx)
-	victim := h.anyAdvertisedEngine()
-	h.drainingEngines.Store(victim, true)
-	return h.waitFor(ctx, "a draining engine withdrawn everywhere", func() bool { return !h.isAdvertised(victim) })
+	f.observeSteadyState(ctx)
+	drainingID := f.anyAdvertisedEngine()
+	f.drainingEngines.Store(drainingID, true)
+	return f.waitFor(ctx, "a draining engine withdrawn everywhere", func() bool { return !f.isAdvertised(drainingID) })
 }
 
 // waitFor waits until isDone reports that a step is complete and prints how long that took.
-func (h *EmulatedFleet) waitFor(ctx context.Context, step string, isDone func() bool) error {
+func (f *EmulatedFleet) waitFor(ctx context.Context, step string, isDone func() bool) error {
 	startedAt := time.Now()
-	failedBefore := h.failedReports.Load()
+	failedBefore := f.failedReports.Load()
 	for !isDone() {
 		select {
 		case <-ctx.Done():
@@ -104,36 +104,36 @@
 		case <-time.After(fleetPollInterval):
 		}
 	}
-	_, err := fmt.Fprintf(h.Out, "%-40s %8s  reports not acknowledged %d\n", step, time.Since(startedAt).Round(time.Millisecond), h.failedReports.Load()-failedBefore)
+	_, err := fmt.Fprintf(f.Out, "%-40s %8s  reports not acknowledged %d\n", step, time.Since(startedAt).Round(time.Millisecond), f.failedReports.Load()-failedBefore)
 	return err
 }
 
 // observeSteadyState prints the control traffic of a fleet in which no engine changes state.
-func (h *EmulatedFleet) observeSteadyState(ctx context.Context) {
-	sentBefore, failedBefore, updatesBefore := h.sentReports.Load(), h.failedReports.Load(), h.viewUpdates.Load()
+func (f *EmulatedFleet) observeSteadyState(ctx context.Context) {
+	sentBefore, failedBefore, updatesBefore := f.sentReports.Load(), f.failedReports.Load(), f.viewUpdates.Load()
 	select {
 	case <-ctx.Done():
-	case <-time.After(h.SteadyDuration):
+	case <-time.After(f.SteadyDuration):
 	}
-	fmt.Fprintf(h.Out, "%-40s %8s  reports %d, not acknowledged %d, updates of gateways %d, engines known to a gateway %d\n", "steady state", h.SteadyDuration,
-		h.sentReports.Load()-sentBefore, h.failedReports.Load()-failedBefore, h.viewUpdates.Load()-updatesBefore, len(h.gatewayViews[0].Load().Engines))
+	fmt.Fprintf(f.Out, "%-40s %8s  reports %d, not acknowledged %d, updates of gateways %d, engines known to a gateway %d\n", "steady state", f.SteadyDuration,
+		f.sentReports.Load()-sentBefore, f.failedReports.Load()-failedBefore, f.viewUpdates.Load()-updatesBefore, len(f.gatewayViews[0].Load().Engines))
 }
 
-func (h *EmulatedFleet) registeredCount() int {
+func (f *EmulatedFleet) registeredCount() int {
 	count := 0
-	h.acknowledgedEngines.Range(func(any, any) bool {
+	f.acknowledgedEngines.Range(func(any, any) bool {
 		count++
 		return true
 	})
 	return count
 }
 
-// allGatewaysFollow reports whether the view of every gateway contains EnginesPerGateway engines
+// allViewsComplete reports whether the view of every gateway contains EnginesPerGateway engines
 // or, if that is 0, whether all views contain the same nonzero number of engines.
-func (h *EmulatedFleet) allGatewaysFollow() bool {
-	expected := h.EnginesPerGateway
-	for number := range h.gatewayViews {
-		view := h.gatewayViews[number].Load()
+func (f *EmulatedFleet) allViewsComplete() bool {
+	expected := f.EnginesPerGateway
+	for number := range f.gatewayViews {
+		view := f.gatewayViews[number].Load()
 		if view == nil || len(view.Engines) == 0 {
 			return false
 		}
@@ -147,16 +147,16 @@
 	return true
 }
 
-func (h *EmulatedFleet) anyAdvertisedEngine() string {
-	for id := range h.gatewayViews[0].Load().Engines {
+func (f *EmulatedFleet) anyAdvertisedEngine() string {
+	for id := range f.gatewayViews[0].Load().Engines {
 		return id
 	}
 	return ""
 }
 
-func (h *EmulatedFleet) isAdvertised(engineID string) bool {
-	for number := range h.gatewayViews {
-		if _, known := h.gatewayViews[number].Load().Engines[engineID]; known {
+func (f *EmulatedFleet) isAdvertised(engineID string) bool {
+	for number := range f.gatewayViews {
+		if _, known := f.gatewayViews[number].Load().Engines[engineID]; known {
 			return true
 		}
 	}
@@ -164,60 +164,61 @@
 }
 
 // zoneOf returns the zone of the engine or gateway with the given number.
-func (h *EmulatedFleet) zoneOf(number int) string { return fmt.Sprint("zone-", number%h.ZoneCount) }
+func (f *EmulatedFleet) zoneOf(number int) string { return fmt.Sprint("zone-", number%f.ZoneCount) }
 
 // runEngine sends the reports of one engine until ctx is cancelled.
-func (h *EmulatedFleet) runEngine(ctx context.Context, number int) error {
+func (f *EmulatedFleet) runEngine(ctx context.Context, number int) error {
 	engine := membership.ServingEngine{
-		ID: fmt.Sprintf("engine-%06d", number), Backend: "hollow", Zone: h.zoneOf(number), Slots: slotsPerEngine,
+		ID: fmt.Sprintf("engine-%06d", number), Backend: "hollow", Zone: f.zoneOf(number), Slots: slotsPerEngine,
+		// Each engine has its own loopback address; the fleet does not listen on it.
 		Address: fmt.Sprintf("127.%d.%d.%d:9", 100+number>>16, number>>8&0xff, number&0xff),
 	}
 	// All engines send their first report at once; the random first delay spreads the
 	// reports evenly over the heartbeat interval from then on.
-	delay := rand.N(h.HeartbeatInterval)
+	delay := rand.N(f.HeartbeatInterval)
 	for ctx.Err() == nil {
 		engine.Sequence++
-		_, engine.Draining = h.drainingEngines.Load(engine.ID)
-		h.sentReports.Add(1)
-		if err := h.SendReport(ctx, h.ControlAddresses[rand.IntN(len(h.ControlAddresses))], engine); err != nil {
-			h.failedReports.Add(1)
+		_, engine.Draining = f.drainingEngines.Load(engine.ID)
+		f.sentReports.Add(1)
+		if err := f.SendReport(ctx, f.ControlAddresses[rand.IntN(len(f.ControlAddresses))], engine); err != nil {
+			f.failedReports.Add(1)
 			delay = reportRetryDelay
 		} else {
-			h.acknowledgedEngines.Store(engine.ID, true)
+			f.acknowledgedEngines.Store(engine.ID, true)
 		}
-		for waited := time.Duration(0); waited < delay && ctx.Err() == nil && h.isDrainingReported(engine); waited += reportRetryDelay {
+		for waited := time.Duration(0); waited < delay && ctx.Err() == nil && f.isDrainingReported(engine); waited += reportRetryDelay {
 			select {
 			case <-ctx.Done():
 			case <-time.After(min(reportRetryDelay, delay-waited)):
 			}
 		}
-		delay = h.HeartbeatInterval
+		delay = f.HeartbeatInterval
 	}
 	return ctx.Err()
 }
 
 // isDrainingReported reports whether the last report of engine carried its current draining
 // state. If not, the engine must report at once.
-func (h *EmulatedFleet) isDrainingReported(engine membership.ServingEngine) bool {
-	_, draining := h.drainingEngines.Load(engine.ID)
+func (f *EmulatedFleet) isDrainingReported(engine membership.ServingEngine) bool {
+	_, draining := f.drainingEngines.Load(engine.ID)
 	return draining == engine.Draining
 }
 
 // newGatewayFollower returns the follower through which one gateway without callers tracks
 // the fleet.
-func (h *EmulatedFleet) newGatewayFollower(number int) *daemon.Follower {
-	follower := daemon.NewFollower(h.SeedAddresses, h.Logger)
+func (f *EmulatedFleet) newGatewayFollower(number int) *daemon.Follower {
+	follower := daemon.NewFollower(f.SeedAddresses, f.Logger)
 	follower.WithRouting = true
 	follower.OnEngineLoads = func([]scheduling.EngineLoad, []string) {}
 	follower.FillReport = func(request *protocol.FleetSync) {
 		request.Gateway = &membership.Gateway{
-			Name: fmt.Sprintf("hollow-%04d", number), Zone: h.zoneOf(number), Region: "hollow",
+			Name: fmt.Sprintf("hollow-%04d", number), Zone: f.zoneOf(number), Region: "hollow",
 			Address: fmt.Sprintf("127.99.%d.%d:9", number>>8, number&0xff), IsReady: true,
 		}
 	}
 	follower.OnUpdate = func(view *membership.FleetView, _ *routing.Table) {
-		h.viewUpdates.Add(1)
-		h.gatewayViews[number].Store(view)
+		f.viewUpdates.Add(1)
+		f.gatewayViews[number].Store(view)
 	}
 	return follower
 }
--- a/internal/emulator/model.go
+++ b/internal/emulator/model.go
@@ -70,7 +70,8 @@
 	prefillChunks map[*sequence]int64
 
 	// PrefilledTokens counts all tokens computed by prefill, including those
-	// recomputed after a preemption.
+	// recomputed after a preemption. Each generated token except the last of a job is
+	// also counted, because the step that generates the next token prefills it.
 	PrefilledTokens int64
 	Preemptions     int64
 	BusyMicros      int64
@@ -120,7 +121,8 @@
 	m.waiting = slices.DeleteFunc(m.waiting, matches)
 }
 
-// ReleaseProgram drops the cached segments of a program that no running job uses.
+// ReleaseProgram drops the cached segments of a program, except those that a running
+// job uses or that a remaining segment extends.
 func (m *Model) ReleaseProgram(program string) {
 	m.cache.releaseProgram(program)
 }
@@ -205,8 +207,8 @@
 	}
 }
 
-// makeRoomFor reports whether the job fits into the batch and the KV cache, evicting
-// unused cached segments as needed.
+// makeRoomFor evicts unused cached segments as needed and reports whether the job fits
+// into the batch and the KV cache.
 func (m *Model) makeRoomFor(candidate *sequence) bool {
 	if len(m.running) >= m.hardware.MaxSequences {
 		return false
@@ -218,13 +220,14 @@
 		return len(m.running) == 0
 	}
 	m.cache.pin(candidate.job.Segments)
-	hasEvicted := m.cache.evict(neededTokens - m.FreeKVCacheTokens())
+	hasRoom := m.cache.evict(neededTokens - m.FreeKVCacheTokens())
 	m.cache.unpin(candidate.job.Segments)
-	return hasEvicted || m.FreeKVCacheTokens() >= neededTokens
+	return hasRoom || m.FreeKVCacheTokens() >= neededTokens
 }
 
-// preemptFor preempts the least urgent running job that is less urgent than the
-// candidate, the latest arrival among equals. It reports whether there was one.
+// preemptFor preempts the least urgent running job if it is less urgent than the
+// candidate; among equally urgent jobs it chooses the one that arrived last. It reports
+// whether it preempted a job.
 func (m *Model) preemptFor(candidate *sequence) bool {
 	victim := -1
 	for position, running := range m.running {
@@ -261,7 +264,9 @@
 	m.running = append(m.running, candidate)
 }
 
-// endStep advances every running sequence by its prefill chunk or by one generated token.
+// endStep advances every running sequence by its prefill chunk, which is empty if the
+// other sequences used up the limit of the step. A sequence without remaining tokens to
+// prefill also generates one token.
 func (m *Model) endStep() []Progress {
 	var progress []Progress
 	var stillRunning []*sequence
@@ -311,10 +316,11 @@
 	digest       uint64
 	parentDigest uint64
 	tokens       int64
-	program      string
-	childCount   int
-	pinCount     int
-	lastUsed     uint64
+	// program is the program that inserted the segment first.
+	program    string
+	childCount int
+	pinCount   int
+	lastUsed   uint64
 }
 
 func newPrefixCache() *prefixCache {
@@ -379,8 +385,8 @@
 	}
 }
 
-// evict drops unpinned leaves that hold at least the given number of tokens in total,
-// and reports whether there were enough of them.
+// evict drops unpinned leaves, the least recently used first, until at least the given
+// number of tokens is freed. It reports whether that many could be freed.
 func (c *prefixCache) evict(tokens int64) bool {
 	if tokens <= 0 {
 		return true
@@ -396,6 +402,8 @@
 	return true
 }
 
+// leastRecentLeaf returns the least recently used unpinned leaf, or nil. The digest breaks
+// ties, because the iteration order of the map is random.
 func (c *prefixCache) leastRecentLeaf() *cacheNode {
 	var leastRecent *cacheNode
 	for _, node := range c.nodes {
@@ -409,7 +417,8 @@
 	return leastRecent
 }
 
-// releaseProgram drops the unpinned segments of a program, leaves first.
+// releaseProgram drops unpinned leaves of a program until it has none. A segment that a
+// remaining segment extends stays.
 func (c *prefixCache) releaseProgram(program string) {
 	for {
 		hasRemoved := false
--- a/internal/emulator/platform.go
+++ b/internal/emulator/platform.go
@@ -113,7 +113,7 @@
 }
 
 // Platform emulates the platform's list of live and leaving instances. Changes
-// become visible in the list ReportDelayMs after they were made.
+// become visible in the list ReportDelayMs of real time after they were made.
 type Platform struct {
 	process           config.Process
 	logger            log.Logger
@@ -124,6 +124,8 @@
 	pendingChanges    []instanceChange
 }
 
+// instanceChange is the complete list of instances after a change, and the time of the
+// change.
 type instanceChange struct {
 	at        time.Time
 	instances []membership.Instance
@@ -177,8 +179,8 @@
 	p.serveChange(ctx, name)
 }
 
-// serveChange removes or adds an instance. Tests and operators use it to emulate the
-// loss and the return of instances.
+// serveChange adds, updates or removes an instance. Tests and operators use it to
+// emulate the loss and the return of instances.
 func (p *Platform) serveChange(ctx *fasthttp.RequestCtx, name string) {
 	instance, exists := p.instances[name]
 	switch {
--- a/internal/engine/api.go
+++ b/internal/engine/api.go
@@ -46,8 +46,8 @@
 	Stream    bool              `json:"stream,omitempty"`
 	// Priority orders requests inside the engine; a lower value is more urgent.
 	Priority int `json:"priority,omitempty"`
-	// User is the program ID. The engine files the KV cache under it, so that a
-	// ReleaseRequest can name the program.
+	// User is the program ID. The engine records it with the cached tokens of the
+	// request, so that a ReleaseRequest can release them by program.
 	User      string `json:"user,omitempty"`
 	RequestID string `json:"request_id,omitempty"`
 }
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -42,7 +42,8 @@
 	}}}
 }
 
-// CompletionOutcome is the outcome of a completion request.
+// CompletionOutcome holds the token usage of a completion request, whether the
+// engine may have started the request, and the error, if any.
 type CompletionOutcome struct {
 	Usage program.Usage
 	// MayHaveStarted is false only if the engine cannot have started the request.
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -1,5 +1,6 @@
 // Package experiment compares policy variants that were run on the same scenarios with the
-// same seeds: the mean paired difference to the baseline and its confidence interval.
+// same seeds. It computes the mean paired difference from the baseline and its confidence
+// interval.
 package experiment
 
 import (
@@ -23,7 +24,8 @@
 // columnCount is the number of columns in each line of a table.
 const columnCount = 8
 
-// Scenario identifies the conditions of a run. A variant's run is compared with the
+// Scenario identifies the conditions of a run: the site, the scenario of that site and the
+// random seed, "-" for the scenario's own seed. A variant's run is compared with the
 // baseline run of the same scenario.
 type Scenario struct {
 	Site string
@@ -33,10 +35,12 @@
 
 // Run is the result of running one scenario with one variant.
 type Run struct {
+	// Variant is Baseline or the names of the disabled policy mechanisms, joined by "+".
 	Variant  string
 	Scenario Scenario
-	// Score and Worth are the metrics of the run, and PrefillKilotokens the number of
-	// prompt tokens that engines prefilled, in thousands.
+	// Score and Worth are the metrics that the benchmark reports for the run, and
+	// PrefillKilotokens is the number of prompt tokens that engines prefilled, in
+	// thousands.
 	Score             float64
 	Worth             float64
 	PrefillKilotokens float64
@@ -66,13 +70,13 @@
 	return runs, scanner.Err()
 }
 
-// Difference is the difference of a variant to the baseline at a site, as a mean over
-// paired runs.
+// Difference is the mean difference of a variant from the baseline over the paired runs
+// at a site.
 type Difference struct {
 	Variant string
 	Site    string
 	Pairs   int
-	// Worth and Score are the mean differences to the baseline. WorthConfidenceHalfWidth
+	// Worth and Score are the mean differences from the baseline. WorthConfidenceHalfWidth
 	// is half the width of the 95% confidence interval of Worth; it is infinite for a
 	// single pair.
 	Worth                    float64
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -36,7 +36,7 @@
 		So(WriteTable(&written, differences), ShouldBeNil)
 		So(written.String(), ShouldContainSubstring, "| s | home | 2 | -0.300 | ±1.271 | -0.600 | x2.50 | 1 |")
 	})
-	Convey("an invalid table returns an error that names the line", t, func() {
+	Convey("the error for an invalid table names the line or the invalid value", t, func() {
 		_, err := ReadRuns(strings.NewReader(table + "a\tb\n"))
 		So(err.Error(), ShouldContainSubstring, "line 7")
 		_, err = ReadRuns(strings.NewReader(strings.Replace(table, "0.900", "much", 1)))
--- a/internal/workload/client.go
+++ b/internal/workload/client.go
@@ -45,7 +45,7 @@
 	Content string
 	Usage   engine.Usage
 	Error   *result.Error
-	// TimeToFirstToken and TotalTime are measured from the sending of the call.
+	// TimeToFirstToken and TotalTime are measured from the start of Client.Do.
 	// ChunkGaps are the times between successive chunks of the response.
 	TimeToFirstToken time.Duration
 	TotalTime        time.Duration
@@ -182,7 +182,8 @@
 	return scanner.Err()
 }
 
-// FetchProgram returns the ledger entry of a program as raw JSON.
+// FetchProgram returns the ledger entry of a program as raw JSON, or the body of the
+// error response.
 func (c *Client) FetchProgram(ctx context.Context, id, tenant string) ([]byte, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+c.address+"/v1/programs/"+id, nil)
 	if err != nil {
--- a/internal/workload/closed.go
+++ b/internal/workload/closed.go
@@ -30,8 +30,9 @@
 	// an engine.
 	DirectP50 float64 `json:"direct_p50_ms"`
 	DirectP99 float64 `json:"direct_p99_ms"`
-	// EntriesPerSecond and EntriesPerSync are the highest rate of applied log entries
-	// and the highest number of entries per store sync over the control processes.
+	// EntriesPerSecond is the number of log entries applied per second, and
+	// EntriesPerSync the number applied per store sync. Each is the maximum over the
+	// control processes.
 	EntriesPerSecond float64 `json:"entries_per_second"`
 	EntriesPerSync   float64 `json:"entries_per_sync"`
 }
@@ -76,13 +77,14 @@
 	return latency, failed
 }
 
-// MeasureOverhead sends calls through the sidecars and, for comparison, directly to an
-// engine. controlAddresses are the HTTP addresses of the control processes.
+// MeasureOverhead sends calls through the sidecars for the given duration and, for
+// comparison, directly to an engine for a quarter of it. controlAddresses are the HTTP
+// addresses of the control processes.
 func (d *Driver) MeasureOverhead(ctx context.Context, service, model, engineAddress string, controlAddresses []string, callers int, duration time.Duration) (OverheadReport, error) {
-	message := []program.Message{{Role: "user", Content: Text("path", 30, 8)}}
+	messages := []program.Message{{Role: "user", Content: Text("path", 30, 8)}}
 	engineClient := engine.NewClient()
 	directLatency, _ := runClosedLoop(ctx, callers, duration/4, func(int, int) error {
-		return engineClient.Complete(ctx, engineAddress, engine.CompletionRequest{Model: model, Messages: message}, func(string) {}).Err
+		return engineClient.Complete(ctx, engineAddress, engine.CompletionRequest{Model: model, Messages: messages}, func(string) {}).Err
 	})
 	programs := make([]string, callers)
 	before, err := readControlCounters(controlAddresses)
@@ -95,7 +97,7 @@
 			programs[caller] = ""
 		}
 		reply, err := d.Sidecars[caller%len(d.Sidecars)].Do(ctx, Call{
-			Service: service, Program: programs[caller], Messages: message, EndsProgram: callNumber%turnsPerProgram == turnsPerProgram-1,
+			Service: service, Program: programs[caller], Messages: messages, EndsProgram: callNumber%turnsPerProgram == turnsPerProgram-1,
 		})
 		if err != nil {
 			return err
--- a/internal/workload/deployment.go
+++ b/internal/workload/deployment.go
@@ -20,7 +20,8 @@
 	// Zones are the names of the zones. Control processes are placed in them in
 	// this order, round-robin.
 	Zones []string `yaml:"zones"`
-	// ZoneDelayMs and ClientDelayMs are one-way network delays.
+	// ZoneDelayMs and ClientDelayMs are one-way network delays: between processes of
+	// different zones, and between callers and sidecars.
 	ZoneDelayMs          float64           `yaml:"zone_delay_ms"`
 	ClientDelayMs        float64           `yaml:"client_delay_ms"`
 	ControlCount         int               `yaml:"controls"`
@@ -41,7 +42,7 @@
 	Count int    `yaml:"count"`
 }
 
-// EngineGroup describes engines of one pool in one zone that share their settings.
+// EngineGroup describes identically configured engines of one pool in one zone.
 type EngineGroup struct {
 	Zone     string `yaml:"zone"`
 	Pool     string `yaml:"pool"`
@@ -66,7 +67,7 @@
 	Service string `yaml:"service"`
 	// Weight is the relative frequency of this service among the arrivals.
 	Weight float64 `yaml:"share"`
-	// Turns is the number of calls of a program, without those of its sub-agents.
+	// Turns is the number of calls of a program, excluding those of its sub-agents.
 	Turns               LogUniformRange `yaml:"turns"`
 	FirstPromptTokens   LogUniformRange `yaml:"first_prompt_tokens"`
 	LaterPromptTokens   LogUniformRange `yaml:"later_prompt_tokens"`
--- a/internal/workload/driver.go
+++ b/internal/workload/driver.go
@@ -16,10 +16,10 @@
 	"github.com/ochrebay/ochrebay/internal/result"
 )
 
-// Driver runs programs against a fleet as their callers would and checks the
-// responses: each must belong to the caller's own conversation, so that order and
-// history are right (every response of an emulated engine identifies the
-// conversation that the engine received), and each must be complete.
+// Driver runs programs against a fleet as their callers would and checks that each
+// response is complete and answers the caller's own conversation, with the correct
+// history in the correct order. The check relies on emulated engines, whose responses
+// identify the conversation that the engine received.
 type Driver struct {
 	Sidecars []*Client
 	// ToolAddress is the HTTP address of the tool services. If it is empty, the driver
@@ -35,7 +35,8 @@
 	violations []string
 }
 
-// ProgramOutcome is the outcome of one program.
+// ProgramOutcome records the latencies, the token counts and the error, if any, of one
+// program.
 type ProgramOutcome struct {
 	Program Program
 	ID      string
@@ -56,7 +57,7 @@
 	Err *result.Error
 }
 
-// Violations returns descriptions of the detected invariant violations.
+// Violations describes the responses that failed a check.
 func (d *Driver) Violations() []string {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/internal/workload/generate.go
+++ b/internal/workload/generate.go
@@ -51,6 +51,7 @@
 // order of arrival. Arrivals are a Poisson process. The result is deterministic for a
 // seed.
 func Generate(deployment Deployment, seed uint64, load float64, durationMs int64) []Program {
+	// The second half of the generator's seed is fixed: "ochr" in ASCII.
 	random := rand.New(rand.NewPCG(seed, 0x6f636872))
 	var programs []Program
 	arrivalsPerSecond := deployment.ProgramsPerSecond * load
@@ -103,6 +104,7 @@
 	return int64(math.Round(r.sample(random)))
 }
 
+// turnsOfLoopingProgram replaces the sampled number of turns if a program loops.
 const turnsOfLoopingProgram = 400
 
 func (s ServiceWorkload) newProgram(id int, atMs int64, random *rand.Rand) Program {
@@ -128,11 +130,12 @@
 }
 
 func (s ServiceWorkload) newStep(isFirst bool, random *rand.Rand) Step {
-	promptTokens := s.LaterPromptTokens
+	promptRange := s.LaterPromptTokens
 	if isFirst {
-		promptTokens = s.FirstPromptTokens
+		promptRange = s.FirstPromptTokens
 	}
-	step := Step{PromptTokens: max(4, promptTokens.sampleInt(random)), OutputTokens: max(8, s.OutputTokens.sampleInt(random))}
+	// 8 tokens is the shortest response that an emulated engine generates.
+	step := Step{PromptTokens: max(4, promptRange.sampleInt(random)), OutputTokens: max(8, s.OutputTokens.sampleInt(random))}
 	if !isFirst {
 		step.ToolDurationMs = s.ToolDurationMs.sampleInt(random)
 		if len(s.Tools) > 0 {
@@ -143,11 +146,12 @@
 	return step
 }
 
-// Text returns a message of about the given number of tokens. It starts with the label
-// and the directive that sets the length of an emulated engine's response.
-func Text(label string, tokens, output int64) string {
+// Text returns a message of about the given number of tokens, at 4 bytes per token. It
+// starts with the label and the directive that sets the length of an emulated engine's
+// response.
+func Text(label string, tokens, outputTokens int64) string {
 	var text strings.Builder
-	fmt.Fprintf(&text, "%s #out=%d ", label, output)
+	fmt.Fprintf(&text, "%s #out=%d ", label, outputTokens)
 	for int64(text.Len()) < tokens*4 {
 		text.WriteString("abc ")
 	}
--- a/internal/workload/plan.go
+++ b/internal/workload/plan.go
@@ -23,7 +23,7 @@
 	Process config.Process
 	// File is the path of the settings file of the process.
 	File string
-	// Arguments are the subcommands with which the program is started.
+	// Arguments are the subcommands of the ochrebay executable that start the process.
 	Arguments []string
 }
 
@@ -81,7 +81,7 @@
 	weightStoreAddress string
 }
 
-func (b *planBuilder) add(role, name, zone string, command ...string) (*config.Process, error) {
+func (b *planBuilder) addProcess(role, name, zone string, arguments ...string) (*config.Process, error) {
 	process := config.Defaults()
 	process.Role = role
 	process.Name = name
@@ -99,13 +99,13 @@
 		}
 	}
 	file := filepath.Join(b.folder, "etc", name+".yaml")
-	b.planned = append(b.planned, PlannedProcess{Process: process, File: file, Arguments: command})
+	b.planned = append(b.planned, PlannedProcess{Process: process, File: file, Arguments: arguments})
 	return &b.planned[len(b.planned)-1].Process, nil
 }
 
 func (b *planBuilder) addPlatformServices() error {
 	zone := b.deployment.Zones[0]
-	weights, err := b.add(config.RoleWeights, "weights", zone, "emulate", "weights")
+	weights, err := b.addProcess(config.RoleWeights, "weights", zone, "emulate", "weights")
 	if err != nil {
 		return err
 	}
@@ -113,10 +113,10 @@
 		weights.Emulator.BytesPerSecond = b.deployment.WeightBytesPerSecond
 	}
 	b.weightStoreAddress = weights.Listen.HTTP
-	if _, err := b.add(config.RoleTools, "tools", zone, "emulate", "tools"); err != nil {
+	if _, err := b.addProcess(config.RoleTools, "tools", zone, "emulate", "tools"); err != nil {
 		return err
 	}
-	platform, err := b.add(config.RolePlatform, "platform", zone, "emulate", "platform")
+	platform, err := b.addProcess(config.RolePlatform, "platform", zone, "emulate", "platform")
 	if err != nil {
 		return err
 	}
@@ -130,7 +130,7 @@
 		for range group.Count {
 			numbers[group.Pool]++
 			name := fmt.Sprintf("engine-%s-%d", group.Pool, numbers[group.Pool])
-			process, err := b.add(config.RoleEngine, name, group.Zone, "emulate", "engine")
+			process, err := b.addProcess(config.RoleEngine, name, group.Zone, "emulate", "engine")
 			if err != nil {
 				return err
 			}
@@ -150,7 +150,7 @@
 	for number := range b.deployment.ControlCount {
 		name := fmt.Sprintf("control-%d", number+1)
 		zone := b.deployment.Zones[number%len(b.deployment.Zones)]
-		process, err := b.add(config.RoleControl, name, zone, "control")
+		process, err := b.addProcess(config.RoleControl, name, zone, "control")
 		if err != nil {
 			return err
 		}
@@ -167,7 +167,7 @@
 	for _, count := range b.deployment.Schedulers {
 		for number := range count.Count {
 			name := fmt.Sprintf("scheduler-%s-%d", count.Zone, number+1)
-			process, err := b.add(config.RoleScheduler, name, count.Zone, "scheduler")
+			process, err := b.addProcess(config.RoleScheduler, name, count.Zone, "scheduler")
 			if err != nil {
 				return err
 			}
@@ -180,7 +180,7 @@
 func (b *planBuilder) addSidecars() error {
 	for _, count := range b.deployment.Sidecars {
 		for number := range count.Count {
-			if _, err := b.add(config.RoleSidecar, fmt.Sprintf("sidecar-%s-%d", count.Zone, number+1), count.Zone, "sidecar"); err != nil {
+			if _, err := b.addProcess(config.RoleSidecar, fmt.Sprintf("sidecar-%s-%d", count.Zone, number+1), count.Zone, "sidecar"); err != nil {
 				return err
 			}
 		}
