--- a/cmd/ochrebay/control.go
+++ b/cmd/ochrebay/control.go
@@ -37,7 +37,7 @@
 	}
 	daemon.Frontends = controlFrontends(process, daemon)
 	if process.Cluster.UsesDiscovery() {
-		stopWatching := watchSettings(signals, flags, logger, daemon.SetSeeds)
+		stopWatching := watchSettingsFile(signals, flags, logger, daemon.SetSeeds)
 		defer stopWatching()
 	}
 	err = daemon.Run(ctx)
--- a/cmd/ochrebay/emulatefleet_test.go
+++ b/cmd/ochrebay/emulatefleet_test.go
@@ -12,8 +12,8 @@
 	"github.com/ochrebay/ochrebay/internal/emulator"
 )
 
-// TestHollowFleet runs an emulated fleet of engines and gateways against real control processes.
-func TestHollowFleet(t *testing.T) {
+// TestEmulatedFleet runs an emulated fleet of engines and gateways against real control processes.
+func TestEmulatedFleet(t *testing.T) {
 	Convey("engines register, and gateways receive the advertised engines and learn that one drains", t, func() {
 		f := startPlatformFleet(t)
 		var out bytes.Buffer
--- a/cmd/ochrebay/failure_test.go
+++ b/cmd/ochrebay/failure_test.go
@@ -12,6 +12,7 @@
 	"github.com/ochrebay/ochrebay/internal/workload"
 )
 
+// longerThanLease exceeds the default lease of a scheduler, 3 s.
 const longerThanLease = 4 * time.Second
 
 // TestFailures injects failures into real processes under load. The driver checks the responses
@@ -27,7 +28,7 @@
 		{"an engine is killed in the middle of streams", killEngine},
 		{"the leader is frozen for longer than its lease", freezeLeader},
 		{"every daemon is restarted one after the other", rollingRestart},
-		{"hundreds of settings change while a daemon is down", changesWhileDown},
+		{"a setting is changed hundreds of times while a control process and a scheduler are down", changesWhileDown},
 		{"a data folder is lost and repaired, then a second one", loseDataFolders},
 	}
 	for seed, c := range cases {
@@ -200,8 +201,9 @@
 	}
 }
 
-// hasUnknownOutcome reports whether a program failed with outcome_unknown as it should: its calls
-// run at most once, so a call can't be retried when its engine or scheduler is lost.
+// hasUnknownOutcome reports whether a program whose calls run at most once failed with
+// outcome_unknown. This is correct behavior, because such a call can't be retried when its engine
+// or scheduler is lost.
 func hasUnknownOutcome(outcome workload.ProgramOutcome) bool {
 	return outcome.Program.AtMostOnce && outcome.Err.Code == result.OutcomeUnknown
 }
--- a/cmd/ochrebay/gateway.go
+++ b/cmd/ochrebay/gateway.go
@@ -24,7 +24,7 @@
 	}
 	daemon := gateway.NewDaemon(process, gatewayHeaders(process), logger)
 	daemon.Frontends = gatewayFrontends(process, daemon)
-	stopWatching := watchSettings(signals, flags, logger, daemon.Follower().SetSeeds)
+	stopWatching := watchSettingsFile(signals, flags, logger, daemon.Follower().SetSeeds)
 	defer stopWatching()
 	err = daemon.Run(ctx)
 	telemetry.Info(logger, "stopped", "err", err)
--- a/cmd/ochrebay/ledger.go
+++ b/cmd/ochrebay/ledger.go
@@ -31,7 +31,7 @@
 	if err != nil {
 		return err
 	}
-	stopWatching := watchSettings(signals, flags, logger, daemon.Follower().SetSeeds)
+	stopWatching := watchSettingsFile(signals, flags, logger, daemon.Follower().SetSeeds)
 	defer stopWatching()
 	err = daemon.Run(ctx)
 	telemetry.Info(logger, "stopped", "err", err)
--- a/cmd/ochrebay/load.go
+++ b/cmd/ochrebay/load.go
@@ -58,7 +58,7 @@
 		return runDemo(ctx, driver, deployment)
 	}
 	if *flags.callers > 0 {
-		return runPathBenchmark(ctx, driver, deployment, flags)
+		return runOverheadBenchmark(ctx, driver, deployment, flags)
 	}
 	programs := workload.Generate(deployment, *flags.seed, *flags.load, flags.duration.Milliseconds())
 	driver.RequestIDPrefix = fmt.Sprintf("load-%d-%d", *flags.seed, time.Now().UnixNano())
@@ -147,9 +147,9 @@
 	return nil
 }
 
-// runPathBenchmark measures the latency that ochrebay adds to calls whose engine responds
+// runOverheadBenchmark measures the latency that ochrebay adds to calls whose engine responds
 // instantly.
-func runPathBenchmark(ctx context.Context, driver *workload.Driver, deployment workload.Deployment, flags loadFlags) error {
+func runOverheadBenchmark(ctx context.Context, driver *workload.Driver, deployment workload.Deployment, flags loadFlags) error {
 	engines, err := readAddresses(*flags.data, "engine-")
 	if err != nil {
 		return settingsError{err}
--- a/cmd/ochrebay/operator.go
+++ b/cmd/ochrebay/operator.go
@@ -32,7 +32,7 @@
 	}
 }
 
-func (f operatorFlags) targets() ([]string, error) {
+func (f operatorFlags) controlAddresses() ([]string, error) {
 	if len(*f.addresses) > 0 {
 		return *f.addresses, nil
 	}
@@ -54,7 +54,7 @@
 // answer other than no_quorum or not_leader. If that answer contains an error, callControl
 // returns the error together with the body.
 func (f operatorFlags) callControl(method, path string, body []byte) ([]byte, error) {
-	targets, err := f.targets()
+	targets, err := f.controlAddresses()
 	if err != nil {
 		return nil, err
 	}
@@ -95,8 +95,8 @@
 	return append([]byte(nil), response.Body()...), response.StatusCode(), nil
 }
 
-// show sends a request and prints the response, as JSON or as the table that print writes.
-func show[T any](flags operatorFlags, method, path string, body []byte, print func(*tabwriter.Writer, T)) error {
+// callAndPrint sends a request and prints the response, as JSON or as the table that print writes.
+func callAndPrint[T any](flags operatorFlags, method, path string, body []byte, print func(*tabwriter.Writer, T)) error {
 	response, err := flags.callControl(method, path, body)
 	if err != nil {
 		return err
--- a/cmd/ochrebay/path_test.go
+++ b/cmd/ochrebay/path_test.go
@@ -119,9 +119,9 @@
 	Convey("a budget is enforced, and the error reports that the request was not run", t, func() {
 		first := do(workload.Call{Service: "triage", BudgetTokens: 500, MaxTokens: 20, Messages: []program.Message{user(workload.Text("a", 400, 20))}})
 		So(first.Error, ShouldBeNil)
-		refused := do(workload.Call{Service: "triage", Program: first.Program, MaxTokens: 20, Messages: []program.Message{user(workload.Text("b", 400, 20))}})
-		So(refused.Error.Code, ShouldEqual, result.BudgetExhausted)
-		So(refused.Error.Outcome, ShouldEqual, result.NotRun)
+		rejected := do(workload.Call{Service: "triage", Program: first.Program, MaxTokens: 20, Messages: []program.Message{user(workload.Text("b", 400, 20))}})
+		So(rejected.Error.Code, ShouldEqual, result.BudgetExhausted)
+		So(rejected.Error.Outcome, ShouldEqual, result.NotRun)
 	})
 	Convey("a response without streaming has the format of the OpenAI API", t, func() {
 		status, headers, body := httpDo(t, "POST", "http://"+f.address("sidecar-")+"/v1/chat/completions",
@@ -174,9 +174,9 @@
 		{"program of another tenant", "POST", good, map[string]string{"Ochrebay-Program": first.Program, "Ochrebay-Tenant": "b"}, result.ForeignProgram},
 		{"program of another service", "POST", strings.Replace(good, "triage", "notices", 1), map[string]string{"Ochrebay-Program": first.Program, "Ochrebay-Tenant": "a"}, result.ForeignProgram},
 		{"deadline already past", "POST", good, map[string]string{"Ochrebay-Deadline-Ms": "0"}, result.DeadlinePassed},
-		{"deadline that is no number", "POST", good, map[string]string{"Ochrebay-Deadline-Ms": "soon"}, result.InvalidHeader},
-		{"repeatable that is no truth value", "POST", good, map[string]string{"Ochrebay-Repeatable": "perhaps"}, result.InvalidHeader},
-		{"an id over the limit", "POST", good, map[string]string{"Ochrebay-Request": strings.Repeat("x", 200)}, result.InvalidHeader},
+		{"deadline that is not a number", "POST", good, map[string]string{"Ochrebay-Deadline-Ms": "soon"}, result.InvalidHeader},
+		{"repeatable header that is not a boolean", "POST", good, map[string]string{"Ochrebay-Repeatable": "perhaps"}, result.InvalidHeader},
+		{"request ID over the length limit", "POST", good, map[string]string{"Ochrebay-Request": strings.Repeat("x", 200)}, result.InvalidHeader},
 		{"wrong method", "GET", "", nil, result.MethodNotAllowed},
 	}
 	Convey("invalid requests get an error with its code in the common format, and nothing is executed", t, func() {
@@ -249,12 +249,12 @@
 		replacements := map[string][2]string{
 			"unknown field":  {"zone: east", "zone: east\nzoen: west"},
 			"missing zone":   {"zone: east\nlisten", "listen"},
-			"bad port":       {"level: info", "level: loud"},
+			"bad log level":  {"level: info", "level: loud"},
 			"host name":      {"http: 127.0.0.1", "http: localhost"},
 			"data path gone": {"data:\n  path: " + filepath.Join(f.data, "data", "control-1"), "data: {}"},
 		}
 		expected := map[string]string{
-			"unknown field": "zoen", "missing zone": "zone: is missing", "bad port": `log.level: "loud"`,
+			"unknown field": "zoen", "missing zone": "zone: is missing", "bad log level": `log.level: "loud"`,
 			"host name": "listen.http", "data path gone": "data.path",
 		}
 		for name, replacement := range replacements {
@@ -278,7 +278,7 @@
 }
 
 func testModelChange(t *testing.T, f *fleet) {
-	Convey("a model version change reaches every engine as fenced orders, and the number of ready engines never drops below the floor", t, func() {
+	Convey("a model version change reaches every engine, and the number of ready engines never drops below the floor of one", t, func() {
 		f.mustRun("settings", "set", "/pools/agents", "version=2", "--wait", "--timeout", waitTimeout.String())
 		lowest := 2
 		f.waitFor("all engines to serve version 2", func() bool {
@@ -309,7 +309,7 @@
 }
 
 func testLeavingEngine(t *testing.T, f *fleet) {
-	Convey("a leaving engine gets no new requests after the directory shows that it is leaving", t, func() {
+	Convey("a leaving engine gets no new requests from a second after the directory shows that it is leaving", t, func() {
 		platform := "http://" + f.address("platform") + "/v1/instances/engine-agents-1"
 		status, _, _ := httpDo(t, "PUT", platform, `{"leaving":true}`, nil)
 		So(status, ShouldEqual, http.StatusOK)
--- a/cmd/ochrebay/planned_work_test.go
+++ b/cmd/ochrebay/planned_work_test.go
@@ -52,7 +52,7 @@
 		engine.pause = plannedEventPause
 		fleet.engines = append(fleet.engines, engine)
 	}
-	fleet.operate("POST", "/ochrebay/Config.Replace", configuration(fleet.generation))
+	fleet.sendToControl("POST", "/ochrebay/Config.Replace", configuration(fleet.generation))
 	ctx, stop := context.WithCancel(context.Background())
 	var reporting sync.WaitGroup
 	reporting.Go(func() {
@@ -154,7 +154,7 @@
 	return map[string]func(){
 		"stop":    signal(syscall.SIGTERM),
 		"reload":  signal(syscall.SIGHUP),
-		"routing": func() { s.operate("POST", "/ochrebay/Config.Replace", configuration(s.generation)) },
+		"routing": func() { s.sendToControl("POST", "/ochrebay/Config.Replace", configuration(s.generation)) },
 		"drain": func() {
 			s.draining.Store(int64(s.cases % plannedEngines))
 			s.report(context.Background())
@@ -202,7 +202,7 @@
 
 // TestGatewayUnderPlannedWork checks that a stop, a reload, a new routing table, a draining
 // engine and the loss of the control leader, in any order within a second, truncate no stream
-// and leave no request without a response.
+// and leave no request without a response. A request may be rejected if it was not executed.
 func TestGatewayUnderPlannedWork(t *testing.T) {
 	fleet := newPlannedWorkFleet(t)
 	if checks := flag.Lookup("rapid.checks"); checks.Value.String() == checks.DefValue {
--- a/cmd/ochrebay/platform.go
+++ b/cmd/ochrebay/platform.go
@@ -26,26 +26,27 @@
 	return gateway.DefaultHeaderNames()
 }
 
-// gatewayFrontends returns the frontends that a gateway serves besides that for callers.
-func gatewayFrontends(process config.Process, served *gateway.Daemon) []daemon.Frontend {
+// gatewayFrontends returns the additional frontends of a gateway: the platform's readiness check.
+func gatewayFrontends(process config.Process, gatewayDaemon *gateway.Daemon) []daemon.Frontend {
 	if process.Interface != interfacePlatform || process.Listen.Readiness == "" {
 		return nil
 	}
-	return []daemon.Frontend{{Address: process.Listen.Readiness, Handler: platform.ReadinessHandler(served.Ready)}}
+	return []daemon.Frontend{{Address: process.Listen.Readiness, Handler: platform.ReadinessHandler(gatewayDaemon.Ready)}}
 }
 
-// controlFrontends returns the frontends that a control process serves besides its own interface.
-func controlFrontends(process config.Process, served *control.Daemon) []daemon.Frontend {
+// controlFrontends returns the additional frontends of a control process: that for the platform's
+// operator and engines, and that for callers that look up gateways.
+func controlFrontends(process config.Process, controlDaemon *control.Daemon) []daemon.Frontend {
 	if process.Interface != interfacePlatform {
 		return nil
 	}
 	var frontends []daemon.Frontend
 	if process.Listen.Operators != "" {
-		frontends = append(frontends, daemon.Frontend{Address: process.Listen.Operators, Handler: platform.ControlHandler(served)})
+		frontends = append(frontends, daemon.Frontend{Address: process.Listen.Operators, Handler: platform.ControlHandler(controlDaemon)})
 	}
 	if process.Listen.Directory != "" {
 		frontends = append(frontends, daemon.Frontend{
-			Address: process.Listen.Directory, Handler: platform.DirectoryHandler(served),
+			Address: process.Listen.Directory, Handler: platform.DirectoryHandler(controlDaemon),
 		})
 	}
 	return frontends
--- a/cmd/ochrebay/platform_stand_test.go
+++ b/cmd/ochrebay/platform_stand_test.go
@@ -38,8 +38,9 @@
 	binary func(name string) string
 }
 
-// assignedAddresses are the addresses that freeAddress has returned. The kernel may choose a port
-// again if its process has not bound it yet, or has not bound it again after it was killed.
+// assignedAddresses are the addresses that freeAddress has returned. Without them, the kernel might
+// choose the port of a process that has not bound it yet, or that was killed and has not bound it
+// again.
 var assignedAddresses sync.Map
 
 // processLoopback returns a loopback address derived from the ID of this test process, so that
@@ -203,9 +204,9 @@
 	return response{httpResponse.StatusCode, httpResponse.Header, string(raw), err != nil, httpResponse.Close}, nil
 }
 
-// operate sends an operator's request to any control process until one answers with a status
+// sendToControl sends an operator's request to any control process until one answers with a status
 // below 500.
-func (f *platformFleet) operate(method, path, body string) response {
+func (f *platformFleet) sendToControl(method, path, body string) response {
 	f.t.Helper()
 	var last response
 	f.waitFor(method+" "+path, func() bool {
@@ -241,8 +242,8 @@
 	return reply, id
 }
 
-// turnWithRetries repeats a turn under new request IDs until it gets a response other than 503, as
-// clients do.
+// turnWithRetries repeats a turn under new request IDs while it gets no response or a 503, as
+// callers do.
 func (f *platformFleet) turnWithRetries(gateway, path, input string, headers map[string]string) (reply response, id string) {
 	f.t.Helper()
 	f.waitFor("a response to a turn", func() bool {
@@ -376,7 +377,7 @@
 }
 
 func (f *platformFleet) heartbeat(id, state string, sequence int) int {
-	return f.operate("POST", "/ochrebay/Instances.Heartbeat/"+id, heartbeatBody(f.engine.address, state, sequence)).status
+	return f.sendToControl("POST", "/ochrebay/Instances.Heartbeat/"+id, heartbeatBody(f.engine.address, state, sequence)).status
 }
 
 // heartbeatBody returns the body of an engine's heartbeat.
--- a/cmd/ochrebay/platform_test.go
+++ b/cmd/ochrebay/platform_test.go
@@ -28,12 +28,12 @@
 	Convey("the platform's interface works end to end", t, func() {
 		Convey("a configuration is accepted, read back unchanged and makes gateways ready", func() {
 			So(ready("gateway-0"), ShouldBeFalse)
-			So(f.operate("POST", "/ochrebay/Config.Replace", `{"generation":1`).status, ShouldEqual, 400)
-			So(f.operate("POST", "/ochrebay/Config.Replace", configuration(4)).status, ShouldEqual, 200)
+			So(f.sendToControl("POST", "/ochrebay/Config.Replace", `{"generation":1`).status, ShouldEqual, 400)
+			So(f.sendToControl("POST", "/ochrebay/Config.Replace", configuration(4)).status, ShouldEqual, 200)
 			other := strings.Replace(configuration(4), "/safe/", "/other/", 1)
-			So(f.operate("POST", "/ochrebay/Config.Replace", other).status, ShouldEqual, 200)
-			So(f.operate("POST", "/ochrebay/Config.Replace", configuration(3)).status, ShouldEqual, 200)
-			So(f.operate("GET", "/ochrebay/Config.Read", "").body, ShouldEqual, configuration(4))
+			So(f.sendToControl("POST", "/ochrebay/Config.Replace", other).status, ShouldEqual, 200)
+			So(f.sendToControl("POST", "/ochrebay/Config.Replace", configuration(3)).status, ShouldEqual, 200)
+			So(f.sendToControl("GET", "/ochrebay/Config.Read", "").body, ShouldEqual, configuration(4))
 			f.waitFor("the gateways to become ready", func() bool { return ready("gateway-0") && ready("gateway-1") })
 			So(f.heartbeat("engine-1", "ready", 3), ShouldEqual, 200)
 			So(f.heartbeat("engine-1", "draining", 2), ShouldEqual, 200)
@@ -194,7 +194,7 @@
 				reply, _ := f.sendTurn("gateway-0", "/safe/x", "", map[string]string{"Deadline-Ms": "100"})
 				return reply.status == 503
 			})
-			So(f.operate("POST", "/ochrebay/Instances.Leave/engine-1", "").status, ShouldEqual, 200)
+			So(f.sendToControl("POST", "/ochrebay/Instances.Leave/engine-1", "").status, ShouldEqual, 200)
 			So(f.heartbeat("engine-1", "ready", 20), ShouldEqual, 200)
 			reply, _ := f.sendTurn("gateway-0", "/safe/x", "", map[string]string{"Deadline-Ms": "100"})
 			So(reply.status, ShouldEqual, 503)
@@ -206,11 +206,11 @@
 			for _, name := range []string{"control-0", "control-1", "control-2", "ledger-0", "ledger-1", "ledger-2", "gateway-0"} {
 				f.start(name)
 			}
-			So(f.operate("GET", "/ochrebay/Config.Read", "").body, ShouldEqual, configuration(4))
+			So(f.sendToControl("GET", "/ochrebay/Config.Read", "").body, ShouldEqual, configuration(4))
 			f.waitFor("the gateways to become ready", func() bool { return ready("gateway-0") })
-			So(f.operate("POST", "/ochrebay/Retire.Start/nobody", `{"durationS":1}`).status, ShouldEqual, 404)
+			So(f.sendToControl("POST", "/ochrebay/Retire.Start/nobody", `{"durationS":1}`).status, ShouldEqual, 404)
 			f.waitFor("the rejection of a retirement that would leave too few ledger hosts", func() bool {
-				return f.operate("POST", "/ochrebay/Retire.Start/ledger-0", `{"durationS":1}`).status == 409
+				return f.sendToControl("POST", "/ochrebay/Retire.Start/ledger-0", `{"durationS":1}`).status == 409
 			})
 		})
 	})
--- a/cmd/ochrebay/process.go
+++ b/cmd/ochrebay/process.go
@@ -12,7 +12,8 @@
 	"github.com/ochrebay/ochrebay/internal/telemetry"
 )
 
-// settingsVariable is the environment variable with the settings file, used without the flag.
+// settingsVariable is the environment variable that names the settings file if --config.file is not
+// given.
 const settingsVariable = "OCHREBAY_CONFIG"
 
 // processFlags are the flags of every daemon; they override its settings file.
@@ -38,7 +39,8 @@
 	}
 }
 
-// load reads the settings file, applies the flags and validates the result.
+// load reads the settings file, applies the flags and validates the result. It also configures the
+// garbage collector for the memory limit, and returns the logger of the process.
 func (f processFlags) load(role string) (config.Process, log.Logger, error) {
 	process, err := config.Load(*f.file, func(p *config.Process) {
 		override := func(flag string, field *string) {
--- a/cmd/ochrebay/program.go
+++ b/cmd/ochrebay/program.go
@@ -16,21 +16,21 @@
 	listFlags := registerOperatorFlags(list)
 	limit := list.Flag("limit", "Maximum number of programs.").Default("100").Int()
 	registered[list.FullCommand()] = withoutContext(func() error {
-		return show(listFlags, "GET", fmt.Sprintf("/v1/programs?limit=%d", *limit), nil, printPrograms)
+		return callAndPrint(listFlags, "GET", fmt.Sprintf("/v1/programs?limit=%d", *limit), nil, printPrograms)
 	})
 
 	showCommand := command.Command("show", "Show a program and its turns.\n\nExample: ochrebay program show p-0123 --data run")
 	showFlags := registerOperatorFlags(showCommand)
 	showID := showCommand.Arg("id", "Program id.").Required().String()
 	registered[showCommand.FullCommand()] = withoutContext(func() error {
-		return show(showFlags, "GET", "/v1/programs/"+*showID, nil, printProgram)
+		return callAndPrint(showFlags, "GET", "/v1/programs/"+*showID, nil, printProgram)
 	})
 
 	end := command.Command("end", "End a program and release the memory that engines hold for it.\n\nExample: ochrebay program end p-0123 --data run")
 	endFlags := registerOperatorFlags(end)
 	endID := end.Arg("id", "Program id.").Required().String()
 	registered[end.FullCommand()] = withoutContext(func() error {
-		return show(endFlags, "DELETE", "/v1/programs/"+*endID, nil, printProgram)
+		return callAndPrint(endFlags, "DELETE", "/v1/programs/"+*endID, nil, printProgram)
 	})
 }
 
--- a/cmd/ochrebay/report.go
+++ b/cmd/ochrebay/report.go
@@ -20,7 +20,7 @@
 // writeReport reads logs, writes the HTML page and prints the number of requests.
 func writeReport(output string, files []string) error {
 	report := &logreport.Report{}
-	err := forEachLine(files, func(line logLine) { report.AddLine(line.keys) })
+	err := forEachLine(files, func(line logLine) { report.AddLine(line.fields) })
 	if err != nil {
 		return err
 	}
--- a/cmd/ochrebay/settings.go
+++ b/cmd/ochrebay/settings.go
@@ -20,7 +20,7 @@
 	"github.com/ochrebay/ochrebay/internal/workload"
 )
 
-const watchPollInterval = 300 * time.Millisecond
+const historyPollInterval = 300 * time.Millisecond
 
 // changeFlags identify a change of settings and define how long to wait for it.
 type changeFlags struct {
@@ -89,13 +89,13 @@
 }
 
 func settingsGet(flags operatorFlags, path string) error {
-	return show(flags, "GET", "/v1/settings?path="+url.QueryEscape(path), nil, func(table *tabwriter.Writer, view control.SettingsView) {
+	return callAndPrint(flags, "GET", "/v1/settings?path="+url.QueryEscape(path), nil, func(table *tabwriter.Writer, view control.SettingsView) {
 		printRow(table, "path", view.Path)
 		printRow(table, "revision", view.Revision)
 		printRow(table, "version", view.Version)
 		printRow(table, "operator", view.Operator)
 		own := fieldMap(view.Own)
-		for _, name := range sortedFieldNames(view.Effective) {
+		for _, name := range fieldNames(view.Effective) {
 			from := "inherited"
 			if _, ok := own[name]; ok {
 				from = "set here"
@@ -115,7 +115,8 @@
 	return values
 }
 
-func sortedFieldNames(fields settings.Fields) []string {
+// fieldNames returns the names of the fields that are set, in the order in which they are encoded.
+func fieldNames(fields settings.Fields) []string {
 	raw, _ := json.Marshal(fields)
 	decoder := json.NewDecoder(strings.NewReader(string(raw)))
 	var names []string
@@ -136,7 +137,8 @@
 	}
 }
 
-// parseFields merges FIELD=VALUE assignments into the own fields of a node.
+// parseFields merges FIELD=VALUE assignments into the own fields of a node; an empty VALUE removes
+// the field.
 func parseFields(own settings.Fields, assignments []string) (settings.Fields, error) {
 	values := fieldMap(own)
 	for _, assignment := range assignments {
@@ -165,6 +167,7 @@
 	return fields, nil
 }
 
+// isTextField reports whether a field holds text, which is the case if it accepts a JSON string.
 func isTextField(name string) bool {
 	probe, err := settings.ParseFields([]byte(`{"` + name + `":"1"}`))
 	return err == nil && probe != settings.Fields{}
@@ -182,7 +185,7 @@
 	return view, json.Unmarshal(response, &view)
 }
 
-func (f changeFlags) nodeVersion(view control.SettingsView) (uint64, error) {
+func (f changeFlags) expectedVersion(view control.SettingsView) (uint64, error) {
 	switch *f.version {
 	case "":
 		return view.Version, nil
@@ -201,7 +204,7 @@
 	if err != nil {
 		return err
 	}
-	version, err := flags.nodeVersion(view)
+	version, err := flags.expectedVersion(view)
 	if err != nil {
 		return settingsError{err}
 	}
@@ -213,7 +216,7 @@
 	if err != nil {
 		return err
 	}
-	version, err := flags.nodeVersion(view)
+	version, err := flags.expectedVersion(view)
 	if err != nil {
 		return settingsError{err}
 	}
@@ -236,8 +239,9 @@
 	return flags.propose(ctx, change.Nodes, false)
 }
 
-// propose proposes a change. If a control process gives no answer, the change is sent to the next
-// one under the same number, which ensures that it is applied at most once.
+// propose sends a change to control, which only validates it if validate is set. If a control
+// process gives no answer, the change is sent to the next one under the same number, which ensures
+// that it is applied at most once.
 func (f changeFlags) propose(ctx context.Context, nodes []settings.NodeChange, validate bool) error {
 	change := settings.Change{Operator: *f.operator, Number: *f.number, Nodes: nodes}
 	if change.Number == 0 {
@@ -271,7 +275,7 @@
 	return f.waitInForce(ctx, reply.Revision)
 }
 
-// waitInForce polls until every live daemon reports at least the revision.
+// waitInForce polls until every live daemon reports at least the revision, or the timeout ends.
 func (f changeFlags) waitInForce(ctx context.Context, revision uint64) error {
 	started := time.Now()
 	var lagging []string
@@ -309,7 +313,7 @@
 }
 
 func settingsHistory(flags operatorFlags, path string) error {
-	return show(flags, "GET", "/v1/settings/history?path="+url.QueryEscape(path), nil, func(table *tabwriter.Writer, view control.HistoryView) {
+	return callAndPrint(flags, "GET", "/v1/settings/history?path="+url.QueryEscape(path), nil, func(table *tabwriter.Writer, view control.HistoryView) {
 		printRow(table, "REVISION", "AT", "OPERATOR", "NUMBER", "NODES")
 		for _, accepted := range view.Changes {
 			printChange(table, accepted)
@@ -354,7 +358,7 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(watchPollInterval):
+		case <-time.After(historyPollInterval):
 		}
 	}
 	return nil
--- a/cmd/ochrebay/soak_callers_test.go
+++ b/cmd/ochrebay/soak_callers_test.go
@@ -13,9 +13,12 @@
 )
 
 const (
-	soakDeadline  = 3 * time.Second
-	maxChainTurns = 10
-	soakBudget    = 170
+	soakDeadline = 3 * time.Second
+	// chainLengthCount is the number of possible lengths of a turn chain, from 2 turns.
+	chainLengthCount = 10
+	// soakBudget is the token budget of a program that exhausts its budget.
+	soakBudget = 170
+	// maxTurnTokens is the number of output tokens of a complete stream.
 	maxTurnTokens = eventCount * eventTokens
 )
 
@@ -30,8 +33,8 @@
 
 	mutex         sync.Mutex
 	violationList []string
-	// notExecuted holds the requests that were reported as not executed and must never run.
-	// atMostOnce holds the requests that may run at most once.
+	// notExecuted holds the requests that were reported as not executed, and atMostOnce those that
+	// may run at most once. A request in both must never run.
 	notExecuted []string
 	atMostOnce  []string
 	// chains holds the last turns of the chains of retained turns.
@@ -69,8 +72,8 @@
 	*into = append(*into, id)
 }
 
-// request sends one request to a gateway under a new ID.
-func (s *soak) request(gateway, path, body string, headers map[string]string) (response, string) {
+// sendRequest sends one request to a gateway under a new ID.
+func (s *soak) sendRequest(gateway, path, body string, headers map[string]string) (response, string) {
 	id := fmt.Sprintf("soak-%d", s.requests.Add(1))
 	allHeaders := map[string]string{
 		"Host": testHost, "Request-Id": id, "Deadline-Ms": strconv.FormatInt(soakDeadline.Milliseconds(), 10), "Token-Usage": fmt.Sprintf("10,%d", maxTurnTokens),
@@ -129,30 +132,30 @@
 	case 1:
 		s.spendBudget(random, program)
 	case 2:
-		reply, id := s.request(s.gateway(random), "/unsafe/", "x", nil)
+		reply, id := s.sendRequest(s.pickGateway(random), "/unsafe/", "x", nil)
 		s.recordID(&s.atMostOnce, id)
 		if expected := "answer to " + id + " x"; reply.status == http.StatusOK && !reply.isTruncated && reply.body != expected {
 			s.addViolation("%s: answered %q", id, reply.body)
 		}
 	case 3:
-		reply, id := s.request(s.gateway(random), "/safe/", "y", nil)
+		reply, id := s.sendRequest(s.pickGateway(random), "/safe/", "y", nil)
 		if expected := "answer to " + id + " y"; reply.status == http.StatusOK && !reply.isTruncated && reply.body != expected {
 			s.addViolation("%s: answered %q", id, reply.body)
 		}
 	case 4:
-		reply, id := s.request(s.gateway(random), "/resumable/", "z", map[string]string{"Program-Id": program, "Session-Id": "s"})
+		reply, id := s.sendRequest(s.pickGateway(random), "/resumable/", "z", map[string]string{"Program-Id": program, "Session-Id": "s"})
 		s.checkEvents(reply, id)
 	}
 }
 
-func (s *soak) gateway(random *rand.Rand) string {
+func (s *soak) pickGateway(random *rand.Rand) string {
 	return fmt.Sprintf("gateway-%d", random.IntN(soakGateways))
 }
 
 // runChain runs a chain of retained turns through random gateways.
 func (s *soak) runChain(random *rand.Rand, program string) {
 	chain := turnChain{program: program}
-	for turn := range 2 + random.IntN(maxChainTurns) {
+	for turn := range 2 + random.IntN(chainLengthCount) {
 		if !s.continueChain(random, &chain, fmt.Sprintf("<%s %d>", program, turn)) {
 			break
 		}
@@ -172,7 +175,7 @@
 	if chain.lastTurn != "" {
 		headers["Previous-Turn"] = chain.lastTurn
 	}
-	reply, id := s.request(s.gateway(random), "/kept/", input, headers)
+	reply, id := s.sendRequest(s.pickGateway(random), "/kept/", input, headers)
 	s.recordID(&s.atMostOnce, id)
 	body, runs := s.runs.bodyAndRuns(id)
 	if runs > 0 && body != chain.history+input {
@@ -196,7 +199,7 @@
 	headers := map[string]string{"Program-Id": program, "Session-Id": "s", "Token-Budget": strconv.Itoa(soakBudget)}
 	deliveredTokens, latest := 0, ""
 	for range 8 {
-		reply, id := s.request(s.gateway(random), "/stream/", "w", headers)
+		reply, id := s.sendRequest(s.pickGateway(random), "/stream/", "w", headers)
 		s.recordID(&s.atMostOnce, id)
 		deliveredTokens += s.checkEvents(reply, id) * eventTokens
 		latest = id
@@ -243,12 +246,12 @@
 
 var generationField = regexp.MustCompile(`"generation":(\d+)`)
 
-// operate sends one configuration after the other, each to random control processes until it
-// is acknowledged. In between it reads configurations back and checks that none is older than
-// the last acknowledged one. It returns when stop is closed.
-func (s *soak) operate(random *rand.Rand, stop <-chan struct{}) {
+// replaceConfigurations sends one configuration after the other, each to random control processes
+// until it is acknowledged. In between it reads configurations back and checks that none is older
+// than the last acknowledged one. It returns when stop is closed.
+func (s *soak) replaceConfigurations(random *rand.Rand, stop <-chan struct{}) {
 	for generation := int64(1); ; generation++ {
-		for !s.replace(random, generation) {
+		for !s.replaceConfiguration(random, generation) {
 			if !pause(stop, 50*time.Millisecond) {
 				return
 			}
@@ -263,12 +266,12 @@
 	}
 }
 
-func (s *soak) control(random *rand.Rand) string {
+func (s *soak) pickControl(random *rand.Rand) string {
 	return s.fleet.operators[random.IntN(len(s.fleet.operators))]
 }
 
-func (s *soak) replace(random *rand.Rand, generation int64) bool {
-	reply, err := send("POST", "http://"+s.control(random)+"/ochrebay/Config.Replace", soakConfiguration(generation), nil)
+func (s *soak) replaceConfiguration(random *rand.Rand, generation int64) bool {
+	reply, err := send("POST", "http://"+s.pickControl(random)+"/ochrebay/Config.Replace", soakConfiguration(generation), nil)
 	if err == nil && reply.status >= 400 && reply.status < 500 && reply.status != 408 && reply.status != 429 {
 		s.addViolation("generation %d was rejected with status %d: %s", generation, reply.status, reply.body)
 	}
@@ -277,7 +280,7 @@
 
 func (s *soak) readBack(random *rand.Rand) {
 	minGeneration := s.acknowledged.Load()
-	reply, err := send("GET", "http://"+s.control(random)+"/ochrebay/Config.Read", "", nil)
+	reply, err := send("GET", "http://"+s.pickControl(random)+"/ochrebay/Config.Read", "", nil)
 	if err != nil || reply.status != http.StatusOK || reply.isTruncated {
 		return
 	}
@@ -302,7 +305,7 @@
 }
 
 // watchGateway requests marker routes from one gateway and checks that, within one incarnation of
-// its process, no marker older than one that it has served is served again.
+// its process, it does not serve a generation after it has served the next one.
 func (s *soak) watchGateway(name string, stop <-chan struct{}) {
 	newest, incarnation := int64(0), s.incarnation(name)
 	for pause(stop, 60*time.Millisecond) {
@@ -311,12 +314,12 @@
 		}
 		generation := s.acknowledged.Load()
 		if older := newest - 1; older > 0 {
-			reply, _ := s.request(name, fmt.Sprintf("/generation/%d/", older), "", nil)
+			reply, _ := s.sendRequest(name, fmt.Sprintf("/generation/%d/", older), "", nil)
 			if reply.status == http.StatusOK && s.incarnation(name) == incarnation {
 				s.addViolation("%s served generation %d after generation %d", name, older, newest)
 			}
 		}
-		reply, _ := s.request(name, fmt.Sprintf("/generation/%d/", generation), "", nil)
+		reply, _ := s.sendRequest(name, fmt.Sprintf("/generation/%d/", generation), "", nil)
 		if reply.status == http.StatusOK && s.incarnation(name) == incarnation {
 			newest = max(newest, generation)
 		}
--- a/cmd/ochrebay/soak_engine_test.go
+++ b/cmd/ochrebay/soak_engine_test.go
@@ -49,9 +49,9 @@
 	address string
 	runs    *soakRuns
 	mutex   sync.Mutex
-	// instance is the ID of the engine, which a restart may change. startedMs is its start time,
+	// engineID is the ID of the engine, which a restart may change. startedMs is its start time,
 	// Unix milliseconds, and sequence the number of its last report.
-	instance  string
+	engineID  string
 	startedMs int64
 	sequence  int
 	random    *rand.Rand
@@ -63,7 +63,7 @@
 		t.Fatal(err)
 	}
 	engine := &soakEngine{
-		address: listener.Addr().String(), runs: runs, instance: fmt.Sprintf("engine-%d-0", seed), startedMs: time.Now().UnixMilli(), random: rand.New(rand.NewPCG(seed, 7)),
+		address: listener.Addr().String(), runs: runs, engineID: fmt.Sprintf("engine-%d-0", seed), startedMs: time.Now().UnixMilli(), random: rand.New(rand.NewPCG(seed, 7)),
 	}
 	server := &http.Server{Handler: engine}
 	go func() { _ = server.Serve(listener) }()
@@ -74,14 +74,14 @@
 func (e *soakEngine) id() string {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	return e.instance
+	return e.engineID
 }
 
 // restart starts a new incarnation of the engine, under the same or another ID.
-func (e *soakEngine) restart(instance string) {
+func (e *soakEngine) restart(engineID string) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	e.instance = instance
+	e.engineID = engineID
 	e.startedMs = max(time.Now().UnixMilli(), e.startedMs+1)
 	e.sequence = 0
 }
@@ -91,7 +91,7 @@
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	e.sequence++
-	return e.instance, fmt.Sprintf(`{"backend":"b","address":%q,"zone":"z%d","generation":"v1","slots":9,"state":"ready","seq":%d,"born":%d}`,
+	return e.engineID, fmt.Sprintf(`{"backend":"b","address":%q,"zone":"z%d","generation":"v1","slots":9,"state":"ready","seq":%d,"born":%d}`,
 		e.address, zone, e.sequence, e.startedMs)
 }
 
@@ -99,7 +99,7 @@
 func (e *soakEngine) leave() (id, body string) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	return e.instance, fmt.Sprintf(`{"born":%d}`, e.startedMs)
+	return e.engineID, fmt.Sprintf(`{"born":%d}`, e.startedMs)
 }
 
 // engineFault is the way in which an engine fails one request.
--- a/cmd/ochrebay/soak_test.go
+++ b/cmd/ochrebay/soak_test.go
@@ -29,8 +29,8 @@
 	soakGroups   = 3
 )
 
-// soakFaultRound is the fault of one round; inject causes the fault and ends it.
-type soakFaultRound struct {
+// soakFault is the fault of one round; inject causes the fault and ends it.
+type soakFault struct {
 	name   string
 	inject func(s *soak, random *rand.Rand)
 }
@@ -53,9 +53,9 @@
 
 func pickName(random *rand.Rand, names []string) string { return names[random.IntN(len(names))] }
 
-// soakFaults are those faults in the platform's documentation that can occur to processes on one
-// machine. At most one disk is lost at a time, which is what the fleet tolerates.
-var soakFaults = []soakFaultRound{
+// soakFaults are the faults in the platform's documentation that can be injected on one machine. At
+// most one disk is lost at a time, which is what the fleet tolerates.
+var soakFaults = []soakFault{
 	{"one process is killed", func(s *soak, random *rand.Rand) {
 		s.restart(pickName(random, allSoakProcesses()), syscall.SIGKILL, false)
 	}},
@@ -161,10 +161,11 @@
 	return true
 }
 
-// heartbeats reports the engines to random control processes until stop is closed. From time to
+// sendHeartbeats reports the engines to random control processes until stop is closed. From time to
 // time, an engine leaves and another one starts at its address, or an engine restarts under the
-// same ID. Delayed reports of the previous incarnation and malformed reports follow.
-func (s *soak) heartbeats(random *rand.Rand, engines []*soakEngine, stop <-chan struct{}) {
+// same ID. It also sends delayed reports, some of them of the previous incarnation, and malformed
+// reports.
+func (s *soak) sendHeartbeats(random *rand.Rand, engines []*soakEngine, stop <-chan struct{}) {
 	for round := 1; pause(stop, 200*time.Millisecond); round++ {
 		for index, engine := range engines {
 			id, delayedReport := engine.report(index)
@@ -201,7 +202,7 @@
 }
 
 func (s *soak) post(random *rand.Rand, path, body string) {
-	_, _ = send("POST", "http://"+s.control(random)+path, body, nil)
+	_, _ = send("POST", "http://"+s.pickControl(random)+path, body, nil)
 }
 
 // soakBinary returns a function that chooses one of the two releases at random for each start of
@@ -226,8 +227,8 @@
 	}
 	stop := make(chan struct{})
 	var running sync.WaitGroup
-	running.Go(func() { s.heartbeats(random(1), engines, stop) })
-	running.Go(func() { s.operate(random(2), stop) })
+	running.Go(func() { s.sendHeartbeats(random(1), engines, stop) })
+	running.Go(func() { s.replaceConfigurations(random(2), stop) })
 	for number := range soakCallers {
 		running.Go(func() {
 			callerRandom := random(uint64(100 + number))
@@ -275,7 +276,7 @@
 	s.fleet.waitFor("all processes to recover after the last round", s.isHealthy)
 }
 
-// continueLatestChains adds a turn to each of the latest turn chains, since none may be lost.
+// continueLatestChains adds a turn to each of the latest turn chains, to check that none was lost.
 func (s *soak) continueLatestChains(random *rand.Rand) {
 	const latest = 40
 	for _, chain := range s.chains[max(0, len(s.chains)-latest):] {
--- a/cmd/ochrebay/status.go
+++ b/cmd/ochrebay/status.go
@@ -15,12 +15,12 @@
 	status := app.Command("status", "Show the daemons with their settings revisions, and the consensus groups.\n\nExample: ochrebay status --data run")
 	statusFlags := registerOperatorFlags(status)
 	registered[status.FullCommand()] = withoutContext(func() error {
-		return show(statusFlags, "GET", "/v1/status", nil, printStatus)
+		return callAndPrint(statusFlags, "GET", "/v1/status", nil, printStatus)
 	})
 	engines := app.Command("engines", "List engines with their owners, or with their slowdown, load and the reason why gateways avoid them.\n\nExample: ochrebay engines --data run")
 	enginesFlags := registerOperatorFlags(engines)
 	registered[engines.FullCommand()] = withoutContext(func() error {
-		return show(enginesFlags, "GET", "/v1/engines", nil, printEngines)
+		return callAndPrint(enginesFlags, "GET", "/v1/engines", nil, printEngines)
 	})
 }
 
@@ -67,9 +67,9 @@
 	}
 }
 
-// printServing lists the engines that gateways send requests to, with the slowdown relative to
-// the other engines of the back end, the load, the start time of the incarnation, and the reason
-// why gateways avoid the engine.
+// printServing lists the engines that gateways send requests to. It prints the load of each engine,
+// its slowdown relative to the other engines of the backend, its start time, and why gateways avoid
+// it.
 func printServing(table *tabwriter.Writer, engines []control.ServingView) {
 	printRow(table, "ID", "BACKEND", "ZONE", "ADDRESS", "SLOTS", "IN FLIGHT", "TOKENS HELD", "SLOWNESS", "BORN", "AVOIDED")
 	for _, engine := range engines {
--- a/cmd/ochrebay/tenants_test.go
+++ b/cmd/ochrebay/tenants_test.go
@@ -16,10 +16,11 @@
 	firstKey   = "key-of-alpha-first"
 	secondKey  = "key-of-alpha-second"
 	limitedKey = "key-of-beta"
-	// testRevokeWithin is the bound on the use of revoked keys, milliseconds.
-	testRevokeWithin = 2000
-	// limitedWindow is the number of requests that the tenant beta may send in a window of 5 s.
-	limitedWindow = 15
+	// testRevokeWithinMs is the bound on the use of revoked keys.
+	testRevokeWithinMs = 2000
+	// requestsPerWindow is the number of requests that the tenant beta may send in a window of 5 s:
+	// 2 per second and a burst of 5.
+	requestsPerWindow = 15
 )
 
 // tenantConfiguration returns a configuration in which the tenant alpha has the given keys.
@@ -39,23 +40,23 @@
 	}
 }
 
-// withKey sends a request with an API key, and with headers that gateways must not forward.
-func (f *platformFleet) withKey(gateway, path, key string) (response, string) {
+// sendWithKey sends a request with an API key, and with headers that gateways must not forward.
+func (f *platformFleet) sendWithKey(gateway, path, key string) (response, string) {
 	return f.sendTurn(gateway, path, "", map[string]string{"Api-Key": key, "Tenant": "somebody", "Hold": "h"})
 }
 
-// withShortDeadline sends a request with an API key and a deadline too short to wait for
+// sendWithShortDeadline sends a request with an API key and a deadline too short to wait for
 // capacity within the limit of the tenant.
-func (f *platformFleet) withShortDeadline(gateway, path, key string) (response, string) {
+func (f *platformFleet) sendWithShortDeadline(gateway, path, key string) (response, string) {
 	return f.sendTurn(gateway, path, "", map[string]string{"Api-Key": key, "Deadline-Ms": "400"})
 }
 
 // TestTenants tests API keys, their revocation and tenants' limits with real processes.
 func TestTenants(t *testing.T) {
-	f := startPlatformFleet(t, fmt.Sprintf("  revoke_within_ms: %d\n  quota_window_s: 5\n", testRevokeWithin))
+	f := startPlatformFleet(t, fmt.Sprintf("  revoke_within_ms: %d\n  quota_window_s: 5\n", testRevokeWithinMs))
 	controls := []string{"control-0", "control-1", "control-2"}
 	status := func(gateway, path, key string) int {
-		reply, _ := f.withKey(gateway, path, key)
+		reply, _ := f.sendWithKey(gateway, path, key)
 		return reply.status
 	}
 	sequence := 1
@@ -68,12 +69,12 @@
 	Convey("tenants are authenticated and limited", t, func() {
 		Convey("a key identifies its tenant at every gateway and is not forwarded to engines", func() {
 			shared := strings.Replace(tenantConfiguration(1, firstKey), limitedKey, firstKey, 1)
-			So(f.operate("POST", "/ochrebay/Config.Replace", shared).status, ShouldEqual, 400)
-			So(f.operate("POST", "/ochrebay/Config.Replace", tenantConfiguration(2, firstKey, secondKey)).status, ShouldEqual, 200)
+			So(f.sendToControl("POST", "/ochrebay/Config.Replace", shared).status, ShouldEqual, 400)
+			So(f.sendToControl("POST", "/ochrebay/Config.Replace", tenantConfiguration(2, firstKey, secondKey)).status, ShouldEqual, 200)
 			So(f.heartbeat("engine-1", "ready", 1), ShouldEqual, 200)
 			for _, gateway := range []string{"gateway-0", "gateway-1"} {
 				f.waitFor("a response through "+gateway, func() bool { return status(gateway, "/safe/", firstKey) == 200 })
-				reply, id := f.withKey(gateway, "/safe/", secondKey)
+				reply, id := f.sendWithKey(gateway, "/safe/", secondKey)
 				So(reply.status, ShouldEqual, 200)
 				header := f.engine.header(id)
 				So(header["Tenant"], ShouldResemble, []string{"alpha"})
@@ -87,8 +88,8 @@
 			began := time.Now()
 			f.waitFor("a request to be granted", func() bool { return status("gateway-0", "/safe/", limitedKey) == 200 })
 			granted, denied := 1, 0
-			for number := range 3 * limitedWindow {
-				reply, id := f.withShortDeadline(fmt.Sprintf("gateway-%d", number%2), "/safe/", limitedKey)
+			for number := range 3 * requestsPerWindow {
+				reply, id := f.sendWithShortDeadline(fmt.Sprintf("gateway-%d", number%2), "/safe/", limitedKey)
 				switch reply.status {
 				case 200:
 					granted++
@@ -99,18 +100,18 @@
 				}
 			}
 			windows := 1 + int(time.Since(began)/(5*time.Second))
-			So(granted, ShouldBeLessThanOrEqualTo, limitedWindow*windows)
-			So(denied, ShouldBeGreaterThanOrEqualTo, 3*limitedWindow-limitedWindow*windows)
+			So(granted, ShouldBeLessThanOrEqualTo, requestsPerWindow*windows)
+			So(denied, ShouldBeGreaterThanOrEqualTo, 3*requestsPerWindow-requestsPerWindow*windows)
 			// A request that can wait is served once the limit has capacity again.
 			So(status("gateway-0", "/safe/", limitedKey), ShouldEqual, 200)
 		})
 		Convey("a revoked key is rejected by a gateway that was frozen during the revocation", func() {
 			f.signal(syscall.SIGSTOP, "gateway-1")
-			So(f.operate("POST", "/ochrebay/Config.Replace", tenantConfiguration(4, firstKey)).status, ShouldEqual, 200)
-			time.Sleep(testRevokeWithin * time.Millisecond)
+			So(f.sendToControl("POST", "/ochrebay/Config.Replace", tenantConfiguration(4, firstKey)).status, ShouldEqual, 200)
+			time.Sleep(testRevokeWithinMs * time.Millisecond)
 			f.signal(syscall.SIGCONT, "gateway-1")
 			for range 20 {
-				reply, id := f.withKey("gateway-1", "/safe/", secondKey)
+				reply, id := f.sendWithKey("gateway-1", "/safe/", secondKey)
 				So(reply.status, ShouldBeIn, 401, 503)
 				So(f.engine.runCount(id), ShouldEqual, 0)
 			}
@@ -130,7 +131,7 @@
 				return status("gateway-0", "/safe/", firstKey) == 200
 			})
 		})
-		Convey("no log and no metric contains a key or a part of one", func() {
+		Convey("no log, and no metric of a gateway, control process or ledger host, contains the prefix of the keys", func() {
 			logs, err := filepath.Glob(filepath.Join(f.folder, "*.log"))
 			So(err, ShouldBeNil)
 			So(len(logs), ShouldBeGreaterThan, 5)
--- a/cmd/ochrebay/trace.go
+++ b/cmd/ochrebay/trace.go
@@ -20,7 +20,7 @@
 type logLine struct {
 	timestamp string
 	text      string
-	keys      map[string]string
+	fields    map[string]string
 }
 
 func registerTrace(app *kingpin.Application, registered commands) {
@@ -46,7 +46,7 @@
 	var lines []logLine
 	err := forEachLine(files, func(line logLine) {
 		// With tenants, the ledger logs turns and programs as TENANT/ID.
-		if actual := line.keys[key]; actual == value || strings.HasSuffix(actual, "/"+value) {
+		if actual := line.fields[key]; actual == value || strings.HasSuffix(actual, "/"+value) {
 			lines = append(lines, line)
 		}
 	})
@@ -83,21 +83,21 @@
 	return scanner.Err()
 }
 
-// parseLine parses a log line. It ignores any text before the first key, such as the prefixes
-// of log collectors.
+// parseLine parses a log line, which starts with the key level. It ignores any text before it, such
+// as the prefixes of log collectors.
 func parseLine(text string) (logLine, bool) {
 	start := strings.Index(text, "level=")
 	if start < 0 {
 		return logLine{}, false
 	}
-	line := logLine{text: text[start:], keys: map[string]string{}}
+	line := logLine{text: text[start:], fields: map[string]string{}}
 	decoder := logfmt.NewDecoder(strings.NewReader(line.text))
 	for decoder.ScanRecord() {
 		for decoder.ScanKeyval() {
-			line.keys[string(decoder.Key())] = string(decoder.Value())
+			line.fields[string(decoder.Key())] = string(decoder.Value())
 		}
 	}
-	line.timestamp = line.keys["ts"]
+	line.timestamp = line.fields["ts"]
 	return line, decoder.Err() == nil && line.timestamp != ""
 }
 
@@ -108,25 +108,26 @@
 	}
 	ending := "unknown: no gateway logged the end of the request; the gateway process may have died"
 	for _, line := range lines {
-		fmt.Fprintf(output, "%s %s %q%s\n", line.timestamp, line.keys["process"], line.keys["msg"], details(line))
-		switch line.keys["msg"] {
+		fmt.Fprintf(output, "%s %s %q%s\n", line.timestamp, line.fields["process"], line.fields["msg"], details(line))
+		switch line.fields["msg"] {
 		case "served":
-			ending = fmt.Sprintf("answered with %s by engine %s after %s", line.keys["status"], line.keys["engine"], line.keys["took"])
+			ending = fmt.Sprintf("answered with %s by engine %s after %s", line.fields["status"], line.fields["engine"], line.fields["took"])
 		case "failed":
-			ending = fmt.Sprintf("%s (%s) after %s", line.keys["err"], line.keys["outcome"], line.keys["took"])
+			ending = fmt.Sprintf("%s (%s) after %s", line.fields["err"], line.fields["outcome"], line.fields["took"])
 		}
 	}
 	_, err := fmt.Fprintf(output, "ended: %s\n", ending)
 	return err
 }
 
-// details returns the part of a line after its message: the keys that are not printed otherwise.
+// details returns the text of a line after its message: the fields that printTrace doesn't print
+// separately.
 func details(line logLine) string {
 	_, rest, found := strings.Cut(line.text, " msg=")
 	if !found {
 		return ""
 	}
-	message := line.keys["msg"]
+	message := line.fields["msg"]
 	rest = strings.TrimPrefix(strings.TrimPrefix(rest, `"`), message)
 	return strings.TrimPrefix(rest, `"`)
 }
--- a/cmd/ochrebay/watch.go
+++ b/cmd/ochrebay/watch.go
@@ -13,9 +13,9 @@
 	"github.com/ochrebay/ochrebay/internal/telemetry"
 )
 
-// watchInterval is the interval at which the settings file is checked, since it may change
+// fileCheckInterval is the interval at which the settings file is checked, since it may change
 // without a signal.
-const watchInterval = 2 * time.Second
+const fileCheckInterval = 2 * time.Second
 
 // hangupSignals delivers SIGHUP, which a platform sends when the settings file has changed.
 type hangupSignals <-chan os.Signal
@@ -29,13 +29,13 @@
 	return signals
 }
 
-// watchSettings reloads the seeds from the settings file while the process runs, on SIGHUP or
+// watchSettingsFile reloads the seeds from the settings file while the process runs, on SIGHUP or
 // when the modification time of the file changes. Other settings need a restart. An invalid file
 // changes nothing. The returned function stops watching.
-func watchSettings(signals hangupSignals, flags processFlags, logger log.Logger, setSeeds func([]string)) func() {
+func watchSettingsFile(signals hangupSignals, flags processFlags, logger log.Logger, setSeeds func([]string)) func() {
 	watching, stop := context.WithCancel(context.Background())
 	go func() {
-		ticker := time.NewTicker(watchInterval)
+		ticker := time.NewTicker(fileCheckInterval)
 		defer ticker.Stop()
 		lastModified := modificationTime(*flags.file)
 		for {
--- a/internal/compat/compat.go
+++ b/internal/compat/compat.go
@@ -36,7 +36,8 @@
 
 // CheckTypes checks the types of one package, given by name as pointers to zero values, against
 // the golden files in testdata/compat. Types that a release did not have yet are not checked
-// against it, but every type that it had must be given.
+// against it, but every type that it had must be given. With -compat.record, CheckTypes checks
+// nothing and writes the golden file of the named release.
 func CheckTypes(t *testing.T, types map[string]any) {
 	t.Helper()
 	folder := filepath.Join("testdata", "compat")
@@ -172,7 +173,9 @@
 }
 
 // CheckBytes checks that this release writes the same bytes as earlier ones, for data with its
-// own binary format. It returns the golden bytes of all releases by the name of their file.
+// own binary format. It returns the golden bytes of each release by file name. With
+// -compat.record, CheckBytes checks nothing, writes the golden file of the named release and
+// returns nil.
 func CheckBytes(t *testing.T, name string, current []byte) map[string][]byte {
 	t.Helper()
 	folder := filepath.Join("testdata", "compat")
--- a/internal/compat/compat_test.go
+++ b/internal/compat/compat_test.go
@@ -32,7 +32,7 @@
 	return goldenEntry{Shape: *typeShape, Encoded: encoded}
 }
 
-func TestWhatMayChange(t *testing.T) {
+func TestCompatibleChanges(t *testing.T) {
 	Convey("an unchanged type passes the check", t, func() {
 		So(checkType(goldenOf(&message{}), &message{}), ShouldBeNil)
 	})
--- a/internal/compat/shape.go
+++ b/internal/compat/shape.go
@@ -48,7 +48,7 @@
 		}
 	}
 	enclosing = append(enclosing, goType)
-	if value, ok := wrappedValue(goType); ok {
+	if value, ok := wrappedType(goType); ok {
 		return shapeOf(value, enclosing)
 	}
 	result := &shape{Kind: goType.Kind().String()}
@@ -91,9 +91,10 @@
 	return nil
 }
 
-// wrappedValue returns the type that a type with a custom encoding wraps: its pointer implements
-// the codec's decoder, and its Value field is what the custom encoding holds.
-func wrappedValue(goType reflect.Type) (reflect.Type, bool) {
+// wrappedType returns the type of the Value field of a struct with a custom encoding, which
+// encodes only that field. A struct has a custom encoding if a pointer to it implements the codec's
+// decoder.
+func wrappedType(goType reflect.Type) (reflect.Type, bool) {
 	hasCustomDecoder := reflect.PointerTo(goType).Implements(reflect.TypeFor[msgpack.CustomDecoder]())
 	if !hasCustomDecoder || goType.Kind() != reflect.Struct {
 		return nil, false
@@ -148,7 +149,7 @@
 }
 
 func fillValue(value reflect.Value, path string, earlier *shape) {
-	if _, isWrapper := wrappedValue(value.Type()); isWrapper {
+	if _, isWrapper := wrappedType(value.Type()); isWrapper {
 		fillValue(value.FieldByName("Value"), path, earlier)
 		return
 	}
@@ -209,11 +210,11 @@
 	}
 }
 
-// earlierField returns the Go name and the shape that a field of a struct had in the earlier
-// release whose shape is s. position is the index of the field among the encoded fields of the
-// struct. A field whose name did not exist in that release corresponds to the earlier field with
-// the same key, or with the same position in an array struct, unless the struct still has a field
-// with the name of that earlier field.
+// earlierField returns the Go name and the shape that a field of a struct had in an earlier
+// release, in which the struct had the shape s. position is the index of the field among the
+// encoded fields of the struct. A field whose name did not exist in that release corresponds to the
+// earlier field with the same key, or with the same position in an array struct, unless the struct
+// still has a field with the name of that earlier field.
 func (s *shape) earlierField(structType reflect.Type, field reflect.StructField, position int) (string, *shape) {
 	for index := range s.Fields {
 		if s.Fields[index].Name == field.Name {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -45,8 +45,8 @@
 	Cluster Cluster `yaml:"cluster"`
 	Network Network `yaml:"network"`
 	Log     Log     `yaml:"log"`
-	// Schedulers are the inner addresses of the schedulers that a sidecar contacts first;
-	// afterwards it uses the directory.
+	// Schedulers lists the schedulers that a sidecar contacts first, with their inner addresses.
+	// Afterwards the sidecar uses the directory.
 	Schedulers []Peer `yaml:"schedulers" validate:"dive"`
 	// PlatformAddress is the HTTP address of the platform's instance list.
 	PlatformAddress string   `yaml:"platform" validate:"omitempty,ipport"`
@@ -89,7 +89,7 @@
 	// CrossZonePenaltyMs is added to the cost of an engine in another zone, on top of the measured
 	// network latency, milliseconds. Set it higher where traffic between zones is expensive.
 	CrossZonePenaltyMs float64 `yaml:"cross_zone_penalty_ms,omitempty" validate:"min=0,max=60000"`
-	// EnforcesFairShares limits tenants to their fair shares of a back end that is oversubscribed.
+	// EnforcesFairShares limits tenants to their fair shares of oversubscribed backends.
 	EnforcesFairShares bool `yaml:"fair_shares,omitempty"`
 }
 
@@ -104,12 +104,14 @@
 	HeaderBytes int `yaml:"header_bytes" validate:"min=1024,max=1048576"`
 	// GraceSeconds is the time that a stopping process has before it is killed.
 	GraceSeconds float64 `yaml:"grace_s" validate:"min=0,max=3600"`
-	// RevokeWithinMs is the longest time after the acknowledgement of a routing table that
-	// revokes a key during which a request with that key may still run, milliseconds. It also
-	// holds on machines that are partitioned from control; 0 for no bound there.
+	// RevokeWithinMs bounds how long requests with a revoked key may still run, milliseconds,
+	// counted from the acknowledgement of the routing table that revokes the key. The bound also
+	// holds on machines that are partitioned from control. With 0 there is no bound on such
+	// machines.
 	RevokeWithinMs float64 `yaml:"revoke_within_ms" validate:"min=0,max=3600000"`
 	// QuotaWindowSeconds is the length of the window over which tenants' rate limits are counted:
-	// in any such window a tenant gets at most rate x window + burst requests.
+	// in any such window a tenant gets at most rate x window + burst requests. 0 selects the
+	// default of 5 s.
 	QuotaWindowSeconds float64 `yaml:"quota_window_s" validate:"min=0,max=3600"`
 	// QuotaOverage and QuotaSlack bound how far the requests of a window may exceed the limit
 	// before it counts as violated: by a fraction of the limit and by a number of requests.
@@ -119,7 +121,8 @@
 	QuotaSlack   float64 `yaml:"quota_slack" validate:"min=0,max=1000000"`
 }
 
-// drainMargin is the part of its grace period that a stopping process leaves unused.
+// drainMargin is the part of the grace period that a stopping process reserves after the drain, to
+// exit before it is killed.
 const drainMargin = 1200 * time.Millisecond
 
 // defaultQuotaWindow is the quota window if the settings don't define one.
@@ -172,7 +175,8 @@
 	ToleratedMachines int `yaml:"tolerated_machines" validate:"min=0,max=9"`
 	// LedgerGroups is the number of ledger groups. It is fixed when the cluster is bootstrapped.
 	LedgerGroups int `yaml:"ledger_groups" validate:"min=1,max=4096"`
-	// EngineHeartbeatMs is the interval of engines' reports to control, milliseconds; 0 if unknown.
+	// EngineHeartbeatMs is the interval between two reports of an engine to control, milliseconds; 0
+	// if unknown.
 	EngineHeartbeatMs int64 `yaml:"engine_heartbeat_ms" validate:"min=0,max=600000"`
 	// SchedulerLeaseMs is how long a scheduler may send no message before its engines are
 	// reassigned, milliseconds.
@@ -333,9 +337,9 @@
 		"oneof":            "is not one of: " + field.Param(),
 		"min":              "is below " + field.Param(),
 		"max":              "is above " + field.Param(),
-		"gt":               "must be above " + field.Param(),
+		"gt":               "is not above " + field.Param(),
 		"mechanism":        "is not a mechanism; valid mechanisms: " + mechanismNames(),
-		"hostname_rfc1123": "may contain only letters, digits and hyphens",
+		"hostname_rfc1123": "is not a host name; it may contain only letters, digits, hyphens and dots",
 	}
 	reason, ok := reasons[field.Tag()]
 	if !ok {
