--- a/internal/protocol/messages.go
+++ b/internal/protocol/messages.go
@@ -105,7 +105,8 @@
 	// HasClusterState means that the sender's disk has been part of a cluster.
 	HasClusterState bool                    `msgpack:"b"`
 	Bootstrap       consensus.Configuration `msgpack:"c"`
-	// IsJoining means that the sender's replica is not yet a voter in every group.
+	// IsJoining means that the sender asks to be admitted: its replica is not yet a voter in every
+	// group, or it has known no leader for so long that the others may have removed it.
 	IsJoining bool `msgpack:"j,omitempty"`
 	// IsForwarded means that the message was forwarded by a process other than From.
 	IsForwarded bool `msgpack:"w,omitempty"`
@@ -125,8 +126,8 @@
 type LedgerReply struct {
 	Reply  program.Reply `msgpack:"r"`
 	Leader string        `msgpack:"l,omitempty"`
-	// Records are encoded program.TurnRecords: the history after CachedTurn if a turn was granted,
-	// or the turn itself for a request that was completed before.
+	// Records holds encoded values of program.TurnRecord: the history after CachedTurn if a turn was
+	// granted, or the turn itself for a request that was completed before.
 	Records [][]byte `msgpack:"h,omitempty"`
 }
 
--- a/internal/protocol/transport.go
+++ b/internal/protocol/transport.go
@@ -289,7 +289,7 @@
 	}
 }
 
-// Handler handles one request; it responds with connection.Reply, immediately or later.
+// Handler handles one request; it responds with Connection.Reply, immediately or later.
 type Handler func(connection *Connection, frame Frame)
 
 // Server accepts inner connections.
--- a/internal/quota/closedloop_test.go
+++ b/internal/quota/closedloop_test.go
@@ -109,7 +109,7 @@
 	heap.Push(&l.events, loopEvent{l.nowMs + int64(ms), l.eventCount, run})
 }
 
-// programRandom samples the behaviour of a program. It is the same in each run of a seed,
+// programRandom samples the behavior of a program. It is the same in each run of a seed,
 // whichever requests are denied.
 type programRandom struct{ *rand.Rand }
 
--- a/internal/replication/host.go
+++ b/internal/replication/host.go
@@ -95,7 +95,8 @@
 	return group, nil
 }
 
-// RemoveGroup stops hosting a group. The caller deletes its state on disk.
+// RemoveGroup stops hosting a group. The group's state stays on disk, and AddGroup can restart the
+// replica from it.
 func (h *Host) RemoveGroup(id storage.GroupID) {
 	h.Groups = slices.DeleteFunc(h.Groups, func(group *Group) bool { return group.ID == id })
 }
--- a/internal/waiting/closedloop_test.go
+++ b/internal/waiting/closedloop_test.go
@@ -385,7 +385,7 @@
 		// About 20 calls are expected to start within the 200 ms.
 		So(waiting, ShouldBeBetween, 20, 40)
 		So(last, ShouldBeGreaterThan, 3000)
-		Convey("calls of new programs are rejected in favour of earlier expected retries", func() {
+		Convey("calls of new programs are rejected in favor of earlier expected retries", func() {
 			for queue.Len() > 0 {
 				queue.Leave(nowMs, queue.entries[0], true)
 			}
