--- a/cmd/ochrebay/load.go
+++ b/cmd/ochrebay/load.go
@@ -58,7 +58,7 @@
 		return runDemo(ctx, driver, deployment)
 	}
 	if *flags.callers > 0 {
-		return runPathBenchmark(ctx, driver, deployment, flags)
+		return runOverheadBenchmark(ctx, driver, deployment, flags)
 	}
 	programs := workload.Generate(deployment, *flags.seed, *flags.load, flags.duration.Milliseconds())
 	driver.RequestIDPrefix = fmt.Sprintf("load-%d-%d", *flags.seed, time.Now().UnixNano())
@@ -119,7 +119,7 @@
 		{PromptTokens: 40, OutputTokens: 40, Tool: tool, ToolDurationMs: 100},
 	}}
 	fmt.Printf("one %s program: %d calls, a tool and a sub-agent\n", program.Service, program.CallCount())
-	outcome := driver.Run(ctx, program)
+	outcome := driver.RunProgram(ctx, program)
 	fmt.Printf("program %s: %.0f ms, of which tools %.0f ms\n", outcome.ID, outcome.LatencyMs, outcome.ToolMs)
 	if outcome.Err != nil {
 		return outcome.Err
@@ -147,9 +147,9 @@
 	return nil
 }
 
-// runPathBenchmark measures the latency that ochrebay adds to calls whose engine responds
+// runOverheadBenchmark measures the latency that ochrebay adds to calls whose engine responds
 // instantly.
-func runPathBenchmark(ctx context.Context, driver *workload.Driver, deployment workload.Deployment, flags loadFlags) error {
+func runOverheadBenchmark(ctx context.Context, driver *workload.Driver, deployment workload.Deployment, flags loadFlags) error {
 	engines, err := readAddresses(*flags.data, "engine-")
 	if err != nil {
 		return settingsError{err}
--- a/internal/simulation/controls.go
+++ b/internal/simulation/controls.go
@@ -12,7 +12,7 @@
 const (
 	controlTickUs   = 50_000
 	daemonTickUs    = 50_000
-	enginePollUs    = scheduler.StatePollMs * microsPerMilli
+	enginePollUs    = scheduler.StatePollIntervalMs * microsPerMilli
 	platformPollUs  = 500_000
 	drainCheckUs    = 20_000
 	drainTimeoutUs  = 60_000_000
--- a/internal/simulation/run.go
+++ b/internal/simulation/run.go
@@ -277,12 +277,12 @@
 	isReady := func() bool {
 		for _, node := range w.schedulers {
 			if node.process == p {
-				return node.core.Ready()
+				return node.core.IsReady()
 			}
 		}
 		for _, node := range w.sidecars {
 			if node.process == p {
-				return node.core.Ready()
+				return node.core.IsReady()
 			}
 		}
 		for _, node := range w.controls {
@@ -320,14 +320,14 @@
 func (w *world) disableSchedulerMechanisms(options *scheduler.Options) {
 	options.DisableTurnOrder = w.isDisabled("order")
 	options.DisableAudit = w.isDisabled("audit")
-	options.DisableLeavingStop = w.isDisabled("leaving")
+	options.DisableLeavingClose = w.isDisabled("leaving")
 	options.DisableRevision = w.isDisabled("revision")
 	options.DisableAtMostOnce = w.isDisabled("once")
 }
 
 func (w *world) disableSidecarMechanisms(options *sidecar.Options) {
 	options.DisableAssembly = w.isDisabled("assembly")
-	options.DisableOutcome = w.isDisabled("outcome")
+	options.DisableUnknownOutcome = w.isDisabled("outcome")
 	options.DisableRevision = w.isDisabled("revision")
 }
 
--- a/internal/simulation/schedulers.go
+++ b/internal/simulation/schedulers.go
@@ -208,12 +208,12 @@
 	if kind == protocol.KindFollow {
 		var request protocol.FollowRequest
 		mustDecode(raw, &request)
-		n.core.Follow(sink, &request, n.nowMs())
+		n.core.HandleFollow(sink, &request, n.nowMs())
 		return
 	}
 	var request protocol.CallRequest
 	mustDecode(raw, &request)
-	n.core.Call(sink, &request, n.nowMs())
+	n.core.HandleCall(sink, &request, n.nowMs())
 }
 
 func (w *world) engineByName(name string) *engineNode {
--- a/internal/simulation/sidecars.go
+++ b/internal/simulation/sidecars.go
@@ -82,7 +82,7 @@
 	n.world.network.send(n.process, target.process, 0, "cancel", func() {
 		var cancel protocol.Cancel
 		mustDecode(raw, &cancel)
-		target.core.Cancel(&cancel, target.nowMs())
+		target.core.HandleCancel(&cancel, target.nowMs())
 	}, nil)
 }
 
@@ -96,11 +96,11 @@
 	case protocol.KindCallReply:
 		var answer protocol.CallReply
 		mustDecode(raw, &answer)
-		n.core.Answer(id, &answer, n.nowMs())
+		n.core.HandleCallReply(id, &answer, n.nowMs())
 	default:
 		var reply protocol.FollowReply
 		mustDecode(raw, &reply)
-		n.core.Followed(id, &reply, n.nowMs())
+		n.core.HandleFollowReply(id, &reply, n.nowMs())
 	}
 }
 
