--- a/internal/simulation/callers.go
+++ b/internal/simulation/callers.go
@@ -238,14 +238,14 @@
 	c.world.tracef("%s disconnects during a call", c.name)
 	c.end("vanished")
 	for _, node := range c.world.sidecars {
-		for id := sidecar.CallerID(1); id <= node.lastCaller; id++ {
+		for id := sidecar.CallID(1); id <= node.lastCaller; id++ {
 			send, ok := node.attempts[id]
 			if !ok || send.request.caller != c || !node.isAlive {
 				continue
 			}
 			delete(node.attempts, id)
 			delete(node.openRequests, send.openRequestID)
-			node.receive(func() { node.core.Gone(id) })
+			node.receive(func() { node.core.HandleDisconnect(id) })
 		}
 	}
 }
@@ -272,7 +272,7 @@
 		mustDecode(raw, &copied)
 		node.lastCaller++
 		node.attempts[node.lastCaller] = attempt
-		node.core.Call(node.lastCaller, &copied, node.nowMs())
+		node.core.HandleCall(node.lastCaller, &copied, node.nowMs())
 	}, attempt.handleNotDelivered)
 	// The caller ends the attempt if the sidecar does not reply at all.
 	w.after((callTimeoutMs+callTimeoutGraceMs)*microsPerMilli, "caller waits", attempt.handleConnectionLost)
--- a/internal/simulation/checks.go
+++ b/internal/simulation/checks.go
@@ -208,17 +208,17 @@
 // observeScheduler checks the settings of a scheduler and also that, once ready, it
 // has all changes that were accepted before it started.
 func (c *checks) observeScheduler(n *schedulerNode) {
-	c.observe(n.name, n.incarnation, settingsView{n.core.Tree()})
-	if !c.hasSynced[n.name] && n.core.Ready() {
+	c.observe(n.name, n.incarnation, settingsView{n.core.SettingsTree()})
+	if !c.hasSynced[n.name] && n.core.IsReady() {
 		c.hasSynced[n.name] = true
-		if n.core.Tree().Revision() < c.revisionAtStart[n.name] {
-			c.reportViolation(invariantSettings, "%s serves at revision %d, but revision %d was accepted before it started", n.name, n.core.Tree().Revision(), c.revisionAtStart[n.name])
+		if n.core.SettingsTree().Revision() < c.revisionAtStart[n.name] {
+			c.reportViolation(invariantSettings, "%s serves at revision %d, but revision %d was accepted before it started", n.name, n.core.SettingsTree().Revision(), c.revisionAtStart[n.name])
 		}
 	}
 }
 
 func (c *checks) observeSidecar(n *sidecarNode) {
-	c.observe(n.name, n.incarnation, settingsView{n.core.Tree()})
+	c.observe(n.name, n.incarnation, settingsView{n.core.SettingsTree()})
 }
 
 func (c *checks) observeControl(n *controlNode) {
@@ -233,13 +233,13 @@
 	w := c.world
 	w.after(settingsDeadlineUs, "in force", func() {
 		for _, node := range w.schedulers {
-			if node.isAlive && node.core.Ready() && node.core.Tree().Revision() < revision {
-				c.reportViolation(invariantSettings, "%s has revision %d after 6 s, but revision %d was accepted", node.name, node.core.Tree().Revision(), revision)
+			if node.isAlive && node.core.IsReady() && node.core.SettingsTree().Revision() < revision {
+				c.reportViolation(invariantSettings, "%s has revision %d after 6 s, but revision %d was accepted", node.name, node.core.SettingsTree().Revision(), revision)
 			}
 		}
 		for _, node := range w.sidecars {
-			if node.isAlive && node.core.Ready() && node.core.Tree().Revision() < revision {
-				c.reportViolation(invariantSettings, "%s has revision %d after 6 s, but revision %d was accepted", node.name, node.core.Tree().Revision(), revision)
+			if node.isAlive && node.core.IsReady() && node.core.SettingsTree().Revision() < revision {
+				c.reportViolation(invariantSettings, "%s has revision %d after 6 s, but revision %d was accepted", node.name, node.core.SettingsTree().Revision(), revision)
 			}
 		}
 	})
--- a/internal/simulation/controls.go
+++ b/internal/simulation/controls.go
@@ -55,7 +55,7 @@
 		node := &controlNode{process: w.newProcess(member.Name, member.Zone)}
 		node.disk = w.newDisk()
 		node.options = control.DefaultOptions(member.Name, members, min(w.deployment.LedgerGroups, maxLedgerGroups))
-		node.options.CompactEntries = compactEntries
+		node.options.CompactAfterEntries = compactEntries
 		w.disableControlMechanisms(&node.options)
 		node.onStart = node.boot
 		node.onStop = func() { node.disk.crash() }
--- a/internal/simulation/engines.go
+++ b/internal/simulation/engines.go
@@ -134,7 +134,7 @@
 		if node.attempts[run.id] != run {
 			return
 		}
-		node.core.Piece(run.id, text, node.nowMs())
+		node.core.HandleChunk(run.id, text, node.nowMs())
 		if progress.IsDone {
 			node.endAttempt(run, engine.CompletionOutcome{Usage: usage, MayHaveStarted: true})
 		}
--- a/internal/simulation/run.go
+++ b/internal/simulation/run.go
@@ -247,13 +247,13 @@
 	for _, node := range w.sidecars {
 		if node.process == p {
 			node.core.Drain()
-			isIdle = node.core.Idle
+			isIdle = node.core.IsIdle
 		}
 	}
 	for _, node := range w.schedulers {
 		if node.process == p {
 			node.core.Drain()
-			isIdle = node.core.Idle
+			isIdle = node.core.IsIdle
 		}
 	}
 	for _, node := range w.controls {
--- a/internal/simulation/schedulers.go
+++ b/internal/simulation/schedulers.go
@@ -25,7 +25,7 @@
 type sinkRoute struct {
 	sidecar            *sidecarNode
 	sidecarIncarnation int
-	sendID             sidecar.SendID
+	sendID             sidecar.OutboundRequestID
 	openRequestID      uint64
 }
 
@@ -76,7 +76,7 @@
 // pollEngines requests the state of every engine that the scheduler lists and that has
 // no poll in flight.
 func (n *schedulerNode) pollEngines() {
-	includesCachedPrograms := n.pollRounds%scheduler.HeldEvery == 0
+	includesCachedPrograms := n.pollRounds%scheduler.CachedProgramsEveryPolls == 0
 	n.pollRounds++
 	for _, info := range n.core.Engines() {
 		target := n.world.engineByName(info.Name)
@@ -93,11 +93,11 @@
 			}
 			n.world.network.send(target.process, n.process, incarnation, "state", func() {
 				n.isPolling[info.Name] = false
-				n.core.EngineReport(info.Name, state, true, n.nowMs())
+				n.core.HandleEngineState(info.Name, state, true, n.nowMs())
 			}, nil)
 		}, func() {
 			n.isPolling[info.Name] = false
-			n.core.EngineReport(info.Name, engine.State{}, false, n.nowMs())
+			n.core.HandleEngineState(info.Name, engine.State{}, false, n.nowMs())
 		})
 		// A poll without a reply is abandoned after its timeout.
 		n.world.after(2_000_000, "state timeout", func() {
@@ -108,8 +108,8 @@
 	}
 }
 
-// Control sends a request of the core to a control process.
-func (n *schedulerNode) Control(member string, id scheduler.ControlID, kind protocol.Kind, request any) {
+// SendControlRequest sends a request of the core to a control process.
+func (n *schedulerNode) SendControlRequest(member string, id scheduler.ControlID, kind protocol.Kind, request any) {
 	for _, target := range n.world.controls {
 		if target.name != member {
 			continue
@@ -117,7 +117,7 @@
 		incarnation := n.incarnation
 		target.handleRequestFrom(n.process, kind, request, func(reply any) {
 			if n.isAlive && n.incarnation == incarnation {
-				n.core.ControlReply(id, reply, n.nowMs())
+				n.core.HandleControlReply(id, reply, n.nowMs())
 			}
 		})
 	}
@@ -141,17 +141,17 @@
 	n.world.network.send(n.process, node.process, route.sidecarIncarnation, "reply", func() { node.handleFrame(route.sendID, kind, raw) }, func() {
 		if _, still := n.sinkRoutes[sink]; still {
 			delete(n.sinkRoutes, sink)
-			n.core.Gone(sink)
+			n.core.HandleSinkClosed(sink)
 		}
 		node.connectionLost(route)
 	})
 }
 
-// Start starts an attempt of the core on its engine.
-func (n *schedulerNode) Start(run scheduler.Run) {
+// StartAttempt starts an attempt of the core on its engine.
+func (n *schedulerNode) StartAttempt(run scheduler.EngineAttempt) {
 	target := n.world.engineByName(run.Engine.Name)
-	attempt := &engineAttempt{id: run.Attempt, scheduler: n, schedulerIncarnation: n.incarnation, engine: target}
-	n.attempts[run.Attempt] = attempt
+	attempt := &engineAttempt{id: run.ID, scheduler: n, schedulerIncarnation: n.incarnation, engine: target}
+	n.attempts[run.ID] = attempt
 	endWithLoss := func(mayHaveStarted bool) func() {
 		return func() {
 			n.endAttempt(attempt, engine.CompletionOutcome{MayHaveStarted: mayHaveStarted, Err: errEngineLost})
@@ -170,11 +170,11 @@
 		return
 	}
 	delete(n.attempts, run.id)
-	n.core.Ended(run.id, outcome, n.nowMs())
+	n.core.HandleCompletion(run.id, outcome, n.nowMs())
 }
 
-// Stop closes the stream of an attempt.
-func (n *schedulerNode) Stop(attempt scheduler.AttemptID) {
+// StopAttempt closes the stream of an attempt.
+func (n *schedulerNode) StopAttempt(attempt scheduler.AttemptID) {
 	run, ok := n.attempts[attempt]
 	if !ok {
 		return
@@ -186,21 +186,21 @@
 	}
 }
 
-// Order sends a fenced order to an engine.
-func (n *schedulerNode) Order(target membership.Engine, order engine.Order) {
+// SendOrder sends a fenced order to an engine.
+func (n *schedulerNode) SendOrder(target membership.Engine, order engine.Order) {
 	if node := n.world.engineByName(target.Name); node != nil {
 		n.world.network.send(n.process, node.process, 0, "order", func() { node.handleOrder(order) }, nil)
 	}
 }
 
-// Release asks an engine to release cached programs.
-func (n *schedulerNode) Release(target membership.Engine, programs []string) {
+// ReleasePrograms asks an engine to release cached programs.
+func (n *schedulerNode) ReleasePrograms(target membership.Engine, programs []string) {
 	if node := n.world.engineByName(target.Name); node != nil {
 		n.world.network.send(n.process, node.process, 0, "release", func() { node.releasePrograms(programs) }, nil)
 	}
 }
 
-func (n *schedulerNode) handleSidecarRequest(sender *sidecarNode, senderIncarnation int, id sidecar.SendID, kind protocol.Kind, raw []byte, lost func()) {
+func (n *schedulerNode) handleSidecarRequest(sender *sidecarNode, senderIncarnation int, id sidecar.OutboundRequestID, kind protocol.Kind, raw []byte, lost func()) {
 	n.lastSink++
 	sink := n.lastSink
 	open := n.trackRequest(sender.process, lost)
--- a/internal/simulation/sidecars.go
+++ b/internal/simulation/sidecars.go
@@ -12,8 +12,8 @@
 type sidecarNode struct {
 	*process
 	core       *sidecar.Core
-	attempts   map[sidecar.CallerID]*callerAttempt
-	lastCaller sidecar.CallerID
+	attempts   map[sidecar.CallID]*callerAttempt
+	lastCaller sidecar.CallID
 }
 
 func (w *world) addSidecars() {
@@ -27,7 +27,7 @@
 }
 
 func (n *sidecarNode) boot() {
-	n.attempts = map[sidecar.CallerID]*callerAttempt{}
+	n.attempts = map[sidecar.CallID]*callerAttempt{}
 	var seeds []membership.Scheduler
 	for _, known := range n.world.schedulers {
 		seed := membership.Scheduler{Name: known.name, Zone: known.zone, Address: known.name}
@@ -47,12 +47,12 @@
 }
 
 // Send sends a request of the core to a scheduler.
-func (n *sidecarNode) Send(address string, id sidecar.SendID, kind protocol.Kind, request any) {
+func (n *sidecarNode) Send(address string, id sidecar.OutboundRequestID, kind protocol.Kind, request any) {
 	target := n.world.schedulerByName(address)
 	incarnation := n.incarnation
 	lost := func() {
 		if n.isAlive && n.incarnation == incarnation {
-			n.core.Lost(id, n.nowMs())
+			n.core.HandleLostRequest(id, n.nowMs())
 		}
 	}
 	if target == nil {
@@ -67,7 +67,7 @@
 func (n *sidecarNode) connectionLost(route sinkRoute) {
 	n.world.after(lossNoticeDelayUs, "reset", func() {
 		if n.isAlive && n.incarnation == route.sidecarIncarnation {
-			n.receive(func() { n.core.Lost(route.sendID, n.nowMs()) })
+			n.receive(func() { n.core.HandleLostRequest(route.sendID, n.nowMs()) })
 		}
 	})
 }
@@ -87,12 +87,12 @@
 }
 
 // handleFrame passes a frame from a scheduler to the core.
-func (n *sidecarNode) handleFrame(id sidecar.SendID, kind protocol.Kind, raw []byte) {
+func (n *sidecarNode) handleFrame(id sidecar.OutboundRequestID, kind protocol.Kind, raw []byte) {
 	switch kind {
 	case protocol.KindCallChunk:
 		var chunk protocol.CallChunk
 		mustDecode(raw, &chunk)
-		n.core.Piece(id, &chunk, n.nowMs())
+		n.core.HandleChunk(id, &chunk, n.nowMs())
 	case protocol.KindCallReply:
 		var answer protocol.CallReply
 		mustDecode(raw, &answer)
@@ -105,14 +105,14 @@
 }
 
 // Deliver sends the next text of a response to the caller.
-func (n *sidecarNode) Deliver(id sidecar.CallerID, text string) {
+func (n *sidecarNode) Deliver(id sidecar.CallID, text string) {
 	if send, ok := n.attempts[id]; ok {
 		send.deliver(text)
 	}
 }
 
 // Finish ends the request of a caller with its final reply.
-func (n *sidecarNode) Finish(id sidecar.CallerID, answer *protocol.CallReply) {
+func (n *sidecarNode) Finish(id sidecar.CallID, answer *protocol.CallReply) {
 	if send, ok := n.attempts[id]; ok {
 		delete(n.attempts, id)
 		send.finish(answer)
