--- a/internal/scheduler/control.go
+++ b/internal/scheduler/control.go
@@ -8,81 +8,80 @@
 	"github.com/ochrebay/ochrebay/internal/result"
 )
 
-// controlRequest is a request to the leader of a log group. It is repeated, at
-// the leader that the answers point to, until it is answered or given up.
+// controlRequest is a request to the leader of a log group. It is sent again, to the leader that a
+// reply names or else to the next member, until a reply arrives or its deadline passes.
 type controlRequest struct {
 	group   uint32
 	kind    protocol.Kind
 	message any
-	// done gets the reply, or nil when untilMs has passed.
-	done    func(reply any)
-	untilMs int64
-	// nextMs is when to send again; zero while an answer is awaited.
-	nextMs    int64
-	timeoutMs int64
-	sentMs    int64
-	member    string
+	// onReply is called with the reply, or with nil when deadlineMs has passed.
+	onReply    func(reply any)
+	deadlineMs int64
+	// resendAtMs is the time at which to send the request again, or 0 while a reply is pending.
+	resendAtMs       int64
+	attemptTimeoutMs int64
+	sentMs           int64
+	member           string
 }
 
-func (c *Core) askControl(group uint32, kind protocol.Kind, message any, patienceMs int64, done func(reply any)) {
+func (c *Core) startControlRequest(group uint32, kind protocol.Kind, message any, totalTimeoutMs int64, onReply func(reply any)) {
 	request := &controlRequest{
-		group: group, kind: kind, message: message, done: done,
-		untilMs: c.nowMs + patienceMs, timeoutMs: controlTimeoutMs,
+		group: group, kind: kind, message: message, onReply: onReply,
+		deadlineMs: c.nowMs + totalTimeoutMs, attemptTimeoutMs: controlTimeoutMs,
 	}
 	if kind == protocol.KindSync {
-		request.timeoutMs += c.options.SyncLongPollMs
+		request.attemptTimeoutMs += c.options.SyncLongPollMs
 	}
-	c.nextControl++
-	c.control[c.nextControl] = request
-	c.sendControl(c.nextControl, request)
+	c.lastControlID++
+	c.controlRequests[c.lastControlID] = request
+	c.sendControlRequest(c.lastControlID, request)
 }
 
-func (c *Core) sendControl(id ControlID, request *controlRequest) {
+func (c *Core) sendControlRequest(id ControlID, request *controlRequest) {
 	member, ok := c.leaders[request.group]
 	if !ok || member == "" {
-		member = c.options.ControlMembers[c.memberTurn%len(c.options.ControlMembers)]
+		member = c.options.ControlMembers[c.memberIndex%len(c.options.ControlMembers)]
 	}
 	request.member = member
-	request.nextMs = 0
+	request.resendAtMs = 0
 	request.sentMs = c.nowMs
-	c.outlet.SendControlRequest(member, id, request.kind, request.message)
+	c.transport.SendControlRequest(member, id, request.kind, request.message)
 }
 
-// HandleControlReply takes the answer of a control process; a nil reply means that
-// none came.
+// HandleControlReply handles the reply of a control process. A nil reply means that none arrived.
 func (c *Core) HandleControlReply(id ControlID, reply any, nowMs int64) {
 	c.nowMs = nowMs
-	request, ok := c.control[id]
-	if !ok || request.nextMs != 0 {
+	request, ok := c.controlRequests[id]
+	if !ok || request.resendAtMs != 0 {
 		return
 	}
 	if reply == nil {
-		c.tryElsewhere(request)
+		c.retryOtherMember(request)
 		return
 	}
-	failure, leader := failureOf(reply)
+	failure, leader := errorAndLeader(reply)
 	if failure != nil && (failure.Code == result.NotLeader || failure.Code == result.NoQuorum) {
 		if leader != "" && leader != request.member {
 			c.leaders[request.group] = leader
-			request.nextMs = c.nowMs + 1
+			request.resendAtMs = c.nowMs + 1
 			return
 		}
-		c.tryElsewhere(request)
+		c.retryOtherMember(request)
 		return
 	}
 	c.leaders[request.group] = request.member
-	delete(c.control, id)
-	request.done(reply)
+	delete(c.controlRequests, id)
+	request.onReply(reply)
 	c.dispatch()
 }
 
-func (c *Core) tryElsewhere(request *controlRequest) {
+func (c *Core) retryOtherMember(request *controlRequest) {
 	delete(c.leaders, request.group)
-	c.memberTurn++
-	request.nextMs = c.nowMs + controlPauseMs
+	c.memberIndex++
+	request.resendAtMs = c.nowMs + controlRetryDelayMs
 }
 
-func failureOf(reply any) (*result.Error, string) {
+func errorAndLeader(reply any) (*result.Error, string) {
 	switch typed := reply.(type) {
 	case *protocol.LedgerReply:
 		return typed.Reply.Error, typed.Leader
@@ -98,24 +97,25 @@
 	return nil, ""
 }
 
-// tickControl repeats what is due and gives up what has waited too long.
+// tickControl sends control requests again that are due or whose attempt has timed out, and ends
+// those whose deadline has passed.
 func (c *Core) tickControl() {
-	for _, id := range sortedIDs(c.control) {
-		request := c.control[id]
-		if c.nowMs >= request.untilMs {
-			delete(c.control, id)
-			request.done(nil)
+	for _, id := range sortedIDs(c.controlRequests) {
+		request := c.controlRequests[id]
+		if c.nowMs >= request.deadlineMs {
+			delete(c.controlRequests, id)
+			request.onReply(nil)
 			continue
 		}
-		if request.nextMs == 0 && c.nowMs-request.sentMs > request.timeoutMs {
-			c.tryElsewhere(request)
+		if request.resendAtMs == 0 && c.nowMs-request.sentMs > request.attemptTimeoutMs {
+			c.retryOtherMember(request)
 		}
-		if request.nextMs != 0 && c.nowMs >= request.nextMs {
-			// A new number keeps a late answer to the old send from counting.
-			delete(c.control, id)
-			c.nextControl++
-			c.control[c.nextControl] = request
-			c.sendControl(c.nextControl, request)
+		if request.resendAtMs != 0 && c.nowMs >= request.resendAtMs {
+			// With the new ControlID, a late reply to the earlier send is ignored.
+			delete(c.controlRequests, id)
+			c.lastControlID++
+			c.controlRequests[c.lastControlID] = request
+			c.sendControlRequest(c.lastControlID, request)
 		}
 	}
 }
@@ -129,57 +129,57 @@
 	return ids
 }
 
-// heartbeat keeps one sync under way at all times.
-func (c *Core) heartbeat() {
-	if c.syncing {
+// syncWithControl keeps one long-polling heartbeat to control in flight at all times.
+func (c *Core) syncWithControl() {
+	if c.isSyncing {
 		return
 	}
-	c.syncing = true
+	c.isSyncing = true
 	message := &protocol.SyncRequest{
-		Heartbeat: c.heartbeatReport(), Revision: c.tree.Revision(), DirectoryVersion: c.roster.Version(),
-		LongPollMs: c.options.SyncLongPollMs, ConfirmNow: !c.synced,
+		Heartbeat: c.newHeartbeat(), Revision: c.tree.Revision(), DirectoryVersion: c.roster.Version(),
+		LongPollMs: c.options.SyncLongPollMs, ConfirmNow: !c.isSynced,
 	}
-	c.askControl(0, protocol.KindSync, message, 2*controlTimeoutMs, func(reply any) {
-		c.syncing = false
+	c.startControlRequest(0, protocol.KindSync, message, 2*controlTimeoutMs, func(reply any) {
+		c.isSyncing = false
 		typed, ok := reply.(*protocol.SyncReply)
 		if !ok || typed.Error != nil {
 			return
 		}
-		newer := typed.Feed.Roster.Version > c.roster.Version()
+		hasNewerRoster := typed.Feed.Roster.Version > c.roster.Version()
 		c.applyFeed(typed.Feed)
-		if newer && typed.EnginesChanged {
+		if hasNewerRoster && typed.EnginesChanged {
 			c.setEngines(typed.Engines)
 		}
-		c.synced = true
-		c.tickFollows()
-		c.heartbeat()
+		c.isSynced = true
+		c.tickFollowers()
+		c.syncWithControl()
 	})
 }
 
-func (c *Core) heartbeatReport() membership.Heartbeat {
-	report := membership.Heartbeat{
+func (c *Core) newHeartbeat() membership.Heartbeat {
+	heartbeat := membership.Heartbeat{
 		Scheduler: membership.Scheduler{
 			Name: c.options.Name, Zone: c.options.Zone, Address: c.options.Address,
-			Incarnation: c.options.Incarnation, Draining: c.draining,
+			Incarnation: c.options.Incarnation, Draining: c.isDraining,
 		},
 		Revision: c.tree.Revision(), ReadyEngines: map[string]int{},
-		QueueLength: len(c.waiting), InFlight: len(c.attempts),
+		QueueLength: len(c.waitingCalls), InFlight: len(c.attempts),
 	}
 	for _, owned := range c.engines {
-		if owned.schedule.Ready && !owned.info.Leaving {
-			report.ReadyEngines[owned.info.Pool]++
+		if owned.schedulingEngine.Ready && !owned.info.Leaving {
+			heartbeat.ReadyEngines[owned.info.Pool]++
 		}
 	}
-	report.SidecarRevision = report.Revision
-	for _, name := range sortedNames(c.follows) {
-		known := c.follows[name]
-		report.SidecarCount++
-		report.SidecarRevision = min(report.SidecarRevision, known.revision)
-		if known.revision < report.Revision && len(report.LaggingSidecars) < maxLagging {
-			report.LaggingSidecars = append(report.LaggingSidecars, name)
+	heartbeat.SidecarRevision = heartbeat.Revision
+	for _, name := range sortedNames(c.followers) {
+		sidecar := c.followers[name]
+		heartbeat.SidecarCount++
+		heartbeat.SidecarRevision = min(heartbeat.SidecarRevision, sidecar.revision)
+		if sidecar.revision < heartbeat.Revision && len(heartbeat.LaggingSidecars) < maxLaggingSidecars {
+			heartbeat.LaggingSidecars = append(heartbeat.LaggingSidecars, name)
 		}
 	}
-	return report
+	return heartbeat
 }
 
 func sortedNames[V any](values map[string]V) []string {
@@ -191,61 +191,62 @@
 	return names
 }
 
-// HandleFollow takes a sidecar's heartbeat.
+// HandleFollow handles a sidecar's heartbeat.
 func (c *Core) HandleFollow(sink SinkID, request *protocol.FollowRequest, nowMs int64) {
 	c.nowMs = nowMs
-	c.follows[request.Sidecar] = &follower{
-		revision: request.Revision, heardMs: nowMs, sink: sink, request: request,
-		untilMs: nowMs + request.LongPollMs, isWaiting: true,
+	c.followers[request.Sidecar] = &follower{
+		revision: request.Revision, lastContactMs: nowMs, sink: sink, request: request,
+		pollDeadlineMs: nowMs + request.LongPollMs, isWaiting: true,
 	}
-	c.tickFollows()
-	c.reportSidecars()
+	c.tickFollowers()
+	c.reportSidecarRevision()
 }
 
-// reportSidecars tells control at once when the last sidecar has caught up with
-// the revision in force here, rather than with the next heartbeat: operators
-// wait for it.
-func (c *Core) reportSidecars() {
-	if !c.synced || c.reportedRevision == c.tree.Revision() {
+// reportSidecarRevision reports to control when the last sidecar has reached the revision of this
+// scheduler. The report does not wait for the next heartbeat, because operators wait for it.
+func (c *Core) reportSidecarRevision() {
+	if !c.isSynced || c.reportedRevision == c.tree.Revision() {
 		return
 	}
-	for _, known := range c.follows {
-		if known.revision < c.tree.Revision() {
+	for _, sidecar := range c.followers {
+		if sidecar.revision < c.tree.Revision() {
 			return
 		}
 	}
 	c.reportedRevision = c.tree.Revision()
-	c.reportNow()
+	c.sendHeartbeat()
 }
 
-// reportNow sends a heartbeat beside the one that control holds.
-func (c *Core) reportNow() {
-	message := &protocol.SyncRequest{Heartbeat: c.heartbeatReport(), Revision: c.tree.Revision(), DirectoryVersion: c.roster.Version()}
-	c.askControl(0, protocol.KindSync, message, controlTimeoutMs, func(any) {})
+// sendHeartbeat sends a heartbeat without long polling, in addition to the one in flight.
+func (c *Core) sendHeartbeat() {
+	message := &protocol.SyncRequest{Heartbeat: c.newHeartbeat(), Revision: c.tree.Revision(), DirectoryVersion: c.roster.Version()}
+	c.startControlRequest(0, protocol.KindSync, message, controlTimeoutMs, func(any) {})
 }
 
-// tickFollows answers sidecars for which there is news, or whose wait is over.
-func (c *Core) tickFollows() {
-	for _, name := range sortedNames(c.follows) {
-		known := c.follows[name]
-		if !known.isWaiting {
-			if c.nowMs-known.heardMs > followSilenceMs {
-				delete(c.follows, name)
+// tickFollowers replies to the heartbeats of sidecars for which there are updates, whose long poll
+// has ended, or that must learn that this scheduler drains. It removes sidecars that have sent no
+// new heartbeat for followerTimeoutMs.
+func (c *Core) tickFollowers() {
+	for _, name := range sortedNames(c.followers) {
+		sidecar := c.followers[name]
+		if !sidecar.isWaiting {
+			if c.nowMs-sidecar.lastContactMs > followerTimeoutMs {
+				delete(c.followers, name)
 			}
 			continue
 		}
-		news := c.tree.Revision() > known.request.Revision || c.roster.ChangeVersion() > known.request.DirectoryVersion
-		if !c.synced || (!news && c.nowMs < known.untilMs && !c.draining) {
+		hasUpdates := c.tree.Revision() > sidecar.request.Revision || c.roster.ChangeVersion() > sidecar.request.DirectoryVersion
+		if !c.isSynced || (!hasUpdates && c.nowMs < sidecar.pollDeadlineMs && !c.isDraining) {
 			continue
 		}
-		known.isWaiting = false
-		known.heardMs = c.nowMs
-		reply := &protocol.FollowReply{Feed: c.feed(known.request)}
-		c.outlet.Reply(known.sink, protocol.KindResponse, reply, true)
+		sidecar.isWaiting = false
+		sidecar.lastContactMs = c.nowMs
+		reply := &protocol.FollowReply{Feed: c.feedSince(sidecar.request)}
+		c.transport.Reply(sidecar.sink, protocol.KindResponse, reply, true)
 	}
 }
 
-func (c *Core) feed(request *protocol.FollowRequest) protocol.Feed {
+func (c *Core) feedSince(request *protocol.FollowRequest) protocol.Feed {
 	feed := protocol.NewFeed(c.tree, request.Revision)
 	if c.options.DisableRevision && c.tree.Revision() != request.Revision {
 		feed.Snapshot, _ = c.tree.FollowerState()
--- a/internal/scheduler/core.go
+++ b/internal/scheduler/core.go
@@ -1,8 +1,8 @@
-// Package scheduler is the process that owns a cell of engines under a lease and
-// decides which of them runs each call (design sections 3, 4 and 8). It holds
-// nothing that must survive: the ledger judges order, budget and at-most-once.
-// Core is its control state without goroutine, clock or socket; Daemon runs it
-// over TCP and HTTP, the simulator over virtual ones.
+// Package scheduler implements the process that owns a cell of engines under a lease and selects
+// the engine that runs each call (design sections 3, 4 and 8). It keeps no durable state: the
+// ledger enforces turn order, token budgets and at-most-once execution. Core is the control state
+// and has no goroutines, clock or sockets of its own. Daemon connects it to TCP and HTTP, and the
+// simulator to a virtual network.
 package scheduler
 
 import (
@@ -20,34 +20,38 @@
 	"github.com/ochrebay/ochrebay/internal/settings"
 )
 
-// SinkID names the place to which a call's answer goes: one call of one sidecar.
+// SinkID identifies the destination of the replies to one request on one sidecar connection.
 type SinkID uint64
 
-// ControlID names a request to a control process.
+// ControlID identifies one send of a request to a control process. A request that is sent again
+// gets a new ControlID.
 type ControlID uint64
 
-// AttemptID names one run of a call on an engine.
+// AttemptID identifies one attempt to run a call on an engine.
 type AttemptID uint64
 
-// EngineAttempt is what an engine is asked to do.
+// EngineAttempt is one attempt to run a call: the engine and the completion request for it.
 type EngineAttempt struct {
 	ID      AttemptID
 	Engine  membership.Engine
 	Request engine.CompletionRequest
 }
 
-// Transport takes what the core sends. Its methods must not call back.
+// Transport sends the messages of a Core. Its methods must not call methods of the Core.
 type Transport interface {
-	// SendControlRequest sends a request to a control process; the answer, or its absence,
-	// comes back as ControlReply.
+	// SendControlRequest sends a request to a control process. The reply, or nil if none arrives,
+	// is passed to Core.HandleControlReply.
 	SendControlRequest(member string, id ControlID, kind protocol.Kind, request any)
-	// Reply sends a message to a sidecar.
+	// Reply sends a message to a sidecar. last marks the final message to the sink.
 	Reply(sink SinkID, kind protocol.Kind, message any, last bool)
-	// StartAttempt runs a call; pieces and the outcome come back as Piece and Ended.
-	StartAttempt(run EngineAttempt)
-	// StopAttempt closes a run's stream; no outcome is needed.
-	StopAttempt(attempt AttemptID)
-	// SendOrder gives an engine a fenced order, Release tells it to drop programs.
+	// StartAttempt sends a call to an engine. The chunks of the response are passed to
+	// Core.HandleChunk and the outcome to Core.HandleCompletion.
+	StartAttempt(attempt EngineAttempt)
+	// StopAttempt closes the response stream of an attempt. The Core ignores an outcome that still
+	// arrives.
+	StopAttempt(id AttemptID)
+	// SendOrder sends a fenced order to an engine, and ReleasePrograms a request to drop the cached
+	// state of programs.
 	SendOrder(target membership.Engine, order engine.Order)
 	ReleasePrograms(target membership.Engine, programs []string)
 }
@@ -57,17 +61,18 @@
 	Name    string
 	Zone    string
 	Address string
-	// Incarnation identifies the process; it differs at each start.
+	// Incarnation identifies this run of the process; each start has a different one.
 	Incarnation uint64
-	// ControlMembers are the control processes, one's own zone first.
+	// ControlMembers are the names of the control processes, those of the own zone first.
 	ControlMembers []string
-	// SyncLongPollMs is how long control may hold a heartbeat that brings no news.
+	// SyncLongPollMs is the time for which a control process may delay the reply to a heartbeat
+	// while there are no updates.
 	SyncLongPollMs int64
-	// HistoryCacheBytes bounds the histories kept in memory.
+	// HistoryCacheBytes limits the memory for cached program histories.
 	HistoryCacheBytes int64
 	Policy            scheduling.Policy
 
-	// The rest turn mechanisms off, for runs that show what they are for.
+	// The remaining options disable single mechanisms, for runs that demonstrate their purpose.
 	DisableTurnOrder    bool
 	DisableAudit        bool
 	DisableLeavingClose bool
@@ -75,101 +80,106 @@
 	DisableAtMostOnce   bool
 }
 
-// DefaultOptions returns the timings in use.
-func DefaultOptions(name, zone, address string, start uint64, members []string) Options {
+// DefaultOptions returns the options of a scheduler process, with the default timing, cache size
+// and policy.
+func DefaultOptions(name, zone, address string, incarnation uint64, controlMembers []string) Options {
 	return Options{
-		Name: name, Zone: zone, Address: address, Incarnation: start, ControlMembers: members,
+		Name: name, Zone: zone, Address: address, Incarnation: incarnation, ControlMembers: controlMembers,
 		SyncLongPollMs: 1000, HistoryCacheBytes: 64 << 20, Policy: scheduling.DefaultPolicy(),
 	}
 }
 
-// An owner asks each engine for its state every StatePollMs, and every HeldEvery
-// times for the list of programs that it holds, which is most of the bytes.
+// A scheduler polls the state of each of its engines every StatePollIntervalMs. Only one poll in
+// CachedProgramsEveryPolls requests the list of cached programs, because the list is most of the
+// bytes of a reply.
 const (
 	StatePollIntervalMs      = 500
 	CachedProgramsEveryPolls = 12
 )
 
 const (
-	controlTimeoutMs = 3000
-	controlPauseMs   = 100
-	openTurnPauseMs  = 150
-	auditEveryMs     = 2000
-	reconcileEveryMs = 250
-	engineSilenceMs  = 3000
-	// engineLostMs is how long an engine may be silent before its runs are given
-	// up: a machine that lost its power closes no connection.
-	engineLostMs      = 6000
-	followSilenceMs   = 5000
-	maxLagging        = 8
-	commitPatienceMs  = 60_000
-	programIdleMs     = 600_000
-	forgetEveryMs     = 5000
-	expectedOutputMin = 16
-	// noEngineGraceMs is how long calls wait for an engine to come back before
-	// they are sent to another cell.
+	controlTimeoutMs      = 3000
+	controlRetryDelayMs   = 100
+	openTurnRetryDelayMs  = 150
+	auditIntervalMs       = 2000
+	reconcileIntervalMs   = 250
+	engineReportTimeoutMs = 3000
+	// engineLostTimeoutMs is the time without a state report from an engine after which its
+	// attempts are abandoned: a machine that loses power does not close its connections.
+	engineLostTimeoutMs     = 6000
+	followerTimeoutMs       = 5000
+	maxLaggingSidecars      = 8
+	commitTimeoutMs         = 60_000
+	programIdleTimeoutMs    = 600_000
+	evictionIntervalMs      = 5000
+	minExpectedOutputTokens = 16
+	// noEngineGraceMs is the time for which calls wait in a cell without an open engine of their
+	// pool before they are refused, so that their sidecars send them to another cell.
 	noEngineGraceMs = 1500
-	// drainSettleMs is how long sidecars get to hear that this scheduler drains,
-	// and drainPatienceMs how long control gets to list it so.
-	drainSettleMs   = 500
-	drainPatienceMs = 5000
+	// drainPropagationMs is the time that a directory entry with the draining state gets to reach
+	// the sidecars, and drainListingTimeoutMs the time that control gets to list that state.
+	drainPropagationMs    = 500
+	drainListingTimeoutMs = 5000
 )
 
 // Core is the control state of one scheduler.
 type Core struct {
-	options Options
-	outlet  Transport
-	nowMs   int64
-
-	tree      *settings.Tree
-	effective map[string]settings.Fields
-	roster    *membership.Roster
-	groups    uint32
-	engines   map[string]*ownedEngine
-	// readyMs is when the cell last had an open engine of a pool.
-	readyMs map[string]int64
-	cell    scheduling.CellScheduler
-	tenants *scheduling.TenantLimiter
+	options   Options
+	transport Transport
+	nowMs     int64
+
+	tree         *settings.Tree
+	fieldsByPath map[string]settings.Fields
+	roster       *membership.Roster
+	groups       uint32
+	engines      map[string]*ownedEngine
+	// poolLastReadyMs is, for each pool, the last time at which the cell had a ready and open
+	// engine. It starts at the first check of the pool if there was none before.
+	poolLastReadyMs map[string]int64
+	cell            scheduling.CellScheduler
+	tenantLimiter   *scheduling.TenantLimiter
 
 	programs map[string]*localProgram
-	// busy are the programs with a call under way.
-	busy         map[string]*localProgram
-	cacheBytes   int64
-	lastForgetMs int64
-	waiting      map[uint64]*call
-	attempts     map[AttemptID]*call
-	sinks        map[SinkID]*call
-	nextCall     uint64
-	// nonceBase differs between schedulers, and between starts of one.
-	nonceBase   uint64
-	nextAttempt AttemptID
-
-	control     map[ControlID]*controlRequest
-	nextControl ControlID
-	leaders     map[uint32]string
-	memberTurn  int
-
-	follows map[string]*follower
-	synced  bool
-	// listed is set once the directory names this start of the process: before
-	// that, others would take its turns for those of a lost one.
-	listed  bool
-	syncing bool
-	// reportedRevision is the last revision that all sidecars were reported at.
+	// busyPrograms are the programs with an active or a queued call.
+	busyPrograms       map[string]*localProgram
+	cachedHistoryBytes int64
+	lastEvictionMs     int64
+	waitingCalls       map[uint64]*call
+	attempts           map[AttemptID]*call
+	sinks              map[SinkID]*call
+	lastCallID         uint64
+	// nonceBase is a hash of the scheduler's name and incarnation, so that the nonces of two
+	// schedulers, or of two incarnations of one scheduler, differ.
+	nonceBase     uint64
+	lastAttemptID AttemptID
+
+	controlRequests map[ControlID]*controlRequest
+	lastControlID   ControlID
+	leaders         map[uint32]string
+	memberIndex     int
+
+	followers map[string]*follower
+	isSynced  bool
+	// isListed is set when the directory lists this scheduler, and no later incarnation of it.
+	// Before that, other schedulers would take over its turns as those of a lost scheduler.
+	isListed  bool
+	isSyncing bool
+	// reportedRevision is the last revision for which this scheduler reported to control that all
+	// its sidecars had reached it.
 	reportedRevision uint64
-	draining         bool
-	// drainMs is when draining began, and drainListedMs when the directory first
-	// showed it.
-	drainMs       int64
-	drainListedMs int64
-	lastAuditMs   int64
-	lastPlanMs    int64
-
-	// Counters are read through Stats.
+	isDraining       bool
+	// drainStartedMs is the time at which draining started, and drainListedMs the time at which
+	// the directory first listed this scheduler as draining, or 0.
+	drainStartedMs  int64
+	drainListedMs   int64
+	lastAuditMs     int64
+	lastReconcileMs int64
+
+	// counters holds only the counters of Stats; Core.Stats adds the gauges.
 	counters Stats
 }
 
-// Stats counts what the scheduler did; the gauges are of now.
+// Stats holds counters since the start of the process and gauges of the present state.
 type Stats struct {
 	StartedAttempts  uint64
 	Answered         uint64
@@ -187,137 +197,143 @@
 	CachedTokens     int64
 }
 
-// ownedEngine is one engine of the cell.
+// ownedEngine is the state of one engine of the cell.
 type ownedEngine struct {
-	info     membership.Engine
-	state    engine.State
-	heardMs  int64
-	known    bool
-	schedule *scheduling.Engine
-	// permit and draining are reconcile's progress.
-	permit        bool
-	permitPending bool
-	draining      bool
-	orderedAtMs   int64
+	info         membership.Engine
+	state        engine.State
+	lastReportMs int64
+	// hasState is set by a state report. It is cleared if the address changes or the engine did not
+	// start an attempt.
+	hasState         bool
+	schedulingEngine *scheduling.Engine
+	// The remaining fields are the progress towards the pool's target.
+	hasPermit       bool
+	isPermitPending bool
+	isDraining      bool
+	lastOrderMs     int64
 }
 
-// follower is a sidecar that follows the tree through this scheduler.
+// follower is a sidecar that receives updates of the settings and the directory from this
+// scheduler.
 type follower struct {
-	revision  uint64
-	heardMs   int64
-	sink      SinkID
-	request   *protocol.FollowRequest
-	untilMs   int64
-	isWaiting bool
+	revision       uint64
+	lastContactMs  int64
+	sink           SinkID
+	request        *protocol.FollowRequest
+	pollDeadlineMs int64
+	isWaiting      bool
 }
 
-// NewCore returns a scheduler that knows nothing yet.
-func NewCore(options Options, outlet Transport, nowMs int64) *Core {
+// NewCore returns a Core without settings, directory or engines; it gets them from control with the
+// first sync.
+func NewCore(options Options, transport Transport, nowMs int64) *Core {
 	return &Core{
-		options: options, outlet: outlet, nowMs: nowMs,
-		tree: settings.NewTree(), roster: membership.NewRoster(), effective: map[string]settings.Fields{},
-		engines: map[string]*ownedEngine{}, readyMs: map[string]int64{}, tenants: scheduling.NewTenantLimiter(),
+		options: options, transport: transport, nowMs: nowMs,
+		tree: settings.NewTree(), roster: membership.NewRoster(), fieldsByPath: map[string]settings.Fields{},
+		engines: map[string]*ownedEngine{}, poolLastReadyMs: map[string]int64{}, tenantLimiter: scheduling.NewTenantLimiter(),
 		cell:     scheduling.CellScheduler{Policy: options.Policy},
-		programs: map[string]*localProgram{}, busy: map[string]*localProgram{}, waiting: map[uint64]*call{}, attempts: map[AttemptID]*call{},
-		sinks: map[SinkID]*call{}, control: map[ControlID]*controlRequest{}, leaders: map[uint32]string{},
-		follows: map[string]*follower{}, nonceBase: xxhash.Sum64String(fmt.Sprint(options.Name, options.Incarnation)),
+		programs: map[string]*localProgram{}, busyPrograms: map[string]*localProgram{}, waitingCalls: map[uint64]*call{}, attempts: map[AttemptID]*call{},
+		sinks: map[SinkID]*call{}, controlRequests: map[ControlID]*controlRequest{}, leaders: map[uint32]string{},
+		followers: map[string]*follower{}, nonceBase: xxhash.Sum64String(fmt.Sprint(options.Name, options.Incarnation)),
 	}
 }
 
-// IsReady reports whether the scheduler knows the settings and may take calls.
-func (c *Core) IsReady() bool { return c.synced && c.listed && !c.draining }
+// IsReady reports whether the scheduler has the settings, is listed in the directory and is not
+// draining.
+func (c *Core) IsReady() bool { return c.isSynced && c.isListed && !c.isDraining }
 
-// Stats returns counters and gauges.
+// Stats returns the counters and the present values of the gauges.
 func (c *Core) Stats() Stats {
 	stats := c.counters
-	stats.Waiting = len(c.waiting)
+	stats.Waiting = len(c.waitingCalls)
 	stats.InFlight = len(c.attempts)
 	stats.Engines = len(c.engines)
 	stats.Revision = c.tree.Revision()
-	stats.IsSynced = c.synced
+	stats.IsSynced = c.isSynced
 	for _, owned := range c.engines {
-		if owned.schedule.Ready {
+		if owned.schedulingEngine.Ready {
 			stats.ReadyEngines++
 		}
 	}
 	return stats
 }
 
-// SettingsTree returns the settings in force here, for reading.
+// SettingsTree returns the settings that this scheduler has applied. The caller must not modify
+// them.
 func (c *Core) SettingsTree() *settings.Tree { return c.tree }
 
-// IsIdle reports whether no call is under way, so that a process that drains may
-// end. Invariant: it doesn't end while sidecars may still believe that it takes
-// calls, unless control can't be reached to tell them.
+// IsIdle reports whether no call is in progress, so that a draining process may exit. A draining
+// scheduler is not idle until its draining state has had time to reach the sidecars, unless
+// control has not listed that state within drainListingTimeoutMs.
 func (c *Core) IsIdle() bool {
-	if c.draining && !c.drainKnown() {
+	if c.isDraining && !c.isDrainPropagated() {
 		return false
 	}
-	return len(c.sinks) == 0 && len(c.attempts) == 0 && !c.committing()
+	return len(c.sinks) == 0 && len(c.attempts) == 0 && !c.hasBusyPrograms()
 }
 
-// drainKnown reports whether the directory has listed this scheduler as draining
-// for long enough to have reached the sidecars.
-func (c *Core) drainKnown() bool {
+// isDrainPropagated reports whether the directory has listed this scheduler as draining for
+// drainPropagationMs, or has not listed it so within drainListingTimeoutMs.
+func (c *Core) isDrainPropagated() bool {
 	if c.drainListedMs != 0 {
-		return c.nowMs-c.drainListedMs >= drainSettleMs
+		return c.nowMs-c.drainListedMs >= drainPropagationMs
 	}
-	return c.nowMs-c.drainMs >= drainPatienceMs
+	return c.nowMs-c.drainStartedMs >= drainListingTimeoutMs
 }
 
-func (c *Core) committing() bool {
-	return len(c.busy) > 0
+func (c *Core) hasBusyPrograms() bool {
+	return len(c.busyPrograms) > 0
 }
 
-// Drain stops taking calls; those under way go on to their end.
+// Drain refuses new calls. Calls in progress continue.
 func (c *Core) Drain() {
-	if c.draining {
+	if c.isDraining {
 		return
 	}
-	c.draining = true
-	c.drainMs = c.nowMs
-	c.reportNow()
+	c.isDraining = true
+	c.drainStartedMs = c.nowMs
+	c.sendHeartbeat()
 }
 
-// Tick advances the core's clock.
+// Tick advances the core's clock and performs what is due at the new time.
 func (c *Core) Tick(nowMs int64) {
 	c.nowMs = nowMs
-	c.heartbeat()
+	c.syncWithControl()
 	c.tickControl()
 	c.tickPrograms()
-	c.tickFollows()
+	c.tickFollowers()
 	c.tickEngines()
-	c.tickSilent()
+	c.tickLostEngines()
 	c.tickDeadlines()
 	c.dispatch()
 }
 
-// fields returns the effective settings of a path, computed once a revision.
-func (c *Core) fields(path string) settings.Fields {
-	if known, ok := c.effective[path]; ok {
-		return known
+// effectiveFields returns the effective settings of a path. They are computed once per revision.
+func (c *Core) effectiveFields(path string) settings.Fields {
+	if cached, ok := c.fieldsByPath[path]; ok {
+		return cached
 	}
 	fields := c.tree.EffectiveFields(path)
-	c.effective[path] = fields
+	c.fieldsByPath[path] = fields
 	return fields
 }
 
-// applyFeed takes news from control. Invariant: the revision only grows; what is
-// older than the revision in force is dropped.
+// applyFeed applies an update of settings and directory from control. Invariant: the revision
+// never decreases, unless DisableRevision is set; older settings are ignored.
 func (c *Core) applyFeed(feed protocol.Feed) {
-	before := c.tree.Revision()
+	previousRevision := c.tree.Revision()
 	c.tree = feed.ApplyTo(c.tree, c.options.DisableRevision)
-	if c.tree.Revision() != before {
-		clear(c.effective)
+	if c.tree.Revision() != previousRevision {
+		clear(c.fieldsByPath)
 	}
 	if feed.Groups > 0 {
 		c.groups = feed.Groups
 	}
 	if c.roster.ApplyDelta(feed.Roster) {
-		c.listed = c.listed || c.alive(c.options.Name, c.options.Incarnation)
-		c.noteDrainListed()
+		c.isListed = c.isListed || c.isAlive(c.options.Name, c.options.Incarnation)
+		c.recordDrainListed()
 	}
-	root := c.fields("/")
+	root := c.effectiveFields("/")
 	c.cell.Policy.AgeingMs = *root.AgeingMs
 	c.cell.Policy.QueueLimit = int(*root.QueueLimit)
 }
@@ -326,28 +342,29 @@
 	return program.GroupOf(id, c.groups)
 }
 
-func (c *Core) noteDrainListed() {
-	own, ok := c.roster.Find(c.options.Name)
-	if ok && own.Draining && c.drainListedMs == 0 {
+func (c *Core) recordDrainListed() {
+	listed, ok := c.roster.Find(c.options.Name)
+	if ok && listed.Draining && c.drainListedMs == 0 {
 		c.drainListedMs = c.nowMs
 	}
 }
 
-// alive reports whether the directory lists a scheduler and no later start of it.
-func (c *Core) alive(name string, start uint64) bool {
+// isAlive reports whether the directory lists a scheduler and no later incarnation of it.
+func (c *Core) isAlive(name string, incarnation uint64) bool {
 	peer, ok := c.roster.Find(name)
-	return ok && peer.Incarnation <= start
+	return ok && peer.Incarnation <= incarnation
 }
 
-// target returns what the settings ask of a pool's engines.
-func (c *Core) target(pool string) reconcile.Target {
-	fields := c.fields("/pools/" + pool)
+// poolTarget returns the target that the settings define for a pool's engines, or the zero Target
+// if the pool has no model.
+func (c *Core) poolTarget(pool string) reconcile.Target {
+	fields := c.effectiveFields("/pools/" + pool)
 	if fields.Model == nil {
 		return reconcile.Target{}
 	}
 	return reconcile.Target{Model: *fields.Model, Adapter: *fields.Adapter, Version: *fields.Version, Role: *fields.Role}
 }
 
-func (c *Core) finish(sink SinkID, failure *result.Error) {
-	c.outlet.Reply(sink, protocol.KindCallReply, &protocol.CallReply{Error: failure}, true)
+func (c *Core) replyError(sink SinkID, failure *result.Error) {
+	c.transport.Reply(sink, protocol.KindCallReply, &protocol.CallReply{Error: failure}, true)
 }
--- a/internal/scheduler/daemon.go
+++ b/internal/scheduler/daemon.go
@@ -22,59 +22,59 @@
 )
 
 const (
-	tickInterval   = 25 * time.Millisecond
-	eventQueue     = 16384
-	eventsPerRound = 1024
-	dialTimeout    = time.Second
-	drainTimeout   = 60 * time.Second
+	tickInterval       = 25 * time.Millisecond
+	eventQueueCapacity = 16384
+	maxEventsPerBatch  = 1024
+	dialTimeout        = time.Second
+	drainTimeout       = 60 * time.Second
 )
 
-// Daemon runs a Core over TCP towards control and sidecars, and HTTP towards
-// engines.
+// Daemon connects a Core to control processes and sidecars over TCP and to engines over HTTP. It
+// implements Transport.
 type Daemon struct {
-	process config.Process
-	logger  log.Logger
-	core    *Core
-	monitor *telemetry.Monitor
-	server  *protocol.Server
-	engines *engine.Client
-	events  chan func(core *Core, nowMs int64)
-	stats   atomic.Pointer[Stats]
-	owned   atomic.Pointer[[]membership.Engine]
-	idle    atomic.Bool
-	ready   atomic.Bool
-	control map[string]*controlLink
-	running context.Context
+	process      config.Process
+	logger       log.Logger
+	core         *Core
+	monitor      *telemetry.Monitor
+	server       *protocol.Server
+	engineClient *engine.Client
+	events       chan func(core *Core, nowMs int64)
+	stats        atomic.Pointer[Stats]
+	ownedEngines atomic.Pointer[[]membership.Engine]
+	isIdle       atomic.Bool
+	isReady      atomic.Bool
+	controlLinks map[string]*controlLink
+	runContext   context.Context
 
-	nextSink atomic.Uint64
-	mutex    sync.Mutex
-	sinks    map[SinkID]sinkTarget
-	stops    map[AttemptID]context.CancelFunc
+	lastSink       atomic.Uint64
+	mutex          sync.Mutex
+	sinks          map[SinkID]sinkTarget
+	attemptCancels map[AttemptID]context.CancelFunc
 }
 
-// sinkTarget is one call of one sidecar's connection.
+// sinkTarget is the connection and the call number that a SinkID stands for.
 type sinkTarget struct {
 	connection *protocol.Connection
 	call       uint64
 }
 
-// NewDaemon prepares a scheduler.
+// NewDaemon returns a Daemon; Run starts it.
 func NewDaemon(process config.Process, logger log.Logger) *Daemon {
 	daemon := &Daemon{
-		process: process, logger: logger, engines: engine.NewClient(),
-		events:  make(chan func(*Core, int64), eventQueue),
-		control: map[string]*controlLink{}, sinks: map[SinkID]sinkTarget{}, stops: map[AttemptID]context.CancelFunc{},
+		process: process, logger: logger, engineClient: engine.NewClient(),
+		events:       make(chan func(*Core, int64), eventQueueCapacity),
+		controlLinks: map[string]*controlLink{}, sinks: map[SinkID]sinkTarget{}, attemptCancels: map[AttemptID]context.CancelFunc{},
 	}
 	daemon.stats.Store(&Stats{})
-	daemon.owned.Store(&[]membership.Engine{})
+	daemon.ownedEngines.Store(&[]membership.Engine{})
 	for _, member := range process.Cluster.Members {
 		delay := time.Duration(0)
 		if member.Zone != process.Zone {
 			delay = time.Duration(process.Network.ZoneDelayMs * float64(time.Millisecond))
 		}
-		daemon.control[member.Name] = &controlLink{address: member.Address, delay: delay}
+		daemon.controlLinks[member.Name] = &controlLink{address: member.Address, delay: delay}
 	}
-	daemon.monitor = telemetry.NewMonitor(daemon.ready.Load)
+	daemon.monitor = telemetry.NewMonitor(daemon.isReady.Load)
 	daemon.registerMetrics()
 	return daemon
 }
@@ -98,9 +98,10 @@
 	gauge("cached_tokens", "Prompt tokens that engines had cached.", func(s *Stats) float64 { return float64(s.CachedTokens) })
 }
 
-// Run serves until ctx ends, then drains: no new calls, those under way end.
+// Run serves until ctx is done. It then drains: new calls are refused and calls in progress get up
+// to drainTimeout to end.
 func (d *Daemon) Run(ctx context.Context) error {
-	server, err := protocol.Listen(d.process.Listen.Address, d.handle)
+	server, err := protocol.Listen(d.process.Listen.Address, d.handleFrame)
 	if err != nil {
 		return errorx.Decorate(err, "listening")
 	}
@@ -111,8 +112,8 @@
 		return errorx.Decorate(err, "listening for metrics")
 	}
 	defer listener.Close()
-	web := &fasthttp.Server{Handler: d.serveWeb, NoDefaultServerHeader: true}
-	go func() { _ = web.Serve(listener) }()
+	httpServer := &fasthttp.Server{Handler: d.serveHTTP, NoDefaultServerHeader: true}
+	go func() { _ = httpServer.Serve(listener) }()
 
 	var members []string
 	for _, member := range d.process.Cluster.Members {
@@ -123,34 +124,34 @@
 	telemetry.Info(d.logger, "listening", "address", server.Address(), "http", listener.Addr().String())
 
 	tasks := daemon.NewTaskGroup()
-	d.running = tasks.Context
-	tasks.Go(d.loop)
+	d.runContext = tasks.Context
+	tasks.Go(d.runEventLoop)
 	tasks.Go(d.pollEngines)
 	return tasks.Wait(ctx, d.drain)
 }
 
-// drain tells control first, so that sidecars go elsewhere, and then waits for
-// the calls under way.
+// drain starts the draining of the core, which reports it to control so that sidecars use other
+// schedulers, and waits until the core is idle.
 func (d *Daemon) drain(ctx context.Context) {
 	telemetry.Info(d.logger, "draining")
-	begun := make(chan struct{})
+	drainStarted := make(chan struct{})
 	d.events <- func(core *Core, _ int64) {
 		core.Drain()
-		d.idle.Store(false)
-		close(begun)
+		d.isIdle.Store(false)
+		close(drainStarted)
 	}
-	<-begun
+	<-drainStarted
 	deadline := time.Now().Add(drainTimeout)
 	for time.Now().Before(deadline) && ctx.Err() == nil {
-		if d.idle.Load() {
+		if d.isIdle.Load() {
 			return
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
-// loop is the one goroutine that owns the core.
-func (d *Daemon) loop(ctx context.Context) error {
+// runEventLoop runs in the only goroutine that accesses the core.
+func (d *Daemon) runEventLoop(ctx context.Context) error {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	wasReady := false
@@ -160,9 +161,9 @@
 			return ctx.Err()
 		case <-ticker.C:
 			d.core.Tick(clock.NowMs())
-		case next := <-d.events:
-			next(d.core, clock.NowMs())
-			d.takeWaiting()
+		case event := <-d.events:
+			event(d.core, clock.NowMs())
+			d.processQueuedEvents()
 		}
 		d.publish()
 		if ready := d.core.IsReady(); ready != wasReady {
@@ -172,11 +173,11 @@
 	}
 }
 
-func (d *Daemon) takeWaiting() {
-	for range eventsPerRound {
+func (d *Daemon) processQueuedEvents() {
+	for range maxEventsPerBatch {
 		select {
-		case next := <-d.events:
-			next(d.core, clock.NowMs())
+		case event := <-d.events:
+			event(d.core, clock.NowMs())
 		default:
 			return
 		}
@@ -186,28 +187,28 @@
 func (d *Daemon) publish() {
 	stats := d.core.Stats()
 	d.stats.Store(&stats)
-	d.idle.Store(d.core.IsIdle())
-	d.ready.Store(d.core.IsReady())
+	d.isIdle.Store(d.core.IsIdle())
+	d.isReady.Store(d.core.IsReady())
 	engines := d.core.Engines()
-	d.owned.Store(&engines)
+	d.ownedEngines.Store(&engines)
 }
 
-// post hands an event to the loop, unless the process is ending.
-func (d *Daemon) post(next func(core *Core, nowMs int64)) {
+// postEvent queues an event for the event loop, unless the process is ending.
+func (d *Daemon) postEvent(event func(core *Core, nowMs int64)) {
 	select {
-	case d.events <- next:
-	case <-d.running.Done():
+	case d.events <- event:
+	case <-d.runContext.Done():
 	}
 }
 
-func (d *Daemon) serveWeb(ctx *fasthttp.RequestCtx) {
+func (d *Daemon) serveHTTP(ctx *fasthttp.RequestCtx) {
 	if !d.monitor.Serve(ctx) {
 		ctx.SetStatusCode(fasthttp.StatusNotFound)
 	}
 }
 
-// handle takes a frame from a sidecar.
-func (d *Daemon) handle(connection *protocol.Connection, frame protocol.Frame) {
+// handleFrame handles a frame from a sidecar. An invalid frame closes the connection.
+func (d *Daemon) handleFrame(connection *protocol.Connection, frame protocol.Frame) {
 	switch frame.Kind {
 	case protocol.KindCall:
 		var request protocol.CallRequest
@@ -217,7 +218,7 @@
 		}
 		sink := d.addSink(connection, frame.Call)
 		telemetry.Debug(d.logger, "call", "program", request.Program, "request", request.Request)
-		d.post(func(core *Core, nowMs int64) { core.HandleCall(sink, &request, nowMs) })
+		d.postEvent(func(core *Core, nowMs int64) { core.HandleCall(sink, &request, nowMs) })
 	case protocol.KindFollow:
 		var request protocol.FollowRequest
 		if protocol.Decode(frame.Body, &request) != nil {
@@ -225,14 +226,14 @@
 			return
 		}
 		sink := d.addSink(connection, frame.Call)
-		d.post(func(core *Core, nowMs int64) { core.HandleFollow(sink, &request, nowMs) })
+		d.postEvent(func(core *Core, nowMs int64) { core.HandleFollow(sink, &request, nowMs) })
 	case protocol.KindCancel:
 		var cancel protocol.Cancel
 		if protocol.Decode(frame.Body, &cancel) != nil {
 			connection.Close()
 			return
 		}
-		d.post(func(core *Core, nowMs int64) { core.HandleCancel(&cancel, nowMs) })
+		d.postEvent(func(core *Core, nowMs int64) { core.HandleCancel(&cancel, nowMs) })
 	case protocol.KindProgram:
 		var request protocol.ProgramRequest
 		if protocol.Decode(frame.Body, &request) != nil {
@@ -240,21 +241,21 @@
 			return
 		}
 		sink := d.addSink(connection, frame.Call)
-		d.post(func(core *Core, nowMs int64) { core.HandleProgramRequest(sink, &request, nowMs) })
+		d.postEvent(func(core *Core, nowMs int64) { core.HandleProgramRequest(sink, &request, nowMs) })
 	default:
 		connection.Close()
 	}
 }
 
 func (d *Daemon) addSink(connection *protocol.Connection, call uint64) SinkID {
-	sink := SinkID(d.nextSink.Add(1))
+	sink := SinkID(d.lastSink.Add(1))
 	d.mutex.Lock()
 	d.sinks[sink] = sinkTarget{connection, call}
 	d.mutex.Unlock()
 	return sink
 }
 
-// Reply is the core's outlet to sidecars.
+// Reply implements Transport.
 func (d *Daemon) Reply(sink SinkID, kind protocol.Kind, message any, last bool) {
 	d.mutex.Lock()
 	target, ok := d.sinks[sink]
@@ -265,129 +266,131 @@
 	if !ok {
 		return
 	}
-	if answer, isAnswer := message.(*protocol.CallReply); isAnswer && answer.Error != nil {
-		telemetry.Info(d.logger, "call ended", "code", int(answer.Error.Code), "err", answer.Error)
+	if callReply, isCallReply := message.(*protocol.CallReply); isCallReply && callReply.Error != nil {
+		telemetry.Info(d.logger, "call ended", "code", int(callReply.Error.Code), "err", callReply.Error)
 	}
 	if target.connection.Reply(target.call, kind, message, last) != nil {
 		d.mutex.Lock()
 		delete(d.sinks, sink)
 		d.mutex.Unlock()
-		go d.post(func(core *Core, _ int64) { core.HandleSinkClosed(sink) })
+		go d.postEvent(func(core *Core, _ int64) { core.HandleSinkClosed(sink) })
 	}
 }
 
-// SendControlRequest is the core's outlet to control processes.
+// SendControlRequest implements Transport.
 func (d *Daemon) SendControlRequest(member string, id ControlID, kind protocol.Kind, request any) {
-	link, ok := d.control[member]
+	link, ok := d.controlLinks[member]
 	if !ok {
-		go d.post(func(core *Core, nowMs int64) { core.HandleControlReply(id, nil, nowMs) })
+		go d.postEvent(func(core *Core, nowMs int64) { core.HandleControlReply(id, nil, nowMs) })
 		return
 	}
-	// The message may share memory with the core, so it is encoded here.
+	// The request may share memory with the core, so it is encoded before the method returns.
 	body, err := protocol.Encode(request)
 	if err != nil {
-		telemetry.Warn(d.logger, "request not encoded", "err", err)
+		telemetry.Warn(d.logger, "cannot encode control request", "err", err)
 		return
 	}
 	link.call(kind, body, func(frame protocol.Frame) {
 		if frame.Kind != protocol.KindResponse {
-			// This may run on the control loop, which must not wait for itself.
-			go d.post(func(core *Core, nowMs int64) { core.HandleControlReply(id, nil, nowMs) })
+			// This may run in the event loop, which would block if it waited for its own queue.
+			go d.postEvent(func(core *Core, nowMs int64) { core.HandleControlReply(id, nil, nowMs) })
 			return
 		}
 		reply := protocol.NewReply(kind)
 		if protocol.Decode(frame.Body, reply) != nil {
 			reply = nil
 		}
-		d.post(func(core *Core, nowMs int64) { core.HandleControlReply(id, reply, nowMs) })
+		d.postEvent(func(core *Core, nowMs int64) { core.HandleControlReply(id, reply, nowMs) })
 	})
 }
 
-// StartAttempt is the core's outlet to engines.
-func (d *Daemon) StartAttempt(run EngineAttempt) {
-	ctx, cancel := context.WithCancel(d.running)
+// StartAttempt implements Transport.
+func (d *Daemon) StartAttempt(attempt EngineAttempt) {
+	ctx, cancel := context.WithCancel(d.runContext)
 	d.mutex.Lock()
-	d.stops[run.ID] = cancel
+	d.attemptCancels[attempt.ID] = cancel
 	d.mutex.Unlock()
 	go func() {
 		defer cancel()
-		outcome := d.engines.Complete(ctx, run.Engine.Address, run.Request, func(text string) {
-			d.post(func(core *Core, nowMs int64) { core.HandleChunk(run.ID, text, nowMs) })
+		outcome := d.engineClient.Complete(ctx, attempt.Engine.Address, attempt.Request, func(text string) {
+			d.postEvent(func(core *Core, nowMs int64) { core.HandleChunk(attempt.ID, text, nowMs) })
 		})
 		d.mutex.Lock()
-		delete(d.stops, run.ID)
+		delete(d.attemptCancels, attempt.ID)
 		d.mutex.Unlock()
 		if outcome.Err != nil && ctx.Err() == nil {
-			telemetry.Warn(d.logger, "run failed", "engine", run.Engine.Name, "program", run.Request.User,
-				"request", run.Request.RequestID, "started", outcome.MayHaveStarted, "err", outcome.Err)
+			telemetry.Warn(d.logger, "engine attempt failed", "engine", attempt.Engine.Name, "program", attempt.Request.User,
+				"request", attempt.Request.RequestID, "started", outcome.MayHaveStarted, "err", outcome.Err)
 		}
-		d.post(func(core *Core, nowMs int64) { core.HandleCompletion(run.ID, outcome, nowMs) })
+		d.postEvent(func(core *Core, nowMs int64) { core.HandleCompletion(attempt.ID, outcome, nowMs) })
 	}()
 }
 
-// StopAttempt closes a run's stream.
-func (d *Daemon) StopAttempt(attempt AttemptID) {
+// StopAttempt implements Transport.
+func (d *Daemon) StopAttempt(id AttemptID) {
 	d.mutex.Lock()
-	cancel, ok := d.stops[attempt]
+	cancel, ok := d.attemptCancels[id]
 	d.mutex.Unlock()
 	if ok {
 		cancel()
 	}
 }
 
-// SendOrder gives an engine a fenced order.
+// SendOrder implements Transport.
 func (d *Daemon) SendOrder(target membership.Engine, order engine.Order) {
-	telemetry.Info(d.logger, "engine ordered", "engine", target.Name, "model", order.Target.Model,
+	telemetry.Info(d.logger, "sending order to engine", "engine", target.Name, "model", order.Target.Model,
 		"version", order.Target.Version, "epoch", order.Fence.Epoch, "revision", order.Fence.Revision)
 	go func() {
-		if err := d.engines.SendOrder(d.running, target.Address, order); err != nil && result.CodeOf(err) != result.Internal {
-			telemetry.Warn(d.logger, "order refused", "engine", target.Name, "err", err)
+		if err := d.engineClient.SendOrder(d.runContext, target.Address, order); err != nil && result.CodeOf(err) != result.Internal {
+			telemetry.Warn(d.logger, "engine rejected an order", "engine", target.Name, "err", err)
 		}
 	}()
 }
 
-// ReleasePrograms tells an engine to drop programs.
+// ReleasePrograms implements Transport.
 func (d *Daemon) ReleasePrograms(target membership.Engine, programs []string) {
-	telemetry.Debug(d.logger, "programs released", "engine", target.Name, "count", len(programs))
-	go func() { _ = d.engines.ReleasePrograms(d.running, target.Address, programs) }()
+	telemetry.Debug(d.logger, "releasing programs on engine", "engine", target.Name, "count", len(programs))
+	go func() { _ = d.engineClient.ReleasePrograms(d.runContext, target.Address, programs) }()
 }
 
-// pollEngines asks each engine of the cell for its state.
+// pollEngines polls the state of each engine of the cell. An engine is not polled again while its
+// last poll is in flight.
 func (d *Daemon) pollEngines(ctx context.Context) error {
 	ticker := time.NewTicker(StatePollIntervalMs * time.Millisecond)
 	defer ticker.Stop()
-	var busy sync.Map
-	for round := 0; ; round++ {
+	var pollsInFlight sync.Map
+	for poll := 0; ; poll++ {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-ticker.C:
 		}
-		for _, owned := range *d.owned.Load() {
-			if _, loaded := busy.LoadOrStore(owned.Name, true); loaded {
+		for _, owned := range *d.ownedEngines.Load() {
+			if _, isPolling := pollsInFlight.LoadOrStore(owned.Name, true); isPolling {
 				continue
 			}
 			go func() {
-				defer busy.Delete(owned.Name)
-				state, err := d.engines.State(ctx, owned.Address, round%CachedProgramsEveryPolls == 0)
-				d.post(func(core *Core, nowMs int64) { core.HandleEngineState(owned.Name, state, err == nil, nowMs) })
+				defer pollsInFlight.Delete(owned.Name)
+				state, err := d.engineClient.State(ctx, owned.Address, poll%CachedProgramsEveryPolls == 0)
+				d.postEvent(func(core *Core, nowMs int64) { core.HandleEngineState(owned.Name, state, err == nil, nowMs) })
 			}()
 		}
 	}
 }
 
-// controlLink is the connection to one control process; it redials by itself.
+// controlLink is the connection to one control process. It is dialed on the first call and again
+// after it has closed.
 type controlLink struct {
-	address string
-	delay   time.Duration
-	mutex   sync.Mutex
-	current *protocol.Connection
+	address    string
+	delay      time.Duration
+	mutex      sync.Mutex
+	connection *protocol.Connection
 }
 
-// call sends a request; handler gets KindClosed where there is no connection.
+// call sends a request. If no connection can be made, handler gets a frame of KindClosed.
 func (l *controlLink) call(kind protocol.Kind, body []byte, handler func(protocol.Frame)) {
 	l.mutex.Lock()
-	connection := l.current
+	connection := l.connection
 	l.mutex.Unlock()
 	if connection != nil {
 		connection.CallRaw(kind, body, handler)
@@ -406,19 +409,19 @@
 func (l *controlLink) dial() (*protocol.Connection, error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if l.current != nil {
-		return l.current, nil
+	if l.connection != nil {
+		return l.connection, nil
 	}
 	connection, err := protocol.Dial(l.address, dialTimeout, l.delay)
 	if err != nil {
 		return nil, err
 	}
-	l.current = connection
+	l.connection = connection
 	connection.OnClose(func() {
 		l.mutex.Lock()
 		defer l.mutex.Unlock()
-		if l.current == connection {
-			l.current = nil
+		if l.connection == connection {
+			l.connection = nil
 		}
 	})
 	return connection, nil
--- a/internal/scheduler/engines.go
+++ b/internal/scheduler/engines.go
@@ -11,278 +11,280 @@
 	"github.com/ochrebay/ochrebay/internal/scheduling"
 )
 
-// setEngines takes the cell as the directory gives it. Calls that run on engines
-// which went to another owner end there.
+// setEngines replaces the engines of the cell with those that the directory assigns to this
+// scheduler. Attempts on an engine that now has another owner continue to their end.
 func (c *Core) setEngines(engines []membership.Engine) {
-	listed := map[string]bool{}
+	isListed := map[string]bool{}
 	for _, info := range engines {
-		listed[info.Name] = true
+		isListed[info.Name] = true
 		owned, ok := c.engines[info.Name]
 		if !ok {
-			owned = &ownedEngine{schedule: &scheduling.Engine{Name: info.Name, Pool: info.Pool}}
+			owned = &ownedEngine{schedulingEngine: &scheduling.Engine{Name: info.Name, Pool: info.Pool}}
 			c.engines[info.Name] = owned
 		}
 		if owned.info.Address != info.Address {
-			owned.known = false
+			owned.hasState = false
 		}
 		owned.info = info
-		owned.schedule.Pool = info.Pool
+		owned.schedulingEngine.Pool = info.Pool
 	}
 	for name := range c.engines {
-		if !listed[name] {
+		if !isListed[name] {
 			delete(c.engines, name)
 		}
 	}
 	c.refreshCell()
 }
 
-// refreshCell rebuilds the list that decisions are made on.
+// refreshCell rebuilds the list of engines that the scheduling policy selects from.
 func (c *Core) refreshCell() {
 	c.cell.Engines = c.cell.Engines[:0]
 	for _, name := range sortedNames(c.engines) {
 		owned := c.engines[name]
 		c.refreshEngine(owned)
-		c.cell.Engines = append(c.cell.Engines, owned.schedule)
+		c.cell.Engines = append(c.cell.Engines, owned.schedulingEngine)
 	}
 }
 
 func (c *Core) refreshEngine(owned *ownedEngine) {
 	hardware := owned.state.Hardware
-	silent := c.nowMs-owned.heardMs > engineSilenceMs
-	target := c.target(owned.info.Pool)
-	owned.schedule.Ready = owned.known && !silent && owned.state.Ready && owned.state.Target.Model == target.Model
-	leaving := owned.info.Leaving && !c.options.DisableLeavingClose
-	owned.schedule.Closed = leaving || owned.draining
-	owned.schedule.Slots = int(*c.fields("/pools/" + owned.info.Pool).EngineConcurrency)
-	owned.schedule.PrefillTokensPerSecond = hardware.PrefillTokensPerSecond
-	owned.schedule.StepMicros = hardware.BaseStepMicros
-	owned.schedule.StepMicrosPerSequence = hardware.StepMicrosPerSequence
+	isReportOverdue := c.nowMs-owned.lastReportMs > engineReportTimeoutMs
+	target := c.poolTarget(owned.info.Pool)
+	owned.schedulingEngine.Ready = owned.hasState && !isReportOverdue && owned.state.Ready && owned.state.Target.Model == target.Model
+	isLeaving := owned.info.Leaving && !c.options.DisableLeavingClose
+	owned.schedulingEngine.Closed = isLeaving || owned.isDraining
+	owned.schedulingEngine.Slots = int(*c.effectiveFields("/pools/" + owned.info.Pool).EngineConcurrency)
+	owned.schedulingEngine.PrefillTokensPerSecond = hardware.PrefillTokensPerSecond
+	owned.schedulingEngine.StepMicros = hardware.BaseStepMicros
+	owned.schedulingEngine.StepMicrosPerSequence = hardware.StepMicrosPerSequence
 }
 
-// HandleEngineState takes an engine's state; ok is false where it didn't answer.
-func (c *Core) HandleEngineState(name string, state engine.State, ok bool, nowMs int64) {
+// HandleEngineState handles the reply to a state poll of an engine. hasReplied is false if the
+// poll failed; the poll is then ignored.
+func (c *Core) HandleEngineState(name string, state engine.State, hasReplied bool, nowMs int64) {
 	c.nowMs = nowMs
-	owned, known := c.engines[name]
-	if !known {
+	owned, isOwned := c.engines[name]
+	if !isOwned {
 		return
 	}
-	if !ok {
+	if !hasReplied {
 		return
 	}
-	owned.known = true
-	owned.heardMs = nowMs
+	owned.hasState = true
+	owned.lastReportMs = nowMs
 	if state.CachedProgramsOmitted {
 		state.CachedPrograms = owned.state.CachedPrograms
 		owned.state = state
 	} else {
 		owned.state = state
-		c.correctWarm(owned)
+		c.reconcileCachedTokens(owned)
 	}
 	c.refreshEngine(owned)
 	c.dispatch()
 }
 
-// correctWarm brings what is believed of an engine's cache into line with what
-// it reports. Reports lag, so only programs that had no call lately change.
-func (c *Core) correctWarm(owned *ownedEngine) {
-	held := map[string]int64{}
+// reconcileCachedTokens lowers the cached tokens assumed for an engine to those that it reports.
+// Reports lag, so programs with an active call or with activity in the last engineReportTimeoutMs
+// are left unchanged.
+func (c *Core) reconcileCachedTokens(owned *ownedEngine) {
+	reportedTokens := map[string]int64{}
 	for _, item := range owned.state.CachedPrograms {
-		held[item.Program] = item.Tokens
+		reportedTokens[item.Program] = item.Tokens
 	}
 	for id, local := range c.programs {
-		if local.active != nil || c.nowMs-local.lastMs < engineSilenceMs {
+		if local.activeCall != nil || c.nowMs-local.lastActiveMs < engineReportTimeoutMs {
 			continue
 		}
-		tokens, ok := held[id]
+		tokens, ok := reportedTokens[id]
 		if !ok {
-			delete(local.warm, owned.info.Name)
-		} else if _, believed := local.warm[owned.info.Name]; believed {
-			local.warm[owned.info.Name] = min(local.warm[owned.info.Name], tokens)
+			delete(local.cachedTokens, owned.info.Name)
+		} else if _, isCached := local.cachedTokens[owned.info.Name]; isCached {
+			local.cachedTokens[owned.info.Name] = min(local.cachedTokens[owned.info.Name], tokens)
 		}
 	}
 }
 
-// tickEngines notices silent engines, brings engines into line and audits what
-// they hold.
+// tickEngines updates the readiness of the engines, aborts calls that the cell cannot serve,
+// reconciles the engines with their targets and audits their cached programs.
 func (c *Core) tickEngines() {
 	for _, name := range sortedNames(c.engines) {
 		owned := c.engines[name]
-		before := owned.schedule.Ready
+		wasReady := owned.schedulingEngine.Ready
 		c.refreshEngine(owned)
-		if before && !owned.schedule.Ready {
-			c.forgetWarm(name)
+		if wasReady && !owned.schedulingEngine.Ready {
+			c.clearCachedTokens(name)
 		}
-		if owned.schedule.Ready && !owned.schedule.Closed {
-			c.readyMs[owned.info.Pool] = c.nowMs
+		if owned.schedulingEngine.Ready && !owned.schedulingEngine.Closed {
+			c.poolLastReadyMs[owned.info.Pool] = c.nowMs
 		}
 	}
-	c.giveBackUnserved()
-	if c.synced && c.nowMs-c.lastPlanMs >= reconcileEveryMs {
-		c.lastPlanMs = c.nowMs
+	c.abortUnserved()
+	if c.isSynced && c.nowMs-c.lastReconcileMs >= reconcileIntervalMs {
+		c.lastReconcileMs = c.nowMs
 		for _, name := range sortedNames(c.engines) {
 			c.reconcileEngine(c.engines[name])
 		}
 	}
-	if c.synced && c.nowMs-c.lastAuditMs >= auditEveryMs && !c.options.DisableAudit {
+	if c.isSynced && c.nowMs-c.lastAuditMs >= auditIntervalMs && !c.options.DisableAudit {
 		c.lastAuditMs = c.nowMs
-		c.audit()
+		c.auditCachedPrograms()
 	}
 }
 
-// isUnserved reports whether the cell has had no open engine of a pool for so long
-// that calls should go to another cell.
+// isUnserved reports whether the cell has had no ready and open engine of a pool for more than
+// noEngineGraceMs, so that calls should go to another cell.
 func (c *Core) isUnserved(pool string) bool {
-	last, ok := c.readyMs[pool]
+	lastReadyMs, ok := c.poolLastReadyMs[pool]
 	if !ok {
-		c.readyMs[pool] = c.nowMs
+		c.poolLastReadyMs[pool] = c.nowMs
 		return false
 	}
-	return c.nowMs-last > noEngineGraceMs
+	return c.nowMs-lastReadyMs > noEngineGraceMs
 }
 
-// giveBackUnserved ends waiting calls that no engine of the cell can serve. They
-// have not run; their sidecars take them to another cell.
-func (c *Core) giveBackUnserved() {
+// abortUnserved ends the waiting calls that no engine of the cell can serve. Their sidecars send
+// them to another cell.
+func (c *Core) abortUnserved() {
 	if len(c.cell.Waiting) == 0 {
 		return
 	}
-	kept := c.cell.Waiting[:0]
-	for _, waiting := range c.cell.Waiting {
-		if !c.isUnserved(waiting.Pool) {
-			kept = append(kept, waiting)
+	remaining := c.cell.Waiting[:0]
+	for _, waitingCall := range c.cell.Waiting {
+		if !c.isUnserved(waitingCall.Pool) {
+			remaining = append(remaining, waitingCall)
 			continue
 		}
-		current := c.waiting[waiting.ID]
-		delete(c.waiting, waiting.ID)
-		c.abortCall(current, c.noEngine(waiting.Pool), true, 0)
+		current := c.waitingCalls[waitingCall.ID]
+		delete(c.waitingCalls, waitingCall.ID)
+		c.abortCall(current, c.noEngineError(waitingCall.Pool), true, 0)
 	}
-	c.cell.Waiting = kept
+	c.cell.Waiting = remaining
 }
 
-func (c *Core) noEngine(pool string) *result.Error {
-	return result.New(result.NoEngine, "%s has no ready engine of pool %s", c.options.Name, pool)
+func (c *Core) noEngineError(pool string) *result.Error {
+	return result.New(result.NoEngine, "scheduler %s has no ready engine of pool %s", c.options.Name, pool)
 }
 
-func (c *Core) forgetWarm(name string) {
+func (c *Core) clearCachedTokens(name string) {
 	for _, local := range c.programs {
-		delete(local.warm, name)
+		delete(local.cachedTokens, name)
 	}
 }
 
-// reconcileEngine takes the next step that brings an engine to what the settings
-// ask of its pool.
+// reconcileEngine performs the next step that brings an engine to the target of its pool.
 func (c *Core) reconcileEngine(owned *ownedEngine) {
-	target := c.target(owned.info.Pool)
-	if !owned.known || target.Model == "" || c.nowMs-owned.heardMs > engineSilenceMs {
+	target := c.poolTarget(owned.info.Pool)
+	if !owned.hasState || target.Model == "" || c.nowMs-owned.lastReportMs > engineReportTimeoutMs {
 		return
 	}
 	observed := reconcile.ObservedEngine{
 		Name: owned.info.Name, Pool: owned.info.Pool, Current: owned.state.Target, IsLoading: owned.state.Loading,
-		IsLeaving: owned.info.Leaving, InFlight: owned.schedule.InFlight,
-		// An engine that serves nothing lowers no floor, so it needs no permit.
-		HasPermit: owned.permit || owned.state.Target.Model == "", IsDraining: owned.draining || !owned.state.Ready,
+		IsLeaving: owned.info.Leaving, InFlight: owned.schedulingEngine.InFlight,
+		// Loading an engine that serves no model cannot lower the number of ready engines below
+		// the pool's ready floor, so it needs no permit.
+		HasPermit: owned.hasPermit || owned.state.Target.Model == "", IsDraining: owned.isDraining || !owned.state.Ready,
 	}
 	switch reconcile.NextStep(observed, target) {
 	case reconcile.StepPermit:
-		c.askPermit(owned)
+		c.requestPermit(owned)
 	case reconcile.StepDrain:
-		owned.draining = true
+		owned.isDraining = true
 		c.refreshEngine(owned)
 	case reconcile.StepOrder:
-		c.orderEngine(owned, target)
+		c.sendEngineOrder(owned, target)
 	case reconcile.StepRelease:
 		c.releasePermit(owned)
 	}
 }
 
-func (c *Core) orderEngine(owned *ownedEngine, target reconcile.Target) {
-	if c.nowMs-owned.orderedAtMs < controlTimeoutMs {
+func (c *Core) sendEngineOrder(owned *ownedEngine, target reconcile.Target) {
+	if c.nowMs-owned.lastOrderMs < controlTimeoutMs {
 		return
 	}
-	owned.orderedAtMs = c.nowMs
+	owned.lastOrderMs = c.nowMs
 	fence := reconcile.Fence{Epoch: owned.info.Epoch, Revision: c.tree.Revision()}
-	c.outlet.SendOrder(owned.info, engine.Order{Fence: fence, Target: target})
+	c.transport.SendOrder(owned.info, engine.Order{Fence: fence, Target: target})
 }
 
-func (c *Core) askPermit(owned *ownedEngine) {
-	if owned.permitPending {
+func (c *Core) requestPermit(owned *ownedEngine) {
+	if owned.isPermitPending {
 		return
 	}
-	owned.permitPending = true
+	owned.isPermitPending = true
 	request := &protocol.PermitRequest{Scheduler: c.options.Name, Engine: owned.info.Name, Pool: owned.info.Pool}
-	c.askControl(0, protocol.KindPermit, request, controlTimeoutMs, func(reply any) {
-		owned.permitPending = false
+	c.startControlRequest(0, protocol.KindPermit, request, controlTimeoutMs, func(reply any) {
+		owned.isPermitPending = false
 		if typed, ok := reply.(*protocol.PermitReply); ok {
-			owned.permit = typed.Granted
+			owned.hasPermit = typed.Granted
 		}
 	})
 }
 
 func (c *Core) releasePermit(owned *ownedEngine) {
-	held := owned.permit
-	owned.permit = false
-	owned.draining = false
-	owned.orderedAtMs = 0
+	hadPermit := owned.hasPermit
+	owned.hasPermit = false
+	owned.isDraining = false
+	owned.lastOrderMs = 0
 	c.refreshEngine(owned)
-	if held {
+	if hadPermit {
 		request := &protocol.PermitRequest{Scheduler: c.options.Name, Engine: owned.info.Name, Pool: owned.info.Pool, Release: true}
-		c.askControl(0, protocol.KindPermit, request, controlTimeoutMs, func(any) {})
+		c.startControlRequest(0, protocol.KindPermit, request, controlTimeoutMs, func(any) {})
 	}
 }
 
-// audit asks the ledgers which of the programs that engines hold have ended, so
-// that a release lost in a crash is made up for.
-func (c *Core) audit() {
-	byGroup := map[uint32]map[string]bool{}
+// auditCachedPrograms queries the ledger groups for the programs cached on engines that have ended
+// or are unknown, and releases them. This repeats releases that were lost in a crash.
+func (c *Core) auditCachedPrograms() {
+	programsByGroup := map[uint32]map[string]bool{}
 	for _, owned := range c.engines {
 		for _, item := range owned.state.CachedPrograms {
-			if local, ok := c.programs[item.Program]; ok && local.active != nil {
+			if local, ok := c.programs[item.Program]; ok && local.activeCall != nil {
 				continue
 			}
 			group := c.groupOf(item.Program)
-			if byGroup[group] == nil {
-				byGroup[group] = map[string]bool{}
+			if programsByGroup[group] == nil {
+				programsByGroup[group] = map[string]bool{}
 			}
-			byGroup[group][item.Program] = true
+			programsByGroup[group][item.Program] = true
 		}
 	}
 	for group := uint32(1); group <= c.groups; group++ {
-		if len(byGroup[group]) == 0 {
+		if len(programsByGroup[group]) == 0 {
 			continue
 		}
-		request := &protocol.EndedProgramsRequest{Group: group, Programs: sortedNames(byGroup[group])}
-		c.askControl(group, protocol.KindEndedPrograms, request, controlTimeoutMs, func(reply any) {
+		request := &protocol.EndedProgramsRequest{Group: group, Programs: sortedNames(programsByGroup[group])}
+		c.startControlRequest(group, protocol.KindEndedPrograms, request, controlTimeoutMs, func(reply any) {
 			if typed, ok := reply.(*protocol.EndedProgramsReply); ok && typed.Error == nil {
-				c.release(typed.EndedOrUnknown)
+				c.releaseEndedPrograms(typed.EndedOrUnknown)
 			}
 		})
 	}
 }
 
-// release tells every engine that holds any of the programs to drop them.
-func (c *Core) release(ended []string) {
+// releaseEndedPrograms sends a release to every engine that has any of the programs cached.
+func (c *Core) releaseEndedPrograms(ended []string) {
 	if len(ended) == 0 {
 		return
 	}
-	gone := map[string]bool{}
+	isEnded := map[string]bool{}
 	for _, id := range ended {
-		gone[id] = true
-		if local, ok := c.programs[id]; ok && local.active == nil && len(local.queue) == 0 {
-			c.forget(local)
+		isEnded[id] = true
+		if local, ok := c.programs[id]; ok && local.activeCall == nil && len(local.queue) == 0 {
+			c.evict(local)
 		}
 	}
 	for _, name := range sortedNames(c.engines) {
 		owned := c.engines[name]
-		var here []string
+		var programsToRelease []string
 		for _, item := range owned.state.CachedPrograms {
-			if gone[item.Program] {
-				here = append(here, item.Program)
+			if isEnded[item.Program] {
+				programsToRelease = append(programsToRelease, item.Program)
 			}
 		}
-		if len(here) > 0 {
-			c.counters.ReleasedPrograms += uint64(len(here))
-			c.outlet.ReleasePrograms(owned.info, here)
-			owned.state.CachedPrograms = slices.DeleteFunc(slices.Clone(owned.state.CachedPrograms), func(item engine.CachedProgram) bool { return gone[item.Program] })
+		if len(programsToRelease) > 0 {
+			c.counters.ReleasedPrograms += uint64(len(programsToRelease))
+			c.transport.ReleasePrograms(owned.info, programsToRelease)
+			owned.state.CachedPrograms = slices.DeleteFunc(slices.Clone(owned.state.CachedPrograms), func(item engine.CachedProgram) bool { return isEnded[item.Program] })
 		}
 	}
 }
--- a/internal/scheduler/programs.go
+++ b/internal/scheduler/programs.go
@@ -7,7 +7,7 @@
 	"github.com/ochrebay/ochrebay/internal/result"
 )
 
-// Engines returns the cell's engines in ascending order of name.
+// Engines returns the engines of the cell, sorted by name.
 func (c *Core) Engines() []membership.Engine {
 	engines := make([]membership.Engine, 0, len(c.engines))
 	for _, name := range sortedNames(c.engines) {
@@ -16,11 +16,11 @@
 	return engines
 }
 
-// HandleProgramRequest answers a caller's question about a program, or ends it.
+// HandleProgramRequest reads a program from the ledger or ends it, and replies to the sink.
 func (c *Core) HandleProgramRequest(sink SinkID, request *protocol.ProgramRequest, nowMs int64) {
 	c.nowMs = nowMs
-	if !c.synced {
-		c.replyProgram(sink, &protocol.ProgramReply{Error: result.New(result.NoScheduler, "%s has not heard the settings yet", c.options.Name)})
+	if !c.isSynced {
+		c.replyToProgramRequest(sink, &protocol.ProgramReply{Error: result.New(result.NoScheduler, "scheduler %s has not received the settings yet", c.options.Name)})
 		return
 	}
 	if request.End {
@@ -30,39 +30,39 @@
 	read := &protocol.ReadRequest{
 		Topic: protocol.ReadProgram, Group: c.groupOf(request.Program), Program: request.Program, Limit: 1,
 	}
-	c.askControl(read.Group, protocol.KindRead, read, controlTimeoutMs, func(reply any) {
+	c.startControlRequest(read.Group, protocol.KindRead, read, controlTimeoutMs, func(reply any) {
 		typed, ok := reply.(*protocol.ReadReply)
 		if !ok {
-			c.replyProgram(sink, &protocol.ProgramReply{Error: result.New(result.NoQuorum, "the ledger did not answer")})
+			c.replyToProgramRequest(sink, &protocol.ProgramReply{Error: result.New(result.NoQuorum, "the ledger did not reply in time")})
 			return
 		}
-		c.replyProgram(sink, &protocol.ProgramReply{Error: typed.Error, Body: typed.Body})
+		c.replyToProgramRequest(sink, &protocol.ProgramReply{Error: typed.Error, Body: typed.Body})
 	})
 }
 
-func (c *Core) replyProgram(sink SinkID, reply *protocol.ProgramReply) {
-	c.outlet.Reply(sink, protocol.KindResponse, reply, true)
+func (c *Core) replyToProgramRequest(sink SinkID, reply *protocol.ProgramReply) {
+	c.transport.Reply(sink, protocol.KindResponse, reply, true)
 }
 
 func (c *Core) endProgram(sink SinkID, request *protocol.ProgramRequest) {
 	end := &program.End{Program: request.Program, Tenant: request.Tenant, Reason: "caller"}
 	message := &protocol.LedgerRequest{Group: c.groupOf(request.Program), Command: program.Command{End: end}}
-	c.askControl(message.Group, protocol.KindLedger, message, controlTimeoutMs, func(reply any) {
+	c.startControlRequest(message.Group, protocol.KindLedger, message, controlTimeoutMs, func(reply any) {
 		typed, ok := reply.(*protocol.LedgerReply)
 		if !ok {
-			c.replyProgram(sink, &protocol.ProgramReply{Error: result.New(result.NoQuorum, "the ledger did not answer")})
+			c.replyToProgramRequest(sink, &protocol.ProgramReply{Error: result.New(result.NoQuorum, "the ledger did not reply in time")})
 			return
 		}
 		if typed.Reply.Error != nil {
-			c.replyProgram(sink, &protocol.ProgramReply{Error: typed.Reply.Error})
+			c.replyToProgramRequest(sink, &protocol.ProgramReply{Error: typed.Reply.Error})
 			return
 		}
-		if local, known := c.programs[request.Program]; known {
-			if local.active != nil && !local.active.ended {
-				c.giveUp(local.active, result.New(result.ProgramClosed, "the program was ended"))
+		if local, isLocal := c.programs[request.Program]; isLocal {
+			if local.activeCall != nil && !local.activeCall.isEnded {
+				c.abandonCall(local.activeCall, result.New(result.ProgramClosed, "the program was ended by a request"))
 			}
-			c.releaseNow(local)
+			c.releaseCachedProgram(local)
 		}
-		c.replyProgram(sink, &protocol.ProgramReply{Body: []byte(`{"ended":true}`)})
+		c.replyToProgramRequest(sink, &protocol.ProgramReply{Body: []byte(`{"ended":true}`)})
 	})
 }
--- a/internal/scheduler/runs.go
+++ b/internal/scheduler/runs.go
@@ -12,92 +12,93 @@
 	"github.com/ochrebay/ochrebay/internal/scheduling"
 )
 
-// dispatch lets the policy start and refuse waiting calls.
+// dispatch starts and refuses waiting calls as the scheduling policy decides.
 func (c *Core) dispatch() {
 	if len(c.cell.Waiting) == 0 {
 		return
 	}
 	decision := c.cell.Decide(c.nowMs)
 	for _, refusal := range decision.Refusals {
-		current := c.waiting[refusal.Call.ID]
-		delete(c.waiting, refusal.Call.ID)
+		current := c.waitingCalls[refusal.Call.ID]
+		delete(c.waitingCalls, refusal.Call.ID)
 		c.counters.Refused++
 		c.abortCall(current, refusal.Error, true, 0)
 	}
-	for _, start := range decision.Dispatches {
-		current := c.waiting[start.Call.ID]
-		delete(c.waiting, start.Call.ID)
-		c.start(current, start.Engine.Name)
+	for _, dispatched := range decision.Dispatches {
+		current := c.waitingCalls[dispatched.Call.ID]
+		delete(c.waitingCalls, dispatched.Call.ID)
+		c.startAttempt(current, dispatched.Engine.Name)
 	}
 }
 
-func (c *Core) start(current *call, name string) {
-	owned := c.engines[name]
-	c.nextAttempt++
-	current.attempt = c.nextAttempt
-	current.engine = name
+func (c *Core) startAttempt(current *call, engineName string) {
+	owned := c.engines[engineName]
+	c.lastAttemptID++
+	current.attempt = c.lastAttemptID
+	current.engine = engineName
 	current.startedMs = c.nowMs
-	current.answer.Reset()
+	current.response.Reset()
 	c.attempts[current.attempt] = current
 	c.counters.StartedAttempts++
-	c.outlet.StartAttempt(EngineAttempt{
+	c.transport.StartAttempt(EngineAttempt{
 		ID: current.attempt, Engine: owned.info,
 		Request: engine.CompletionRequest{
-			Model: c.target(owned.info.Pool).Model, Messages: current.prompt, MaxTokens: current.maxTokens, Stream: true,
-			Priority: current.schedule.Priority, User: current.request.Program, RequestID: current.request.Request,
+			Model: c.poolTarget(owned.info.Pool).Model, Messages: current.prompt, MaxTokens: current.maxOutputTokens, Stream: true,
+			Priority: current.schedulingCall.Priority, User: current.request.Program, RequestID: current.request.Request,
 		},
 	})
 }
 
-// HandleChunk takes a part of an answer from an engine.
+// HandleChunk handles a chunk of an engine's response.
 func (c *Core) HandleChunk(attempt AttemptID, text string, nowMs int64) {
 	c.nowMs = nowMs
 	current, ok := c.attempts[attempt]
 	if !ok {
 		return
 	}
-	current.answer.WriteString(text)
-	answer := current.answer.String()
-	// Invariant: no token goes out twice. What an earlier attempt has sent must
-	// be a prefix of this one's answer; only what is beyond it goes out.
-	if len(answer) <= len(current.sent) {
+	current.response.WriteString(text)
+	response := current.response.String()
+	// Invariant: no part of a response is sent twice to the same sink. The text that an earlier
+	// attempt has sent must be a prefix of this attempt's response, and only the rest is sent.
+	if len(response) <= len(current.sentText) {
 		return
 	}
-	if !strings.HasPrefix(answer, current.sent) {
+	if !strings.HasPrefix(response, current.sentText) {
 		c.stopAttempt(current)
-		c.abortCall(current, result.New(result.EngineFailed, "the answer differs from what an earlier engine had sent"), false, c.usedTokens(current))
+		c.abortCall(current, result.New(result.EngineFailed, "the response differs from the text that an earlier attempt has sent"), false, c.usedTokens(current))
 		return
 	}
-	fresh := &protocol.CallChunk{Offset: len(current.sent), Text: answer[len(current.sent):]}
-	current.sent = answer
+	chunk := &protocol.CallChunk{Offset: len(current.sentText), Text: response[len(current.sentText):]}
+	current.sentText = response
 	for _, sink := range current.sinks {
-		c.outlet.Reply(sink, protocol.KindCallChunk, fresh, false)
+		c.transport.Reply(sink, protocol.KindCallChunk, chunk, false)
 	}
 }
 
-// usedTokens is what an attempt is known to have used of the budget.
+// usedTokens returns the number of budget tokens that the present attempt is known to have used:
+// its new prompt tokens and the tokens of the response received.
 func (c *Core) usedTokens(current *call) int64 {
-	return current.newTokens + engine.CountTokens(current.answer.String())
+	return current.newPromptTokens + engine.CountTokens(current.response.String())
 }
 
-// stopAttempt frees the engine's slot.
+// stopAttempt closes the stream of a running attempt and frees the engine's slot.
 func (c *Core) stopAttempt(current *call) {
 	if _, ok := c.attempts[current.attempt]; !ok {
 		return
 	}
 	delete(c.attempts, current.attempt)
-	c.outlet.StopAttempt(current.attempt)
+	c.transport.StopAttempt(current.attempt)
 	c.freeSlot(current)
 }
 
 func (c *Core) freeSlot(current *call) {
 	if owned, ok := c.engines[current.engine]; ok {
-		owned.schedule.RemoveCall(current.schedule)
+		owned.schedulingEngine.RemoveCall(current.schedulingCall)
 	}
-	current.local.attainedMs += c.nowMs - current.startedMs
+	current.local.attainedServiceMs += c.nowMs - current.startedMs
 }
 
-// HandleCompletion takes the outcome of a run.
+// HandleCompletion handles the outcome of an attempt.
 func (c *Core) HandleCompletion(attempt AttemptID, outcome engine.CompletionOutcome, nowMs int64) {
 	c.nowMs = nowMs
 	current, ok := c.attempts[attempt]
@@ -109,294 +110,301 @@
 	if outcome.Err == nil {
 		c.commit(current, outcome.Usage)
 	} else {
-		c.attemptFailed(current, outcome)
+		c.handleAttemptFailure(current, outcome)
 	}
 	c.dispatch()
 }
 
-// attemptFailed decides what becomes of a call whose engine failed.
-func (c *Core) attemptFailed(current *call, outcome engine.CompletionOutcome) {
-	delete(current.local.warm, current.engine)
-	current.schedule.ExcludedEngines[current.engine] = true
+// handleAttemptFailure retries a call whose attempt failed or ends it with an error. An attempt
+// that may have started is repeated only if the call is repeatable and has retries left.
+func (c *Core) handleAttemptFailure(current *call, outcome engine.CompletionOutcome) {
+	delete(current.local.cachedTokens, current.engine)
+	current.schedulingCall.ExcludedEngines[current.engine] = true
 	c.counters.FailedAttempts++
 	if !outcome.MayHaveStarted {
-		// The engine did not start the call: the same attempt goes elsewhere.
+		// The engine did not start the call: it can run on another engine under the same fence,
+		// also if it is at most once.
 		if owned, ok := c.engines[current.engine]; ok {
-			owned.schedule.Ready = false
-			owned.known = false
+			owned.schedulingEngine.Ready = false
+			owned.hasState = false
 		}
 		c.requeue(current)
 		return
 	}
-	current.ran = true
-	limit := *c.fields("/services/" + current.request.Service).RetryAttempts
-	once := current.request.AtMostOnce && !c.options.DisableAtMostOnce
-	if once || current.retries >= limit {
-		failure := result.New(result.EngineFailed, "engine %s: %v", current.engine, outcome.Err)
-		if once {
-			failure = result.New(result.OutcomeUnknown, "engine %s was lost: %v", current.engine, outcome.Err)
+	current.mayHaveRun = true
+	limit := *c.effectiveFields("/services/" + current.request.Service).RetryAttempts
+	atMostOnce := current.request.AtMostOnce && !c.options.DisableAtMostOnce
+	if atMostOnce || current.retries >= limit {
+		failure := result.New(result.EngineFailed, "attempt on engine %s failed: %v", current.engine, outcome.Err)
+		if atMostOnce {
+			failure = result.New(result.OutcomeUnknown, "attempt on engine %s failed after it may have started: %v", current.engine, outcome.Err)
 		}
 		c.abortCall(current, failure, false, c.usedTokens(current))
 		return
 	}
 	current.retries++
-	current.retryOf = current.fence
-	current.lost = c.usedTokens(current)
-	c.begin(current)
+	current.retryOfFence = current.fence
+	current.lostTokens = c.usedTokens(current)
+	c.requestTurn(current)
 }
 
-// requeue puts a call back among those that wait.
+// requeue adds a call with an open turn to the waiting calls again.
 func (c *Core) requeue(current *call) {
-	c.waiting[current.schedule.ID] = current
-	c.cell.Waiting = append(c.cell.Waiting, current.schedule)
+	c.waitingCalls[current.schedulingCall.ID] = current
+	c.cell.Waiting = append(c.cell.Waiting, current.schedulingCall)
 }
 
-// commit makes the answer durable; the final message goes out only after that.
+// commit records the response in the ledger. The final message is sent only after the ledger has
+// confirmed the commit.
 func (c *Core) commit(current *call, usage program.Usage) {
 	request := current.request
-	content := current.answer.String()
+	content := current.response.String()
 	if usage.CompletionTokens == 0 {
 		usage.CompletionTokens = engine.CountTokens(content)
 	}
 	c.counters.PromptTokens += usage.PromptTokens
 	c.counters.CachedTokens += usage.CachedTokens
 	commit := &program.Commit{
-		Program: request.Program, Fence: current.fence, Messages: current.newOnes,
+		Program: request.Program, Fence: current.fence, Messages: current.newMessages,
 		Answer: program.Message{Role: "assistant", Content: content},
-		Usage:  usage, NewTokens: current.newTokens, Engine: current.engine, EndsProgram: request.EndsProgram,
+		Usage:  usage, NewTokens: current.newPromptTokens, Engine: current.engine, EndsProgram: request.EndsProgram,
 	}
 	message := &protocol.LedgerRequest{Group: c.groupOf(request.Program), Command: program.Command{Commit: commit}}
-	c.askControl(message.Group, protocol.KindLedger, message, commitPatienceMs, func(reply any) {
-		c.committed(current, commit, reply)
+	c.startControlRequest(message.Group, protocol.KindLedger, message, commitTimeoutMs, func(reply any) {
+		c.handleCommitReply(current, commit, reply)
 	})
 }
 
-func (c *Core) committed(current *call, commit *program.Commit, reply any) {
+func (c *Core) handleCommitReply(current *call, commit *program.Commit, reply any) {
 	typed, ok := reply.(*protocol.LedgerReply)
 	if !ok {
-		c.endCall(current, result.New(result.NoQuorum, "the ledger did not confirm the answer"))
+		c.endWithError(current, result.New(result.NoQuorum, "the ledger did not confirm the commit of the response"))
 		return
 	}
 	if typed.Reply.Error != nil {
-		c.endCall(current, typed.Reply.Error)
+		c.endWithError(current, typed.Reply.Error)
 		return
 	}
 	local := current.local
-	if local.knownTurn == current.turn-1 {
+	if local.cachedTurn == current.turn-1 {
 		c.cacheRecord(local, program.TurnRecord{
 			Turn: current.turn, Thread: current.request.Thread, Request: current.request.Request,
 			Messages: commit.Messages, Answer: commit.Answer, Usage: commit.Usage, Engine: commit.Engine,
 		})
 	}
-	local.warm[current.engine] = engine.CountMessages(current.prompt) + commit.Usage.CompletionTokens
+	local.cachedTokens[current.engine] = engine.CountMessages(current.prompt) + commit.Usage.CompletionTokens
 	c.counters.Answered++
-	c.endWith(current, &protocol.CallReply{
+	c.endWithReply(current, &protocol.CallReply{
 		Content: commit.Answer.Content, Usage: commit.Usage, Turn: typed.Reply.Turn, Engine: current.engine,
 		ProgramEnded: typed.Reply.Ended, RemainingTokens: typed.Reply.RemainingTokens,
 	})
 	if typed.Reply.Ended {
-		c.releaseNow(local)
+		c.releaseCachedProgram(local)
 	}
 }
 
-// releaseNow drops an ended program from the engines that are known to hold it;
-// the audit finds what this misses.
-func (c *Core) releaseNow(local *localProgram) {
+// releaseCachedProgram releases an ended program on the engines that are known to have it cached.
+// The audit of cached programs finds the copies that are missed here.
+func (c *Core) releaseCachedProgram(local *localProgram) {
 	if c.options.DisableAudit {
 		return
 	}
-	for _, name := range sortedNames(local.warm) {
+	for _, name := range sortedNames(local.cachedTokens) {
 		if owned, ok := c.engines[name]; ok {
 			c.counters.ReleasedPrograms++
-			c.outlet.ReleasePrograms(owned.info, []string{local.id})
+			c.transport.ReleasePrograms(owned.info, []string{local.id})
 		}
 	}
-	if local.active == nil && len(local.queue) == 0 {
-		c.forget(local)
+	if local.activeCall == nil && len(local.queue) == 0 {
+		c.evict(local)
 	}
 }
 
-// abortCall answers the caller at once and closes the turn in the ledger; the
-// program's next call waits for the latter.
-func (c *Core) abortCall(current *call, failure *result.Error, notRun bool, tokens int64) {
+// abortCall sends the error at once and closes the turn in the ledger. The program's next call
+// starts when the ledger has replied or commitTimeoutMs has passed.
+func (c *Core) abortCall(current *call, failure *result.Error, notRun bool, usedTokens int64) {
 	if notRun {
 		failure = failure.WithOutcome(result.NotRun)
 	}
 	request := current.request
-	c.answer(current, &protocol.CallReply{Error: failure})
-	c.abort(request.Program, current.fence, failure.Code, notRun, tokens, func() { c.leave(current) })
+	c.sendReply(current, &protocol.CallReply{Error: failure})
+	c.abortTurn(request.Program, current.fence, failure.Code, notRun, usedTokens, func() { c.closeCall(current) })
 }
 
-func (c *Core) abort(id string, fence uint64, code result.Code, notRun bool, tokens int64, done func()) {
-	abort := &program.Abort{Program: id, Fence: fence, Code: code, NotRun: notRun, UsedTokens: tokens}
-	message := &protocol.LedgerRequest{Group: c.groupOf(id), Command: program.Command{Abort: abort}}
-	c.askControl(message.Group, protocol.KindLedger, message, commitPatienceMs, func(any) { done() })
+func (c *Core) abortTurn(programID string, fence uint64, code result.Code, notRun bool, usedTokens int64, onDone func()) {
+	abort := &program.Abort{Program: programID, Fence: fence, Code: code, NotRun: notRun, UsedTokens: usedTokens}
+	message := &protocol.LedgerRequest{Group: c.groupOf(programID), Command: program.Command{Abort: abort}}
+	c.startControlRequest(message.Group, protocol.KindLedger, message, commitTimeoutMs, func(any) { onDone() })
 }
 
-// endCall answers a call with an error.
-func (c *Core) endCall(current *call, failure *result.Error) {
-	c.endWith(current, &protocol.CallReply{Error: failure})
+// endWithError ends a call with an error reply.
+func (c *Core) endWithError(current *call, failure *result.Error) {
+	c.endWithReply(current, &protocol.CallReply{Error: failure})
 }
 
-func (c *Core) endWith(current *call, answer *protocol.CallReply) {
-	c.answer(current, answer)
-	c.leave(current)
+func (c *Core) endWithReply(current *call, reply *protocol.CallReply) {
+	c.sendReply(current, reply)
+	c.closeCall(current)
 }
 
-// answer sends the final message of a call to all who wait for it.
-func (c *Core) answer(current *call, answer *protocol.CallReply) {
-	if current.ended {
+// sendReply sends the final message of a call to all its sinks, once.
+func (c *Core) sendReply(current *call, reply *protocol.CallReply) {
+	if current.isEnded {
 		return
 	}
-	current.ended = true
-	// Invariant: "not run" is said only where no engine started the call.
-	if answer.Error != nil && answer.Error.Outcome == result.NotRun && current.ran {
-		answer.Error = answer.Error.WithOutcome(result.Ran)
+	current.isEnded = true
+	// Invariant: the outcome is "not run" only if no engine may have started the call.
+	if reply.Error != nil && reply.Error.Outcome == result.NotRun && current.mayHaveRun {
+		reply.Error = reply.Error.WithOutcome(result.Ran)
 	}
-	c.tenants.Release(current.request.Tenant)
+	c.tenantLimiter.Release(current.request.Tenant)
 	for _, sink := range current.sinks {
 		delete(c.sinks, sink)
-		c.outlet.Reply(sink, protocol.KindCallReply, answer, true)
+		c.transport.Reply(sink, protocol.KindCallReply, reply, true)
 	}
 }
 
-// leave makes way for the program's next call.
-func (c *Core) leave(current *call) {
+// closeCall removes an ended call from its program and starts the program's next call.
+func (c *Core) closeCall(current *call) {
 	local := current.local
-	local.lastMs = c.nowMs
-	if local.active == current {
-		local.active = nil
+	local.lastActiveMs = c.nowMs
+	if local.activeCall == current {
+		local.activeCall = nil
 	}
-	c.advance(local)
-	if local.active == nil && len(local.queue) == 0 {
-		delete(c.busy, local.id)
+	c.startNextCall(local)
+	if local.activeCall == nil && len(local.queue) == 0 {
+		delete(c.busyPrograms, local.id)
 	}
 	c.trimCache()
 }
 
-// cache counts a change in the size of the histories kept.
+// cacheRecord appends the record of a turn to the cached history of a program and counts its size.
 func (c *Core) cacheRecord(local *localProgram, record program.TurnRecord) {
 	size := int64(len(record.Answer.Content))
 	for _, message := range record.Messages {
 		size += int64(len(message.Content))
 	}
 	local.records = append(local.records, record)
-	local.knownTurn = record.Turn
-	local.bytes += size
-	c.cacheBytes += size
+	local.cachedTurn = record.Turn
+	local.recordBytes += size
+	c.cachedHistoryBytes += size
 }
 
 func (c *Core) dropRecords(local *localProgram) {
-	c.cacheBytes -= local.bytes
-	local.bytes = 0
+	c.cachedHistoryBytes -= local.recordBytes
+	local.recordBytes = 0
 	local.records = nil
-	local.knownTurn = 0
+	local.cachedTurn = 0
 }
 
-// trimCache forgets the histories of the programs that were idle longest.
+// trimCache drops the cached histories of programs without an active call, the least recently active
+// first, until the cache is within HistoryCacheBytes.
 func (c *Core) trimCache() {
-	for c.cacheBytes > c.options.HistoryCacheBytes {
-		var oldest *localProgram
+	for c.cachedHistoryBytes > c.options.HistoryCacheBytes {
+		var leastRecent *localProgram
 		for _, local := range c.programs {
-			if local.active != nil || len(local.records) == 0 {
+			if local.activeCall != nil || len(local.records) == 0 {
 				continue
 			}
-			if oldest == nil || local.lastMs < oldest.lastMs || (local.lastMs == oldest.lastMs && local.id < oldest.id) {
-				oldest = local
+			if leastRecent == nil || local.lastActiveMs < leastRecent.lastActiveMs || (local.lastActiveMs == leastRecent.lastActiveMs && local.id < leastRecent.id) {
+				leastRecent = local
 			}
 		}
-		if oldest == nil {
+		if leastRecent == nil {
 			return
 		}
-		c.dropRecords(oldest)
+		c.dropRecords(leastRecent)
 	}
 }
 
-func (c *Core) forget(local *localProgram) {
+func (c *Core) evict(local *localProgram) {
 	c.dropRecords(local)
 	delete(c.programs, local.id)
 }
 
-// HandleCancel drops a call whose caller has gone. A call that is not repeatable goes
-// on: its caller may ask for the answer again.
+// HandleCancel ends a call whose caller has disconnected. An active call that is not repeatable
+// continues, because its caller may request the response again.
 func (c *Core) HandleCancel(cancel *protocol.Cancel, nowMs int64) {
 	c.nowMs = nowMs
 	local, ok := c.programs[cancel.Program]
 	if !ok {
 		return
 	}
-	failure := result.New(result.Cancelled, "the caller went away")
+	failure := result.New(result.Cancelled, "the caller disconnected")
 	for position, queued := range local.queue {
 		if queued.request.Request == cancel.Request {
 			local.queue = slices.Delete(local.queue, position, position+1)
-			c.endCall(queued, failure.WithOutcome(result.NotRun))
+			c.endWithError(queued, failure.WithOutcome(result.NotRun))
 			return
 		}
 	}
-	current := local.active
+	current := local.activeCall
 	if current == nil || current.request.Request != cancel.Request || current.request.AtMostOnce {
 		return
 	}
-	c.giveUp(current, failure)
+	c.abandonCall(current, failure)
 }
 
-// giveUp ends the active call of a program wherever it is, except in commit.
-func (c *Core) giveUp(current *call, failure *result.Error) {
-	if _, running := c.attempts[current.attempt]; running {
-		current.ran = true
+// abandonCall ends the active call of a program with an error. It has no effect during the commit of
+// the call, and while the turn of a retry is requested.
+func (c *Core) abandonCall(current *call, failure *result.Error) {
+	if _, isRunning := c.attempts[current.attempt]; isRunning {
+		current.mayHaveRun = true
 		used := c.usedTokens(current)
 		c.stopAttempt(current)
 		c.abortCall(current, failure, false, used)
 		return
 	}
-	if current.schedule == nil {
-		// The turn is being asked for; a grant that still comes is given back.
-		c.endCall(current, failure.WithOutcome(result.NotRun))
+	if current.schedulingCall == nil {
+		// The turn is being requested. A grant that still arrives is returned.
+		c.endWithError(current, failure.WithOutcome(result.NotRun))
 		return
 	}
-	if _, waits := c.waiting[current.schedule.ID]; waits {
-		delete(c.waiting, current.schedule.ID)
-		c.cell.Waiting = slices.DeleteFunc(c.cell.Waiting, func(other *scheduling.Call) bool { return other == current.schedule })
+	if _, isWaiting := c.waitingCalls[current.schedulingCall.ID]; isWaiting {
+		delete(c.waitingCalls, current.schedulingCall.ID)
+		c.cell.Waiting = slices.DeleteFunc(c.cell.Waiting, func(other *scheduling.Call) bool { return other == current.schedulingCall })
 		c.abortCall(current, failure, true, 0)
 	}
 }
 
-// tickSilent gives up the runs of engines that have been silent for too long.
-func (c *Core) tickSilent() {
+// tickLostEngines fails the attempts on engines that have sent no state report for
+// engineLostTimeoutMs.
+func (c *Core) tickLostEngines() {
 	for _, attempt := range sortedIDs(c.attempts) {
 		current := c.attempts[attempt]
 		owned, ok := c.engines[current.engine]
-		since := current.startedMs
+		lastContactMs := current.startedMs
 		if ok {
-			since = max(since, owned.heardMs)
+			lastContactMs = max(lastContactMs, owned.lastReportMs)
 		}
-		if c.nowMs-since <= engineLostMs {
+		if c.nowMs-lastContactMs <= engineLostTimeoutMs {
 			continue
 		}
 		if !ok {
-			// The engine has another owner now, which hears it; the stream goes on.
+			// Another scheduler owns the engine now and receives its reports. The stream continues.
 			continue
 		}
 		c.stopAttempt(current)
-		c.attemptFailed(current, engine.CompletionOutcome{MayHaveStarted: true, Err: errEngineSilent})
+		c.handleAttemptFailure(current, engine.CompletionOutcome{MayHaveStarted: true, Err: errEngineReportTimeout})
 	}
 }
 
-var errEngineSilent = errors.New("the engine has been silent for too long")
+var errEngineReportTimeout = errors.New("the engine has sent no state report within the timeout")
 
-// tickDeadlines ends calls that run past their deadline.
+// tickDeadlines ends calls whose deadline has passed: those that run on an engine, unless they are
+// not repeatable, those that wait for a turn held by another call, and those that are queued.
 func (c *Core) tickDeadlines() {
 	for _, attempt := range sortedIDs(c.attempts) {
 		current := c.attempts[attempt]
 		if c.nowMs >= current.deadlineMs && !current.request.AtMostOnce {
-			c.giveUp(current, result.New(result.DeadlinePassed, "the deadline passed while the call ran").WithOutcome(result.Ran))
+			c.abandonCall(current, result.New(result.DeadlinePassed, "the deadline passed while an engine ran the call").WithOutcome(result.Ran))
 		}
 	}
-	for _, id := range sortedNames(c.busy) {
-		local := c.busy[id]
-		if current := local.active; current != nil && current.nextMs != 0 && c.nowMs >= current.deadlineMs && !current.ended {
-			current.nextMs = 0
-			c.endCall(current, result.New(result.DeadlinePassed, "the program's earlier call did not end in time"))
+	for _, id := range sortedNames(c.busyPrograms) {
+		local := c.busyPrograms[id]
+		if current := local.activeCall; current != nil && current.turnRetryAtMs != 0 && c.nowMs >= current.deadlineMs && !current.isEnded {
+			current.turnRetryAtMs = 0
+			c.endWithError(current, result.New(result.DeadlinePassed, "an earlier call of the program did not end before the deadline"))
 		}
 		c.expireQueued(local)
 	}
@@ -410,12 +418,12 @@
 		}
 		local.queue = slices.Delete(local.queue, position, position+1)
 		position--
-		c.endCall(queued, result.New(result.DeadlinePassed, "the program's earlier call did not end in time"))
+		c.endWithError(queued, result.New(result.DeadlinePassed, "an earlier call of the program did not end before the deadline"))
 	}
 }
 
-// HandleSinkClosed forgets a sink whose connection has ended. The call goes on: its sidecar
-// comes back for it, here or elsewhere.
+// HandleSinkClosed removes a sink whose connection has closed. The call continues, because its
+// sidecar sends the request again, to this or another scheduler.
 func (c *Core) HandleSinkClosed(sink SinkID) {
 	current, ok := c.sinks[sink]
 	if !ok {
