--- a/internal/sidecar/core.go
+++ b/internal/sidecar/core.go
@@ -1,8 +1,8 @@
-// Package sidecar is the process beside each caller: it takes calls in the
-// OpenAI shape, finds the scheduler of each program, repeats what may be
-// repeated, and hands back the whole answer (design sections 3 and 9). Core is
-// its control state without goroutine, clock or socket; Daemon runs it over HTTP
-// and TCP, the simulator over virtual ones.
+// Package sidecar implements the process that runs next to each caller: it accepts calls in the
+// format of the OpenAI API, selects the scheduler of each program, retries what may be retried, and
+// returns the complete response (design sections 3 and 9). Core is the control state and has no
+// goroutines, clock or sockets of its own. Daemon connects it to HTTP and TCP, and the simulator to
+// a virtual network.
 package sidecar
 
 import (
@@ -17,78 +17,82 @@
 	"github.com/ochrebay/ochrebay/internal/settings"
 )
 
-// CallID names one call of a caller.
+// CallID identifies one call of a caller.
 type CallID uint64
 
-// OutboundRequestID names one request sent to a scheduler.
+// OutboundRequestID identifies one request sent to a scheduler.
 type OutboundRequestID uint64
 
-// Transport takes what the core sends. Its methods must not call back.
+// Transport sends the messages of a Core. Its methods must not call methods of the Core.
 type Transport interface {
-	// Send sends a request to a scheduler; its frames come back as Piece, Answer
-	// and Lost.
+	// Send sends a request to a scheduler. The frames of the reply are passed to Core.HandleChunk,
+	// Core.HandleCallReply and Core.HandleFollowReply, and the loss of the connection to
+	// Core.HandleLostRequest.
 	Send(address string, id OutboundRequestID, kind protocol.Kind, request any)
 	// Notify sends a one-way message to a scheduler.
 	Notify(address string, kind protocol.Kind, message any)
-	// Deliver hands the next part of an answer to the caller, Finish the end.
-	Deliver(caller CallID, text string)
-	Finish(caller CallID, answer *protocol.CallReply)
+	// Deliver passes the next part of a response to the caller, and Finish the final reply.
+	Deliver(id CallID, text string)
+	Finish(id CallID, reply *protocol.CallReply)
 }
 
 // Options configure a Core.
 type Options struct {
 	Name string
 	Zone string
-	// Seeds are schedulers to begin with, one's own zone first.
+	// Seeds are the schedulers to use until the directory is known, those of the own zone first.
 	Seeds            []membership.Scheduler
 	FollowLongPollMs int64
 
-	// The rest turn mechanisms off, for runs that show what they are for.
+	// The remaining options disable single mechanisms, for runs that demonstrate their purpose.
 	DisableAssembly       bool
 	DisableUnknownOutcome bool
 	DisableRevision       bool
 }
 
-// DefaultOptions returns the timings in use.
+// DefaultOptions returns the options of a sidecar process, with the default timing.
 func DefaultOptions(name, zone string, seeds []membership.Scheduler) Options {
 	return Options{Name: name, Zone: zone, Seeds: seeds, FollowLongPollMs: 1000}
 }
 
 const (
-	followTimeoutMs   = 4000
-	firstRetryPauseMs = 30
-	maxRetryPauseMs   = 800
-	retryShare        = 0.2
-	retryReserve      = 20
-	maxAttempts       = 40
-	// maxCells bounds the cells that are asked for an engine in one call.
-	maxCells = 4
+	followTimeoutMs     = 4000
+	initialRetryDelayMs = 30
+	maxRetryDelayMs     = 800
+	retryBudgetPerReply = 0.2
+	retryBudgetCapacity = 20
+	maxAttempts         = 40
+	// maxCellsPerCall is the maximum number of cells that are tried for a call while they reply
+	// that they have no engine of its pool.
+	maxCellsPerCall = 4
 )
 
 // Core is the control state of one sidecar.
 type Core struct {
-	options  Options
-	outlet   Transport
-	nowMs    int64
-	tree     *settings.Tree
-	roster   *membership.Roster
-	peers    []membership.Scheduler
-	calls    map[CallID]*call
-	sends    map[OutboundRequestID]*send
-	nextSend OutboundRequestID
-	random   uint64
-
-	following  OutboundRequestID
-	followedAt int64
-	followTurn int
-	synced     bool
-	draining   bool
-	// retries is a budget: each answer adds a share, each repeat takes one.
-	retries float64
-	stats   Stats
+	options        Options
+	transport      Transport
+	nowMs          int64
+	tree           *settings.Tree
+	roster         *membership.Roster
+	schedulers     []membership.Scheduler
+	calls          map[CallID]*call
+	outbound       map[OutboundRequestID]*outboundRequest
+	lastOutboundID OutboundRequestID
+	randomState    uint64
+
+	followID     OutboundRequestID
+	followSentMs int64
+	followIndex  int
+	isSynced     bool
+	isDraining   bool
+	// retryBudget is the number of retries that are allowed now. Each successful reply adds
+	// retryBudgetPerReply, up to retryBudgetCapacity. Each retry uses 1, unless the call was sent at
+	// most once before.
+	retryBudget float64
+	stats       Stats
 }
 
-// Stats counts what the sidecar did.
+// Stats holds counters since the start of the process and gauges of the present state.
 type Stats struct {
 	Calls     uint64
 	Answered  uint64
@@ -98,57 +102,58 @@
 	Revision  uint64
 }
 
-// call is one caller's request until its final answer.
+// call is the state of one call from its arrival to its final reply.
 type call struct {
-	id         CallID
-	request    *protocol.CallRequest
-	deadlineMs int64
-	sent       *send
-	attempts   int
-	nextMs     int64
-	received   strings.Builder
-	// unknown is set when a send may have run at a scheduler that was lost.
-	unknown bool
-	last    *result.Error
-	// avoid names the schedulers that were lost or could not serve the call, and
-	// unserved counts the latter.
-	avoid    map[string]bool
-	unserved int
+	id           CallID
+	request      *protocol.CallRequest
+	deadlineMs   int64
+	outbound     *outboundRequest
+	attempts     int
+	retryAtMs    int64
+	receivedText strings.Builder
+	// mayHaveRun is set when an engine may have run the call: its reply was lost, or the outcome of
+	// an error reply was not "not run".
+	mayHaveRun bool
+	lastError  *result.Error
+	// avoidedSchedulers are the schedulers whose reply was lost or whose cell could not serve the
+	// call. unservedCells is the number of those cells.
+	avoidedSchedulers map[string]bool
+	unservedCells     int
 }
 
-// send is one request under way at a scheduler.
-type send struct {
-	id      OutboundRequestID
-	address string
-	name    string
-	// start is the scheduler's start, zero where it is not known yet.
-	start  uint64
-	call   *call
-	follow bool
+// outboundRequest is a request in flight to a scheduler.
+type outboundRequest struct {
+	id        OutboundRequestID
+	address   string
+	scheduler string
+	// incarnation identifies the scheduler's process, and is 0 if it is not known yet.
+	incarnation uint64
+	call        *call
+	isFollow    bool
 }
 
-// NewCore returns a sidecar that knows only its seeds.
-func NewCore(options Options, outlet Transport, nowMs int64) *Core {
+// NewCore returns a Core without settings that uses the seeds until it receives the directory.
+func NewCore(options Options, transport Transport, nowMs int64) *Core {
 	return &Core{
-		options: options, outlet: outlet, nowMs: nowMs, tree: settings.NewTree(), roster: membership.NewRoster(), peers: options.Seeds,
-		calls: map[CallID]*call{}, sends: map[OutboundRequestID]*send{}, retries: retryReserve,
-		random: xxhash.Sum64String(options.Name),
+		options: options, transport: transport, nowMs: nowMs, tree: settings.NewTree(), roster: membership.NewRoster(), schedulers: options.Seeds,
+		calls: map[CallID]*call{}, outbound: map[OutboundRequestID]*outboundRequest{}, retryBudget: retryBudgetCapacity,
+		randomState: xxhash.Sum64String(options.Name),
 	}
 }
 
-// IsReady reports whether calls can be taken.
-func (c *Core) IsReady() bool { return c.synced && !c.draining }
+// IsReady reports whether the sidecar has the settings and is not draining.
+func (c *Core) IsReady() bool { return c.isSynced && !c.isDraining }
 
-// IsIdle reports whether no call is under way.
+// IsIdle reports whether no call is in progress.
 func (c *Core) IsIdle() bool { return len(c.calls) == 0 }
 
-// Drain refuses new calls from now on.
-func (c *Core) Drain() { c.draining = true }
+// Drain refuses new calls. Calls in progress continue.
+func (c *Core) Drain() { c.isDraining = true }
 
-// SettingsTree returns the settings in force here, for reading.
+// SettingsTree returns the settings that this sidecar has applied. The caller must not modify them.
 func (c *Core) SettingsTree() *settings.Tree { return c.tree }
 
-// Stats returns counters and gauges.
+// Stats returns the counters and the present values of the gauges.
 func (c *Core) Stats() Stats {
 	stats := c.stats
 	stats.OpenCalls = len(c.calls)
@@ -156,265 +161,272 @@
 	return stats
 }
 
-// HandleCall takes a caller's request. Whatever becomes of it, Finish is called once.
+// HandleCall handles a caller's request. Transport.Finish is called once for it, unless the caller
+// disconnects before.
 func (c *Core) HandleCall(id CallID, request *protocol.CallRequest, nowMs int64) {
 	c.nowMs = nowMs
 	c.stats.Calls++
-	if c.draining {
-		c.outlet.Finish(id, &protocol.CallReply{Error: result.New(result.Draining, "%s is stopping", c.options.Name)})
+	if c.isDraining {
+		c.transport.Finish(id, &protocol.CallReply{Error: result.New(result.Draining, "sidecar %s is draining", c.options.Name)})
 		return
 	}
 	if request.TimeoutMs <= 0 {
-		c.outlet.Finish(id, &protocol.CallReply{Error: result.New(result.DeadlinePassed, "the deadline was past on arrival")})
+		c.transport.Finish(id, &protocol.CallReply{Error: result.New(result.DeadlinePassed, "the deadline had passed when the call arrived")})
 		return
 	}
-	incoming := &call{id: id, request: request, deadlineMs: nowMs + request.TimeoutMs, avoid: map[string]bool{}}
+	incoming := &call{id: id, request: request, deadlineMs: nowMs + request.TimeoutMs, avoidedSchedulers: map[string]bool{}}
 	c.calls[id] = incoming
-	c.send(incoming)
+	c.sendCall(incoming)
 }
 
-// send picks the program's scheduler and sends the call there.
-func (c *Core) send(current *call) {
-	target, ok := c.pick(current)
+// sendCall selects the program's scheduler and sends the call to it.
+func (c *Core) sendCall(current *call) {
+	target, ok := c.selectScheduler(current)
 	if !ok {
-		current.last = result.New(result.NoScheduler, "no scheduler is known")
-		c.retryLater(current)
+		current.lastError = result.New(result.NoScheduler, "the sidecar has no address of a scheduler")
+		c.scheduleRetry(current)
 		return
 	}
 	request := *current.request
 	request.TimeoutMs = current.deadlineMs - c.nowMs
 	request.Attempt = current.attempts
-	request.ResumeOffset = current.received.Len()
+	request.ResumeOffset = current.receivedText.Len()
 	current.attempts++
-	current.nextMs = 0
-	c.nextSend++
-	current.sent = &send{id: c.nextSend, address: target.Address, name: target.Name, start: target.Incarnation, call: current}
-	c.sends[c.nextSend] = current.sent
-	c.outlet.Send(target.Address, c.nextSend, protocol.KindCall, &request)
+	current.retryAtMs = 0
+	c.lastOutboundID++
+	current.outbound = &outboundRequest{id: c.lastOutboundID, address: target.Address, scheduler: target.Name, incarnation: target.Incarnation, call: current}
+	c.outbound[c.lastOutboundID] = current.outbound
+	c.transport.Send(target.Address, c.lastOutboundID, protocol.KindCall, &request)
 }
 
-// pick returns the scheduler of a program: the highest in rendezvous order among
-// those of one's own zone that take calls, then among all. Every sidecar of a
-// zone picks the same one, so a program stays where its prefix is warm.
-func (c *Core) pick(current *call) (membership.Scheduler, bool) {
+// selectScheduler returns the scheduler for a program by rendezvous hashing. Schedulers that are not
+// draining come first, among them those that the call does not avoid, and among these the ones of
+// the own zone. All sidecars of a zone that have the same directory select the same scheduler, so a
+// program stays with the cell whose engines have its prefix cached.
+func (c *Core) selectScheduler(current *call) (membership.Scheduler, bool) {
 	var best membership.Scheduler
 	var bestScore uint64
 	found := false
 	bestClass := 0
-	peers := c.peers
-	if len(peers) == 0 {
-		peers = c.options.Seeds
+	schedulers := c.schedulers
+	if len(schedulers) == 0 {
+		schedulers = c.options.Seeds
 	}
-	for _, peer := range peers {
+	for _, scheduler := range schedulers {
 		class := 0
-		if peer.Zone == c.options.Zone {
+		if scheduler.Zone == c.options.Zone {
 			class += 1
 		}
-		if !peer.Draining {
+		if !scheduler.Draining {
 			class += 4
 		}
-		if !current.avoid[peer.Name] {
+		if !current.avoidedSchedulers[scheduler.Name] {
 			class += 2
 		}
-		score := xxhash.Sum64String(peer.Name + "\x00" + current.request.Program)
+		score := xxhash.Sum64String(scheduler.Name + "\x00" + current.request.Program)
 		if !found || class > bestClass || (class == bestClass && score > bestScore) {
-			best, bestScore, bestClass, found = peer, score, class, true
+			best, bestScore, bestClass, found = scheduler, score, class, true
 		}
 	}
 	return best, found
 }
 
-// HandleChunk takes a part of an answer from a scheduler.
-func (c *Core) HandleChunk(id OutboundRequestID, piece *protocol.CallChunk, nowMs int64) {
+// HandleChunk handles a chunk of a response from a scheduler.
+func (c *Core) HandleChunk(id OutboundRequestID, chunk *protocol.CallChunk, nowMs int64) {
 	c.nowMs = nowMs
-	sent, ok := c.sends[id]
+	sent, ok := c.outbound[id]
 	if !ok || sent.call == nil {
 		return
 	}
 	current := sent.call
 	if c.options.DisableAssembly {
-		current.received.WriteString(piece.Text)
-		c.outlet.Deliver(current.id, piece.Text)
+		current.receivedText.WriteString(chunk.Text)
+		c.transport.Deliver(current.id, chunk.Text)
 		return
 	}
-	fresh, ok := assemble(current.received.String(), piece)
+	added, ok := newText(current.receivedText.String(), chunk)
 	if !ok {
-		c.finish(current, &protocol.CallReply{Error: result.New(result.EngineFailed, "the answer changed while it was sent again")})
+		c.finish(current, &protocol.CallReply{Error: result.New(result.EngineFailed, "a chunk contradicts the response text already received, or leaves a gap")})
 		return
 	}
-	if fresh != "" {
-		current.received.WriteString(fresh)
-		c.outlet.Deliver(current.id, fresh)
+	if added != "" {
+		current.receivedText.WriteString(added)
+		c.transport.Deliver(current.id, added)
 	}
 }
 
-// assemble returns what a piece adds to the text received; false where the piece
-// contradicts it or leaves a gap. Invariant: the caller gets every byte of the
-// answer once, in order.
-func assemble(received string, piece *protocol.CallChunk) (string, bool) {
-	if piece.Offset > len(received) {
+// newText returns the text that a chunk adds to the received text. It reports false if the chunk
+// contradicts the received text or leaves a gap. Invariant: the caller gets every byte of the
+// response at most once and in order, unless DisableAssembly is set.
+func newText(received string, chunk *protocol.CallChunk) (string, bool) {
+	if chunk.Offset > len(received) {
 		return "", false
 	}
-	known := received[piece.Offset:]
-	if len(piece.Text) <= len(known) {
-		return "", strings.HasPrefix(known, piece.Text)
+	overlap := received[chunk.Offset:]
+	if len(chunk.Text) <= len(overlap) {
+		return "", strings.HasPrefix(overlap, chunk.Text)
 	}
-	if !strings.HasPrefix(piece.Text, known) {
+	if !strings.HasPrefix(chunk.Text, overlap) {
 		return "", false
 	}
-	return piece.Text[len(known):], true
+	return chunk.Text[len(overlap):], true
 }
 
-// HandleCallReply takes the final message of a call.
-func (c *Core) HandleCallReply(id OutboundRequestID, answer *protocol.CallReply, nowMs int64) {
+// HandleCallReply handles the final reply to a call.
+func (c *Core) HandleCallReply(id OutboundRequestID, reply *protocol.CallReply, nowMs int64) {
 	c.nowMs = nowMs
-	sent, ok := c.sends[id]
+	sent, ok := c.outbound[id]
 	if !ok || sent.call == nil {
 		return
 	}
-	delete(c.sends, id)
+	delete(c.outbound, id)
 	current := sent.call
-	current.sent = nil
-	if answer.Error != nil {
-		c.failed(current, sent.name, answer.Error)
+	current.outbound = nil
+	if reply.Error != nil {
+		c.handleError(current, sent.scheduler, reply.Error)
 		return
 	}
-	rest, ok := assemble(current.received.String(), &protocol.CallChunk{Text: answer.Content})
+	added, ok := newText(current.receivedText.String(), &protocol.CallChunk{Text: reply.Content})
 	if !ok && !c.options.DisableAssembly {
-		c.finish(current, &protocol.CallReply{Error: result.New(result.EngineFailed, "the answer differs from what was streamed")})
+		c.finish(current, &protocol.CallReply{Error: result.New(result.EngineFailed, "the final response differs from the streamed text")})
 		return
 	}
-	if rest != "" {
-		current.received.WriteString(rest)
-		c.outlet.Deliver(current.id, rest)
+	if added != "" {
+		current.receivedText.WriteString(added)
+		c.transport.Deliver(current.id, added)
 	}
-	c.retries = min(retryReserve, c.retries+retryShare)
-	c.finish(current, answer)
+	c.retryBudget = min(retryBudgetCapacity, c.retryBudget+retryBudgetPerReply)
+	c.finish(current, reply)
 }
 
-// repeatable lists the codes after which another scheduler, or the same one a
-// little later, may do better. The request id keeps a repeat from running twice.
-var repeatable = []result.Code{
+// retryableCodes are the codes after which another scheduler, or the same one a little later, may
+// succeed. The request id prevents a retry from running twice.
+var retryableCodes = []result.Code{
 	result.Draining, result.NoScheduler, result.NotLeader, result.NoQuorum, result.StaleFence, result.TurnOpen,
 }
 
-// failed decides what becomes of a call that a scheduler answered with an error.
-func (c *Core) failed(current *call, name string, failure *result.Error) {
-	current.last = failure
+// handleError retries a call for which a scheduler replied with an error, or ends it with that
+// error.
+func (c *Core) handleError(current *call, schedulerName string, failure *result.Error) {
+	current.lastError = failure
 	if failure.Outcome != result.NotRun {
-		current.unknown = true
+		current.mayHaveRun = true
 	}
-	if failure.Code == result.NoEngine && current.unserved+1 < min(len(c.peers), maxCells) {
-		// Another cell may have engines of the pool; nothing has run here.
-		current.unserved++
-		current.avoid[name] = true
-		c.send(current)
+	if failure.Code == result.NoEngine && current.unservedCells+1 < min(len(c.schedulers), maxCellsPerCall) {
+		// Another cell may have engines of the pool. This cell has not run the call.
+		current.unservedCells++
+		current.avoidedSchedulers[schedulerName] = true
+		c.sendCall(current)
 		return
 	}
-	if slices.Contains(repeatable, failure.Code) {
-		c.retryLater(current)
+	if slices.Contains(retryableCodes, failure.Code) {
+		c.scheduleRetry(current)
 		return
 	}
 	c.finish(current, &protocol.CallReply{Error: failure})
 }
 
-// HandleLostRequest takes the end of a connection: the scheduler may have sent the call to an
-// engine, or answered it, so the same request is sent again elsewhere.
+// HandleLostRequest handles a request whose reply is lost: the connection has closed, the request
+// could not be sent, the reply could not be decoded, or the directory no longer lists that
+// incarnation of the scheduler. The scheduler may have sent the call to an engine, or replied to it,
+// so the same request is sent again, preferably to another scheduler.
 func (c *Core) HandleLostRequest(id OutboundRequestID, nowMs int64) {
 	c.nowMs = nowMs
-	sent, ok := c.sends[id]
+	sent, ok := c.outbound[id]
 	if !ok {
 		return
 	}
-	delete(c.sends, id)
-	if sent.follow {
-		c.following = 0
-		c.followTurn++
+	delete(c.outbound, id)
+	if sent.isFollow {
+		c.followID = 0
+		c.followIndex++
 		return
 	}
 	current := sent.call
-	current.sent = nil
-	current.unknown = true
-	current.avoid[sent.name] = true
-	current.last = result.New(result.NoScheduler, "scheduler %s was lost", sent.name)
-	c.retryLater(current)
+	current.outbound = nil
+	current.mayHaveRun = true
+	current.avoidedSchedulers[sent.scheduler] = true
+	current.lastError = result.New(result.NoScheduler, "the reply of scheduler %s was lost", sent.scheduler)
+	c.scheduleRetry(current)
 }
 
-// retryLater sends a call again after a pause that grows, with jitter, unless
-// the deadline or the retry budget forbids it.
-func (c *Core) retryLater(current *call) {
-	pause := min(int64(maxRetryPauseMs), int64(firstRetryPauseMs)<<min(current.attempts, 6))
-	pause = pause/2 + int64(c.nextRandom()%uint64(pause/2+1))
-	outOfTime := c.nowMs+pause >= current.deadlineMs || current.attempts >= maxAttempts
-	first := current.attempts <= 1
-	if outOfTime || (c.retries < 1 && !first) {
-		c.finish(current, &protocol.CallReply{Error: current.last})
+// scheduleRetry schedules another attempt of a call after an exponential delay with jitter. It ends
+// the call if the deadline, maxAttempts or the retry budget does not allow the attempt.
+func (c *Core) scheduleRetry(current *call) {
+	delayMs := min(int64(maxRetryDelayMs), int64(initialRetryDelayMs)<<min(current.attempts, 6))
+	delayMs = delayMs/2 + int64(c.nextRandom()%uint64(delayMs/2+1))
+	isExhausted := c.nowMs+delayMs >= current.deadlineMs || current.attempts >= maxAttempts
+	isFirstRetry := current.attempts <= 1
+	if isExhausted || (c.retryBudget < 1 && !isFirstRetry) {
+		c.finish(current, &protocol.CallReply{Error: current.lastError})
 		return
 	}
-	if !first {
-		c.retries--
+	if !isFirstRetry {
+		c.retryBudget--
 	}
 	c.stats.Retries++
-	current.nextMs = c.nowMs + pause
+	current.retryAtMs = c.nowMs + delayMs
 }
 
 func (c *Core) nextRandom() uint64 {
-	c.random = c.random*6364136223846793005 + 1442695040888963407
-	return c.random >> 33
+	c.randomState = c.randomState*6364136223846793005 + 1442695040888963407
+	return c.randomState >> 33
 }
 
-// finish gives the final answer. Invariant: "not run" is said only where no send
-// of this call may have run.
-func (c *Core) finish(current *call, answer *protocol.CallReply) {
-	if current.sent != nil {
-		delete(c.sends, current.sent.id)
+// finish ends a call with its final reply. Invariant: the outcome is "not run" only if no attempt of
+// this call may have run, unless DisableUnknownOutcome is set.
+func (c *Core) finish(current *call, reply *protocol.CallReply) {
+	if current.outbound != nil {
+		delete(c.outbound, current.outbound.id)
 	}
 	delete(c.calls, current.id)
-	if answer.Error == nil {
+	if reply.Error == nil {
 		c.stats.Answered++
 	} else {
 		c.stats.Failed++
-		if answer.Error.Outcome == result.NotRun && current.unknown && !c.options.DisableUnknownOutcome {
-			answer.Error = answer.Error.WithOutcome(result.Unknown)
+		if reply.Error.Outcome == result.NotRun && current.mayHaveRun && !c.options.DisableUnknownOutcome {
+			reply.Error = reply.Error.WithOutcome(result.Unknown)
 		}
 	}
-	c.outlet.Finish(current.id, answer)
+	c.transport.Finish(current.id, reply)
 }
 
-// HandleDisconnect takes a caller that went away.
+// HandleDisconnect removes a call whose caller has disconnected. If a request for the call is in
+// flight, it sends a cancellation to that scheduler.
 func (c *Core) HandleDisconnect(id CallID) {
 	current, ok := c.calls[id]
 	if !ok {
 		return
 	}
 	delete(c.calls, id)
-	if current.sent != nil {
-		delete(c.sends, current.sent.id)
-		c.outlet.Notify(current.sent.address, protocol.KindCancel,
+	if current.outbound != nil {
+		delete(c.outbound, current.outbound.id)
+		c.transport.Notify(current.outbound.address, protocol.KindCancel,
 			&protocol.Cancel{Program: current.request.Program, Request: current.request.Request})
 	}
 }
 
-// Tick advances the core's clock.
+// Tick advances the core's clock and performs what is due at the new time.
 func (c *Core) Tick(nowMs int64) {
 	c.nowMs = nowMs
-	c.follow()
+	c.sendFollow()
 	for _, id := range sortedIDs(c.calls) {
 		current := c.calls[id]
 		switch {
-		case current.nextMs != 0 && nowMs >= current.nextMs:
-			c.send(current)
+		case current.retryAtMs != 0 && nowMs >= current.retryAtMs:
+			c.sendCall(current)
 		case nowMs >= current.deadlineMs+deadlineGraceMs:
-			c.finish(current, &protocol.CallReply{Error: c.overdue(current)})
+			c.finish(current, &protocol.CallReply{Error: c.deadlineError(current)})
 		}
 	}
 }
 
-// deadlineGraceMs lets the scheduler's own verdict on a deadline arrive.
+// deadlineGraceMs is the time after a call's deadline that the scheduler's own reply about the
+// deadline gets to arrive.
 const deadlineGraceMs = 500
 
-func (c *Core) overdue(current *call) *result.Error {
-	return result.New(result.DeadlinePassed, "no answer came before the deadline").WithOutcome(result.Unknown)
+func (c *Core) deadlineError(current *call) *result.Error {
+	return result.New(result.DeadlinePassed, "no reply arrived before the deadline").WithOutcome(result.Unknown)
 }
 
 func sortedIDs[K ~uint64, V any](values map[K]V) []K {
--- a/internal/sidecar/daemon.go
+++ b/internal/sidecar/daemon.go
@@ -20,51 +20,52 @@
 )
 
 const (
-	tickInterval  = 10 * time.Millisecond
-	eventQueue    = 16384
-	deliverQueue  = 8192
-	dialTimeout   = time.Second
-	drainTimeout  = 60 * time.Second
-	shutdownGrace = 2 * time.Second
+	tickInterval          = 10 * time.Millisecond
+	eventQueueCapacity    = 16384
+	deliveryQueueCapacity = 8192
+	dialTimeout           = time.Second
+	drainTimeout          = 60 * time.Second
+	shutdownTimeout       = 2 * time.Second
 )
 
-// delivery is one thing for a caller: a part of the answer, or its end.
+// delivery is a message for a caller: a part of the response, or the final reply if reply is not
+// nil.
 type delivery struct {
-	text   string
-	answer *protocol.CallReply
+	text  string
+	reply *protocol.CallReply
 }
 
-// Daemon runs a Core over HTTP towards callers and TCP towards schedulers.
+// Daemon connects a Core to callers over HTTP and to schedulers over TCP. It implements Transport.
 type Daemon struct {
-	process config.Process
-	logger  log.Logger
-	core    *Core
-	monitor *telemetry.Monitor
-	events  chan func(core *Core, nowMs int64)
-	running context.Context
-	stats   atomic.Pointer[Stats]
-	view    atomic.Pointer[view]
+	process    config.Process
+	logger     log.Logger
+	core       *Core
+	monitor    *telemetry.Monitor
+	events     chan func(core *Core, nowMs int64)
+	runContext context.Context
+	stats      atomic.Pointer[Stats]
+	snapshot   atomic.Pointer[snapshot]
 
-	nextCaller atomic.Uint64
-	mutex      sync.Mutex
-	callers    map[CallID]chan delivery
-	links      map[string]*protocol.Connection
+	lastCall    atomic.Uint64
+	mutex       sync.Mutex
+	deliveries  map[CallID]chan delivery
+	connections map[string]*protocol.Connection
 }
 
-// view is the snapshot that traffic goroutines read.
-type view struct {
-	ready     bool
-	idle      bool
-	draining  bool
-	bodyLimit int64
-	services  map[string]bool
+// snapshot is the part of the core's state that the HTTP handlers read.
+type snapshot struct {
+	isReady        bool
+	isIdle         bool
+	isDraining     bool
+	bodyLimitBytes int64
+	services       map[string]bool
 }
 
-// NewDaemon prepares a sidecar.
+// NewDaemon returns a Daemon; Run starts it.
 func NewDaemon(process config.Process, logger log.Logger) *Daemon {
 	daemon := &Daemon{
-		process: process, logger: logger, events: make(chan func(*Core, int64), eventQueue),
-		callers: map[CallID]chan delivery{}, links: map[string]*protocol.Connection{},
+		process: process, logger: logger, events: make(chan func(*Core, int64), eventQueueCapacity),
+		deliveries: map[CallID]chan delivery{}, connections: map[string]*protocol.Connection{},
 	}
 	var seeds []membership.Scheduler
 	for _, peer := range process.Schedulers {
@@ -72,8 +73,8 @@
 	}
 	daemon.core = NewCore(DefaultOptions(process.Name, process.Zone, seeds), daemon, clock.NowMs())
 	daemon.stats.Store(&Stats{})
-	daemon.view.Store(&view{})
-	daemon.monitor = telemetry.NewMonitor(func() bool { return daemon.view.Load().ready })
+	daemon.snapshot.Store(&snapshot{})
+	daemon.monitor = telemetry.NewMonitor(func() bool { return daemon.snapshot.Load().isReady })
 	gauge := func(name, help string, value func(*Stats) float64) {
 		daemon.monitor.RegisterGauge(name, help, func() float64 { return value(daemon.stats.Load()) })
 	}
@@ -86,120 +87,121 @@
 	return daemon
 }
 
-// Run serves until ctx ends, then drains: no new calls, those under way end.
+// Run serves until ctx is done. It then drains: new calls are refused and calls in progress get up
+// to drainTimeout to end.
 func (d *Daemon) Run(ctx context.Context) error {
 	listener, err := net.Listen("tcp", d.process.Listen.HTTP)
 	if err != nil {
 		return errorx.Decorate(err, "listening for callers")
 	}
-	web := &fasthttp.Server{
-		Handler: d.serve, NoDefaultServerHeader: true, MaxRequestBodySize: hardBodyLimit,
+	httpServer := &fasthttp.Server{
+		Handler: d.serveHTTP, NoDefaultServerHeader: true, MaxRequestBodySize: hardBodyLimitBytes,
 		CloseOnShutdown: true, ErrorHandler: serveTransportError,
 	}
 	telemetry.Info(d.logger, "listening", "http", listener.Addr().String())
 	tasks := daemon.NewTaskGroup()
-	d.running = tasks.Context
-	go func() { _ = web.Serve(listener) }()
-	tasks.Go(d.loop)
-	return tasks.Wait(ctx, func(ctx context.Context) { d.drain(ctx, web) })
+	d.runContext = tasks.Context
+	go func() { _ = httpServer.Serve(listener) }()
+	tasks.Go(d.runEventLoop)
+	return tasks.Wait(ctx, func(ctx context.Context) { d.drain(ctx, httpServer) })
 }
 
-func (d *Daemon) drain(ctx context.Context, web *fasthttp.Server) {
+func (d *Daemon) drain(ctx context.Context, httpServer *fasthttp.Server) {
 	telemetry.Info(d.logger, "draining")
 	d.events <- func(core *Core, _ int64) { core.Drain() }
 	deadline := time.Now().Add(drainTimeout)
 	for time.Now().Before(deadline) && ctx.Err() == nil {
-		if current := d.view.Load(); current.draining && current.idle {
+		if current := d.snapshot.Load(); current.isDraining && current.isIdle {
 			break
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	bounded, cancel := context.WithTimeout(ctx, shutdownGrace)
+	shutdownCtx, cancel := context.WithTimeout(ctx, shutdownTimeout)
 	defer cancel()
-	_ = web.ShutdownWithContext(bounded)
+	_ = httpServer.ShutdownWithContext(shutdownCtx)
 }
 
-// loop is the one goroutine that owns the core.
-func (d *Daemon) loop(ctx context.Context) error {
+// runEventLoop runs in the only goroutine that accesses the core.
+func (d *Daemon) runEventLoop(ctx context.Context) error {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
-	revision := ^uint64(0)
+	publishedRevision := ^uint64(0)
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-ticker.C:
 			d.core.Tick(clock.NowMs())
-		case next := <-d.events:
-			next(d.core, clock.NowMs())
+		case event := <-d.events:
+			event(d.core, clock.NowMs())
 		}
 		stats := d.core.Stats()
 		d.stats.Store(&stats)
-		d.publish(revision)
-		revision = stats.Revision
+		d.publish(publishedRevision)
+		publishedRevision = stats.Revision
 	}
 }
 
-// publish renews the snapshot; the services are listed anew only when the
-// settings have changed. Invariant: no service is called unknown before the
-// settings have been heard.
-func (d *Daemon) publish(revision uint64) {
-	previous := d.view.Load()
-	current := &view{
-		ready: d.core.IsReady(), idle: d.core.IsIdle(), draining: d.core.draining,
-		bodyLimit: previous.bodyLimit, services: previous.services,
+// publish stores a new snapshot. It rebuilds the list of services only if the settings revision
+// differs from publishedRevision. Invariant: services is nil until the first settings arrive, so
+// that no service is reported as unknown before that.
+func (d *Daemon) publish(publishedRevision uint64) {
+	previous := d.snapshot.Load()
+	current := &snapshot{
+		isReady: d.core.IsReady(), isIdle: d.core.IsIdle(), isDraining: d.core.isDraining,
+		bodyLimitBytes: previous.bodyLimitBytes, services: previous.services,
 	}
-	if tree := d.core.SettingsTree(); tree.Revision() > 0 && tree.Revision() != revision {
+	if tree := d.core.SettingsTree(); tree.Revision() > 0 && tree.Revision() != publishedRevision {
 		current.services = map[string]bool{}
 		for _, name := range tree.Children("/services") {
 			current.services[name] = true
 		}
-		current.bodyLimit = *tree.EffectiveFields("/").MaxBodyBytes
-		telemetry.Info(d.logger, "settings in force", "revision", tree.Revision())
+		current.bodyLimitBytes = *tree.EffectiveFields("/").MaxBodyBytes
+		telemetry.Info(d.logger, "settings applied", "revision", tree.Revision())
 	}
-	d.view.Store(current)
+	d.snapshot.Store(current)
 }
 
-func (d *Daemon) post(next func(core *Core, nowMs int64)) {
+func (d *Daemon) postEvent(event func(core *Core, nowMs int64)) {
 	select {
-	case d.events <- next:
-	case <-d.running.Done():
+	case d.events <- event:
+	case <-d.runContext.Done():
 	}
 }
 
-// Send is the core's outlet to schedulers.
+// Send implements Transport.
 func (d *Daemon) Send(address string, id OutboundRequestID, kind protocol.Kind, request any) {
 	body, err := protocol.Encode(request)
 	if err != nil {
-		go d.post(func(core *Core, nowMs int64) { core.HandleLostRequest(id, nowMs) })
+		go d.postEvent(func(core *Core, nowMs int64) { core.HandleLostRequest(id, nowMs) })
 		return
 	}
-	handler := func(frame protocol.Frame) { d.handle(id, frame) }
-	if link := d.link(address); link != nil {
-		link.CallRaw(kind, body, handler)
+	handler := func(frame protocol.Frame) { d.handleFrame(id, frame) }
+	if connection := d.connectionTo(address); connection != nil {
+		connection.CallRaw(kind, body, handler)
 		return
 	}
 	go func() {
-		link, err := d.dial(address)
+		connection, err := d.dial(address)
 		if err != nil {
 			handler(protocol.Frame{Kind: protocol.KindClosed, Last: true})
 			return
 		}
-		link.CallRaw(kind, body, handler)
+		connection.CallRaw(kind, body, handler)
 	}()
 }
 
-// Notify sends a one-way message where there is a connection.
+// Notify implements Transport. The message is dropped if there is no connection to the scheduler.
 func (d *Daemon) Notify(address string, kind protocol.Kind, message any) {
-	if link := d.link(address); link != nil {
-		_ = link.Send(kind, message)
+	if connection := d.connectionTo(address); connection != nil {
+		_ = connection.Send(kind, message)
 	}
 }
 
-func (d *Daemon) link(address string) *protocol.Connection {
+func (d *Daemon) connectionTo(address string) *protocol.Connection {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.links[address]
+	return d.connections[address]
 }
 
 func (d *Daemon) dial(address string) (*protocol.Connection, error) {
@@ -208,67 +210,68 @@
 		return nil, err
 	}
 	d.mutex.Lock()
-	if existing := d.links[address]; existing != nil {
+	if existing := d.connections[address]; existing != nil {
 		d.mutex.Unlock()
 		connection.Close()
 		return existing, nil
 	}
-	d.links[address] = connection
+	d.connections[address] = connection
 	d.mutex.Unlock()
 	connection.OnClose(func() {
 		d.mutex.Lock()
 		defer d.mutex.Unlock()
-		if d.links[address] == connection {
-			delete(d.links, address)
+		if d.connections[address] == connection {
+			delete(d.connections, address)
 		}
 	})
 	return connection, nil
 }
 
-// handle takes a frame from a scheduler.
-func (d *Daemon) handle(id OutboundRequestID, frame protocol.Frame) {
+// handleFrame handles a frame from a scheduler.
+func (d *Daemon) handleFrame(id OutboundRequestID, frame protocol.Frame) {
 	switch frame.Kind {
 	case protocol.KindCallChunk:
-		var piece protocol.CallChunk
-		if protocol.Decode(frame.Body, &piece) == nil {
-			d.post(func(core *Core, nowMs int64) { core.HandleChunk(id, &piece, nowMs) })
+		var chunk protocol.CallChunk
+		if protocol.Decode(frame.Body, &chunk) == nil {
+			d.postEvent(func(core *Core, nowMs int64) { core.HandleChunk(id, &chunk, nowMs) })
 		}
 	case protocol.KindCallReply:
-		var answer protocol.CallReply
-		if protocol.Decode(frame.Body, &answer) == nil {
-			d.post(func(core *Core, nowMs int64) { core.HandleCallReply(id, &answer, nowMs) })
+		var reply protocol.CallReply
+		if protocol.Decode(frame.Body, &reply) == nil {
+			d.postEvent(func(core *Core, nowMs int64) { core.HandleCallReply(id, &reply, nowMs) })
 			return
 		}
-		d.post(func(core *Core, nowMs int64) { core.HandleLostRequest(id, nowMs) })
+		d.postEvent(func(core *Core, nowMs int64) { core.HandleLostRequest(id, nowMs) })
 	case protocol.KindResponse:
 		var reply protocol.FollowReply
 		if protocol.Decode(frame.Body, &reply) == nil {
-			d.post(func(core *Core, nowMs int64) { core.HandleFollowReply(id, &reply, nowMs) })
+			d.postEvent(func(core *Core, nowMs int64) { core.HandleFollowReply(id, &reply, nowMs) })
 		}
 	default:
-		// This may run on the control loop, which must not wait for itself.
-		go d.post(func(core *Core, nowMs int64) { core.HandleLostRequest(id, nowMs) })
+		// This may run in the event loop, which would block if it waited for its own queue.
+		go d.postEvent(func(core *Core, nowMs int64) { core.HandleLostRequest(id, nowMs) })
 	}
 }
 
-// Deliver hands a part of an answer to the caller's goroutine.
-func (d *Daemon) Deliver(caller CallID, text string) {
-	d.toCaller(caller, delivery{text: text})
+// Deliver implements Transport.
+func (d *Daemon) Deliver(id CallID, text string) {
+	d.queueDelivery(id, delivery{text: text})
 }
 
-// Finish hands over the end of a call.
-func (d *Daemon) Finish(caller CallID, answer *protocol.CallReply) {
-	d.toCaller(caller, delivery{answer: answer})
+// Finish implements Transport.
+func (d *Daemon) Finish(id CallID, reply *protocol.CallReply) {
+	d.queueDelivery(id, delivery{reply: reply})
 	d.mutex.Lock()
-	delete(d.callers, caller)
+	delete(d.deliveries, id)
 	d.mutex.Unlock()
 }
 
-// toCaller never blocks the loop: a caller that doesn't read is cut off, and its
-// request id gives it the answer later.
-func (d *Daemon) toCaller(caller CallID, next delivery) {
+// queueDelivery passes a message to the HTTP handler of a call without blocking the event loop. If
+// the call's queue is full because the caller does not read, its channel is closed; the caller can
+// request the response again with the same request id.
+func (d *Daemon) queueDelivery(id CallID, next delivery) {
 	d.mutex.Lock()
-	deliveries, ok := d.callers[caller]
+	deliveries, ok := d.deliveries[id]
 	d.mutex.Unlock()
 	if !ok {
 		return
@@ -277,27 +280,27 @@
 	case deliveries <- next:
 	default:
 		d.mutex.Lock()
-		delete(d.callers, caller)
+		delete(d.deliveries, id)
 		d.mutex.Unlock()
 		close(deliveries)
 	}
 }
 
-// open starts a call; its deliveries come on the channel.
-func (d *Daemon) open(request *protocol.CallRequest) (CallID, <-chan delivery) {
-	caller := CallID(d.nextCaller.Add(1))
-	deliveries := make(chan delivery, deliverQueue)
+// openCall starts a call and returns the channel of its deliveries.
+func (d *Daemon) openCall(request *protocol.CallRequest) (CallID, <-chan delivery) {
+	id := CallID(d.lastCall.Add(1))
+	deliveries := make(chan delivery, deliveryQueueCapacity)
 	d.mutex.Lock()
-	d.callers[caller] = deliveries
+	d.deliveries[id] = deliveries
 	d.mutex.Unlock()
-	d.post(func(core *Core, nowMs int64) { core.HandleCall(caller, request, nowMs) })
-	return caller, deliveries
+	d.postEvent(func(core *Core, nowMs int64) { core.HandleCall(id, request, nowMs) })
+	return id, deliveries
 }
 
-// gone tells the core that a caller went away.
-func (d *Daemon) gone(caller CallID) {
+// reportDisconnect reports to the core that the caller of a call has disconnected.
+func (d *Daemon) reportDisconnect(id CallID) {
 	d.mutex.Lock()
-	delete(d.callers, caller)
+	delete(d.deliveries, id)
 	d.mutex.Unlock()
-	d.post(func(core *Core, _ int64) { core.HandleDisconnect(caller) })
+	d.postEvent(func(core *Core, _ int64) { core.HandleDisconnect(id) })
 }
--- a/internal/sidecar/daemon_test.go
+++ b/internal/sidecar/daemon_test.go
@@ -11,19 +11,19 @@
 )
 
 func TestServicesBeforeSettings(t *testing.T) {
-	Convey("a sidecar that has not heard the settings knows no service to be unknown", t, func() {
+	Convey("a sidecar that has not received the settings has no list of services", t, func() {
 		daemon := NewDaemon(config.Defaults(), log.NewNopLogger())
 		daemon.core = NewCore(DefaultOptions("sidecar-1", "east", nil), daemon, 0)
 		daemon.publish(^uint64(0))
-		So(daemon.view.Load().services, ShouldBeNil)
-		Convey("and knows them once it has", func() {
+		So(daemon.snapshot.Load().services, ShouldBeNil)
+		Convey("and has the list after the settings are applied", func() {
 			change := settings.Change{Operator: "o", Number: 1, Nodes: []settings.NodeChange{
 				{Path: "/pools/p", Version: settings.AnyVersion, Fields: settings.Fields{Model: pointer("m")}},
 				{Path: "/services/s", Version: settings.AnyVersion, Fields: settings.Fields{Pool: pointer("p")}},
 			}}
 			So(daemon.core.tree.Apply(change).Error, ShouldBeNil)
 			daemon.publish(0)
-			So(daemon.view.Load().services, ShouldResemble, map[string]bool{"s": true})
+			So(daemon.snapshot.Load().services, ShouldResemble, map[string]bool{"s": true})
 		})
 	})
 }
--- a/internal/sidecar/follow.go
+++ b/internal/sidecar/follow.go
@@ -5,106 +5,107 @@
 	"github.com/ochrebay/ochrebay/internal/protocol"
 )
 
-// follow keeps one heartbeat under way at a scheduler; its answer brings the
-// settings and the list of schedulers.
-func (c *Core) follow() {
-	if c.following != 0 && c.nowMs-c.followedAt < followTimeoutMs+c.options.FollowLongPollMs {
+// sendFollow keeps one long-polling heartbeat in flight to a scheduler. The reply contains updates
+// of the settings and of the directory of schedulers.
+func (c *Core) sendFollow() {
+	if c.followID != 0 && c.nowMs-c.followSentMs < followTimeoutMs+c.options.FollowLongPollMs {
 		return
 	}
-	if c.following != 0 {
-		delete(c.sends, c.following)
-		c.followTurn++
+	if c.followID != 0 {
+		delete(c.outbound, c.followID)
+		c.followIndex++
 	}
 	target, ok := c.followTarget()
 	if !ok {
 		return
 	}
-	c.nextSend++
-	c.following = c.nextSend
-	c.followedAt = c.nowMs
-	c.sends[c.nextSend] = &send{id: c.nextSend, address: target.Address, name: target.Name, follow: true}
-	c.outlet.Send(target.Address, c.nextSend, protocol.KindFollow, &protocol.FollowRequest{
+	c.lastOutboundID++
+	c.followID = c.lastOutboundID
+	c.followSentMs = c.nowMs
+	c.outbound[c.lastOutboundID] = &outboundRequest{id: c.lastOutboundID, address: target.Address, scheduler: target.Name, isFollow: true}
+	c.transport.Send(target.Address, c.lastOutboundID, protocol.KindFollow, &protocol.FollowRequest{
 		Sidecar: c.options.Name, Revision: c.tree.Revision(), DirectoryVersion: c.roster.Version(), LongPollMs: c.options.FollowLongPollMs,
 	})
 }
 
-// followTarget goes round the schedulers of one's own zone first, and changes
-// only when one is lost.
+// followTarget returns the scheduler to follow. It prefers the schedulers of the own zone that are
+// not draining, and moves to the next one in the order only if a heartbeat fails.
 func (c *Core) followTarget() (membership.Scheduler, bool) {
-	var local, others []membership.Scheduler
-	for _, peer := range c.peers {
-		if peer.Zone == c.options.Zone && !peer.Draining {
-			local = append(local, peer)
+	var localSchedulers, otherSchedulers []membership.Scheduler
+	for _, scheduler := range c.schedulers {
+		if scheduler.Zone == c.options.Zone && !scheduler.Draining {
+			localSchedulers = append(localSchedulers, scheduler)
 		} else {
-			others = append(others, peer)
+			otherSchedulers = append(otherSchedulers, scheduler)
 		}
 	}
-	all := append(local, others...)
-	if len(all) == 0 {
-		all = c.options.Seeds
+	ordered := append(localSchedulers, otherSchedulers...)
+	if len(ordered) == 0 {
+		ordered = c.options.Seeds
 	}
-	if len(all) == 0 {
+	if len(ordered) == 0 {
 		return membership.Scheduler{}, false
 	}
-	return all[c.followTurn%len(all)], true
+	return ordered[c.followIndex%len(ordered)], true
 }
 
-// HandleFollowReply takes news from a scheduler. Invariant: revision and directory only
-// grow here, whichever scheduler sends them.
+// HandleFollowReply applies the updates from a scheduler. Invariant: neither the settings revision
+// nor the directory version decreases, whichever scheduler sends the updates, unless DisableRevision
+// is set for the former.
 func (c *Core) HandleFollowReply(id OutboundRequestID, reply *protocol.FollowReply, nowMs int64) {
 	c.nowMs = nowMs
-	if id != c.following {
+	if id != c.followID {
 		return
 	}
-	delete(c.sends, id)
-	c.following = 0
+	delete(c.outbound, id)
+	c.followID = 0
 	if reply.Error != nil {
-		c.followTurn++
+		c.followIndex++
 		return
 	}
 	feed := reply.Feed
 	c.tree = feed.ApplyTo(c.tree, c.options.DisableRevision)
 	if c.roster.ApplyDelta(feed.Roster) {
-		c.peers = c.roster.List()
-		c.loseDelisted()
+		c.schedulers = c.roster.List()
+		c.retryDelisted()
 	}
-	c.synced = true
-	c.follow()
+	c.isSynced = true
+	c.sendFollow()
 }
 
-// loseDelisted gives up what was sent to schedulers that the directory no longer
-// lists, or lists with a later start: a machine that lost its power closes no
-// connection.
-func (c *Core) loseDelisted() {
-	listed := map[string]uint64{}
-	for _, peer := range c.peers {
-		listed[peer.Name] = peer.Incarnation
+// retryDelisted treats the requests to a scheduler as lost if the directory no longer lists the
+// scheduler, or lists a later incarnation: a machine that loses power does not close its
+// connections.
+func (c *Core) retryDelisted() {
+	listedIncarnations := map[string]uint64{}
+	for _, scheduler := range c.schedulers {
+		listedIncarnations[scheduler.Name] = scheduler.Incarnation
 	}
-	for _, id := range sortedIDs(c.sends) {
-		sent := c.sends[id]
-		start, ok := listed[sent.name]
-		restarted := sent.start != 0 && start > sent.start
-		if sent.call != nil && (!ok || restarted) {
+	for _, id := range sortedIDs(c.outbound) {
+		sent := c.outbound[id]
+		incarnation, ok := listedIncarnations[sent.scheduler]
+		hasRestarted := sent.incarnation != 0 && incarnation > sent.incarnation
+		if sent.call != nil && (!ok || hasRestarted) {
 			c.HandleLostRequest(id, c.nowMs)
 		}
 	}
 }
 
-// SchedulerAddresses returns the schedulers' addresses in the order in which to ask them.
+// SchedulerAddresses returns the addresses of the schedulers, those of the own zone first.
 func (c *Core) SchedulerAddresses() []string {
-	peers := c.peers
-	if len(peers) == 0 {
-		peers = c.options.Seeds
+	schedulers := c.schedulers
+	if len(schedulers) == 0 {
+		schedulers = c.options.Seeds
 	}
 	var addresses []string
-	for _, peer := range peers {
-		if peer.Zone == c.options.Zone {
-			addresses = append(addresses, peer.Address)
+	for _, scheduler := range schedulers {
+		if scheduler.Zone == c.options.Zone {
+			addresses = append(addresses, scheduler.Address)
 		}
 	}
-	for _, peer := range peers {
-		if peer.Zone != c.options.Zone {
-			addresses = append(addresses, peer.Address)
+	for _, scheduler := range schedulers {
+		if scheduler.Zone != c.options.Zone {
+			addresses = append(addresses, scheduler.Address)
 		}
 	}
 	return addresses
--- a/internal/sidecar/web.go
+++ b/internal/sidecar/web.go
@@ -23,7 +23,7 @@
 	"github.com/ochrebay/ochrebay/internal/telemetry"
 )
 
-// Headers of a call.
+// Request and response headers of a call.
 const (
 	HeaderProgram      = "Ochrebay-Program"
 	HeaderThread       = "Ochrebay-Thread"
@@ -40,24 +40,24 @@
 )
 
 const (
-	hardBodyLimit     = 64 << 20
-	maxIdentifier     = 128
-	maxDeadlineMs     = 24 * 3600 * 1000
-	programTimeout    = 4 * time.Second
-	defaultTenant     = "default"
-	defaultDeadlineMs = 120_000
+	hardBodyLimitBytes    = 64 << 20
+	maxIdentifierBytes    = 128
+	maxTimeoutMs          = 24 * 3600 * 1000
+	programRequestTimeout = 4 * time.Second
+	defaultTenant         = "default"
+	defaultTimeoutMs      = 120_000
 )
 
-// serveTransportError answers what fasthttp itself refuses.
+// serveTransportError writes the error reply to a request that fasthttp itself rejects.
 func serveTransportError(ctx *fasthttp.RequestCtx, err error) {
 	if errors.Is(err, fasthttp.ErrBodyTooLarge) {
-		control.WriteError(ctx, result.New(result.BodyTooLarge, "the body is over %d bytes", hardBodyLimit))
+		control.WriteError(ctx, result.New(result.BodyTooLarge, "the body is longer than %d bytes", hardBodyLimitBytes))
 		return
 	}
 	control.WriteError(ctx, result.New(result.MalformedRequest, "%v", err))
 }
 
-func (d *Daemon) serve(ctx *fasthttp.RequestCtx) {
+func (d *Daemon) serveHTTP(ctx *fasthttp.RequestCtx) {
 	if d.monitor.Serve(ctx) {
 		return
 	}
@@ -68,14 +68,14 @@
 	case strings.HasPrefix(path, "/v1/programs/"):
 		d.serveProgram(ctx, strings.TrimPrefix(path, "/v1/programs/"))
 	default:
-		control.WriteError(ctx, result.New(result.NotFound, "no path %s", path))
+		control.WriteError(ctx, result.New(result.NotFound, "path %s does not exist", path))
 	}
 }
 
-// serveCall takes one call of a program.
+// serveCall handles an HTTP request that is a call of a program.
 func (d *Daemon) serveCall(ctx *fasthttp.RequestCtx) {
 	if !ctx.IsPost() {
-		control.WriteError(ctx, result.New(result.MethodNotAllowed, "%s takes POST", engine.PathCompletions))
+		control.WriteError(ctx, result.New(result.MethodNotAllowed, "path %s accepts only POST", engine.PathCompletions))
 		return
 	}
 	body, request, failure := d.parseCall(ctx)
@@ -85,75 +85,75 @@
 	}
 	ctx.Response.Header.Set(HeaderProgram, request.Program)
 	ctx.Response.Header.Set(HeaderRequest, request.Request)
-	caller, deliveries := d.open(request)
+	id, deliveries := d.openCall(request)
 	if body.Stream {
-		d.serveStream(ctx, caller, request, deliveries)
+		d.serveStream(ctx, id, request, deliveries)
 		return
 	}
-	answer, text := collect(deliveries)
-	d.logEnd(request, answer)
-	if answer.Error != nil {
-		control.WriteError(ctx, answer.Error)
+	reply, text := collectReply(deliveries)
+	d.logEnd(request, reply)
+	if reply.Error != nil {
+		control.WriteError(ctx, reply.Error)
 		return
 	}
-	setAnswerHeaders(ctx, answer)
+	setReplyHeaders(ctx, reply)
 	ctx.SetContentType("application/json")
-	whole := newChunk("chat.completion", request, answer)
-	whole.Choices = []engine.Choice{{Message: &program.Message{Role: "assistant", Content: text}, FinishReason: finishReason("stop")}}
-	raw, _ := json.Marshal(whole)
+	completion := newCompletionObject("chat.completion", request, reply)
+	completion.Choices = []engine.Choice{{Message: &program.Message{Role: "assistant", Content: text}, FinishReason: finishReason("stop")}}
+	raw, _ := json.Marshal(completion)
 	ctx.SetBody(raw)
 }
 
-func setAnswerHeaders(ctx *fasthttp.RequestCtx, answer *protocol.CallReply) {
-	ctx.Response.Header.Set(HeaderTurn, strconv.FormatUint(answer.Turn, 10))
-	ctx.Response.Header.Set(HeaderBudgetLeft, strconv.FormatInt(answer.RemainingTokens, 10))
-	ctx.Response.Header.Set(HeaderEngine, answer.Engine)
+func setReplyHeaders(ctx *fasthttp.RequestCtx, reply *protocol.CallReply) {
+	ctx.Response.Header.Set(HeaderTurn, strconv.FormatUint(reply.Turn, 10))
+	ctx.Response.Header.Set(HeaderBudgetLeft, strconv.FormatInt(reply.RemainingTokens, 10))
+	ctx.Response.Header.Set(HeaderEngine, reply.Engine)
 }
 
 func finishReason(reason string) *string { return &reason }
 
-func (d *Daemon) logEnd(request *protocol.CallRequest, answer *protocol.CallReply) {
-	keyValues := []any{"program", request.Program, "request", request.Request, "turn", answer.Turn}
-	if answer.Error != nil {
-		keyValues = append(keyValues, "code", int(answer.Error.Code), "outcome", string(answer.Error.Outcome), "err", answer.Error.Message)
+func (d *Daemon) logEnd(request *protocol.CallRequest, reply *protocol.CallReply) {
+	keyValues := []any{"program", request.Program, "request", request.Request, "turn", reply.Turn}
+	if reply.Error != nil {
+		keyValues = append(keyValues, "code", int(reply.Error.Code), "outcome", string(reply.Error.Outcome), "err", reply.Error.Message)
 	}
 	telemetry.Info(d.logger, "call ended", keyValues...)
 }
 
-// collect waits for a whole answer.
-func collect(deliveries <-chan delivery) (*protocol.CallReply, string) {
+// collectReply waits for the final reply and returns it with the complete response text.
+func collectReply(deliveries <-chan delivery) (*protocol.CallReply, string) {
 	var text strings.Builder
 	for next := range deliveries {
-		if next.answer != nil {
-			return next.answer, text.String()
+		if next.reply != nil {
+			return next.reply, text.String()
 		}
 		text.WriteString(next.text)
 	}
-	return &protocol.CallReply{Error: result.New(result.Cancelled, "the caller did not read the answer")}, ""
+	return &protocol.CallReply{Error: result.New(result.Cancelled, "the caller did not read the response")}, ""
 }
 
-func newChunk(object string, request *protocol.CallRequest, answer *protocol.CallReply) engine.Chunk {
-	chunk := engine.Chunk{ID: request.Request, Object: object, Created: time.Now().Unix(), Model: request.Service}
-	if answer != nil {
+func newCompletionObject(objectType string, request *protocol.CallRequest, reply *protocol.CallReply) engine.Chunk {
+	chunk := engine.Chunk{ID: request.Request, Object: objectType, Created: time.Now().Unix(), Model: request.Service}
+	if reply != nil {
 		chunk.Usage = &engine.Usage{
-			PromptTokens: answer.Usage.PromptTokens, CompletionTokens: answer.Usage.CompletionTokens,
-			TotalTokens:         answer.Usage.PromptTokens + answer.Usage.CompletionTokens,
-			PromptTokensDetails: engine.PromptTokensDetails{CachedTokens: answer.Usage.CachedTokens},
+			PromptTokens: reply.Usage.PromptTokens, CompletionTokens: reply.Usage.CompletionTokens,
+			TotalTokens:         reply.Usage.PromptTokens + reply.Usage.CompletionTokens,
+			PromptTokensDetails: engine.PromptTokensDetails{CachedTokens: reply.Usage.CachedTokens},
 		}
 	}
 	return chunk
 }
 
-// serveStream waits for the first delivery, so that an early refusal has its
-// HTTP status, and then streams.
-func (d *Daemon) serveStream(ctx *fasthttp.RequestCtx, caller CallID, request *protocol.CallRequest, deliveries <-chan delivery) {
+// serveStream waits for the first delivery, so that an early error is returned with its HTTP
+// status, and then streams the response.
+func (d *Daemon) serveStream(ctx *fasthttp.RequestCtx, id CallID, request *protocol.CallRequest, deliveries <-chan delivery) {
 	first, ok := <-deliveries
 	if !ok {
-		first.answer = &protocol.CallReply{Error: result.New(result.Cancelled, "the caller did not read the answer")}
+		first.reply = &protocol.CallReply{Error: result.New(result.Cancelled, "the caller did not read the response")}
 	}
-	if first.answer != nil && first.answer.Error != nil {
-		d.logEnd(request, first.answer)
-		control.WriteError(ctx, first.answer.Error)
+	if first.reply != nil && first.reply.Error != nil {
+		d.logEnd(request, first.reply)
+		control.WriteError(ctx, first.reply.Error)
 		return
 	}
 	ctx.SetContentType("text/event-stream")
@@ -161,15 +161,15 @@
 	ctx.SetBodyStreamWriter(func(writer *bufio.Writer) {
 		next, open := first, true
 		for open {
-			if next.answer != nil {
-				d.logEnd(request, next.answer)
-				writeEnd(writer, request, next.answer)
+			if next.reply != nil {
+				d.logEnd(request, next.reply)
+				writeFinalEvent(writer, request, next.reply)
 				return
 			}
-			chunk := newChunk("chat.completion.chunk", request, nil)
+			chunk := newCompletionObject("chat.completion.chunk", request, nil)
 			chunk.Choices = []engine.Choice{{Delta: &engine.Delta{Content: next.text}}}
 			if writeEvent(writer, chunk) != nil {
-				d.gone(caller)
+				d.reportDisconnect(id)
 				return
 			}
 			next, open = <-deliveries
@@ -188,12 +188,13 @@
 	return writer.Flush()
 }
 
-// writeEnd closes a stream: the last chunk with usage, or the error, and [DONE].
-func writeEnd(writer *bufio.Writer, request *protocol.CallRequest, answer *protocol.CallReply) {
-	if answer.Error != nil {
-		_ = writeEvent(writer, result.Body{Error: result.From(answer.Error)})
+// writeFinalEvent ends a stream with the last chunk, which contains the usage, or with the error,
+// and then [DONE].
+func writeFinalEvent(writer *bufio.Writer, request *protocol.CallRequest, reply *protocol.CallReply) {
+	if reply.Error != nil {
+		_ = writeEvent(writer, result.Body{Error: result.From(reply.Error)})
 	} else {
-		last := newChunk("chat.completion.chunk", request, answer)
+		last := newCompletionObject("chat.completion.chunk", request, reply)
 		last.Choices = []engine.Choice{{Delta: &engine.Delta{}, FinishReason: finishReason("stop")}}
 		_ = writeEvent(writer, last)
 	}
@@ -201,8 +202,8 @@
 	_ = writer.Flush()
 }
 
-// ParseBody reads a caller's JSON strictly enough to be sure what is meant:
-// fields of the OpenAI shape that ochrebay doesn't use are allowed.
+// ParseBody parses the JSON body of a call and checks the fields that ochrebay needs. Fields that
+// it does not use are allowed.
 func ParseBody(raw []byte) (engine.CompletionRequest, *result.Error) {
 	var body engine.CompletionRequest
 	if err := json.Unmarshal(raw, &body); err != nil {
@@ -226,19 +227,19 @@
 }
 
 func (d *Daemon) parseCall(ctx *fasthttp.RequestCtx) (engine.CompletionRequest, *protocol.CallRequest, *result.Error) {
-	current := d.view.Load()
-	if limit := current.bodyLimit; limit > 0 && int64(len(ctx.PostBody())) > limit {
-		return engine.CompletionRequest{}, nil, result.New(result.BodyTooLarge, "the body has %d bytes, the limit is %d", len(ctx.PostBody()), limit)
+	snapshot := d.snapshot.Load()
+	if limit := snapshot.bodyLimitBytes; limit > 0 && int64(len(ctx.PostBody())) > limit {
+		return engine.CompletionRequest{}, nil, result.New(result.BodyTooLarge, "the body has %d bytes, but the limit is %d", len(ctx.PostBody()), limit)
 	}
 	body, failure := ParseBody(ctx.PostBody())
 	if failure != nil {
 		return body, nil, failure
 	}
-	if current.draining {
-		return body, nil, result.New(result.Draining, "%s is stopping", d.process.Name)
+	if snapshot.isDraining {
+		return body, nil, result.New(result.Draining, "sidecar %s is draining", d.process.Name)
 	}
-	if current.services != nil && !current.services[body.Model] {
-		return body, nil, result.New(result.UnknownService, "no service %q", body.Model)
+	if snapshot.services != nil && !snapshot.services[body.Model] {
+		return body, nil, result.New(result.UnknownService, "service %q is not in the settings", body.Model)
 	}
 	request, failure := parseHeaders(ctx, d.process.Name)
 	if failure != nil {
@@ -250,18 +251,18 @@
 	return body, request, nil
 }
 
-func header(ctx *fasthttp.RequestCtx, name string) string {
+func requestHeader(ctx *fasthttp.RequestCtx, name string) string {
 	return string(ctx.Request.Header.Peek(name))
 }
 
-func identifier(ctx *fasthttp.RequestCtx, name string) (string, *result.Error) {
-	value := header(ctx, name)
-	if len(value) > maxIdentifier {
-		return "", result.New(result.InvalidHeader, "%s is over %d bytes", name, maxIdentifier)
+func parseIdentifier(ctx *fasthttp.RequestCtx, name string) (string, *result.Error) {
+	value := requestHeader(ctx, name)
+	if len(value) > maxIdentifierBytes {
+		return "", result.New(result.InvalidHeader, "header %s is longer than %d bytes", name, maxIdentifierBytes)
 	}
 	for _, character := range value {
 		if character <= ' ' || character > '~' {
-			return "", result.New(result.InvalidHeader, "%s holds a character that is not allowed", name)
+			return "", result.New(result.InvalidHeader, "header %s contains a character other than visible ASCII", name)
 		}
 	}
 	return value, nil
@@ -269,7 +270,7 @@
 
 func parseHeaders(ctx *fasthttp.RequestCtx, sidecar string) (*protocol.CallRequest, *result.Error) {
 	request := &protocol.CallRequest{Tenant: defaultTenant}
-	targets := []struct {
+	identifiers := []struct {
 		name   string
 		target *string
 	}{
@@ -279,8 +280,8 @@
 		{HeaderRequest, &request.Request},
 		{HeaderTenant, &request.Tenant},
 	}
-	for _, entry := range targets {
-		value, failure := identifier(ctx, entry.name)
+	for _, entry := range identifiers {
+		value, failure := parseIdentifier(ctx, entry.name)
 		if failure != nil {
 			return nil, failure
 		}
@@ -288,39 +289,39 @@
 			*entry.target = value
 		}
 	}
-	deadline, failure := integer(ctx, HeaderDeadline, defaultDeadlineMs, maxDeadlineMs)
+	timeoutMs, failure := parseInteger(ctx, HeaderDeadline, defaultTimeoutMs, maxTimeoutMs)
 	if failure != nil {
 		return nil, failure
 	}
-	request.TimeoutMs = deadline
-	if request.BudgetTokens, failure = integer(ctx, HeaderBudget, 0, 1<<40); failure != nil {
+	request.TimeoutMs = timeoutMs
+	if request.BudgetTokens, failure = parseInteger(ctx, HeaderBudget, 0, 1<<40); failure != nil {
 		return nil, failure
 	}
-	repeatable, failure := boolean(ctx, HeaderRepeatable, true)
+	repeatable, failure := parseBoolean(ctx, HeaderRepeatable, true)
 	if failure != nil {
 		return nil, failure
 	}
 	request.AtMostOnce = !repeatable
-	if request.EndsProgram, failure = boolean(ctx, HeaderEnd, false); failure != nil {
+	if request.EndsProgram, failure = parseBoolean(ctx, HeaderEnd, false); failure != nil {
 		return nil, failure
 	}
-	identify(request, sidecar)
+	assignIDs(request, sidecar)
 	return request, nil
 }
 
-// identify gives a call without a program a new one. Its id follows from the
-// request id where the caller gave one, so that a caller whose first answer was
-// lost comes back to the same program.
-func identify(request *protocol.CallRequest, sidecar string) {
-	named := request.Request != ""
-	if !named {
+// assignIDs assigns a request id to a call without one, and creates a program for a call without
+// one. The program id is derived from the tenant and the request id if the caller sent a request id,
+// so that a caller whose first response was lost gets the same program again.
+func assignIDs(request *protocol.CallRequest, sidecar string) {
+	hasRequestID := request.Request != ""
+	if !hasRequestID {
 		request.Request = randomID("r-")
 	}
 	if request.Program != "" {
 		return
 	}
 	request.Create = true
-	if named {
+	if hasRequestID {
 		sum := xxhash.Sum64String(request.Tenant + "\x00" + request.Request)
 		second := xxhash.Sum64String(request.Request + "\x00" + request.Tenant)
 		request.Program = fmt.Sprintf("p-%016x%08x", sum, uint32(second))
@@ -335,34 +336,34 @@
 	return prefix + hex.EncodeToString(raw)
 }
 
-func integer(ctx *fasthttp.RequestCtx, name string, missing, highest int64) (int64, *result.Error) {
-	value := header(ctx, name)
+func parseInteger(ctx *fasthttp.RequestCtx, name string, defaultValue, maximum int64) (int64, *result.Error) {
+	value := requestHeader(ctx, name)
 	if value == "" {
-		return missing, nil
+		return defaultValue, nil
 	}
 	number, err := strconv.ParseInt(value, 10, 64)
-	if err != nil || number > highest {
-		return 0, result.New(result.InvalidHeader, "%s: %q is not a whole number up to %d", name, value, highest)
+	if err != nil || number > maximum {
+		return 0, result.New(result.InvalidHeader, "header %s: %q is not an integer up to %d", name, value, maximum)
 	}
 	return number, nil
 }
 
-func boolean(ctx *fasthttp.RequestCtx, name string, missing bool) (bool, *result.Error) {
-	value := header(ctx, name)
+func parseBoolean(ctx *fasthttp.RequestCtx, name string, defaultValue bool) (bool, *result.Error) {
+	value := requestHeader(ctx, name)
 	if value == "" {
-		return missing, nil
+		return defaultValue, nil
 	}
 	parsed, err := strconv.ParseBool(value)
 	if err != nil {
-		return false, result.New(result.InvalidHeader, "%s: %q is neither true nor false", name, value)
+		return false, result.New(result.InvalidHeader, "header %s: %q is not a boolean", name, value)
 	}
 	return parsed, nil
 }
 
-// serveProgram answers questions about a program.
+// serveProgram handles HTTP requests that read or end a program.
 func (d *Daemon) serveProgram(ctx *fasthttp.RequestCtx, rest string) {
-	id, wantHistory := strings.CutSuffix(rest, "/history")
-	tenant, failure := identifier(ctx, HeaderTenant)
+	id, wantsHistory := strings.CutSuffix(rest, "/history")
+	tenant, failure := parseIdentifier(ctx, HeaderTenant)
 	if failure != nil {
 		control.WriteError(ctx, failure)
 		return
@@ -371,11 +372,11 @@
 		tenant = defaultTenant
 	}
 	if !ctx.IsGet() && !ctx.IsDelete() {
-		control.WriteError(ctx, result.New(result.MethodNotAllowed, "%s takes GET and DELETE", ctx.Path()))
+		control.WriteError(ctx, result.New(result.MethodNotAllowed, "path %s accepts only GET and DELETE", ctx.Path()))
 		return
 	}
 	if ctx.IsDelete() {
-		if reply := d.askProgram(&protocol.ProgramRequest{Program: id, Tenant: tenant, End: true}); reply.Error != nil {
+		if reply := d.requestProgram(&protocol.ProgramRequest{Program: id, Tenant: tenant, End: true}); reply.Error != nil {
 			control.WriteError(ctx, reply.Error)
 			return
 		}
@@ -385,20 +386,20 @@
 		control.WriteError(ctx, failure)
 		return
 	}
-	var shown any = view
-	if wantHistory {
-		if shown, failure = historyOf(view, string(ctx.QueryArgs().Peek("thread"))); failure != nil {
+	var body any = view
+	if wantsHistory {
+		if body, failure = findThreadHistory(view, string(ctx.QueryArgs().Peek("thread"))); failure != nil {
 			control.WriteError(ctx, failure)
 			return
 		}
 	}
-	raw, _ := json.Marshal(shown)
+	raw, _ := json.Marshal(body)
 	ctx.SetContentType("application/json")
 	ctx.SetBody(raw)
 }
 
 func (d *Daemon) readProgram(id, tenant string) (*control.ProgramView, *result.Error) {
-	reply := d.askProgram(&protocol.ProgramRequest{Program: id, Tenant: tenant})
+	reply := d.requestProgram(&protocol.ProgramRequest{Program: id, Tenant: tenant})
 	if reply.Error != nil {
 		return nil, reply.Error
 	}
@@ -407,57 +408,57 @@
 		return nil, result.New(result.Internal, "%v", err)
 	}
 	if view.Tenant != tenant {
-		return nil, result.New(result.ForeignProgram, "program %s is not of tenant %q", id, tenant)
+		return nil, result.New(result.ForeignProgram, "program %s does not belong to tenant %q", id, tenant)
 	}
 	return &view, nil
 }
 
-// ThreadHistory is a thread's conversation.
+// ThreadHistory is the conversation of one thread of a program.
 type ThreadHistory struct {
 	Program  string            `json:"program"`
 	Thread   string            `json:"thread"`
 	Messages []program.Message `json:"messages"`
 }
 
-func historyOf(view *control.ProgramView, thread string) (*ThreadHistory, *result.Error) {
-	for _, known := range view.Threads {
-		if known.Name == thread {
-			return &ThreadHistory{Program: view.ID, Thread: thread, Messages: program.Conversation(known.Lineage, view.Turns)}, nil
+func findThreadHistory(view *control.ProgramView, thread string) (*ThreadHistory, *result.Error) {
+	for _, candidate := range view.Threads {
+		if candidate.Name == thread {
+			return &ThreadHistory{Program: view.ID, Thread: thread, Messages: program.Conversation(candidate.Lineage, view.Turns)}, nil
 		}
 	}
-	return nil, result.New(result.UnknownThread, "no thread %q in program %s", thread, view.ID)
+	return nil, result.New(result.UnknownThread, "thread %q does not exist in program %s", thread, view.ID)
 }
 
-// askProgram asks schedulers in turn until one answers.
-func (d *Daemon) askProgram(request *protocol.ProgramRequest) *protocol.ProgramReply {
+// requestProgram sends a request to one scheduler after the other until one replies.
+func (d *Daemon) requestProgram(request *protocol.ProgramRequest) *protocol.ProgramReply {
 	addresses := make(chan []string, 1)
-	d.post(func(core *Core, _ int64) { addresses <- core.SchedulerAddresses() })
-	bounded, cancel := context.WithTimeout(d.running, programTimeout)
+	d.postEvent(func(core *Core, _ int64) { addresses <- core.SchedulerAddresses() })
+	requestCtx, cancel := context.WithTimeout(d.runContext, programRequestTimeout)
 	defer cancel()
-	failed := &protocol.ProgramReply{Error: result.New(result.NoScheduler, "no scheduler answered")}
+	noReply := &protocol.ProgramReply{Error: result.New(result.NoScheduler, "no scheduler replied in time")}
 	select {
-	case <-bounded.Done():
-		return failed
+	case <-requestCtx.Done():
+		return noReply
 	case list := <-addresses:
 		for _, address := range list {
-			if reply := d.askOne(bounded, address, request); reply != nil {
+			if reply := d.requestProgramFrom(requestCtx, address, request); reply != nil {
 				return reply
 			}
 		}
 	}
-	return failed
+	return noReply
 }
 
-func (d *Daemon) askOne(ctx context.Context, address string, request *protocol.ProgramRequest) *protocol.ProgramReply {
-	link := d.link(address)
-	if link == nil {
+func (d *Daemon) requestProgramFrom(ctx context.Context, address string, request *protocol.ProgramRequest) *protocol.ProgramReply {
+	connection := d.connectionTo(address)
+	if connection == nil {
 		var err error
-		if link, err = d.dial(address); err != nil {
+		if connection, err = d.dial(address); err != nil {
 			return nil
 		}
 	}
 	frames := make(chan protocol.Frame, 1)
-	link.Call(protocol.KindProgram, request, func(frame protocol.Frame) { frames <- frame })
+	connection.Call(protocol.KindProgram, request, func(frame protocol.Frame) { frames <- frame })
 	select {
 	case <-ctx.Done():
 		return nil
