--- a/internal/scheduler/control.go
+++ b/internal/scheduler/control.go
@@ -223,9 +223,9 @@
 	c.startControlRequest(0, protocol.KindSync, message, controlTimeoutMs, func(any) {})
 }
 
-// tickFollowers replies to the heartbeats of sidecars for which there are updates, whose long poll
-// has ended, or that must learn that this scheduler drains. It removes sidecars that have sent no
-// new heartbeat for followerTimeoutMs.
+// tickFollowers replies to a sidecar's heartbeat if there are updates for the sidecar, if its long
+// poll has ended, or if this scheduler is draining, which the sidecar must learn. It removes
+// sidecars that have sent no new heartbeat for followerTimeoutMs.
 func (c *Core) tickFollowers() {
 	for _, name := range sortedNames(c.followers) {
 		sidecar := c.followers[name]
--- a/internal/scheduler/core.go
+++ b/internal/scheduler/core.go
@@ -63,7 +63,8 @@
 	Address string
 	// Incarnation identifies this run of the process; each start has a different one.
 	Incarnation uint64
-	// ControlMembers are the names of the control processes, those of the own zone first.
+	// ControlMembers are the names of the control processes. They are tried in the configured order,
+	// which should start with the scheduler's zone.
 	ControlMembers []string
 	// SyncLongPollMs is the time for which a control process may delay the reply to a heartbeat
 	// while there are no updates.
@@ -113,11 +114,13 @@
 	programIdleTimeoutMs    = 600_000
 	evictionIntervalMs      = 5000
 	minExpectedOutputTokens = 16
-	// noEngineGraceMs is the time for which calls wait in a cell without an open engine of their
-	// pool before they are refused, so that their sidecars send them to another cell.
+	// noEngineGraceMs is the time for which calls wait for an engine to return in a cell without a
+	// ready and open engine of their pool. After it, the cell refuses the calls, and their sidecars
+	// send them to another cell.
 	noEngineGraceMs = 1500
-	// drainPropagationMs is the time that a directory entry with the draining state gets to reach
-	// the sidecars, and drainListingTimeoutMs the time that control gets to list that state.
+	// drainPropagationMs is the time allowed for the directory entry that lists this scheduler as
+	// draining to reach the sidecars. drainListingTimeoutMs is the time allowed for control to list
+	// that state.
 	drainPropagationMs    = 500
 	drainListingTimeoutMs = 5000
 )
@@ -134,7 +137,7 @@
 	groups       uint32
 	engines      map[string]*ownedEngine
 	// poolLastReadyMs is, for each pool, the last time at which the cell had a ready and open
-	// engine. It starts at the first check of the pool if there was none before.
+	// engine. If there was none by the first check of the pool, it is the time of that check.
 	poolLastReadyMs map[string]int64
 	cell            scheduling.CellScheduler
 	tenantLimiter   *scheduling.TenantLimiter
@@ -273,7 +276,7 @@
 }
 
 // isDrainPropagated reports whether the directory has listed this scheduler as draining for
-// drainPropagationMs, or has not listed it so within drainListingTimeoutMs.
+// drainPropagationMs, or has not listed it as draining within drainListingTimeoutMs.
 func (c *Core) isDrainPropagated() bool {
 	if c.drainListedMs != 0 {
 		return c.nowMs-c.drainListedMs >= drainPropagationMs
--- a/internal/scheduler/engines.go
+++ b/internal/scheduler/engines.go
@@ -181,7 +181,7 @@
 		Name: owned.info.Name, Pool: owned.info.Pool, Current: owned.state.Target, IsLoading: owned.state.Loading,
 		IsLeaving: owned.info.Leaving, InFlight: owned.schedulingEngine.InFlight,
 		// Loading an engine that serves no model cannot lower the number of ready engines below
-		// the pool's ready floor, so it needs no permit.
+		// the pool's minimum (the setting ready_floor), so it needs no permit.
 		HasPermit: owned.hasPermit || owned.state.Target.Model == "", IsDraining: owned.isDraining || !owned.state.Ready,
 	}
 	switch reconcile.NextStep(observed, target) {
--- a/internal/scheduler/runs.go
+++ b/internal/scheduler/runs.go
@@ -123,7 +123,7 @@
 	c.counters.FailedAttempts++
 	if !outcome.MayHaveStarted {
 		// The engine did not start the call: it can run on another engine under the same fence,
-		// also if it is at most once.
+		// even if the call must run at most once.
 		if owned, ok := c.engines[current.engine]; ok {
 			owned.schedulingEngine.Ready = false
 			owned.hasState = false
@@ -367,7 +367,7 @@
 	}
 }
 
-// tickLostEngines fails the attempts on engines that have sent no state report for
+// tickLostEngines fails the attempts on engines of the cell that have sent no state report for
 // engineLostTimeoutMs.
 func (c *Core) tickLostEngines() {
 	for _, attempt := range sortedIDs(c.attempts) {
@@ -391,8 +391,8 @@
 
 var errEngineReportTimeout = errors.New("the engine has sent no state report within the timeout")
 
-// tickDeadlines ends calls whose deadline has passed: those that run on an engine, unless they are
-// not repeatable, those that wait for a turn held by another call, and those that are queued.
+// tickDeadlines ends calls whose deadline has passed: repeatable calls that run on an engine, calls
+// that wait for a turn held by another call, and queued calls.
 func (c *Core) tickDeadlines() {
 	for _, attempt := range sortedIDs(c.attempts) {
 		current := c.attempts[attempt]
--- a/internal/sidecar/core.go
+++ b/internal/sidecar/core.go
@@ -1,8 +1,8 @@
 // Package sidecar implements the process that runs next to each caller: it accepts calls in the
-// format of the OpenAI API, selects the scheduler of each program, retries what may be retried, and
-// returns the complete response (design sections 3 and 9). Core is the control state and has no
-// goroutines, clock or sockets of its own. Daemon connects it to HTTP and TCP, and the simulator to
-// a virtual network.
+// format of the OpenAI API, selects the scheduler of each program, retries calls that may be
+// retried, and returns the complete response (design sections 3 and 9). Core is the control state and
+// has no goroutines, clock or sockets of its own. Daemon connects it to HTTP and TCP, and the simulator
+// to a virtual network.
 package sidecar
 
 import (
@@ -40,7 +40,8 @@
 type Options struct {
 	Name string
 	Zone string
-	// Seeds are the schedulers to use until the directory is known, those of the own zone first.
+	// Seeds are the schedulers to use while the directory is unknown or lists none. Those in the
+	// sidecar's zone should come first.
 	Seeds            []membership.Scheduler
 	FollowLongPollMs int64
 
@@ -62,8 +63,8 @@
 	retryBudgetPerReply = 0.2
 	retryBudgetCapacity = 20
 	maxAttempts         = 40
-	// maxCellsPerCall is the maximum number of cells that are tried for a call while they reply
-	// that they have no engine of its pool.
+	// maxCellsPerCall limits the cells to which a call is sent when each replies that it has no
+	// engine of the call's pool.
 	maxCellsPerCall = 4
 )
 
@@ -86,8 +87,8 @@
 	isSynced     bool
 	isDraining   bool
 	// retryBudget is the number of retries that are allowed now. Each successful reply adds
-	// retryBudgetPerReply, up to retryBudgetCapacity. Each retry uses 1, unless the call was sent at
-	// most once before.
+	// retryBudgetPerReply, up to retryBudgetCapacity. Each retry uses 1, but a call that has
+	// been sent no more than once is retried without using the budget.
 	retryBudget float64
 	stats       Stats
 }
@@ -111,8 +112,8 @@
 	attempts     int
 	retryAtMs    int64
 	receivedText strings.Builder
-	// mayHaveRun is set when an engine may have run the call: its reply was lost, or the outcome of
-	// an error reply was not "not run".
+	// mayHaveRun is set when an engine may have run the call: the reply was lost, or an error reply
+	// had an outcome other than "not run".
 	mayHaveRun bool
 	lastError  *result.Error
 	// avoidedSchedulers are the schedulers whose reply was lost or whose cell could not serve the
@@ -199,10 +200,11 @@
 	c.transport.Send(target.Address, c.lastOutboundID, protocol.KindCall, &request)
 }
 
-// selectScheduler returns the scheduler for a program by rendezvous hashing. Schedulers that are not
-// draining come first, among them those that the call does not avoid, and among these the ones of
-// the own zone. All sidecars of a zone that have the same directory select the same scheduler, so a
-// program stays with the cell whose engines have its prefix cached.
+// selectScheduler returns the scheduler for a program by rendezvous hashing within the best class of
+// schedulers. The criteria of a class, most important first, are: not draining, not in the call's
+// avoidedSchedulers, in the sidecar's zone. All sidecars of a zone that have the same directory
+// select the same scheduler for a call that avoids none, so a program stays with the cell whose
+// engines have its prefix cached.
 func (c *Core) selectScheduler(current *call) (membership.Scheduler, bool) {
 	var best membership.Scheduler
 	var bestScore uint64
@@ -244,7 +246,7 @@
 		c.transport.Deliver(current.id, chunk.Text)
 		return
 	}
-	added, ok := newText(current.receivedText.String(), chunk)
+	added, ok := unreceivedText(current.receivedText.String(), chunk)
 	if !ok {
 		c.finish(current, &protocol.CallReply{Error: result.New(result.EngineFailed, "a chunk contradicts the response text already received, or leaves a gap")})
 		return
@@ -255,10 +257,10 @@
 	}
 }
 
-// newText returns the text that a chunk adds to the received text. It reports false if the chunk
-// contradicts the received text or leaves a gap. Invariant: the caller gets every byte of the
+// unreceivedText returns the text that a chunk adds to the received text. It reports false if the
+// chunk contradicts the received text or leaves a gap. Invariant: the caller gets every byte of the
 // response at most once and in order, unless DisableAssembly is set.
-func newText(received string, chunk *protocol.CallChunk) (string, bool) {
+func unreceivedText(received string, chunk *protocol.CallChunk) (string, bool) {
 	if chunk.Offset > len(received) {
 		return "", false
 	}
@@ -286,7 +288,7 @@
 		c.handleError(current, sent.scheduler, reply.Error)
 		return
 	}
-	added, ok := newText(current.receivedText.String(), &protocol.CallChunk{Text: reply.Content})
+	added, ok := unreceivedText(current.receivedText.String(), &protocol.CallChunk{Text: reply.Content})
 	if !ok && !c.options.DisableAssembly {
 		c.finish(current, &protocol.CallReply{Error: result.New(result.EngineFailed, "the final response differs from the streamed text")})
 		return
@@ -300,7 +302,7 @@
 }
 
 // retryableCodes are the codes after which another scheduler, or the same one a little later, may
-// succeed. The request id prevents a retry from running twice.
+// succeed. The request id prevents a call that is retried from running twice.
 var retryableCodes = []result.Code{
 	result.Draining, result.NoScheduler, result.NotLeader, result.NoQuorum, result.StaleFence, result.TurnOpen,
 }
@@ -368,6 +370,8 @@
 	current.retryAtMs = c.nowMs + delayMs
 }
 
+// nextRandom advances a 64-bit linear congruential generator with the constants of Knuth's MMIX and
+// returns the upper 31 bits of its state.
 func (c *Core) nextRandom() uint64 {
 	c.randomState = c.randomState*6364136223846793005 + 1442695040888963407
 	return c.randomState >> 33
@@ -421,8 +425,8 @@
 	}
 }
 
-// deadlineGraceMs is the time after a call's deadline that the scheduler's own reply about the
-// deadline gets to arrive.
+// deadlineGraceMs is the time for which the sidecar waits after a call's deadline, so that the
+// scheduler's deadline error can arrive before the sidecar ends the call itself.
 const deadlineGraceMs = 500
 
 func (c *Core) deadlineError(current *call) *result.Error {
--- a/internal/sidecar/follow.go
+++ b/internal/sidecar/follow.go
@@ -28,8 +28,8 @@
 	})
 }
 
-// followTarget returns the scheduler to follow. It prefers the schedulers of the own zone that are
-// not draining, and moves to the next one in the order only if a heartbeat fails.
+// followTarget returns the scheduler to follow. It prefers the schedulers of the sidecar's zone that
+// are not draining, and moves to the next one in the order only if a heartbeat fails.
 func (c *Core) followTarget() (membership.Scheduler, bool) {
 	var localSchedulers, otherSchedulers []membership.Scheduler
 	for _, scheduler := range c.schedulers {
@@ -50,8 +50,8 @@
 }
 
 // HandleFollowReply applies the updates from a scheduler. Invariant: neither the settings revision
-// nor the directory version decreases, whichever scheduler sends the updates, unless DisableRevision
-// is set for the former.
+// nor the directory version decreases, whichever scheduler sends the updates. With DisableRevision
+// set, the settings revision may decrease.
 func (c *Core) HandleFollowReply(id OutboundRequestID, reply *protocol.FollowReply, nowMs int64) {
 	c.nowMs = nowMs
 	if id != c.followID {
@@ -91,7 +91,7 @@
 	}
 }
 
-// SchedulerAddresses returns the addresses of the schedulers, those of the own zone first.
+// SchedulerAddresses returns the addresses of the schedulers, those of the sidecar's zone first.
 func (c *Core) SchedulerAddresses() []string {
 	schedulers := c.schedulers
 	if len(schedulers) == 0 {
--- a/internal/sidecar/web.go
+++ b/internal/sidecar/web.go
@@ -429,7 +429,7 @@
 	return nil, result.New(result.UnknownThread, "thread %q does not exist in program %s", thread, view.ID)
 }
 
-// requestProgram sends a request to one scheduler after the other until one replies.
+// requestProgram sends a request to one scheduler after another until one replies.
 func (d *Daemon) requestProgram(request *protocol.ProgramRequest) *protocol.ProgramReply {
 	addresses := make(chan []string, 1)
 	d.postEvent(func(core *Core, _ int64) { addresses <- core.SchedulerAddresses() })
