--- a/internal/scheduler/core.go
+++ b/internal/scheduler/core.go
@@ -266,8 +266,9 @@
 func (c *Core) SettingsTree() *settings.Tree { return c.tree }
 
 // IsIdle reports whether no call is in progress, so that a draining process may exit. A draining
-// scheduler is not idle until its draining state has had time to reach the sidecars, unless
-// control has not listed that state within drainListingTimeoutMs.
+// scheduler is not idle until its draining state has had time to reach the sidecars, which would
+// otherwise still send calls to it. If control has not listed that state within
+// drainListingTimeoutMs, for example because it is unreachable, the scheduler does not wait longer.
 func (c *Core) IsIdle() bool {
 	if c.isDraining && !c.isDrainPropagated() {
 		return false
--- a/internal/scheduler/engines.go
+++ b/internal/scheduler/engines.go
@@ -142,8 +142,8 @@
 	return c.nowMs-lastReadyMs > noEngineGraceMs
 }
 
-// abortUnserved ends the waiting calls that no engine of the cell can serve. Their sidecars send
-// them to another cell.
+// abortUnserved ends the waiting calls that no engine of the cell can serve. The calls have not run,
+// so their sidecars send them to another cell.
 func (c *Core) abortUnserved() {
 	if len(c.cell.Waiting) == 0 {
 		return
