--- a/internal/simulation/operators.go
+++ b/internal/simulation/operators.go
@@ -8,99 +8,101 @@
 	"github.com/ochrebay/ochrebay/internal/settings"
 )
 
-// probePaths are the nodes that operators race for; their values tell which
-// change is in force where.
+// probePaths are the settings nodes that operators change concurrently; every change sets
+// a unique value, which identifies the change in force at a daemon.
 var probePaths = []string{"/tenants/probe-1", "/tenants/probe-2"}
 
 const (
-	operatorWaitUs    = 1_500_000
-	operatorPauseUs   = 400_000
-	settingsDeadline  = 6_000_000
-	changesInARow     = 80
-	changesInARowGap  = 8_000
-	firstProbeValue   = 1000
-	operatorTries     = 60
-	deploymentTries   = 400
-	deploymentRetryUs = 100_000
+	changeTimeoutUs    = 1_500_000
+	changePauseUs      = 400_000
+	settingsDeadlineUs = 6_000_000
+	burstChanges       = 80
+	burstIntervalUs    = 8_000
+	firstProbeValue    = 1000
+	maxProbeTries      = 60
+	maxImportTries     = 400
+	changeRetryDelayUs = 100_000
 )
 
-// operator makes numbered changes and resends them when an answer is lost.
+// operator submits numbered changes and resends them when a reply is lost.
 type operator struct {
 	*process
-	number   uint64
-	versions map[string]uint64
+	lastNumber uint64
+	versions   map[string]uint64
 }
 
-// change is one change until it is answered.
+// change is a settings change that has not been answered yet. attempt identifies the
+// current attempt, so that replies to earlier attempts are ignored.
 type change struct {
 	operator *operator
 	content  settings.Change
 	path     string
 	value    int64
 	tries    int
-	limit    int
+	maxTries int
 	attempt  int
-	done     func(reply *settings.Reply)
+	onDone   func(reply *settings.Reply)
 }
 
 func (w *world) addOperators() {
 	for number := range 2 {
 		o := &operator{process: w.newProcess(fmt.Sprintf("operator-%d", number+1), w.deployment.Zones[0]), versions: map[string]uint64{}}
-		o.alive = true
-		o.life = 1
+		o.isAlive = true
+		o.incarnation = 1
 		w.operators = append(w.operators, o)
 	}
 }
 
-// importSettings brings the deployment's settings in, as scripts/fleet does.
+// importSettings imports the settings of the deployment, as scripts/fleet does.
 func (w *world) importSettings(done func()) error {
 	content, err := w.deployment.SettingsChange("deployment", 1)
 	if err != nil {
 		return err
 	}
-	idle := int64(8000)
+	idleTimeoutMs := int64(8000)
 	for position := range content.Nodes {
 		if content.Nodes[position].Fields.IdleTimeoutMs != nil || content.Nodes[position].Path == "/" {
-			content.Nodes[position].Fields.IdleTimeoutMs = &idle
+			content.Nodes[position].Fields.IdleTimeoutMs = &idleTimeoutMs
 		}
 	}
-	start := &change{operator: w.operators[0], content: content, limit: deploymentTries, done: func(reply *settings.Reply) {
+	initial := &change{operator: w.operators[0], content: content, maxTries: maxImportTries, onDone: func(reply *settings.Reply) {
 		if reply == nil || reply.Error != nil {
-			w.checks.violate(invariantProgress, "the deployment's settings were not accepted: %+v", reply)
+			w.checks.reportViolation(invariantProgress, "the settings of the deployment were not accepted: %+v", reply)
 			return
 		}
-		w.tell("the deployment's settings are accepted at revision %d", reply.Revision)
+		w.tracef("the settings of the deployment are accepted at revision %d", reply.Revision)
 		done()
 	}}
-	start.try()
+	initial.send()
 	return nil
 }
 
-// nextValue is a value that no other change sets.
-func (w *world) nextValue() int64 {
-	w.checks.values++
-	return firstProbeValue + w.checks.values
+// nextProbeValue returns a value that no other change sets.
+func (w *world) nextProbeValue() int64 {
+	w.checks.probeValues++
+	return firstProbeValue + w.checks.probeValues
 }
 
-// set changes a probe node, against the version that the operator believes in.
-func (o *operator) set(path string, done func()) {
+// changeProbe submits a change of a probe node, based on the version of the node that the
+// operator last saw.
+func (o *operator) changeProbe(path string, done func()) {
 	w := o.world
-	value := w.nextValue()
-	o.number++
-	content := settings.Change{Operator: o.name, Number: o.number, Nodes: []settings.NodeChange{{
+	value := w.nextProbeValue()
+	o.lastNumber++
+	content := settings.Change{Operator: o.name, Number: o.lastNumber, Nodes: []settings.NodeChange{{
 		Path: path, Version: o.versions[path], Fields: settings.Fields{TenantMaxInFlight: &value},
 	}}}
-	current := &change{operator: o, content: content, path: path, value: value, limit: operatorTries}
-	current.done = func(reply *settings.Reply) {
-		o.answered(current, reply)
+	probe := &change{operator: o, content: content, path: path, value: value, maxTries: maxProbeTries}
+	probe.onDone = func(reply *settings.Reply) {
+		o.handleReply(probe, reply)
 		if done != nil {
 			done()
 		}
 	}
-	current.try()
+	probe.send()
 }
 
-func (o *operator) answered(c *change, reply *settings.Reply) {
+func (o *operator) handleReply(c *change, reply *settings.Reply) {
 	w := o.world
 	if reply == nil {
 		return
@@ -110,28 +112,29 @@
 			o.versions[c.path] = reply.Winner.Version
 		}
 		if reply.Error.Code == result.ChangeNumberReuse {
-			w.checks.violate(invariantSettings, "%s: number %d was called reused", o.name, c.content.Number)
+			w.checks.reportViolation(invariantSettings, "%s: change number %d was rejected as reused", o.name, c.content.Number)
 		}
 		return
 	}
 	o.versions[c.path] = reply.Revision
-	w.checks.accepted(c, reply.Revision)
-	if w.chance(0.3) {
-		again := &change{operator: o, content: c.content, path: c.path, value: c.value, limit: operatorTries, done: func(second *settings.Reply) {
+	w.checks.observeAcceptedChange(c, reply.Revision)
+	if w.randomBool(0.3) {
+		resent := &change{operator: o, content: c.content, path: c.path, value: c.value, maxTries: maxProbeTries, onDone: func(second *settings.Reply) {
 			if second != nil && (second.Error != nil || second.Revision != reply.Revision) {
-				w.checks.violate(invariantSettings, "%s: number %d sent again was answered %+v, first revision %d", o.name, c.content.Number, second, reply.Revision)
+				w.checks.reportViolation(invariantSettings, "%s: change number %d was resent and answered %+v, but first accepted at revision %d", o.name, c.content.Number, second, reply.Revision)
 			}
 		}}
-		again.try()
+		resent.send()
 	}
 }
 
-// try sends the change to some control process; whoever gets no answer sends the
-// same number again elsewhere.
-func (c *change) try() {
+// send sends the change to a random control process. Without an accepted or rejected
+// reply in time, it resends the change with the same number to a control process
+// picked anew, up to maxTries times.
+func (c *change) send() {
 	w := c.operator.world
-	if c.tries >= c.limit {
-		c.done(nil)
+	if c.tries >= c.maxTries {
+		c.onDone(nil)
 		return
 	}
 	c.tries++
@@ -139,44 +142,45 @@
 	attempt := c.attempt
 	target := w.controls[w.random.IntN(len(w.controls))]
 	retry := func() {
-		if attempt == c.attempt && c.done != nil {
+		if attempt == c.attempt && c.onDone != nil {
 			c.attempt++
-			w.after(deploymentRetryUs, "operator", c.try)
+			w.after(changeRetryDelayUs, "operator", c.send)
 		}
 	}
-	target.ask(c.operator.process, protocol.KindSettings, &protocol.SettingsRequest{Change: c.content}, func(reply any) {
-		if attempt != c.attempt || c.done == nil {
+	target.handleRequestFrom(c.operator.process, protocol.KindSettings, &protocol.SettingsRequest{Change: c.content}, func(reply any) {
+		if attempt != c.attempt || c.onDone == nil {
 			return
 		}
-		typed, ok := reply.(*protocol.SettingsReply)
-		if !ok || (typed.Reply.Error != nil && (typed.Reply.Error.Code == result.NotLeader || typed.Reply.Error.Code == result.NoQuorum)) {
+		settingsReply, ok := reply.(*protocol.SettingsReply)
+		if !ok || (settingsReply.Reply.Error != nil && (settingsReply.Reply.Error.Code == result.NotLeader || settingsReply.Reply.Error.Code == result.NoQuorum)) {
 			retry()
 			return
 		}
-		done := c.done
-		c.done = nil
-		done(&typed.Reply)
+		done := c.onDone
+		c.onDone = nil
+		done(&settingsReply.Reply)
 	})
-	w.after(operatorWaitUs, "operator waits", retry)
+	w.after(changeTimeoutUs, "operator waits", retry)
 }
 
-// keepChanging makes an operator change the probes now and then.
+// keepChanging makes the operator change random probes with random pauses.
 func (o *operator) keepChanging(times int) {
-	if times == 0 || o.world.quiet {
+	if times == 0 || o.world.isQuiescent {
 		return
 	}
 	path := probePaths[o.world.random.IntN(len(probePaths))]
-	o.set(path, func() {
-		o.world.after(o.world.between(operatorPauseUs/4, operatorPauseUs*3), "operator", func() { o.keepChanging(times - 1) })
+	o.changeProbe(path, func() {
+		o.world.after(o.world.randomBetween(changePauseUs/4, changePauseUs*3), "operator", func() { o.keepChanging(times - 1) })
 	})
 }
 
-// burst makes many changes in a row.
+// burst submits changes of the first probe in quick succession, each after the answer
+// to the one before.
 func (o *operator) burst(times int) {
 	if times == 0 {
 		return
 	}
-	o.set(probePaths[0], func() {
-		o.world.after(changesInARowGap, "operator", func() { o.burst(times - 1) })
+	o.changeProbe(probePaths[0], func() {
+		o.world.after(burstIntervalUs, "operator", func() { o.burst(times - 1) })
 	})
 }
--- a/internal/simulation/sidecars.go
+++ b/internal/simulation/sidecars.go
@@ -8,26 +8,26 @@
 	"github.com/ochrebay/ochrebay/internal/sidecar"
 )
 
-// sidecarNode is one sidecar.
+// sidecarNode is a simulated sidecar.
 type sidecarNode struct {
 	*process
-	core    *sidecar.Core
-	callers map[sidecar.CallID]*callerSend
-	next    sidecar.CallID
+	core       *sidecar.Core
+	attempts   map[sidecar.CallID]*callerAttempt
+	lastCaller sidecar.CallID
 }
 
 func (w *world) addSidecars() {
 	for _, count := range w.deployment.Sidecars {
 		for number := range count.Count {
 			node := &sidecarNode{process: w.newProcess(fmt.Sprintf("sidecar-%s-%d", count.Zone, number+1), count.Zone)}
-			node.start = node.boot
+			node.onStart = node.boot
 			w.sidecars = append(w.sidecars, node)
 		}
 	}
 }
 
 func (n *sidecarNode) boot() {
-	n.callers = map[sidecar.CallID]*callerSend{}
+	n.attempts = map[sidecar.CallID]*callerAttempt{}
 	var seeds []membership.Scheduler
 	for _, known := range n.world.schedulers {
 		seed := membership.Scheduler{Name: known.name, Zone: known.zone, Address: known.name}
@@ -38,43 +38,43 @@
 		}
 	}
 	options := sidecar.DefaultOptions(n.name, n.zone, seeds)
-	n.world.disableSidecar(&options)
+	n.world.disableSidecarMechanisms(&options)
 	n.core = sidecar.NewCore(options, n, n.nowMs())
-	n.every(daemonTickUs, n.name, func() {
+	n.runPeriodically(daemonTickUs, n.name, func() {
 		n.core.Tick(n.nowMs())
 		n.world.checks.observeSidecar(n)
 	})
 }
 
-// Send is the core's outlet to schedulers.
+// Send sends a request of the core to a scheduler.
 func (n *sidecarNode) Send(address string, id sidecar.OutboundRequestID, kind protocol.Kind, request any) {
-	target := n.world.scheduler(address)
-	life := n.life
+	target := n.world.schedulerByName(address)
+	incarnation := n.incarnation
 	lost := func() {
-		if n.alive && n.life == life {
+		if n.isAlive && n.incarnation == incarnation {
 			n.core.HandleLostRequest(id, n.nowMs())
 		}
 	}
 	if target == nil {
-		n.world.after(connectRefused, "refused", lost)
+		n.world.after(connectRefusedDelayUs, "refused", lost)
 		return
 	}
 	raw := mustEncode(request)
-	n.world.network.send(n.process, target.process, 0, "call", func() { target.takeCall(n, life, id, kind, raw, lost) }, lost)
+	n.world.network.send(n.process, target.process, 0, "call", func() { target.handleSidecarRequest(n, incarnation, id, kind, raw, lost) }, lost)
 }
 
-// connectionLost tells the sidecar that the scheduler's answers can't arrive.
+// connectionLost reports to the sidecar that the reply of the scheduler cannot arrive.
 func (n *sidecarNode) connectionLost(route sinkRoute) {
-	n.world.after(lostNoticeUs, "reset", func() {
-		if n.alive && n.life == route.life {
-			n.receive(func() { n.core.HandleLostRequest(route.send, n.nowMs()) })
+	n.world.after(lossNoticeDelayUs, "reset", func() {
+		if n.isAlive && n.incarnation == route.sidecarIncarnation {
+			n.receive(func() { n.core.HandleLostRequest(route.sendID, n.nowMs()) })
 		}
 	})
 }
 
 // Notify sends a one-way message to a scheduler.
 func (n *sidecarNode) Notify(address string, _ protocol.Kind, message any) {
-	target := n.world.scheduler(address)
+	target := n.world.schedulerByName(address)
 	if target == nil {
 		return
 	}
@@ -86,13 +86,13 @@
 	}, nil)
 }
 
-// take is a frame from a scheduler.
-func (n *sidecarNode) take(id sidecar.OutboundRequestID, kind protocol.Kind, raw []byte) {
+// handleFrame passes a frame from a scheduler to the core.
+func (n *sidecarNode) handleFrame(id sidecar.OutboundRequestID, kind protocol.Kind, raw []byte) {
 	switch kind {
 	case protocol.KindCallChunk:
-		var piece protocol.CallChunk
-		mustDecode(raw, &piece)
-		n.core.HandleChunk(id, &piece, n.nowMs())
+		var chunk protocol.CallChunk
+		mustDecode(raw, &chunk)
+		n.core.HandleChunk(id, &chunk, n.nowMs())
 	case protocol.KindCallReply:
 		var answer protocol.CallReply
 		mustDecode(raw, &answer)
@@ -104,17 +104,17 @@
 	}
 }
 
-// Deliver hands the next part of an answer to the caller.
+// Deliver sends the next text of a response to the caller.
 func (n *sidecarNode) Deliver(id sidecar.CallID, text string) {
-	if send, ok := n.callers[id]; ok {
+	if send, ok := n.attempts[id]; ok {
 		send.deliver(text)
 	}
 }
 
-// Finish ends a caller's request.
+// Finish ends the request of a caller with its final reply.
 func (n *sidecarNode) Finish(id sidecar.CallID, answer *protocol.CallReply) {
-	if send, ok := n.callers[id]; ok {
-		delete(n.callers, id)
+	if send, ok := n.attempts[id]; ok {
+		delete(n.attempts, id)
 		send.finish(answer)
 	}
 }
